--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -116,14 +116,14 @@
 
 // mustWait tells which live keys can't take hold after all: files for bodies that would have to come or go, and
 // indices with a layout, whose versions only the store can move on.
-func (s *Search) mustWait(next *Search) func(key string) bool {
+func (c *Search) mustWait(next *Search) func(key string) bool {
 	return func(key string) bool {
 		if key == "bodies.files_kib" {
-			return (s.Bodies.FilesKiB == 0) != (next.Bodies.FilesKiB == 0) || s.Bodies.Off
+			return (c.Bodies.FilesKiB == 0) != (next.Bodies.FilesKiB == 0) || c.Bodies.Off
 		}
 		rest, ok := strings.CutPrefix(key, "indices.")
 		name, _, _ := strings.Cut(rest, ".")
-		return ok && (moving(s, name) || moving(next, name))
+		return ok && (moving(c, name) || moving(next, name))
 	}
 }
 
--- a/internal/lab/bodies.go
+++ b/internal/lab/bodies.go
@@ -78,7 +78,6 @@
 		return bodyOutcome{}, err
 	}
 	defer w.close()
-	before := map[string]int64{}
 	counts := func() map[string]int64 {
 		out := map[string]int64{}
 		for _, class := range classes {
@@ -91,7 +90,7 @@
 		}
 		return out
 	}
-	before = counts()
+	before := counts()
 	for k, s := range w.fleet.Servers { // a third of the fleet fails a tenth of its parts
 		if k%3 == 0 {
 			s.Fail(0.1)
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -18,7 +18,6 @@
 	attempt coordinator.Attempt
 	name    string
 	last    atomic.Bool // the write that ends the message has begun
-	done    bool        // that the write went well is booked; owned by the actor
 	after   []string    // parts given up meanwhile
 }
 
--- a/router_test.go
+++ b/router_test.go
@@ -574,7 +574,7 @@
 		}
 		return log
 	}
-	if play() != play() {
+	if first, second := play(), play(); first != second {
 		t.Error("two routers with one seed differ")
 	}
 }
