--- a/internal/agree/agree.go
+++ b/internal/agree/agree.go
@@ -260,7 +260,7 @@
 }
 
 // work does something again and again while there are orders for it, and sleeps otherwise.
-func (a *Agreement) work(ctx context.Context, wake <-chan struct{}, orders func() []facts.Order, do func([]facts.Order)) {
+func (*Agreement) work(ctx context.Context, wake <-chan struct{}, orders func() []facts.Order, do func([]facts.Order)) {
 	for tries := 0; ; tries++ {
 		var again <-chan time.Time
 		if open := orders(); len(open) > 0 {
--- a/internal/bodies/bodies_test.go
+++ b/internal/bodies/bodies_test.go
@@ -37,7 +37,7 @@
 	d, err := osFS{}.Create(path)
 	return &faultyDisk{d, f}, err
 }
-func (f *faults) Remove(path string) error { return os.Remove(path) }
+func (*faults) Remove(path string) error { return os.Remove(path) }
 
 type faultyDisk struct {
 	Disk
--- a/internal/bodies/log.go
+++ b/internal/bodies/log.go
@@ -187,7 +187,7 @@
 }
 
 // read reads a record into buf, which has room for it, and checks it. The segment is pinned.
-func (l *seglog) read(r record, buf []byte) ([]byte, error) {
+func (*seglog) read(r record, buf []byte) ([]byte, error) {
 	buf = buf[:headSize+r.n]
 	if _, err := r.seg.disk.ReadAt(buf, r.off); err != nil {
 		return nil, fmt.Errorf("bodies: read: %w", err)
--- a/internal/bodies/tier/tier.go
+++ b/internal/bodies/tier/tier.go
@@ -344,7 +344,7 @@
 }
 
 // lessThan picks what lies in files, may be dropped and is worth less for each byte than v.
-func (s *State) lessThan(v *body) func(*body) bool {
+func (*State) lessThan(v *body) func(*body) bool {
 	return func(b *body) bool { return b.droppable() && b.density() < v.density() }
 }
 
--- a/internal/config/facts/explore_test.go
+++ b/internal/config/facts/explore_test.go
@@ -248,7 +248,7 @@
 }
 
 // said tells whether an order that does not hold was withdrawn by name, or undone by an undrain after it was taken.
-func (x *explorer) said(w *world, all *config.State, o Order) bool {
+func (*explorer) said(w *world, all *config.State, o Order) bool {
 	for _, v := range all.Withdrawn() {
 		if v.Order.ID == o.ID {
 			return true
--- a/internal/config/facts/facts_test.go
+++ b/internal/config/facts/facts_test.go
@@ -13,8 +13,8 @@
 // log is a settled set and no agreement.
 type log struct{ settled Settled }
 
-func (l log) Settled() Settled          { return l.settled }
-func (l log) Agreed(string) Restriction { return None }
+func (l log) Settled() Settled        { return l.settled }
+func (log) Agreed(string) Restriction { return None }
 
 func orders(t *rapid.T) []Order {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Order {
--- a/internal/config/merge/merge_test.go
+++ b/internal/config/merge/merge_test.go
@@ -65,7 +65,7 @@
 				}
 				take(m.Discovery(l))
 			},
-			"failed": func(t *rapid.T) { take(m.Discovery(coordinator.List{Mode: linkpass.ListFailed})) },
+			"failed": func(_ *rapid.T) { take(m.Discovery(coordinator.List{Mode: linkpass.ListFailed})) },
 			"agreed": func(t *rapid.T) {
 				name := rapid.SampledFrom(names).Draw(t, "name")
 				a := Agreed{Hold: facts.Restriction(rapid.IntRange(0, 2).Draw(t, "hold")), Weight: float64(rapid.IntRange(0, 2).Draw(t, "weight"))}
--- a/internal/control/seal/seal.go
+++ b/internal/control/seal/seal.go
@@ -19,8 +19,10 @@
 const Scheme = "linkpass-v1"
 
 const (
-	// MinKey and MaxKey bound a key, in bytes.
-	MinKey, MaxKey = 16, 64
+	// MinKey is the length of the shortest key, in bytes.
+	MinKey = 16
+	// MaxKey is the length of the longest key, in bytes.
+	MaxKey = 64
 	// MaxKeys bounds a ring.
 	MaxKeys = 64
 	// MaxSeen bounds the calls remembered against replay; past it calls are refused, as none may be forgotten.
--- a/internal/coordinator/bench_test.go
+++ b/internal/coordinator/bench_test.go
@@ -15,7 +15,7 @@
 // instant answers every attempt and probe as soon as it is asked.
 type instant struct{ core *Core }
 
-func (l *instant) List(List) {}
+func (*instant) List(List) {}
 func (l *instant) Call(_ linkpass.ServerID, list []Attempt) bool {
 	for _, a := range list {
 		r := Result{End: end.Served, At: l.core.Now()}
@@ -26,12 +26,12 @@
 	}
 	return true
 }
-func (l *instant) Cancel(linkpass.ServerID, AttemptID) {}
+func (*instant) Cancel(linkpass.ServerID, AttemptID) {}
 func (l *instant) Probe(_ linkpass.ServerID, n uint64) bool {
 	go l.core.ProbeEnded(n, Result{End: end.Served, At: l.core.Now(), Report: []float64{0}})
 	return true
 }
-func (l *instant) Forget(linkpass.ServerID, uint64) {}
+func (*instant) Forget(linkpass.ServerID, uint64) {}
 
 // A query of eight parts through the core: on a fixed layout, and on one that could move and stays
 // still. The difference is what the layout costs each query.
--- a/internal/coordinator/body.go
+++ b/internal/coordinator/body.go
@@ -18,7 +18,7 @@
 
 // unsent notes whether a part is yet to be written, and tells the keeper of its body when that
 // changes for the query: what nobody is to write may be given up.
-func (c *Core) unsent(p *part, unsent bool) {
+func (*Core) unsent(p *part, unsent bool) {
 	q := p.query
 	if q.Body == nil || p.unsent == unsent || unsent && (p.in || p.gave) {
 		return
--- a/internal/coordinator/body_test.go
+++ b/internal/coordinator/body_test.go
@@ -18,13 +18,13 @@
 	freed int
 }
 
-func (k *keeper) note(s string)                { k.mu.Lock(); k.told += s; k.mu.Unlock() }
-func (k *keeper) Size() int64                  { return 1 << 20 }
-func (k *keeper) Open() (io.ReadCloser, error) { return nil, errors.New("not read here") }
-func (k *keeper) Written()                     { k.note("written ") }
-func (k *keeper) Waits()                       { k.note("waits ") }
-func (k *keeper) OnGone(f func())              { k.gone = f }
-func (k *keeper) Release()                     { k.freed++ }
+func (k *keeper) note(s string)              { k.mu.Lock(); k.told += s; k.mu.Unlock() }
+func (*keeper) Size() int64                  { return 1 << 20 }
+func (*keeper) Open() (io.ReadCloser, error) { return nil, errors.New("not read here") }
+func (k *keeper) Written()                   { k.note("written ") }
+func (k *keeper) Waits()                     { k.note("waits ") }
+func (k *keeper) OnGone(f func())            { k.gone = f }
+func (k *keeper) Release()                   { k.freed++ }
 
 // The keeper hears when nothing is yet to be written, and when something is again. Once the body is gone its
 // query ends with the attempt that was out: refused where that never ran, failed otherwise; the body is let go once.
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -23,7 +23,7 @@
 	mute    bool // probes stay without an answer
 }
 
-func (l *links) List(List) {}
+func (*links) List(List) {}
 func (l *links) Call(s linkpass.ServerID, list []Attempt) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -41,7 +41,7 @@
 	}
 	return true
 }
-func (l *links) Forget(linkpass.ServerID, uint64) {}
+func (*links) Forget(linkpass.ServerID, uint64) {}
 
 // taken is what has been called so far.
 func (l *links) taken() (out []Attempt) {
--- a/internal/coordinator/moving.go
+++ b/internal/coordinator/moving.go
@@ -120,7 +120,7 @@
 }
 
 // parted words planned parts; their weights follow their ranges and add up to total.
-func (c *Core) parted(q *query, l *layout.Layout, list []replan.Part, total float64) []Part {
+func (*Core) parted(q *query, l *layout.Layout, list []replan.Part, total float64) []Part {
 	out := make([]Part, len(list))
 	asks := make([]Ask, len(list)) // one allocation
 	ranges := make([]layout.Range, len(list))
@@ -271,7 +271,7 @@
 }
 
 // lost adds the wanted keys that no part asks for any more to what is missing.
-func (c *Core) lost(q *query, missing []Miss) []Miss {
+func (*Core) lost(q *query, missing []Miss) []Miss {
 	told := coverage.Set{}
 	for _, m := range missing {
 		told.Add(m.Ask.Range)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -35,7 +35,7 @@
 }
 
 func (f *fakeCore) List(l coordinator.List) { f.lists <- l }
-func (f *fakeCore) Now() time.Duration      { return 0 }
+func (*fakeCore) Now() time.Duration        { return 0 }
 func (f *fakeCore) Arm(at time.Duration, fire func()) (disarm func()) {
 	if f.armed != nil {
 		f.armed <- limit{at, fire}
--- a/internal/frame/dialect.go
+++ b/internal/frame/dialect.go
@@ -21,7 +21,7 @@
 func (d Dialect) Room() peer.Room { return peer.Room{Streams: d.MaxStreams, Conns: 8} }
 
 // Call words one call.
-func (d Dialect) Call(parts []peer.Part) []byte {
+func (Dialect) Call(parts []peer.Part) []byte {
 	list := make([]Part, len(parts))
 	for i, p := range parts {
 		list[i] = Part{ID: p.Name, Shard: p.Shard, Wait: p.Wait, Text: p.Text}
@@ -30,12 +30,12 @@
 }
 
 // Head words a call of one part up to its text.
-func (d Dialect) Head(p peer.Part, size int64) []byte {
+func (Dialect) Head(p peer.Part, size int64) []byte {
 	return AppendHead(nil, Part{ID: p.Name, Shard: p.Shard, Wait: p.Wait}, size)
 }
 
 // GiveUp words that a part is given up.
-func (d Dialect) GiveUp(name string) []byte { return Append(nil, GiveUp, []byte(name)) }
+func (Dialect) GiveUp(name string) []byte { return Append(nil, GiveUp, []byte(name)) }
 
 // Probe words a probe.
 func (d Dialect) Probe() []byte {
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -290,7 +290,7 @@
 }
 
 // short is the error of a body that ends early.
-func (r *Reader) short(err error) error {
+func (*Reader) short(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/lab/chaos.go
+++ b/internal/lab/chaos.go
@@ -141,7 +141,7 @@
 
 // spare finds a server in service whose slices all have another holder that runs, and that no
 // open plan is about to rest on alone.
-func (t *trouble) spare(w *world, rng *rand.Rand) *standin.Server {
+func (*trouble) spare(w *world, rng *rand.Rand) *standin.Server {
 	rows, up := w.rows(), w.fleet.InService()
 	if len(rows) == 0 || len(up) == 0 {
 		return nil
--- a/internal/layout/reshape/reshape.go
+++ b/internal/layout/reshape/reshape.go
@@ -121,7 +121,7 @@
 }
 
 // busy counts the plans under way, in all and by server.
-func (c *Controller) busy(in Input) (by map[string]int, all int) {
+func (*Controller) busy(in Input) (by map[string]int, all int) {
 	by = map[string]int{}
 	for _, l := range in.Layouts {
 		for _, p := range l.Plans() {
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -29,7 +29,7 @@
 func (c *carrier) Retire()                              { c.note("retire") }
 func (c *carrier) Close()                               { c.note("close") }
 func (c *carrier) Ended() bool                          { return c.ended }
-func (c *carrier) Wait()                                {}
+func (*carrier) Wait()                                  {}
 
 func TestCarriersFollowTheListAndTheProtocol(t *testing.T) {
 	var notes []string
--- a/internal/opensearch/dialect.go
+++ b/internal/opensearch/dialect.go
@@ -42,12 +42,12 @@
 )
 
 // Room is one part a connection.
-func (d Dialect) Room() peer.Room {
+func (Dialect) Room() peer.Room {
 	return peer.Room{Streams: 1, Conns: maxConns, Exclusive: true, Ranges: true}
 }
 
 // Call words one part as a search.
-func (d Dialect) Call(parts []peer.Part) []byte {
+func (Dialect) Call(parts []peer.Part) []byte {
 	var b bytes.Buffer
 	for _, p := range parts {
 		path, header := target(p)
@@ -58,7 +58,7 @@
 }
 
 // Head words a search up to its body. The platform's text is no search: it is worded whole.
-func (d Dialect) Head(p peer.Part, size int64) []byte {
+func (Dialect) Head(p peer.Part, size int64) []byte {
 	if p.Collection == "" {
 		return nil
 	}
@@ -99,10 +99,10 @@
 }
 
 // GiveUp has no words: an exclusive connection is closed.
-func (d Dialect) GiveUp(string) []byte { return nil }
+func (Dialect) GiveUp(string) []byte { return nil }
 
 // Probe asks for the server's greeting.
-func (d Dialect) Probe() []byte {
+func (Dialect) Probe() []byte {
 	var b bytes.Buffer
 	_ = http1.WriteRequest(&b, "GET", "/", host, nil, nil)
 	return b.Bytes()
--- a/internal/opensearch/front.go
+++ b/internal/opensearch/front.go
@@ -213,7 +213,7 @@
 }
 
 // word words an answer of which so much is in.
-func (f *Front) word(s search, a coordinator.Answer, took int64, counts shards) *http1.Response {
+func (*Front) word(s search, a coordinator.Answer, took int64, counts shards) *http1.Response {
 	if a.Verdict == coordinator.Answered && (a.Whole || s.allowPartial) {
 		return jsonResponse(200, result{Took: took, TimedOut: a.TimedOut && !a.Whole, Shards: counts, Hits: s.merge(a.Values)})
 	}
--- a/internal/opensearch/layouts_test.go
+++ b/internal/opensearch/layouts_test.go
@@ -52,7 +52,7 @@
 		"/players/_search?preference=_ranges:" + halves[0].String():              {halves[0]},
 		fmt.Sprintf("/players/_search?preference=_shards:%d,%d", first+1, first): {halves[0]},
 	} {
-		k := &core{answer: func(q coordinator.Query) coordinator.Answer {
+		k := &core{answer: func(_ coordinator.Query) coordinator.Answer {
 			return coordinator.Answer{Verdict: coordinator.Answered, Layout: 7, Missing: []coordinator.Miss{
 				{Last: end.Moved, Tried: true, Ask: &coordinator.Ask{Slice: 9, Range: halves[1], Version: 7}}}}
 		}}
--- a/internal/opensearch/opensearch_test.go
+++ b/internal/opensearch/opensearch_test.go
@@ -27,7 +27,7 @@
 	answer  func(coordinator.Query) coordinator.Answer // nil: only once the client has left
 }
 
-func (c *core) Now() time.Duration { return 40 * time.Millisecond }
+func (*core) Now() time.Duration { return 40 * time.Millisecond }
 func (c *core) Submit(q coordinator.Query) func() {
 	c.queries = append(c.queries, q)
 	if c.answer == nil {
--- a/internal/page/page_test.go
+++ b/internal/page/page_test.go
@@ -30,7 +30,7 @@
 func (f fake) Servers() ([]control.Server, error) { return f.servers, nil }
 
 // Layouts has an index with an open plan.
-func (f fake) Layouts() ([]control.IndexLayout, error) {
+func (fake) Layouts() ([]control.IndexLayout, error) {
 	l, err := layout.Even(4, [][]string{{"a", "<script>"}, {"c"}})
 	if err == nil {
 		l, err = l.Apply(layout.Command{Order: &layout.Order{Kind: layout.Split, Slices: []layout.SliceID{layout.FirstSlice}, Into: 2}})
--- a/internal/peer/burst_test.go
+++ b/internal/peer/burst_test.go
@@ -35,14 +35,14 @@
 	calls atomic.Int64
 }
 
-func (w *way) List(coordinator.List) {}
+func (*way) List(coordinator.List) {}
 func (w *way) Call(_ linkpass.ServerID, list []coordinator.Attempt) bool {
 	w.calls.Add(int64(len(list)))
 	return w.Peer.Call(list)
 }
 func (w *way) Cancel(_ linkpass.ServerID, id coordinator.AttemptID) { w.Peer.Cancel(id) }
-func (w *way) Probe(linkpass.ServerID, uint64) bool                 { return false }
-func (w *way) Forget(linkpass.ServerID, uint64)                     {}
+func (*way) Probe(linkpass.ServerID, uint64) bool                   { return false }
+func (*way) Forget(linkpass.ServerID, uint64)                       {}
 
 // Crossing: a burst of clients leaves while their queries wait for a connection. Nothing can be called back here, and
 // none of them is sent on once it is up; one that stays is.
--- a/internal/peer/crossings_test.go
+++ b/internal/peer/crossings_test.go
@@ -38,8 +38,8 @@
 	s.ended <- r
 	s.telling.Add(-1)
 }
-func (s *stage) ProbeEnded(uint64, coordinator.Result) {}
-func (s *stage) Written(coordinator.AttemptID)         {}
+func (*stage) ProbeEnded(uint64, coordinator.Result) {}
+func (*stage) Written(coordinator.AttemptID)         {}
 
 const (
 	dialTime = 250 * time.Millisecond
--- a/internal/peer/stream_test.go
+++ b/internal/peer/stream_test.go
@@ -29,10 +29,10 @@
 	}
 	return io.NopCloser(bytes.NewReader(b.data)), nil
 }
-func (b *body) Written()      {}
-func (b *body) Waits()        {}
-func (b *body) OnGone(func()) {}
-func (b *body) Release()      {}
+func (*body) Written()      {}
+func (*body) Waits()        {}
+func (*body) OnGone(func()) {}
+func (*body) Release()      {}
 
 type failing struct{}
 
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -342,7 +342,7 @@
 }
 
 // confirm waits until a majority has confirmed something.
-func (s *Store) confirm(future raft.Future) error {
+func (*Store) confirm(future raft.Future) error {
 	done := make(chan error, 1)
 	go func() { done <- future.Error() }() // ends with the future: when leadership is lost, at the latest
 	timer := time.NewTimer(applyLimit)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -398,7 +398,7 @@
 		t.Fatal(err)
 	}
 	c.members, c.stores = append(c.members, m), append(c.stores, fourth)
-	caught := func(m Member, version uint64) error {
+	caught := func(_ Member, version uint64) error {
 		if v := fourth.State().Version(); v < version {
 			return fmt.Errorf("version %d of %d", v, version)
 		}
