--- a/Makefile
+++ b/Makefile
@@ -7,6 +7,9 @@
 # Packages that hold state and do I/O.
 STATE = internal/agree internal/bodies internal/catalog internal/coordinator internal/layout/steward internal/parts internal/store
 
+# The linters are pinned in a module of their own; tools/go.mod would take tools/knownred out of the program's.
+LINTER = go tool -modfile=tools/lint/go.mod
+
 .PHONY: build test lint run demo
 
 # As deploy/balancer.toml builds: linked against the C library, into which the full fleet's bench loads its own.
@@ -17,6 +20,8 @@
 lint:
 	@unformatted=$$(gofmt -l .); if [ -n "$$unformatted" ]; then echo "not gofmt-clean: $$unformatted"; exit 1; fi
 	go vet ./...
+	$(LINTER) staticcheck ./...
+	$(LINTER) revive -config revive.toml ./...
 	@lines=$$(cat $(POLICY) | grep -c '[^[:space:]]'); if [ "$$lines" -gt $(POLICY_LINES) ]; then \
 		echo "the policy files have $$lines non-blank lines; $(POLICY_LINES) is the ceiling"; exit 1; fi
 	@long=$$(expand -t4 $(POLICY) | awk 'length > 110 { print NR }'); if [ -n "$$long" ]; then \
