--- /dev/null
+++ b/internal/config/stored_test.go
@@ -0,0 +1,424 @@
+package config
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"flag"
+	"io"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"linkpass/internal/catalog"
+	"linkpass/internal/config/facts"
+	"linkpass/internal/layout"
+)
+
+// writeStored adds fixtures that are missing. One that exists is never written again: it stands for the data that earlier
+// versions left on disk, and a change of the format gets a fixture of its own.
+var writeStored = flag.Bool("write-stored", false, "write the stored-data fixtures that are missing")
+
+const storedDir = "testdata/stored"
+
+// readFixture returns a fixture's bytes. With -write-stored, a fixture that does not exist is written first.
+func readFixture(t *testing.T, name string, create func() []byte) []byte {
+	t.Helper()
+	path := filepath.Join(storedDir, name)
+	data, err := os.ReadFile(path)
+	if errors.Is(err, os.ErrNotExist) && *writeStored {
+		data = create()
+		err = errors.Join(os.MkdirAll(filepath.Dir(path), 0o755), os.WriteFile(path, data, 0o644))
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	return data
+}
+
+// storedDocument is a settings document as a client sends it: with a fixed index, a spread and a layout given by hand.
+const storedDocument = `{"search":{"default_search_timeout":"750ms","default_allow_partial_results":false,"max_result_window":500},` +
+	`"indices":{"fixed":{"class":"c1","slices":[3,4]},"spread":{"class":"c2","spread":{"slices":2,"sets":[["s-1"],["s-2"]]}},` +
+	`"byhand":{"class":"c3","layout":{"version":2,"slices":[{"id":1048576,"range":"0000000000000000-ffffffffffffffff","epoch":2,"holders":["s-3"]}]}}},` +
+	`"servers":{"s-1":{"protocol":"search"}}}`
+
+// storedCommands are the commands that the entry fixtures hold, by the fixture's name.
+func storedCommands() map[string]Command {
+	spec := &Spec{Addr: "10.0.0.1:9200", Zone: "zone-a", Kind: "large", Cell: 3}
+	id := facts.ID{Origin: facts.Origin{Instance: "n1", Boot: 4}, Seq: 9}
+	other := facts.ID{Origin: facts.Origin{Instance: "n2", Boot: 5}, Seq: 11}
+	order := &facts.Order{ID: id, Server: "s-1", Kind: facts.Draining}
+	forced := &facts.Order{ID: other, Server: "s-2", Kind: facts.Removed, Force: true}
+	step := func(c layout.Command) *layout.Command { return &c }
+	open := &layout.Order{Kind: layout.Split, Slices: []layout.SliceID{layout.FirstSlice, layout.FirstSlice + 1}, Into: 2, To: [][]string{{"s-1", "s-2"}, {"s-3"}}}
+	advance := &layout.Advance{Plan: 6, Step: layout.BothHold, Holding: map[layout.SliceID][]string{layout.FirstSlice + 2: {"s-1"}, layout.FirstSlice + 3: {"s-2", "s-3"}}}
+	abandon := &layout.Abandon{Plan: 7, Why: "the target is down"}
+	return map[string]Command{
+		"add_server":     {Kind: AddServer, Client: "ops", Seq: 1, Server: "s-1", Spec: spec},
+		"change_server":  {Kind: ChangeServer, If: 12, Server: "s-1", Spec: &Spec{Addr: "10.0.0.2:9200"}},
+		"restrict":       {Kind: Restrict, Order: order},
+		"restrict_force": {Kind: Restrict, Order: forced},
+		"undrain":        {Kind: Undrain, Server: "s-1", Names: []facts.ID{id, other}},
+		"set_weight":     {Kind: SetWeight, Server: "s-1", Weight: 0.75},
+		"patch":          {Kind: Patch, If: 3, Text: []byte(`{"search.max_result_window":5}`)},
+		"document":       {Kind: Document, Text: []byte(storedDocument)},
+		"layout_order":   {Kind: Layout, Index: "players", Advance: step(layout.Command{At: 8, Order: open})},
+		"layout_advance": {Kind: Layout, Index: "players", Advance: step(layout.Command{Advance: advance})},
+		"layout_abandon": {Kind: Layout, Index: "players", Advance: step(layout.Command{Abandon: abandon})},
+		"set_peer":       {Kind: SetPeer, Server: "n3", Text: []byte("10.0.1.3:9300")},
+		"drop_peer":      {Kind: DropPeer, Server: "n3"},
+		"zero_values": {Kind: Layout, Spec: &Spec{}, Order: &facts.Order{}, Names: []facts.ID{{}},
+			Advance: step(layout.Command{Order: &layout.Order{}, Advance: &layout.Advance{}, Abandon: &layout.Abandon{}})},
+		"every_field": {Kind: Layout, Client: "ops", Seq: 2, If: 5, Server: "s-1", Spec: spec, Weight: 1.5, Order: forced, Names: []facts.ID{id},
+			Text: []byte("text"), Index: "players", Advance: step(layout.Command{At: 9, Order: open, Advance: advance, Abandon: abandon})},
+	}
+}
+
+// storedCatalog is the settings of the snapshot fixture.
+func storedCatalog() *catalog.Catalog {
+	const first = layout.FirstSlice
+	partial := false
+	whole := func(from, to uint64) layout.Range { return layout.Range{First: from, Last: to} }
+	low, mid, high := whole(0, 0x3fffffffffffffff), whole(0x4000000000000000, 0x7fffffffffffffff), whole(0x8000000000000000, 0xffffffffffffffff)
+	return &catalog.Catalog{
+		Revision: 7,
+		Search:   catalog.Defaults{Timeout: "1500ms", AllowPartial: &partial, MaxResultWindow: 250},
+		Indices: map[string]catalog.Index{
+			"fixed": {Class: "bulk", Slices: []int{0, 2, 5}},
+			"players": {Class: "lookup", Layout: &layout.Document{Version: 9, NextSlice: first + 10, NextPlan: 6,
+				Slices: []layout.Slice{{ID: first, Range: low, Epoch: 1, Holders: []string{"s-1", "s-2"}},
+					{ID: first + 4, Range: mid, Epoch: 8, Holders: []string{"s-3"}},
+					{ID: first + 2, Range: high, Epoch: 1, Holders: []string{"s-2"}}},
+				Plans: []layout.Plan{
+					{ID: 3, Kind: layout.Move, Step: layout.Switched, At: 8,
+						From: []layout.Slice{{ID: first + 1, Range: mid, Epoch: 1, Holders: []string{"s-1"}}},
+						To:   []layout.Slice{{ID: first + 4, Range: mid, Epoch: 8, Holders: []string{"s-3"}}}},
+					{ID: 5, Kind: layout.Split, Step: layout.Copying, At: 9,
+						From: []layout.Slice{{ID: first, Range: low, Epoch: 1, Holders: []string{"s-1", "s-2"}}},
+						To: []layout.Slice{{ID: first + 8, Range: whole(0, 0x1fffffffffffffff), Holders: []string{"s-4"}},
+							{ID: first + 9, Range: whole(0x2000000000000000, 0x3fffffffffffffff), Holders: []string{"s-5"}}}}},
+				Past: []layout.Plan{
+					{ID: 1, Kind: layout.Merge, Step: layout.Retired, At: 4,
+						From: []layout.Slice{{ID: first + 3, Range: low, Epoch: 1, Holders: []string{"s-9"}}},
+						To:   []layout.Slice{{ID: first, Range: low, Epoch: 1, Holders: []string{"s-1", "s-2"}}}},
+					{ID: 2, Kind: layout.Move, Step: layout.Abandoned, At: 6, Why: "the target is down",
+						From: []layout.Slice{{ID: first + 2, Range: high, Epoch: 1, Holders: []string{"s-2"}}},
+						To:   []layout.Slice{{ID: first + 6, Range: high, Holders: []string{"s-6"}}}}}}},
+		},
+		Servers: map[string]catalog.Server{"s-1": {Protocol: catalog.Search}, "s-2": {Protocol: catalog.Plain}},
+	}
+}
+
+// storedState is the state of the snapshot fixture. No two numbers of a record are alike, so that fields which trade places
+// are seen.
+func storedState(t *testing.T) *State {
+	t.Helper()
+	settings := storedCatalog()
+	if err := settings.Check(); err != nil {
+		t.Fatal(err)
+	}
+	origin := facts.Origin{Instance: "n1", Boot: 4}
+	s := New(settings)
+	s.version, s.revised = 41, 37
+	s.servers["s-1"] = Server{Version: 21, Spec: &Spec{Addr: "10.0.0.1:9200", Zone: "zone-a", Kind: "large", Cell: 3}, Weight: 0.75, Hold: facts.Draining}
+	s.servers["s-2"] = Server{Version: 22, Spec: &Spec{Addr: "10.0.0.2:9200"}}
+	s.servers["s-3"] = Server{Version: 23, Weight: 2}
+	s.gone["s-8"], s.gone["s-9"] = true, true
+	s.sessions["ops"] = session{Seq: 5, Result: Result{Reason: Bare, Detail: "2 slices", Version: 19, Bare: []string{"players/1048576", "cell 3"}}, At: 31}
+	s.sessions["robot"] = session{Seq: 6, Result: Result{Version: 20}, At: 32}
+	s.settled = facts.FromMarks([]facts.Mark{{Origin: origin, UpTo: 7, Above: []uint64{9, 12}}, {Origin: facts.Origin{Instance: "n2", Boot: 1}, UpTo: 3}})
+	s.withdrawn = []Withdrawn{
+		{Order: facts.Order{ID: facts.ID{Origin: origin, Seq: 9}, Server: "s-8", Kind: facts.Removed, Force: true}, Why: WasGone, At: 33},
+		{Order: facts.Order{ID: facts.ID{Origin: facts.Origin{Instance: "n2", Boot: 1}, Seq: 2}, Server: "s-1", Kind: facts.Draining}, Why: "undrained", At: 34}}
+	s.peers["n3"], s.peers["n4"] = "10.0.1.3:9300", "10.0.1.4:9300"
+	return s
+}
+
+// requireState compares all of two states, the settings by their exported fields and their layouts.
+func requireState(t *testing.T, got, want *State) {
+	t.Helper()
+	a, b := *got, *want
+	a.settings, b.settings = nil, nil
+	if !reflect.DeepEqual(a, b) {
+		t.Errorf("state:\n%+v\nwant:\n%+v", a, b)
+	}
+	c, d := reflect.ValueOf(*got.settings), reflect.ValueOf(*want.settings)
+	for i := range c.NumField() {
+		if f := c.Type().Field(i); f.IsExported() && !reflect.DeepEqual(c.Field(i).Interface(), d.Field(i).Interface()) {
+			t.Errorf("settings, %s:\n%+v\nwant:\n%+v", f.Name, c.Field(i), d.Field(i))
+		}
+	}
+	for name, index := range want.settings.Indices {
+		l := got.settings.Layout(name)
+		if (l != nil) != (index.Layout != nil) {
+			t.Errorf("index %s: has a layout: %t", name, l != nil)
+		} else if l != nil && !reflect.DeepEqual(l.Document(), *index.Layout) {
+			t.Errorf("index %s: layout\n%+v\nwant:\n%+v", name, l.Document(), *index.Layout)
+		}
+	}
+}
+
+func mustSnapshot(t *testing.T, s *State) []byte {
+	t.Helper()
+	data, err := s.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return data
+}
+
+func TestStoredEntryReadsBaseFormat(t *testing.T) {
+	commands := storedCommands()
+	for name, want := range commands {
+		t.Run(name, func(t *testing.T) {
+			entry := readFixture(t, "entry_"+name+".cbor", func() []byte {
+				data, err := Encode(want)
+				if err != nil {
+					t.Fatal(err)
+				}
+				return data
+			})
+			got, err := Decode(entry)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if !reflect.DeepEqual(got, want) {
+				t.Errorf("decoded\n%+v\nwant\n%+v", got, want)
+			}
+			if again, err := Encode(got); err != nil || !bytes.Equal(again, entry) {
+				t.Errorf("encoded again: %x, %v\nwant %x", again, err, entry)
+			}
+		})
+	}
+	files, err := filepath.Glob(filepath.Join(storedDir, "entry_*.cbor"))
+	if err != nil || len(files) != len(commands) {
+		t.Errorf("%d entry fixtures, %d commands, %v", len(files), len(commands), err)
+	}
+	seen := map[Kind]bool{}
+	for _, c := range commands {
+		seen[c.Kind] = true
+	}
+	for k := Kind(1); k < kinds; k++ {
+		if !seen[k] {
+			t.Errorf("no entry of kind %d", k)
+		}
+	}
+}
+
+func TestStoredSnapshotReadsBaseFormat(t *testing.T) {
+	data := readFixture(t, "snapshot.cbor", func() []byte { return mustSnapshot(t, storedState(t)) })
+	got, err := Restore(data)
+	if err != nil {
+		t.Fatal(err)
+	}
+	requireState(t, got, storedState(t))
+	if again := mustSnapshot(t, got); !bytes.Equal(again, data) {
+		t.Errorf("snapshot again: %q\nwant %q", again, data)
+	}
+	hash, err := got.Hash()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := readFixture(t, "snapshot.hash", func() []byte { return []byte(hash + "\n") }); hash+"\n" != string(want) {
+		t.Errorf("hash %s, want %s", hash, want)
+	}
+}
+
+// Records whose fields are all zero hold the forms of empty fields.
+func TestStoredSnapshotOfZeroRecordsReadsBaseFormat(t *testing.T) {
+	want := New(&catalog.Catalog{})
+	if err := want.settings.Check(); err != nil {
+		t.Fatal(err)
+	}
+	want.servers["s-1"], want.servers["s-2"] = Server{}, Server{Spec: &Spec{}}
+	want.sessions["ops"] = session{}
+	want.settled = facts.FromMarks([]facts.Mark{{}})
+	want.withdrawn = []Withdrawn{{}}
+	data := readFixture(t, "snapshot_zero_records.cbor", func() []byte { return mustSnapshot(t, want) })
+	got, err := Restore(data)
+	if err != nil {
+		t.Fatal(err)
+	}
+	requireState(t, got, want)
+	if again := mustSnapshot(t, got); !bytes.Equal(again, data) {
+		t.Errorf("snapshot again: %q\nwant %q", again, data)
+	}
+}
+
+// The records of the log and the state are shown by the admin API and sent between instances as JSON, under names of its own.
+func TestStoredRecordsKeepTheirJSONForm(t *testing.T) {
+	s := storedState(t)
+	full, zero := storedCommands()["every_field"], storedCommands()["zero_values"]
+	for name, records := range map[string][]any{
+		"records_full.json": {s.servers["s-1"], s.sessions["ops"].Result, s.withdrawn, full.Spec, full.Order, full.Names, full.Advance.Order},
+		"records_zero.json": {Server{}, Result{}, Withdrawn{}, zero.Spec, zero.Order, zero.Names, zero.Advance.Order},
+	} {
+		t.Run(name, func(t *testing.T) {
+			got, err := json.MarshalIndent(records, "", "  ")
+			if err != nil {
+				t.Fatal(err)
+			}
+			got = append(got, '\n')
+			want := readFixture(t, name, func() []byte { return got })
+			if !bytes.Equal(got, want) {
+				t.Errorf("JSON\n%s\nwant\n%s", got, want)
+			}
+			var raw []json.RawMessage
+			if err := json.Unmarshal(want, &raw); err != nil || len(raw) != len(records) {
+				t.Fatal(len(raw), err)
+			}
+			for i, text := range raw {
+				read := reflect.New(reflect.TypeOf(records[i]))
+				if err := json.Unmarshal(text, read.Interface()); err != nil || !reflect.DeepEqual(read.Elem().Interface(), records[i]) {
+					t.Errorf("%s read as %+v, %v; want %+v", text, read.Elem(), err, records[i])
+				}
+			}
+		})
+	}
+}
+
+// A state without any content holds the forms of empty maps and lists.
+func TestStoredEmptySnapshotReadsBaseFormat(t *testing.T) {
+	data := readFixture(t, "snapshot_empty.cbor", func() []byte { return mustSnapshot(t, New(&catalog.Catalog{})) })
+	got, err := Restore(data)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got.Version() != 0 || got.Founded() || len(got.Servers())+len(got.Gone())+len(got.sessions)+len(got.Withdrawn())+len(got.peers)+len(got.Settled().Marks()) != 0 {
+		t.Errorf("state %+v", got)
+	}
+	if again := mustSnapshot(t, got); !bytes.Equal(again, data) {
+		t.Errorf("snapshot again: %q\nwant %q", again, data)
+	}
+}
+
+// The document that a client sent is in the log as it came; applying it gives the settings that the snapshot then holds.
+func TestStoredDocumentEntryAppliesAsBase(t *testing.T) {
+	entry := readFixture(t, "entry_document.cbor", nil)
+	c, err := Decode(entry)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s, r := New(&catalog.Catalog{}).Apply(c)
+	if r.Reason != Done {
+		t.Fatalf("result %+v", r)
+	}
+	got := mustSnapshot(t, s)
+	if want := readFixture(t, "snapshot_of_document.cbor", func() []byte { return got }); !bytes.Equal(got, want) {
+		t.Errorf("snapshot %q\nwant %q", got, want)
+	}
+}
+
+func TestStoredEntryTruncatedIsFormatError(t *testing.T) {
+	for name := range storedCommands() {
+		t.Run(name, func(t *testing.T) {
+			entry := readFixture(t, "entry_"+name+".cbor", nil)
+			for n := range entry {
+				if c, err := Decode(entry[:n]); !errors.Is(err, ErrFormat) {
+					t.Errorf("first %d of %d bytes: %+v, %v", n, len(entry), c, err)
+				}
+			}
+			if c, err := Decode(append(entry, 0)); !errors.Is(err, ErrFormat) {
+				t.Errorf("a byte too many: %+v, %v", c, err)
+			}
+		})
+	}
+}
+
+func TestStoredSnapshotTruncatedIsError(t *testing.T) {
+	for _, name := range []string{"snapshot.cbor", "snapshot_empty.cbor", "snapshot_zero_records.cbor", "snapshot_of_document.cbor"} {
+		t.Run(name, func(t *testing.T) {
+			data := readFixture(t, name, nil)
+			if s, err := Restore(nil); !errors.Is(err, ErrFormat) || s != nil {
+				t.Errorf("no bytes: %v, %v", s, err)
+			}
+			for n := 1; n < len(data); n++ {
+				s, err := Restore(data[:n])
+				if s != nil || errors.Is(err, ErrFormat) || !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, io.EOF) {
+					t.Errorf("first %d of %d bytes: %v, %v", n, len(data), s, err)
+				}
+			}
+			var extra *cbor.ExtraneousDataError
+			if s, err := Restore(append(data, 0)); !errors.As(err, &extra) || s != nil {
+				t.Errorf("a byte too many: %v, %v", s, err)
+			}
+		})
+	}
+}
+
+// fieldsSet notes which fields of each struct type are not zero in a value.
+func fieldsSet(v reflect.Value, set map[reflect.Type]map[int]bool) {
+	switch v.Kind() {
+	case reflect.Pointer:
+		if !v.IsNil() {
+			fieldsSet(v.Elem(), set)
+		}
+	case reflect.Slice:
+		for i := range v.Len() {
+			fieldsSet(v.Index(i), set)
+		}
+	case reflect.Map:
+		for it := v.MapRange(); it.Next(); {
+			fieldsSet(it.Value(), set)
+		}
+	case reflect.Struct:
+		t := v.Type()
+		if !strings.HasPrefix(t.PkgPath(), "linkpass/") {
+			return
+		}
+		if set[t] == nil {
+			set[t] = map[int]bool{}
+		}
+		for i := range v.NumField() {
+			if !t.Field(i).IsExported() {
+				continue
+			}
+			if f := v.Field(i); !f.IsZero() {
+				set[t][i] = true
+				fieldsSet(f, set)
+			}
+		}
+	}
+}
+
+// The fixtures are worth as much as the fields that they set: none may be zero in all of them.
+func TestStoredFixturesSetEveryField(t *testing.T) {
+	set := map[reflect.Type]map[int]bool{}
+	for name := range storedCommands() {
+		c, err := Decode(readFixture(t, "entry_"+name+".cbor", nil))
+		if err != nil {
+			t.Fatal(err)
+		}
+		fieldsSet(reflect.ValueOf(c), set)
+	}
+	var d document
+	if err := decoding.Unmarshal(readFixture(t, "snapshot.cbor", nil)[1:], &d); err != nil {
+		t.Fatal(err)
+	}
+	fieldsSet(reflect.ValueOf(d), set)
+	for _, text := range [][]byte{d.Settings, []byte(storedDocument)} {
+		var c catalog.Catalog
+		if err := json.Unmarshal(text, &c); err != nil {
+			t.Fatal(err)
+		}
+		fieldsSet(reflect.ValueOf(c), set)
+	}
+	for typ, fields := range set {
+		for i := range typ.NumField() {
+			if f := typ.Field(i); f.IsExported() && !fields[i] {
+				t.Errorf("%s.%s is zero in all fixtures", typ, f.Name)
+			}
+		}
+	}
+	for _, v := range []any{Command{}, Spec{}, Result{}, Server{}, Withdrawn{}, session{}, document{}, facts.Origin{}, facts.ID{}, facts.Order{}, facts.Mark{},
+		layout.Command{}, layout.Order{}, layout.Advance{}, layout.Abandon{}, layout.Document{}, layout.Plan{}, layout.Slice{},
+		catalog.Catalog{}, catalog.Defaults{}, catalog.Index{}, catalog.Spread{}, catalog.Server{}} {
+		if set[reflect.TypeOf(v)] == nil {
+			t.Errorf("%T is in no fixture", v)
+		}
+	}
+}
