--- /dev/null
+++ b/internal/store/stored_test.go
@@ -0,0 +1,635 @@
+package store
+
+import (
+	"bytes"
+	"compress/gzip"
+	"encoding/json"
+	"errors"
+	"flag"
+	"fmt"
+	"io"
+	"io/fs"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/hashicorp/raft"
+	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
+
+	"linkpass/internal/catalog"
+	"linkpass/internal/config"
+	"linkpass/internal/config/facts"
+	"linkpass/internal/event"
+	"linkpass/internal/layout"
+)
+
+// writeStored adds data directories that are missing. One that exists is never written again: it stands for what earlier
+// versions left on disk, and a change of the format gets a directory of its own.
+var writeStored = flag.Bool("write-stored", false, "write the stored-data fixtures that are missing")
+
+const (
+	storedDir     = "testdata/stored"
+	storedSuffix  = ".gz"          // of a log's file in a fixture, which is mostly empty pages
+	storedMember  = "n0"           // the only voter of a fixture
+	storedAddress = "127.0.0.1:1"  // of its Raft traffic, as the log has it
+	storedLearner = "n1"           // a member without a vote that never answers
+	storedWindow  = 50             // of the settings of the instance's file, which no fixture keeps
+	logName       = "raft.db"      // the file of the log, the terms and the boot count
+	snapshotsName = "snapshots"    // the directory of the snapshots
+	stateName     = "state.bin"    // the state within a snapshot
+	metaName      = "meta.json"    // what Raft keeps beside it
+	logBucket     = "logs"         // of the log's entries within the file
+	keyLastTerm   = "LastVoteTerm" // the library's keys of the last vote
+	keyLastCand   = "LastVoteCand" //
+	baseDocument  = `{"search":{"default_search_timeout":"750ms","default_allow_partial_results":false,"max_result_window":500},` +
+		`"indices":{"fixed":{"class":"c1","slices":[3,4]},"players":{"class":"c2","spread":{"slices":2,"sets":[["s-1","s-2"],["s-3"]]}}},` +
+		`"servers":{"s-1":{"protocol":"search"},"s-2":{"protocol":"plain"}}}`
+)
+
+// storedFixture is a data directory and how it was made.
+type storedFixture struct {
+	name   string
+	create func(t *testing.T, dir string)
+}
+
+var storedFixtures = []storedFixture{
+	{"log", createLog},
+	{"snapshots", createSnapshots},
+	{"compacted", createCompacted},
+	{"documents_log", createDocumentsLog},
+	{"documents_snapshot", createDocumentsSnapshot},
+}
+
+// openStored opens the store of a data directory.
+func openStored(t testing.TB, dir string, logKept int) (*Store, error) {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s, err := Open(Config{ID: storedMember, Dir: dir, Members: []Member{{ID: storedMember, Raft: storedAddress, HTTP: "http-0"}}, Pace: pace,
+		LogKept: logKept, Listener: ln, Initial: &catalog.Catalog{Search: catalog.Defaults{MaxResultWindow: storedWindow}}})
+	if err != nil {
+		_ = ln.Close()
+	}
+	return s, err
+}
+
+// mustOpenStored opens the store of a data directory and waits until it leads and has applied its log.
+func mustOpenStored(t testing.TB, dir string, logKept int) *Store {
+	t.Helper()
+	s, err := openStored(t, dir, logKept)
+	if err != nil {
+		t.Fatal(err)
+	}
+	awaitLeader(t, s)
+	return s
+}
+
+func awaitLeader(t testing.TB, s *Store) {
+	t.Helper()
+	(&cluster{t: t}).until("the only voter leads and has applied its log", func() bool {
+		return s.Leads() && s.raft.Barrier(applyLimit).Error() == nil
+	})
+}
+
+func mustClose(t testing.TB, s *Store) {
+	t.Helper()
+	if err := s.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
+func quiet(t testing.TB) {
+	event.SetOutput(io.Discard, false)
+	t.Cleanup(func() { event.SetOutput(os.Stderr, false) })
+}
+
+// copyFixture copies a data directory to a temporary one.
+func copyFixture(t *testing.T, name string) string {
+	t.Helper()
+	from, to := filepath.Join(storedDir, name), t.TempDir()
+	err := filepath.WalkDir(from, func(path string, d fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		rel, err := filepath.Rel(from, path)
+		if err != nil {
+			return err
+		}
+		if d.IsDir() {
+			return os.MkdirAll(filepath.Join(to, rel), 0o700)
+		}
+		data, err := os.ReadFile(path)
+		if err == nil && strings.HasSuffix(rel, storedSuffix) {
+			data, err = gunzip(data)
+		}
+		if err != nil {
+			return err
+		}
+		return os.WriteFile(filepath.Join(to, strings.TrimSuffix(rel, storedSuffix)), data, 0o600)
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return to
+}
+
+func gunzip(data []byte) ([]byte, error) {
+	r, err := gzip.NewReader(bytes.NewReader(data))
+	if err != nil {
+		return nil, err
+	}
+	return io.ReadAll(r)
+}
+
+// saveFixture copies a data directory into the fixtures, the log compressed.
+func saveFixture(t *testing.T, dir, name string) {
+	t.Helper()
+	to := filepath.Join(storedDir, name)
+	err := filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		rel, err := filepath.Rel(dir, path)
+		if err != nil {
+			return err
+		}
+		if d.IsDir() {
+			return os.MkdirAll(filepath.Join(to, rel), 0o755)
+		}
+		data, err := os.ReadFile(path)
+		if err != nil {
+			return err
+		}
+		if rel == logName {
+			var b bytes.Buffer
+			w := gzip.NewWriter(&b)
+			if _, err := w.Write(data); err != nil {
+				return err
+			}
+			if err := w.Close(); err != nil {
+				return err
+			}
+			data, rel = b.Bytes(), rel+storedSuffix
+		}
+		return os.WriteFile(filepath.Join(to, rel), data, 0o644)
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+// requireGolden compares bytes with a fixture file.
+func requireGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join(storedDir, name)
+	want, err := os.ReadFile(path)
+	if errors.Is(err, os.ErrNotExist) && *writeStored {
+		want, err = got, os.WriteFile(path, got, 0o644)
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s:\n%s\nwant:\n%s", name, got, want)
+	}
+}
+
+// mustCommand replicates a command that must be taken.
+func mustCommand(t *testing.T, s *Store, c config.Command, want config.Reason) {
+	t.Helper()
+	if r, err := s.Command(c); err != nil || r.Reason != want {
+		t.Fatalf("%+v: %+v, %v", c, r, err)
+	}
+}
+
+// createEveryKind replicates commands of every kind, and some that are rejected.
+func createEveryKind(t *testing.T, s *Store) {
+	t.Helper()
+	order := func(seq uint64, server string, kind facts.Restriction, force bool) *facts.Order {
+		return &facts.Order{ID: facts.ID{Origin: facts.Origin{Instance: storedMember, Boot: 1}, Seq: seq}, Server: server, Kind: kind, Force: force}
+	}
+	spec := &config.Spec{Addr: "10.0.0.1:9200", Zone: "zone-a", Kind: "large", Cell: 3}
+	split := &layout.Order{Kind: layout.Split, Slices: []layout.SliceID{layout.FirstSlice}, Into: 2, To: [][]string{{"s-4"}, {"s-5"}}}
+	move := &layout.Order{Kind: layout.Move, Slices: []layout.SliceID{layout.FirstSlice + 1}, To: [][]string{{"s-6", "s-7"}}}
+	both := map[layout.SliceID][]string{layout.FirstSlice + 2: {"s-4"}, layout.FirstSlice + 3: {"s-5"}}
+	step := func(c layout.Command) config.Command {
+		return config.Command{Kind: config.Layout, Index: "players", Advance: &c}
+	}
+	for _, c := range []struct {
+		command config.Command
+		want    config.Reason
+	}{
+		{config.Command{Kind: config.Document, Text: []byte(baseDocument)}, config.Done},
+		{config.Command{Kind: config.AddServer, Client: "ops", Seq: 1, Server: "s-1", Spec: spec}, config.Done},
+		{config.Command{Kind: config.AddServer, Client: "ops", Seq: 2, Server: "s-9", Spec: &config.Spec{Addr: "10.0.0.9:9200", Cell: 1}}, config.Done},
+		{config.Command{Kind: config.ChangeServer, Client: "robot", Seq: 7, If: 2, Server: "s-1", Spec: &config.Spec{Addr: "10.0.0.2:9200", Zone: "zone-b", Kind: "small", Cell: 3}}, config.Done},
+		{config.Command{Kind: config.AddServer, Client: "late", Seq: 4, Server: "s-1", Spec: spec}, config.There},
+		{config.Command{Kind: config.SetWeight, Server: "s-2", Weight: 0.75}, config.Done},
+		{config.Command{Kind: config.Restrict, Order: order(1, "s-2", facts.Draining, false)}, config.Done},
+		{config.Command{Kind: config.Restrict, Order: order(2, "s-3", facts.Draining, false)}, config.Bare},
+		{config.Command{Kind: config.Restrict, Client: "force", Seq: 1, Order: order(3, "s-9", facts.Removed, true)}, config.Done},
+		{config.Command{Kind: config.Restrict, Order: order(5, "s-1", facts.Draining, true)}, config.Done},
+		{config.Command{Kind: config.Undrain, Server: "s-2", Names: []facts.ID{order(7, "", 0, false).ID}}, config.Done},
+		{config.Command{Kind: config.Patch, Text: []byte(`{"search.max_result_window":250,"servers":{"s-2":null,"s-3":{"protocol":"search"}}}`)}, config.Done},
+		{step(layout.Command{At: 1, Order: split}), config.Done},
+		{step(layout.Command{Order: move}), config.Done},
+		{step(layout.Command{Advance: &layout.Advance{Plan: 1, Step: layout.Copying}}), config.Done},
+		{step(layout.Command{Advance: &layout.Advance{Plan: 1, Step: layout.BothHold, Holding: both}}), config.Done},
+		{step(layout.Command{Advance: &layout.Advance{Plan: 1, Step: layout.Switched, Holding: both}}), config.Done},
+		{step(layout.Command{Abandon: &layout.Abandon{Plan: 2, Why: "the target is down"}}), config.Done},
+		{step(layout.Command{Order: &layout.Order{Kind: layout.Merge, Slices: []layout.SliceID{layout.FirstSlice + 2, layout.FirstSlice + 3}, To: [][]string{{"s-4"}}}}), config.Conflict},
+		{config.Command{Kind: config.SetPeer, Server: "n2", Text: []byte("10.0.1.2:9300")}, config.Done},
+		{config.Command{Kind: config.SetPeer, Server: "n3", Text: []byte("10.0.1.3:9300")}, config.Done},
+		{config.Command{Kind: config.DropPeer, Server: "n2"}, config.Done},
+	} {
+		mustCommand(t, s, c.command, c.want)
+	}
+}
+
+// createLog leaves all in the log, at the second start on the disk.
+func createLog(t *testing.T, dir string) {
+	s := mustOpenStored(t, dir, 0)
+	createEveryKind(t, s)
+	mustClose(t, s)
+	mustClose(t, mustOpenStored(t, dir, 0))
+}
+
+// createSnapshots leaves two snapshots, entries after them, and a log that still has all.
+func createSnapshots(t *testing.T, dir string) {
+	s := mustOpenStored(t, dir, 0)
+	createEveryKind(t, s)
+	takeSnapshot(t, s)
+	mustCommand(t, s, config.Command{Kind: config.SetWeight, Server: "s-4", Weight: 1.25}, config.Done)
+	if err := s.Join(Member{ID: storedLearner, Raft: storedAddress + "1", HTTP: "http-1"}); err != nil {
+		t.Fatal(err)
+	}
+	takeSnapshot(t, s)
+	mustCommand(t, s, config.Command{Kind: config.SetWeight, Server: "s-5", Weight: 1.5}, config.Done)
+	mustClose(t, s)
+}
+
+// createCompacted leaves two snapshots and a log that begins after the first of them.
+func createCompacted(t *testing.T, dir string) {
+	s := mustOpenStored(t, dir, 2)
+	createEveryKind(t, s)
+	takeSnapshot(t, s)
+	for i := range 6 {
+		mustCommand(t, s, config.Command{Kind: config.SetWeight, Server: "s-4", Weight: float64(i + 1)}, config.Done)
+	}
+	takeSnapshot(t, s)
+	mustCommand(t, s, config.Command{Kind: config.SetWeight, Server: "s-5", Weight: 1.5}, config.Done)
+	mustClose(t, s)
+}
+
+func takeSnapshot(t *testing.T, s *Store) {
+	t.Helper()
+	if err := s.raft.Barrier(applyLimit).Error(); err != nil { // an entry of the members has to be applied first
+		t.Fatal(err)
+	}
+	if err := s.raft.Snapshot().Error(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// documents are entries of the form before there were commands: the settings whole, with the revision they make.
+var documents = []string{
+	`{"revision":1,"search":{"max_result_window":300},"indices":{"players":{"class":"c2","spread":{"slices":2,"sets":[["s-1"],["s-2"]]}}}}`,
+	`{"revision":2,"search":{"default_search_timeout":"2s","max_result_window":301},"indices":{"fixed":{"class":"c1","slices":[1,2]}},"servers":{"s-1":{"protocol":"search"}}}`,
+	`{"revision":9,"search":{"max_result_window":9}}`, // out of turn: it was rejected
+	`{"search":{"max_result_window":302},"indices":{"fixed":{"class":"c1","slices":[1,2]}}}`,
+}
+
+// createDocumentsLog leaves a log with entries of the older form, and a command after them.
+func createDocumentsLog(t *testing.T, dir string) {
+	s := mustOpenStored(t, dir, 0)
+	for _, doc := range documents {
+		if err := s.raft.Apply([]byte(doc), applyLimit).Error(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	mustCommand(t, s, config.Command{Kind: config.SetWeight, Server: "s-2", Weight: 3}, config.Done)
+	mustClose(t, s)
+}
+
+// createDocumentsSnapshot leaves a snapshot of the older form, and an entry of either form after it.
+func createDocumentsSnapshot(t *testing.T, dir string) {
+	s := mustOpenStored(t, dir, 0)
+	if err := s.raft.Apply([]byte(documents[0]), applyLimit).Error(); err != nil {
+		t.Fatal(err)
+	}
+	index, members := s.raft.AppliedIndex(), s.raft.GetConfiguration()
+	if err := members.Error(); err != nil {
+		t.Fatal(err)
+	}
+	term := s.raft.CurrentTerm()
+	if err := s.raft.Apply([]byte(documents[1]), applyLimit).Error(); err != nil {
+		t.Fatal(err)
+	}
+	mustCommand(t, s, config.Command{Kind: config.SetWeight, Server: "s-2", Weight: 3}, config.Done)
+	snaps, err := raft.NewFileSnapshotStoreWithLogger(dir, keepSnaps, event.Raft())
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, transport := raft.NewInmemTransport(storedAddress)
+	sink, err := snaps.Create(raft.SnapshotVersionMax, index, term, members.Configuration(), 1, transport)
+	if err == nil {
+		_, err = sink.Write([]byte(documents[0]))
+	}
+	if err = errors.Join(err, sink.Close()); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.bolt.DeleteRange(1, index); err != nil {
+		t.Fatal(err)
+	}
+	mustClose(t, s)
+}
+
+// storedContent is all that a data directory holds, under names of the fixtures' own.
+type storedContent struct {
+	Boots      uint64           `json:"boots"`
+	Term       uint64           `json:"term"`
+	VotedTerm  uint64           `json:"voted_term"`
+	VotedFor   string           `json:"voted_for"`
+	FirstIndex uint64           `json:"first_index"`
+	LastIndex  uint64           `json:"last_index"`
+	Entries    []storedEntry    `json:"entries"`
+	Snapshots  []storedSnapshot `json:"snapshots"`
+}
+
+type storedEntry struct {
+	Index uint64 `json:"index"`
+	Term  uint64 `json:"term"`
+	Type  string `json:"type"`
+	Data  string `json:"data"`
+}
+
+type storedSnapshot struct {
+	Index   uint64 `json:"index"`
+	Term    uint64 `json:"term"`
+	Members string `json:"members"`
+	State   string `json:"state"`
+}
+
+// diagnose words an entry or a snapshot without the program's own types.
+func diagnose(t *testing.T, data []byte) string {
+	t.Helper()
+	if len(data) == 0 || data[0] == '{' {
+		return string(data)
+	}
+	text, err := cbor.Diagnose(data[1:])
+	if err != nil {
+		t.Fatal(err)
+	}
+	return fmt.Sprint(data[0], " ", text)
+}
+
+// readContent reads a data directory with Raft's own stores.
+func readContent(t *testing.T, dir string) (c storedContent) {
+	t.Helper()
+	bolt, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(dir, logName)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer bolt.Close()
+	number := func(key string) uint64 {
+		n, err := bolt.GetUint64([]byte(key))
+		if err != nil {
+			t.Fatal(key, err)
+		}
+		return n
+	}
+	c.Boots, c.Term, c.VotedTerm = number("linkpass.boots"), number("CurrentTerm"), number(keyLastTerm)
+	candidate, err := bolt.Get([]byte(keyLastCand))
+	if err != nil {
+		t.Fatal(err)
+	}
+	c.VotedFor = string(candidate)
+	if c.FirstIndex, err = bolt.FirstIndex(); err != nil {
+		t.Fatal(err)
+	}
+	if c.LastIndex, err = bolt.LastIndex(); err != nil {
+		t.Fatal(err)
+	}
+	for i := c.FirstIndex; i <= c.LastIndex; i++ {
+		var l raft.Log
+		if err := bolt.GetLog(i, &l); err != nil {
+			t.Fatal(i, err)
+		}
+		e := storedEntry{Index: l.Index, Term: l.Term, Type: l.Type.String()}
+		switch l.Type {
+		case raft.LogCommand:
+			e.Data = diagnose(t, l.Data)
+			requireReencoded(t, l)
+		case raft.LogConfiguration:
+			e.Data = fmt.Sprintf("%v", raft.DecodeConfiguration(l.Data).Servers)
+		}
+		c.Entries = append(c.Entries, e)
+	}
+	snaps, err := raft.NewFileSnapshotStoreWithLogger(dir, keepSnaps, event.Raft())
+	if err != nil {
+		t.Fatal(err)
+	}
+	list, err := snaps.List()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, m := range list {
+		_, in, err := snaps.Open(m.ID)
+		if err != nil {
+			t.Fatal(err)
+		}
+		data, err := io.ReadAll(in)
+		if err = errors.Join(err, in.Close()); err != nil {
+			t.Fatal(err)
+		}
+		c.Snapshots = append(c.Snapshots, storedSnapshot{m.Index, m.Term, fmt.Sprintf("%v", m.Configuration.Servers), diagnose(t, data)})
+		requireRestored(t, data)
+	}
+	return c
+}
+
+// requireReencoded reads an entry and encodes it again, byte for byte.
+func requireReencoded(t *testing.T, l raft.Log) {
+	t.Helper()
+	if len(l.Data) > 0 && l.Data[0] == '{' {
+		return // of the older form, which is no longer written
+	}
+	c, err := config.Decode(l.Data)
+	if err != nil {
+		t.Fatalf("entry %d: %v", l.Index, err)
+	}
+	if again, err := config.Encode(c); err != nil || !bytes.Equal(again, l.Data) {
+		t.Errorf("entry %d encoded again: %x, %v; want %x", l.Index, again, err, l.Data)
+	}
+}
+
+// requireRestored restores a snapshot and takes it again, byte for byte.
+func requireRestored(t *testing.T, data []byte) {
+	t.Helper()
+	m := &machine{}
+	m.current.Store(config.New(&catalog.Catalog{}))
+	if err := m.Restore(io.NopCloser(bytes.NewReader(data))); err != nil {
+		t.Fatal(err)
+	}
+	if data[0] == '{' {
+		return // of the older form, which is no longer written
+	}
+	if again, err := m.current.Load().Snapshot(); err != nil || !bytes.Equal(again, data) {
+		t.Errorf("snapshot again: %q, %v; want %q", again, err, data)
+	}
+}
+
+// storedState is the state that an opened store gives, under names of the fixtures' own.
+type storedState struct {
+	Version   uint64                   `json:"version"`
+	Revised   uint64                   `json:"revised"`
+	Hash      string                   `json:"hash"`
+	Servers   map[string]config.Server `json:"servers"`
+	Agreed    map[string]string        `json:"agreed"`
+	Gone      []string                 `json:"gone"`
+	Settled   []string                 `json:"settled"`
+	Withdrawn []config.Withdrawn       `json:"withdrawn"`
+	Peers     map[string]string        `json:"peers"`
+	Members   []string                 `json:"members"`
+	Window    int                      `json:"window"`
+	Timeout   string                   `json:"timeout"`
+	Partial   bool                     `json:"allow_partial"`
+	Protocols map[string]string        `json:"protocols"`
+	Settings  *catalog.Catalog         `json:"settings"`
+	Snapshot  string                   `json:"snapshot"`
+}
+
+func readState(t *testing.T, s *Store) storedState {
+	t.Helper()
+	now := s.State()
+	hash, err := now.Hash()
+	if err != nil {
+		t.Fatal(err)
+	}
+	data, err := now.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	requireRestored(t, data)
+	c := now.Settings()
+	out := storedState{Version: now.Version(), Revised: now.Revised(), Hash: hash, Servers: map[string]config.Server{}, Agreed: map[string]string{},
+		Gone: now.Gone(), Withdrawn: now.Withdrawn(), Peers: map[string]string{}, Window: c.Window(), Timeout: c.Timeout().String(),
+		Partial: c.AllowPartial(), Protocols: map[string]string{}, Settings: c, Snapshot: diagnose(t, data)}
+	for _, id := range now.Servers() {
+		out.Servers[id], _ = now.Server(id)
+	}
+	for _, id := range append(now.Servers(), now.Gone()...) {
+		out.Agreed[id] = now.Agreed(id).String()
+	}
+	for _, m := range now.Settled().Marks() {
+		out.Settled = append(out.Settled, fmt.Sprint(m.Origin.Instance, " boot ", m.Origin.Boot, " up to ", m.UpTo, " and ", m.Above))
+	}
+	for i := range 5 {
+		id := fmt.Sprint("n", i)
+		if addr, ok := now.Peer(id); ok {
+			out.Peers[id] = addr
+		}
+	}
+	for i := range 10 {
+		id := fmt.Sprint("s-", i)
+		out.Protocols[id] = c.Protocol(id)
+	}
+	peers, err := s.Peers()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, p := range peers {
+		out.Members = append(out.Members, fmt.Sprint(p.ID, " at ", p.Raft, " and ", p.HTTP, ", voter: ", p.Voter))
+	}
+	return out
+}
+
+func indented(t *testing.T, v any) []byte {
+	t.Helper()
+	data, err := json.MarshalIndent(v, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return append(data, '\n')
+}
+
+func TestStoredDirectoryReadsBaseFormat(t *testing.T) {
+	quiet(t)
+	for _, f := range storedFixtures {
+		t.Run(f.name, func(t *testing.T) {
+			if _, err := os.Stat(filepath.Join(storedDir, f.name)); errors.Is(err, os.ErrNotExist) && *writeStored {
+				dir := t.TempDir()
+				f.create(t, dir)
+				saveFixture(t, dir, f.name)
+			}
+			dir := copyFixture(t, f.name)
+			content := readContent(t, dir)
+			requireGolden(t, f.name+"_content.json", indented(t, content))
+			s := mustOpenStored(t, dir, 0)
+			defer mustClose(t, s)
+			requireGolden(t, f.name+"_state.json", indented(t, readState(t, s)))
+			if began := s.marking.began; began.ID != storedMember || began.Boot != content.Boots+1 || began.Began.Term != content.Term ||
+				began.Began.Index != content.LastIndex || began.Now != began.Began {
+				t.Errorf("report of the start: %+v", began)
+			}
+		})
+	}
+}
+
+// The log fixtures hold a command of every kind.
+func TestStoredLogHoldsEveryKind(t *testing.T) {
+	quiet(t)
+	seen := map[config.Kind]bool{}
+	bolt, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(copyFixture(t, "log"), logName)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer bolt.Close()
+	last, err := bolt.LastIndex()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i := uint64(1); i <= last; i++ {
+		var l raft.Log
+		if err := bolt.GetLog(i, &l); err != nil {
+			t.Fatal(err)
+		}
+		if l.Type != raft.LogCommand {
+			continue
+		}
+		c, err := config.Decode(l.Data)
+		if err != nil {
+			t.Fatal(err)
+		}
+		seen[c.Kind] = true
+	}
+	for k := config.AddServer; k <= config.DropPeer; k++ {
+		if !seen[k] {
+			t.Errorf("no command of kind %d", k)
+		}
+	}
+}
+
+// A store that has opened a fixture takes a snapshot that another start restores alike.
+func TestStoredDirectorySurvivesSnapshotAndRestart(t *testing.T) {
+	quiet(t)
+	for _, f := range storedFixtures {
+		t.Run(f.name, func(t *testing.T) {
+			dir := copyFixture(t, f.name)
+			s := mustOpenStored(t, dir, 0)
+			before := readState(t, s)
+			takeSnapshot(t, s)
+			mustClose(t, s)
+			s = mustOpenStored(t, dir, 0)
+			defer mustClose(t, s)
+			if got, want := indented(t, readState(t, s)), indented(t, before); !bytes.Equal(got, want) {
+				t.Errorf("state:\n%s\nwant:\n%s", got, want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/store/stored_truncated_test.go
@@ -0,0 +1,224 @@
+package store
+
+import (
+	"bytes"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/hashicorp/raft"
+	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
+	"go.etcd.io/bbolt"
+
+	"linkpass/internal/catalog"
+	"linkpass/internal/config"
+)
+
+// snapshotStates lists the states of a directory's snapshots, oldest first.
+func snapshotStates(t *testing.T, dir string) []string {
+	t.Helper()
+	list, err := filepath.Glob(filepath.Join(dir, snapshotsName, "*", stateName))
+	if err != nil {
+		t.Fatal(err)
+	}
+	slices.Sort(list)
+	return list
+}
+
+// cuts are the points at which a file of a size is cut.
+func cuts(size int) []int { return []int{0, 1, size / 4, size / 2, size - 1} }
+
+// The newest snapshot is cut: the one before it and the log give the whole state.
+func TestStoredSnapshotTruncatedFallsBackToEarlier(t *testing.T) {
+	quiet(t)
+	size := len(mustRead(t, snapshotStates(t, copyFixture(t, "snapshots"))[1]))
+	for _, at := range cuts(size) {
+		t.Run(fmt.Sprint(at, " of ", size), func(t *testing.T) {
+			dir := copyFixture(t, "snapshots")
+			if err := os.Truncate(snapshotStates(t, dir)[1], int64(at)); err != nil {
+				t.Fatal(err)
+			}
+			s := mustOpenStored(t, dir, 0)
+			defer mustClose(t, s)
+			requireGolden(t, "snapshots_state.json", indented(t, readState(t, s)))
+		})
+	}
+}
+
+// All snapshots are cut: the store does not open.
+func TestStoredSnapshotsAllTruncatedIsError(t *testing.T) {
+	quiet(t)
+	for _, name := range []string{"snapshots", "compacted", "documents_snapshot"} {
+		for _, at := range cuts(len(mustRead(t, snapshotStates(t, copyFixture(t, name))[0]))) {
+			t.Run(fmt.Sprint(name, " at ", at), func(t *testing.T) {
+				dir := copyFixture(t, name)
+				for _, path := range snapshotStates(t, dir) {
+					if err := os.Truncate(path, int64(at)); err != nil {
+						t.Fatal(err)
+					}
+				}
+				s, err := openStored(t, dir, 0)
+				if err == nil {
+					mustClose(t, s)
+				}
+				if err == nil || !strings.Contains(err.Error(), "failed to load any existing snapshots") {
+					t.Errorf("opened: %v", err)
+				}
+			})
+		}
+	}
+}
+
+func mustRead(t *testing.T, path string) []byte {
+	t.Helper()
+	data, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return data
+}
+
+// lastCommand finds the last entry of a directory's log that holds a command, and drops those after it.
+func lastCommand(t *testing.T, bolt *raftboltdb.BoltStore) (l raft.Log) {
+	t.Helper()
+	last, err := bolt.LastIndex()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i := last; ; i-- {
+		if err := bolt.GetLog(i, &l); err != nil {
+			t.Fatal(err)
+		}
+		if l.Type == raft.LogCommand {
+			if i < last {
+				if err := bolt.DeleteRange(i+1, last); err != nil {
+					t.Fatal(err)
+				}
+			}
+			return l
+		}
+	}
+}
+
+// The last command of the log is cut at several bytes. The instance takes no more entries, keeps the state before it and says
+// why it fails.
+func TestStoredLogEndsInTruncatedCommand(t *testing.T) {
+	quiet(t)
+	for _, name := range []string{"log", "documents_log"} {
+		dir := copyFixture(t, name)
+		bolt, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(dir, logName)})
+		if err != nil {
+			t.Fatal(err)
+		}
+		l := lastCommand(t, bolt)
+		if err := bolt.Close(); err != nil {
+			t.Fatal(err)
+		}
+		for _, at := range []int{1, 2, len(l.Data) / 2, len(l.Data) - 1} {
+			t.Run(fmt.Sprint(name, " at ", at, " of ", len(l.Data)), func(t *testing.T) {
+				dir := copyFixture(t, name)
+				before := replaceLast(t, dir, l.Data[:at])
+				s, err := openStored(t, dir, 0)
+				if err != nil {
+					t.Fatal(err)
+				}
+				defer mustClose(t, s)
+				(&cluster{t: t}).until("the cut entry halts the instance", func() bool { return s.machine.halted.Load() != nil })
+				if _, err := s.Read(); !errors.Is(err, config.ErrFormat) {
+					t.Errorf("read: %v", err)
+				}
+				got, err := s.State().Snapshot()
+				if err != nil || !bytes.Equal(got, before) {
+					t.Errorf("state %q, %v; want %q", got, err, before)
+				}
+			})
+		}
+	}
+}
+
+// replaceLast puts other bytes in the place of the last command of a log, and gives the snapshot of the state before it.
+func replaceLast(t *testing.T, dir string, data []byte) []byte {
+	t.Helper()
+	bolt, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(dir, logName)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer bolt.Close()
+	l := lastCommand(t, bolt)
+	m := &machine{}
+	m.current.Store(config.New(&catalog.Catalog{Search: catalog.Defaults{MaxResultWindow: storedWindow}}))
+	for i := uint64(1); i < l.Index; i++ {
+		var e raft.Log
+		if err := bolt.GetLog(i, &e); err != nil {
+			t.Fatal(err)
+		}
+		if e.Type == raft.LogCommand {
+			m.Apply(&e)
+		}
+	}
+	l.Data = data
+	if err := bolt.StoreLog(&l); err != nil {
+		t.Fatal(err)
+	}
+	before, err := m.current.Load().Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return before
+}
+
+// An entry of the older form that is cut is passed over: the state before it holds, and later entries are taken.
+func TestStoredLogEndsInTruncatedDocument(t *testing.T) {
+	quiet(t)
+	for _, at := range []int{1, len(documents[1]) / 2, len(documents[1]) - 1} {
+		t.Run(fmt.Sprint(at, " of ", len(documents[1])), func(t *testing.T) {
+			dir := copyFixture(t, "documents_log")
+			before := replaceLast(t, dir, []byte(documents[1][:at]))
+			s := mustOpenStored(t, dir, 0)
+			defer mustClose(t, s)
+			got, err := s.State().Snapshot()
+			if err != nil || !bytes.Equal(got, before) {
+				t.Errorf("state %q, %v; want %q", got, err, before)
+			}
+			mustCommand(t, s, config.Command{Kind: config.SetWeight, Server: "s-2", Weight: 4}, config.Done)
+		})
+	}
+}
+
+// The last record of the log's file is cut, not the command within it: the store does not open.
+func TestStoredLogEndsInTruncatedRecord(t *testing.T) {
+	quiet(t)
+	for _, cut := range []struct {
+		name string
+		at   func(size int) int
+	}{{"one byte", func(int) int { return 1 }}, {"half", func(n int) int { return n / 2 }}} {
+		t.Run(cut.name, func(t *testing.T) {
+			dir := copyFixture(t, "log")
+			db, err := bbolt.Open(filepath.Join(dir, logName), 0o600, nil)
+			if err != nil {
+				t.Fatal(err)
+			}
+			err = db.Update(func(tx *bbolt.Tx) error {
+				b := tx.Bucket([]byte("logs"))
+				key, value := b.Cursor().Last()
+				if binary.BigEndian.Uint64(key) == 0 {
+					return errors.New("no entry")
+				}
+				return b.Put(slices.Clone(key), slices.Clone(value[:cut.at(len(value))]))
+			})
+			if err = errors.Join(err, db.Close()); err != nil {
+				t.Fatal(err)
+			}
+			s, err := openStored(t, dir, 0)
+			if err == nil {
+				mustClose(t, s)
+				t.Error("opened")
+			}
+		})
+	}
+}
