--- /dev/null
+++ b/internal/config/marks/report_json_test.go
@@ -0,0 +1,30 @@
+package marks
+
+import (
+	"encoding/json"
+	"testing"
+)
+
+// A report goes to instances of other versions: its JSON names stay.
+func TestReportKeepsItsJSONForm(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		report Report
+		text   string
+	}{
+		{"every field", Report{ID: "n1", Boot: 2, Nonce: 3, Began: Mark{Term: 4, Index: 5}, Now: Mark{Term: 6, Index: 7}},
+			`{"id":"n1","boot":2,"nonce":3,"began":{"term":4,"index":5},"now":{"term":6,"index":7}}`},
+		{"zero", Report{}, `{"id":"","boot":0,"nonce":0,"began":{"term":0,"index":0},"now":{"term":0,"index":0}}`},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			data, err := json.Marshal(c.report)
+			if err != nil || string(data) != c.text {
+				t.Errorf("%s, %v; want %s", data, err, c.text)
+			}
+			var got Report
+			if err := json.Unmarshal([]byte(c.text), &got); err != nil || got != c.report {
+				t.Errorf("%+v, %v; want %+v", got, err, c.report)
+			}
+		})
+	}
+}
