--- /dev/null
+++ b/internal/goldentest/goldentest.go
@@ -0,0 +1,152 @@
+// Package goldentest compares bytes and values with golden files under testdata/wire of the package under test. It is for
+// tests only: the golden files hold the wire format as deployed, so that a renamed field or tag cannot pass unnoticed.
+//
+// Tests only read golden files. `go test PACKAGE -update` writes them anew, for a deliberate change of the format.
+package goldentest
+
+import (
+	"bytes"
+	"encoding"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+)
+
+var update = flag.Bool("update", false, "write the golden files under testdata/wire anew")
+
+// Read returns the contents of a golden file.
+func Read(t testing.TB, name string) []byte {
+	t.Helper()
+	data, err := os.ReadFile(path(name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return data
+}
+
+// Bytes compares got with a golden file byte for byte.
+func Bytes(t testing.TB, name string, got []byte) {
+	t.Helper()
+	if *update {
+		write(t, name, got)
+	}
+	if want := Read(t, name); !bytes.Equal(got, want) {
+		t.Errorf("%s differs:\ngot  %q\nwant %q", name, got, want)
+	}
+}
+
+// JSON checks both directions of value's JSON form: encoding value gives the golden file's bytes, and decoding the file,
+// with unknown keys rejected, gives a value equal to it. Every field of value must be set, so that no tag is left out.
+func JSON[T any](t testing.TB, name string, value T) {
+	t.Helper()
+	if fields := Unset(value); len(fields) > 0 {
+		t.Errorf("%s: fields not set: %s", name, strings.Join(fields, ", "))
+	}
+	Encodes(t, name, value)
+	Decodes(t, name, value)
+}
+
+// Encodes checks that encoding value as JSON gives the golden file's bytes.
+func Encodes(t testing.TB, name string, value any) {
+	t.Helper()
+	data, err := json.Marshal(value)
+	if err != nil {
+		t.Fatalf("%s: %v", name, err)
+	}
+	Bytes(t, name, data)
+}
+
+// Decodes checks that decoding the golden file, with unknown keys rejected, gives a value equal to want. encoding/json
+// accepts a key in another case: that the case is right, Encodes shows.
+func Decodes[T any](t testing.TB, name string, want T) {
+	t.Helper()
+	data := Read(t, name)
+	var got T
+	d := json.NewDecoder(bytes.NewReader(data))
+	d.DisallowUnknownFields()
+	if err := d.Decode(&got); err != nil {
+		t.Errorf("%s: %v", name, err)
+		return
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("%s decoded differs:\ngot  %+v\nwant %+v", name, got, want)
+	}
+}
+
+func path(name string) string { return filepath.Join("testdata", "wire", name) }
+
+func write(t testing.TB, name string, data []byte) {
+	t.Helper()
+	if err := os.MkdirAll(filepath.Dir(path(name)), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path(name), data, 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// Unset lists the exported fields of value, at any depth, that have their zero value. A field of a list's or map's
+// elements counts as set if one of the elements has it set. Fields tagged "-" are no part of the encoded form.
+func Unset(value any) []string {
+	var out []string
+	unset("", reflect.ValueOf(value), map[reflect.Type]bool{}, func(field string) { out = append(out, field) })
+	return out
+}
+
+func unset(name string, v reflect.Value, outer map[reflect.Type]bool, report func(string)) {
+	if !v.IsValid() || v.IsZero() {
+		report(name)
+		return
+	}
+	switch v.Interface().(type) {
+	case time.Time, encoding.TextMarshaler, json.Marshaler:
+		return
+	}
+	switch v.Kind() {
+	case reflect.Pointer, reflect.Interface:
+		unset(name, v.Elem(), outer, report)
+	case reflect.Struct:
+		if outer[v.Type()] { // a recursive type: its fields are checked at the outermost value
+			return
+		}
+		outer[v.Type()] = true
+		for i := range v.NumField() {
+			f := v.Type().Field(i)
+			if f.IsExported() && f.Tag.Get("json") != "-" {
+				unset(strings.TrimPrefix(name+"."+f.Name, "."), v.Field(i), outer, report)
+			}
+		}
+		delete(outer, v.Type())
+	case reflect.Slice, reflect.Array:
+		elements(name, v.Len(), v.Index, outer, report)
+	case reflect.Map:
+		keys := v.MapKeys()
+		elements(name, len(keys), func(i int) reflect.Value { return v.MapIndex(keys[i]) }, outer, report)
+	}
+}
+
+// elements reports the fields that no element has set.
+func elements(name string, n int, at func(int) reflect.Value, outer map[reflect.Type]bool, report func(string)) {
+	if n == 0 {
+		report(name)
+		return
+	}
+	if k := at(0).Kind(); k != reflect.Struct && k != reflect.Pointer && k != reflect.Slice && k != reflect.Map {
+		return
+	}
+	missing := map[string]int{}
+	for i := range n {
+		unset(fmt.Sprintf("%s[]", name), at(i), outer, func(field string) { missing[field]++ })
+	}
+	for field, count := range missing {
+		if count == n {
+			report(field)
+		}
+	}
+}
--- /dev/null
+++ b/internal/handover/wire_golden_test.go
@@ -0,0 +1,105 @@
+package handover
+
+import (
+	"bufio"
+	"bytes"
+	"io"
+	"net"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"linkpass/internal/goldentest"
+)
+
+const ioLimit = 10 * time.Second // a guard against a hang; nothing is asserted on it
+
+// dialEldest connects to the eldest process as another version of the program would: by the socket's name.
+func dialEldest(t *testing.T, dir string) (net.Conn, *bufio.Reader) {
+	t.Helper()
+	nc, err := net.Dial("unix", filepath.Join(dir, "linkpass-n1.sock"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = nc.Close() })
+	if err := nc.SetDeadline(time.Now().Add(ioLimit)); err != nil {
+		t.Fatal(err)
+	}
+	return nc, bufio.NewReader(nc)
+}
+
+func readLine(t *testing.T, r *bufio.Reader) string {
+	t.Helper()
+	line, err := r.ReadString('\n')
+	if err != nil {
+		t.Fatal(err)
+	}
+	return line
+}
+
+// The golden files hold every message that the first and the second younger process read, in order: the second joins,
+// the eldest begins to drain with 30 open, and the second leaves.
+func TestEldestMessagesGolden(t *testing.T) {
+	dir := t.TempDir()
+	eldest := join(t, dir)
+	var first, second bytes.Buffer
+	_, r1 := dialEldest(t, dir)
+	first.WriteString(readLine(t, r1))
+	nc2, r2 := dialEldest(t, dir)
+	first.WriteString(readLine(t, r1))
+	second.WriteString(readLine(t, r2))
+	eldest.Leave(30)
+	first.WriteString(readLine(t, r1))
+	second.WriteString(readLine(t, r2))
+	if err := nc2.Close(); err != nil {
+		t.Fatal(err)
+	}
+	first.WriteString(readLine(t, r1))
+	eldest.Close()
+	if rest, err := io.ReadAll(r1); err != nil || len(rest) > 0 {
+		t.Errorf("after the eldest closed: %q, %v", rest, err)
+	}
+	goldentest.Bytes(t, "eldest_to_first.txt", first.Bytes())
+	goldentest.Bytes(t, "eldest_to_second.txt", second.Bytes())
+}
+
+// A younger process takes the golden messages as shares and sends nothing itself.
+func TestYoungerReadsGoldenMessages(t *testing.T) {
+	dir := t.TempDir()
+	ln, err := net.Listen("unix", filepath.Join(dir, "linkpass-n1.sock"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	younger := join(t, dir)
+	nc, err := ln.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := nc.SetDeadline(time.Now().Add(ioLimit)); err != nil {
+		t.Fatal(err)
+	}
+	if s := <-younger.shares; s != (Share{Processes: 2, Open: 80}) {
+		t.Errorf("share before the first message: %+v", s)
+	}
+	want := []Share{{Processes: 2, Open: 80}, {Processes: 3, Open: 53}, {Processes: 3, Open: 65}, {Processes: 2, Open: 130}}
+	messages := strings.SplitAfter(strings.TrimSuffix(string(goldentest.Read(t, "eldest_to_first.txt")), "\n"), "\n")
+	if len(messages) != len(want) {
+		t.Fatalf("%d golden messages, %d shares", len(messages), len(want))
+	}
+	for i, message := range messages {
+		if _, err := io.WriteString(nc, strings.TrimSuffix(message, "\n")+"\n"); err != nil {
+			t.Fatal(err)
+		}
+		if s := <-younger.shares; s != want[i] {
+			t.Errorf("%q: share %+v, want %+v", message, s, want[i])
+		}
+	}
+	_ = ln.Close() // so that the younger one becomes the eldest instead of connecting again
+	go younger.Close()
+	if sent, err := io.ReadAll(nc); err != nil || len(sent) > 0 {
+		t.Errorf("the younger process sent %q, %v", sent, err)
+	}
+	_ = nc.Close()
+}
