--- /dev/null
+++ b/internal/agree/wire_golden_test.go
@@ -0,0 +1,82 @@
+package agree
+
+import (
+	"context"
+	"encoding/json"
+	"reflect"
+	"testing"
+
+	"linkpass/internal/catalog"
+	"linkpass/internal/config"
+	"linkpass/internal/config/facts"
+	"linkpass/internal/coordinator"
+	"linkpass/internal/counters"
+	"linkpass/internal/goldentest"
+)
+
+// followerLog is the log of an instance that does not lead, with settings agreed and nothing else.
+type followerLog struct{ state *config.State }
+
+func (l followerLog) State() *config.State                          { return l.state }
+func (l followerLog) Leads() bool                                   { return false }
+func (l followerLog) Command(config.Command) (config.Result, error) { panic("a follower was asked") }
+
+func openInstance(t *testing.T, name string, boot uint64) *Agreement {
+	t.Helper()
+	state, r := config.New(&catalog.Catalog{}).Apply(config.Command{Kind: config.Document, Text: []byte(`{"search":{}}`)})
+	if r.Reason != config.Done {
+		t.Fatal(r)
+	}
+	for _, server := range []string{"s-1", "s-2"} {
+		state, r = state.Apply(config.Command{Kind: config.AddServer, Server: server, Spec: &config.Spec{Addr: "127.0.0.1:7001"}})
+		if r.Reason != config.Done {
+			t.Fatal(r)
+		}
+	}
+	a := New(Config{Me: name, Boot: boot, Next: func(coordinator.List) {}, Counters: counters.New(),
+		Member: func(id string, _ config.Spec) (coordinator.Member, error) { return coordinator.Member{Name: id}, nil }})
+	a.Open(followerLog{state})
+	return a
+}
+
+// goldenOrders are the orders of an instance "a", as its calls to the others carry them.
+var goldenOrders = []facts.Order{
+	{ID: facts.ID{Origin: facts.Origin{Instance: "a", Boot: 1764652800123456789}, Seq: 1}, Server: "s-1", Kind: facts.Draining},
+	{ID: facts.ID{Origin: facts.Origin{Instance: "a", Boot: 1764652800123456789}, Seq: 2}, Server: "s-2", Kind: facts.Removed, Force: true},
+}
+
+func TestOrdersGolden(t *testing.T) { goldentest.JSON(t, "orders_request.json", goldenOrders) }
+
+// What an instance gives is told in the golden form.
+func TestSpreadOrdersGolden(t *testing.T) {
+	a := openInstance(t, "a", 1764652800123456789)
+	for _, o := range goldenOrders {
+		if _, err := a.Restrict(o.Server, o.Kind, o.Force); err != nil {
+			t.Fatal(err)
+		}
+	}
+	calls := 0
+	a.spread(context.Background(), "b", func(_ context.Context, orders []facts.Order) error {
+		calls++
+		goldentest.Encodes(t, "orders_request.json", orders)
+		return nil
+	}, a.spreading(), map[facts.ID]bool{})
+	if calls != 1 {
+		t.Errorf("%d calls", calls)
+	}
+}
+
+// Another instance takes the golden orders and holds them all.
+func TestHearGoldenOrders(t *testing.T) {
+	b := openInstance(t, "b", 5)
+	var orders []facts.Order
+	if err := json.Unmarshal(goldentest.Read(t, "orders_request.json"), &orders); err != nil {
+		t.Fatal(err)
+	}
+	if err := b.Hear("a", orders); err != nil {
+		t.Fatal(err)
+	}
+	if got := b.Unsettled(); !reflect.DeepEqual(got, goldenOrders) {
+		t.Errorf("got %+v, want %+v", got, goldenOrders)
+	}
+}
--- /dev/null
+++ b/internal/store/wire_golden_test.go
@@ -0,0 +1,50 @@
+package store
+
+import (
+	"net/url"
+	"testing"
+	"time"
+
+	"linkpass/internal/config/marks"
+	"linkpass/internal/goldentest"
+)
+
+func TestMarksReportGolden(t *testing.T) {
+	goldentest.JSON(t, "marks_request.json", marks.Report{ID: "n1", Boot: 3, Nonce: 18446744073709551557,
+		Began: marks.Mark{Term: 4, Index: 5}, Now: marks.Mark{Term: 6, Index: 7}})
+}
+
+func TestRecoveredGolden(t *testing.T) {
+	goldentest.JSON(t, "recovered.json", Recovered{Version: 8, Hash: "c0ffee", Dropped: []string{"n2"}})
+}
+
+// The parameters of a read, as URLs of the admin API and of the search front carry them.
+func TestReadParameters(t *testing.T) {
+	for _, c := range []struct {
+		query string
+		want  Reading
+		bad   bool
+	}{
+		{"", Reading{"linearizable", 5 * time.Second}, false},
+		{"read=linearizable", Reading{"linearizable", 5 * time.Second}, false},
+		{"read=lease", Reading{"lease", 5 * time.Second}, false},
+		{"read=stale", Reading{"stale", 5 * time.Second}, false},
+		{"read=stale&max_age=250ms", Reading{"stale", 250 * time.Millisecond}, false},
+		{"read=local", Reading{"local", 5 * time.Second}, false},
+		{"local=true", Reading{"local", 5 * time.Second}, false},
+		{"read=any", Reading{}, true},
+		{"read=lease&max_age=1s", Reading{}, true},
+		{"read=stale&max_age=0s", Reading{}, true},
+	} {
+		t.Run(c.query, func(t *testing.T) {
+			values, err := url.ParseQuery(c.query)
+			if err != nil {
+				t.Fatal(err)
+			}
+			got, err := ParseReading(values)
+			if c.bad != (err != nil) || !c.bad && got != c.want {
+				t.Errorf("got %+v, %v; want %+v", got, err, c.want)
+			}
+		})
+	}
+}
