--- a/internal/control/wire_golden_test.go
+++ b/internal/control/wire_golden_test.go
@@ -411,3 +411,10 @@
 		t.Errorf("fields %q", fields)
 	}
 }
+
+// A command's reason is told by the API and kept in the replicated state, whose hash instances of two versions compare: its
+// text is part of the format.
+func TestWithdrawnReasonsGolden(t *testing.T) {
+	goldentest.Encodes(t, "reasons.json", []config.Reason{config.Done, config.Conflict, config.Unknown, config.There, config.WasGone, config.Bare,
+		config.Decided, config.Old, config.Unfounded, config.Full, config.Malformed})
+}
