--- /dev/null
+++ b/internal/frame/wire_golden_test.go
@@ -0,0 +1,125 @@
+package frame
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"linkpass/internal/end"
+	"linkpass/internal/peer"
+)
+
+// The names of the report's values, in the order in which the settings of the golden messages list them.
+var goldenReportNames = []string{"active", "waiting", "cpu", "avg_ms"}
+
+func TestRequestFrameGolden(t *testing.T) {
+	plain, loaded := Dialect{MaxStreams: 32}, Dialect{MaxStreams: 32, ReportNames: goldenReportNames}
+	part := peer.Part{Name: "9b1f03aa5c7e2d41.3", Collection: "players", Shard: 3, Wait: 240 * time.Millisecond, Text: []byte("c41e77d0")}
+	other := peer.Part{Name: "9b1f03aa5c7e2d41.17", Shard: 17, Wait: 1500*time.Millisecond + 999*time.Microsecond, Text: []byte("line one\nline \x00\xff two")}
+	urgent := peer.Part{Name: "a.0", Wait: 999 * time.Microsecond}
+	checkGolden(t, "frames_sent.txt", []entry{
+		{"call of one part", string(plain.Call([]peer.Part{part}))},
+		{"call of two parts", string(plain.Call([]peer.Part{part, other}))},
+		{"call without time and text", string(plain.Call([]peer.Part{urgent}))},
+		{"head of a call of 100000 bytes", string(plain.Head(part, 100000))},
+		{"cancel", string(plain.GiveUp(part.Name))},
+		{"probe", string(plain.Probe())},
+		{"probe for load", string(loaded.Probe())},
+	})
+}
+
+// Sent frames read back by the same framing give the letter and the rest of each.
+func TestRequestFrameGoldenReadBack(t *testing.T) {
+	sent := readGolden(t, "frames_sent.txt")
+	for name, want := range map[string]string{
+		"call of one part":           "D9b1f03aa5c7e2d41.3 3 d=240 8\nc41e77d0",
+		"call of two parts":          "D9b1f03aa5c7e2d41.3 3 d=240 8\nc41e77d09b1f03aa5c7e2d41.17 17 d=1500 20\nline one\nline \x00\xff two",
+		"call without time and text": "Da.0 0 d=1 0\n",
+		"cancel":                     "K9b1f03aa5c7e2d41.3",
+		"probe":                      "I",
+		"probe for load":             "U",
+	} {
+		t.Run(name, func(t *testing.T) {
+			r := bufio.NewReader(strings.NewReader(sent[name]))
+			letter, rest, err := Read(r)
+			if got := string(letter) + string(rest); err != nil || got != want {
+				t.Errorf("%q, %v, want %q", got, err, want)
+			}
+			if _, _, err := Read(r); err != io.EOF {
+				t.Errorf("after the frame: %v", err)
+			}
+		})
+	}
+	t.Run("head of a call of 100000 bytes", func(t *testing.T) {
+		whole := sent["head of a call of 100000 bytes"] + strings.Repeat("x", 100000)
+		letter, rest, err := Read(bufio.NewReader(strings.NewReader(whole)))
+		if err != nil || letter != Call || string(rest) != "9b1f03aa5c7e2d41.3 3 d=240 100000\n"+strings.Repeat("x", 100000) {
+			t.Errorf("%q, %d bytes, %v", letter, len(rest), err)
+		}
+	})
+}
+
+func TestReplyFrameGolden(t *testing.T) {
+	received := readGolden(t, "frames_received.txt")
+	cases := map[string]struct {
+		want  peer.Message
+		end   end.End
+		error error // nil: the frame can be read; io.EOF stands for any other than ErrFrame
+	}{
+		"reply": {want: peer.Message{Name: "9b1f03aa5c7e2d41.3", End: end.Served, Score: 1840277719, Value: []byte("5be2")}},
+		"reply with a report": {want: peer.Message{Name: "9b1f03aa5c7e2d41.3", End: end.Served, Score: -0.25,
+			Report: []float64{7, 2, 0.61, 12.5}, Value: []byte("line one\nline \x00\xff two")}},
+		"reply without score and value": {want: peer.Message{Name: "a.0", End: end.Served, Value: []byte{}}},
+		"reply of a failed part":        {want: peer.Message{Name: "a.0", End: end.ServerError, Value: []byte("disk")}},
+		"reply of a rejected part": {want: peer.Message{Name: "a.0", End: end.TurnedAway,
+			Report: []float64{8, 3, 1, 40}, Value: []byte{}}},
+		"reply with an unknown code":     {want: peer.Message{End: end.Served}, end: end.Garbled, error: ErrFrame},
+		"reply without a line":           {want: peer.Message{End: end.Served}, end: end.Garbled, error: ErrFrame},
+		"answer to a probe":              {want: peer.Message{Probe: true, End: end.Served}},
+		"answer to a probe, failed":      {want: peer.Message{Probe: true, End: end.ServerError}},
+		"answer to a probe for load":     {want: peer.Message{Probe: true, End: end.Served, Report: []float64{7, 2, 0.61, 12.5}}},
+		"answer to a probe, load failed": {want: peer.Message{Probe: true, End: end.ServerError}},
+		"complaint":                      {want: peer.Message{End: end.Served}, end: end.Rejected, error: io.EOF},
+		"unknown letter":                 {want: peer.Message{End: end.Served}, end: end.Garbled, error: ErrFrame},
+		"length of zero":                 {end: end.Garbled, error: ErrFrame},
+		"length over the limit":          {end: end.Garbled, error: ErrFrame},
+		"cut in the length":              {end: end.Broken, error: io.EOF},
+		"cut in the body":                {end: end.Broken, error: io.EOF},
+		"closed between frames":          {end: end.Closed, error: io.EOF},
+	}
+	if len(received) != len(cases) {
+		t.Errorf("%d golden frames, %d cases", len(received), len(cases))
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			stream, ok := received[name]
+			if !ok {
+				t.Fatal("no golden frame")
+			}
+			got, e, err := Dialect{ReportNames: goldenReportNames}.Reader(strings.NewReader(stream)).Next()
+			if !reflect.DeepEqual(got, c.want) || e != c.end {
+				t.Errorf("%+v %v, want %+v %v", got, e, c.want, c.end)
+			}
+			if (err != nil) != (c.error != nil) || errors.Is(err, ErrFrame) != errors.Is(c.error, ErrFrame) {
+				t.Errorf("error %v, want %v", err, c.error)
+			}
+		})
+	}
+}
+
+func TestReplyLineGolden(t *testing.T) {
+	_, rest, err := Read(bufio.NewReader(strings.NewReader(readGolden(t, "frames_received.txt")["reply with a report"])))
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := ParseReply(rest)
+	want := Reply{ID: "9b1f03aa5c7e2d41.3", End: 200, Score: -0.25, Report: "active=7,waiting=2,cpu=0.61,avg_ms=12.5",
+		Value: []byte("line one\nline \x00\xff two")}
+	if err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("%+v, %v, want %+v", got, err, want)
+	}
+}
