--- /dev/null
+++ b/internal/platform/wire_golden_test.go
@@ -0,0 +1,154 @@
+package platform
+
+import (
+	"bytes"
+	"context"
+	"reflect"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"linkpass/internal/bodies"
+	"linkpass/internal/bodies/tier"
+	"linkpass/internal/coordinator"
+	"linkpass/internal/counters"
+	"linkpass/internal/end"
+	"linkpass/internal/http1"
+)
+
+func goldenFront(c *core) *Front {
+	return &Front{Core: c, Classes: []string{"browse", "checkout"}, Tenants: []string{"north", "south_coast"}, Shards: 6,
+		Counters: counters.New(), Ready: func() bool { return true }}
+}
+
+// exchange serves a request given by its bytes and returns the response's bytes.
+func exchange(t *testing.T, f *Front, wire string) string {
+	t.Helper()
+	req, err := http1.NewReader(strings.NewReader(wire), 0).Request()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var out bytes.Buffer
+	if err := http1.WriteResponse(&out, f.Serve(context.Background(), 3*time.Second, req)); err != nil {
+		t.Fatal(err)
+	}
+	return out.String()
+}
+
+func TestRequestGolden(t *testing.T) {
+	requests := readGolden(t, "requests.txt")
+	both := []byte("c41e77d0 \"quoted\" \u00e9\n")
+	cases := map[string]coordinator.Query{
+		"every field": {Name: "9b1f03aa5c7e2d41", Class: 1, Tenant: 2, Began: 3 * time.Second, Timeout: 480 * time.Millisecond, Repeat: true,
+			Parts: []coordinator.Part{
+				{Shard: 3, Weight: 0.25, Hint: 9 * time.Millisecond, Key: 0xff00000000000001, Text: both},
+				{Shard: 5, Weight: 0.75, Hint: 1500 * time.Microsecond, Key: 0xff, Text: both},
+			}},
+		"needed fields only": {Name: "a", Class: 0, Began: 3 * time.Second, Timeout: 36000000 * time.Millisecond,
+			Parts: []coordinator.Part{{Shard: 0, Weight: 1, Text: []byte{}}}},
+		"unknown fields are skipped": {Name: "a", Class: 0, Began: 3 * time.Second, Timeout: time.Millisecond,
+			Parts: []coordinator.Part{{Shard: 1, Weight: 1, Text: []byte("x")}}},
+	}
+	if len(requests) != len(cases) {
+		t.Errorf("%d golden requests, %d cases", len(requests), len(cases))
+	}
+	for name, want := range cases {
+		t.Run(name, func(t *testing.T) {
+			wire, ok := requests[name]
+			if !ok {
+				t.Fatal("no golden request")
+			}
+			c := &core{}
+			exchange(t, goldenFront(c), wire)
+			if len(c.queries) != 1 {
+				t.Fatalf("%d queries", len(c.queries))
+			}
+			got := c.queries[0]
+			got.Reply = nil // a function: not comparable
+			if !reflect.DeepEqual(got, want) {
+				t.Errorf("got  %+v\nwant %+v", got, want)
+			}
+		})
+	}
+}
+
+func TestResponseGolden(t *testing.T) {
+	every := readGolden(t, "requests.txt")["every field"]
+	with := func(old, new string) string {
+		if !strings.Contains(every, old) {
+			t.Fatalf("the golden request has no %q", old)
+		}
+		return strings.Replace(every, old, new, 1)
+	}
+	// body puts another body of the request in place.
+	body := func(text string) string {
+		head, _, _ := strings.Cut(every, "Content-Length: ")
+		return head + "Content-Length: " + strconv.Itoa(len(text)) + "\r\n\r\n" + text
+	}
+	get := func(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: router\r\n\r\n" }
+	values := []coordinator.Value{{Shard: 3, Data: []byte("5be2")}, {Shard: 5, Data: []byte("<a & \"b\">\n\u00e9\u2028\xff")}}
+	bare := []coordinator.Miss{{Shard: 3, Last: end.Served}, {Shard: 5, Last: end.Unkept, Tried: true, Bare: true}}
+	var got []entry
+	for _, c := range []struct {
+		name    string
+		answer  coordinator.Answer
+		set     func(*Front)
+		request string
+	}{
+		{name: "complete answer", answer: coordinator.Answer{Verdict: coordinator.Answered, Whole: true, Values: values}, request: every},
+		{name: "partial answer", answer: coordinator.Answer{Verdict: coordinator.Answered, Values: values[:1], Missing: bare}, request: every},
+		{name: "answer without rows", answer: coordinator.Answer{Verdict: coordinator.Answered}, request: every},
+		{name: "overloaded", answer: coordinator.Answer{Verdict: coordinator.Refused}, request: every},
+		{name: "overloaded, with retry after", answer: coordinator.Answer{Verdict: coordinator.Refused, RetryAfter: 1375 * time.Millisecond}, request: every},
+		{name: "overloaded, body no longer kept", answer: coordinator.Answer{Verdict: coordinator.Refused, Missing: bare, RetryAfter: time.Millisecond}, request: every},
+		{name: "failed", answer: coordinator.Answer{Verdict: coordinator.Failed}, request: every},
+		{name: "failed, body no longer kept", answer: coordinator.Answer{Verdict: coordinator.Failed, Missing: bare}, request: every},
+		{name: "ready", request: get("/health/ready")},
+		{name: "not ready", set: func(f *Front) { f.Ready = func() bool { return false } }, request: get("/health/ready")},
+		{name: "no room for the body", set: fullStore(t, ""), request: body(`{"parts":[{"id":0,"w":1}],"expr":"` + strings.Repeat("x", bodies.Small+1) + `"}`)},
+		{name: "no room for the body, with retry after", set: fullStore(t, "2"), request: body(`{"parts":[{"id":0,"w":1}],"expr":"` + strings.Repeat("x", bodies.Small+1) + `"}`)},
+		{name: "unknown class", request: with("/checkout", "/nowhere")},
+		{name: "other method", request: get("/checkout")},
+		{name: "class of header and path differ", request: with("X-Priority-Class: checkout", "X-Priority-Class: browse")},
+		{name: "request id missing", request: with("X-Request-ID: 9b1f03aa5c7e2d41\r\n", "")},
+		{name: "request id with a space", request: with("X-Request-ID: 9b1f03aa5c7e2d41", "X-Request-ID: 9b1f 03aa")},
+		{name: "timeout missing", request: with("X-Timeout-Ms: 480\r\n", "")},
+		{name: "timeout not a number", request: with("X-Timeout-Ms: 480", "X-Timeout-Ms: soon")},
+		{name: "unknown tenant", request: with("X-Tenant-ID: south coast", "X-Tenant-ID: east")},
+		{name: "body not JSON", request: body(`{`)},
+		{name: "body without parts", request: body(`{"expr":"x"}`)},
+		{name: "body without expr", request: body(`{"parts":[{"id":0,"w":1}]}`)},
+		{name: "part without id", request: body(`{"parts":[{"w":1}],"expr":"x"}`)},
+		{name: "part of no slice", request: body(`{"parts":[{"id":6,"w":1}],"expr":"x"}`)},
+		{name: "part given twice", request: body(`{"parts":[{"id":1,"w":0.5},{"id":1,"w":0.5}],"expr":"x"}`)},
+		{name: "weight out of range", request: body(`{"parts":[{"id":1,"w":1.5}],"expr":"x"}`)},
+		{name: "hint out of range", request: body(`{"parts":[{"id":1,"w":1,"hint":-1}],"expr":"x"}`)},
+		{name: "tag not hexadecimal", request: body(`{"parts":[{"id":1,"w":1,"tag":"xyz"}],"expr":"x"}`)},
+		{name: "weights do not add up", request: body(`{"parts":[{"id":1,"w":0.5}],"expr":"x"}`)},
+	} {
+		f := goldenFront(&core{answer: c.answer})
+		if c.set != nil {
+			c.set(f)
+		}
+		got = append(got, entry{c.name, exchange(t, f, c.request)})
+	}
+	c := &core{answer: coordinator.Answer{Verdict: coordinator.Answered}}
+	f := goldenFront(c)
+	c.during = func() {
+		c.during = nil
+		got = append(got, entry{"request id of an open query", exchange(t, f, every)})
+	}
+	exchange(t, f, every)
+	checkGolden(t, "responses.txt", got)
+}
+
+// fullStore gives a front a store of bodies without room for any.
+func fullStore(t *testing.T, retry string) func(*Front) {
+	return func(f *Front) {
+		s := bodies.Open(bodies.Config{Limits: tier.Limits{Memory: 16, Largest: 16}, Classes: f.Classes, Counters: f.Counters,
+			Now: func() time.Duration { return 0 }})
+		t.Cleanup(s.Close)
+		f.Bodies, f.Worth, f.Retry = s, []float64{1, 2}, retry
+	}
+}
