--- /dev/null
+++ b/internal/discovery/wire_golden_test.go
@@ -0,0 +1,180 @@
+package discovery
+
+import (
+	"context"
+	"encoding/json"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"linkpass"
+	"linkpass/internal/coordinator"
+	"linkpass/internal/counters"
+	"linkpass/internal/http1"
+)
+
+// goldenList is a golden list, and what the program makes of it.
+type goldenList struct {
+	file     string
+	document Document
+	list     coordinator.List
+}
+
+var (
+	goldenFirst = Server{ID: "s-5be2a07c", Addr: "127.0.0.1:7001", Zone: "port-louis", Kind: "m4", Cell: 3, State: "in_service",
+		Weight: 1.5, StartedMS: 1700000000123}
+	goldenSecond = Server{ID: "s-2", Addr: "[::1]:7002", Zone: "ebene", Kind: "m2", Cell: 5, State: "in_service", Weight: 1,
+		StartedMS: 7}
+
+	goldenFirstMember = coordinator.Member{Name: "s-5be2a07c", Addr: "127.0.0.1:7001", Entry: linkpass.Entry{
+		Server: 0xace623f1fdc27c8a, Zone: 1, Kind: 1, Cell: 3, State: linkpass.Ready, Weight: 1.5, Since: 1700000000123 * time.Millisecond}}
+	goldenSecondMember = coordinator.Member{Name: "s-2", Addr: "[::1]:7002", Entry: linkpass.Entry{
+		Server: 0x817cdd195c3fc43d, Cell: 5, State: linkpass.Ready, Weight: 1, Since: 7 * time.Millisecond}}
+)
+
+func goldenLists() []goldenList {
+	draining, gone := goldenFirst, Server{ID: "s-2", State: "terminated"}
+	draining.State = "terminating"
+	drainingMember := goldenFirstMember
+	drainingMember.State = linkpass.Draining
+	goneMember := coordinator.Member{Name: "s-2", Entry: linkpass.Entry{Server: goldenSecondMember.Server, State: linkpass.Gone}}
+	full := Document{Version: 41, Full: true, Servers: []Server{goldenFirst, goldenSecond}}
+	members := []coordinator.Member{goldenFirstMember, goldenSecondMember}
+	return []goldenList{
+		{"full.json", full, coordinator.List{Mode: linkpass.ListFull, Members: members}},
+		{"full_indented.json", full, coordinator.List{Mode: linkpass.ListFull, Members: members}},
+		{"full_empty.json", Document{Version: 1, Full: true, Servers: []Server{}}, coordinator.List{Mode: linkpass.ListFull}},
+		{"delta.json", Document{Version: 42, Servers: []Server{goldenSecond}},
+			coordinator.List{Mode: linkpass.ListDelta, Members: members[1:]}},
+		{"delta_draining.json", Document{Version: 43, Servers: []Server{draining, gone}},
+			coordinator.List{Mode: linkpass.ListDelta, Members: []coordinator.Member{drainingMember, goneMember}}},
+		{"delta_empty.json", Document{Version: 43, Servers: []Server{}}, coordinator.List{Mode: linkpass.ListDelta}},
+	}
+}
+
+func goldenReader() *Reader {
+	return &Reader{Zones: []string{"ebene", "port-louis"}, Kinds: []string{"m2", "m4"}, Cells: 6,
+		Clock: func(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }}
+}
+
+func readList(t *testing.T, file string) []byte {
+	t.Helper()
+	data, err := os.ReadFile(filepath.Join("testdata", file))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return data
+}
+
+func TestListGolden(t *testing.T) {
+	for _, c := range goldenLists() {
+		t.Run(c.file, func(t *testing.T) {
+			d, err := Parse(readList(t, c.file))
+			if err != nil || !reflect.DeepEqual(d, c.document) {
+				t.Fatalf("got  %+v, %v\nwant %+v", d, err, c.document)
+			}
+			list, err := goldenReader().List(d)
+			if err != nil || !reflect.DeepEqual(list, c.list) {
+				t.Errorf("got  %+v, %v\nwant %+v", list, err, c.list)
+			}
+		})
+	}
+}
+
+// The program writes lists too: an old process hands the one last known to the new one.
+func TestListGoldenWritten(t *testing.T) {
+	var got []entry
+	for _, c := range goldenLists() {
+		data, err := json.Marshal(c.document)
+		if err != nil {
+			t.Fatal(err)
+		}
+		got = append(got, entry{c.file, string(data)})
+	}
+	checkGolden(t, "lists_written.txt", got)
+}
+
+// The unusable lists are refused as a whole.
+func TestListGoldenUnusable(t *testing.T) {
+	for name, data := range readGolden(t, "lists_unusable.txt") {
+		t.Run(name, func(t *testing.T) {
+			d, err := Parse([]byte(data))
+			if err == nil {
+				_, err = goldenReader().List(d)
+			}
+			if err == nil {
+				t.Errorf("took %s", data)
+			}
+		})
+	}
+}
+
+func TestWatchRequestGolden(t *testing.T) {
+	var got []entry
+	for _, c := range []struct {
+		name string
+		ask  ask
+	}{
+		{"full list", ask{version: none, wait: time.Second}},
+		{"changes, at once", ask{version: 0}},
+		{"changes, long poll", ask{version: 9007199254740993, wait: watchWait}},
+	} {
+		client, server := net.Pipe()
+		done := make(chan string)
+		go func() {
+			data, _ := io.ReadAll(server)
+			done <- string(data)
+		}()
+		l := &line{client, http1.NewReader(failedRead{}, maxList)}
+		if _, err := l.ask("127.0.0.1:9400", c.ask); err == nil {
+			t.Errorf("%s: an answer from nobody", c.name)
+		}
+		_ = client.Close()
+		got = append(got, entry{c.name, <-done})
+	}
+	checkGolden(t, "requests.txt", got)
+}
+
+// failedRead stands for a server that never answers.
+type failedRead struct{}
+
+func (failedRead) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+
+// A watch that goes on from a known list through the golden ones: what it tells the core, and what it asks for.
+func TestWatchGolden(t *testing.T) {
+	requests, answers := make(chan string), make(chan string)
+	defer close(answers)
+	core := &fakeCore{lists: make(chan coordinator.List, 1)}
+	ctx, cancel := context.WithCancel(t.Context())
+	w := NewWatcher(agent(t, requests, answers), goldenReader(), core, counters.New())
+	known, err := Parse(readList(t, "full.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	done := make(chan struct{})
+	go func() { defer close(done); w.Run(ctx, known) }()
+	defer func() { cancel(); <-done }()
+
+	heard := func(name string, want coordinator.List) {
+		t.Helper()
+		if got := <-core.lists; !reflect.DeepEqual(got, want) {
+			t.Errorf("%s: got  %+v\nwant %+v", name, got, want)
+		}
+	}
+	var got []entry
+	lists := goldenLists()
+	heard("cached", coordinator.List{Mode: linkpass.ListCached, Members: lists[0].list.Members})
+	for _, i := range []int{1, 3, 4, 5, 2} {
+		got = append(got, entry{"before " + lists[i].file, <-requests})
+		answers <- string(readList(t, lists[i].file))
+		if lists[i].file != "delta_empty.json" { // no news: the core hears nothing
+			heard(lists[i].file, lists[i].list)
+		}
+	}
+	got = append(got, entry{"after all", <-requests})
+	checkGolden(t, "watch.txt", got)
+}
