--- /dev/null
+++ b/internal/wire/golden_test.go
@@ -0,0 +1,148 @@
+package wire
+
+import (
+	"bytes"
+	"encoding/hex"
+	"errors"
+	"flag"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"linkpass"
+)
+
+var update = flag.Bool("update", false, "write the golden reply anew")
+
+// readHex reads a golden file of hexadecimal lines; # begins a remark.
+func readHex(t *testing.T, file string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", file))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var out []byte
+	for line := range strings.Lines(string(text)) {
+		if strings.HasPrefix(line, "#") {
+			continue
+		}
+		b, err := hex.DecodeString(strings.TrimSpace(line))
+		if err != nil {
+			t.Fatalf("%s: %v", file, err)
+		}
+		out = append(out, b...)
+	}
+	return out
+}
+
+const (
+	goldenServer = linkpass.ServerID(0x0a124a07_1f93)
+	goldenOther  = linkpass.ServerID(0x0a9011f2_bc1f)
+	goldenQuery  = linkpass.RequestID(0xd95c5d3a91c4)
+	goldenPart   = linkpass.RequestID(0xd95c5d3a91c5)
+)
+
+func goldenMessages() []Message {
+	entries := []linkpass.Entry{
+		{Server: goldenServer, Zone: 1, Kind: 2, Cell: 3, State: linkpass.Ready, Weight: 1.5, Since: 6100250 * time.Microsecond},
+		{Server: goldenOther, Zone: 4, Kind: 5, Cell: 6, State: linkpass.Draining, Weight: 0.5},
+		{Server: 0xc0a800ff_ffff, Zone: 7, Kind: 8, Cell: 9, State: linkpass.Gone, Weight: 2.25, Since: 7 * time.Millisecond},
+	}
+	news := func(e linkpass.Event) Message { return Message{Kind: News, Node: 3, Event: e} }
+	out := []Message{
+		{Kind: Enlist, Node: 258, Seed: 0x1122334455667788, Settings: linkpass.Settings{Peers: 1, Shards: 6, Cells: 3, Reach: 2}},
+		news(linkpass.ListUpdate{Mode: linkpass.ListDelta, Entries: entries}),
+		news(linkpass.ListUpdate{Mode: linkpass.ListFull, Entries: entries}),
+		news(linkpass.ListUpdate{Mode: linkpass.ListCached, Entries: entries}),
+		news(linkpass.ListUpdate{Mode: linkpass.ListFailed}),
+		news(linkpass.Arrival{ID: goldenQuery, Shard: -1, Left: 240500 * time.Microsecond, Class: 513, Repeat: true, Amount: 8,
+			Query: 214, Tenant: 770}),
+		news(linkpass.Arrival{ID: goldenPart, Shard: 5, Left: 240 * time.Millisecond, Class: 1, Cost: 12250 * time.Microsecond,
+			Key: 0x91f03b7c55d20a64, Amount: 0.125, Query: 214, Tenant: 2}),
+		news(linkpass.Started{ID: goldenPart, Attempt: 6}),
+	}
+	for _, c := range []struct {
+		code   linkpass.Code
+		final  bool
+		report []float64
+	}{
+		{linkpass.OK, false, []float64{0.5, 7, 3.25, -1}}, {linkpass.Errored, false, nil}, {linkpass.Full, true, nil},
+		{linkpass.TimedOut, false, nil}, {linkpass.ConnectFailed, true, nil}, {linkpass.Reset, false, nil},
+		{linkpass.Cancelled, false, nil}, {linkpass.Moot, true, nil},
+	} {
+		out = append(out, news(linkpass.Outcome{ID: goldenPart, Attempt: 7, Server: goldenServer, Code: c.code,
+			Took: 18500 * time.Microsecond, Final: c.final, Report: c.report}))
+	}
+	return append(out,
+		Message{Kind: News, Node: 5, Event: linkpass.ClientGone{ID: 0x279440e6f2b19}},
+		news(linkpass.Alarm{Token: 0x8877665544332211}),
+		news(linkpass.Probed{Server: goldenOther, Code: linkpass.OK, Took: 1400 * time.Microsecond, Report: []float64{0.625, 7, 3}}),
+		news(linkpass.PeerMessage{From: 0x01020304, Data: []byte("hi 7\x00\xff")}),
+		Message{Kind: Stop, Node: 65535})
+}
+
+func TestBatchGolden(t *testing.T) {
+	d := NewDecoder(bytes.NewReader(readHex(t, "batch.hex")))
+	now, got, err := d.Next()
+	if err != nil || now != 8412250*time.Microsecond {
+		t.Fatalf("clock %v, %v", now, err)
+	}
+	want := goldenMessages()
+	if len(got) != len(want) {
+		t.Fatalf("%d messages, want %d", len(got), len(want))
+	}
+	for i := range want {
+		t.Run(fmt.Sprintf("%d %T", i, want[i].Event), func(t *testing.T) {
+			if !reflect.DeepEqual(got[i], want[i]) {
+				t.Errorf("got  %+v\nwant %+v", got[i], want[i])
+			}
+		})
+	}
+	if _, _, err := d.Next(); !errors.Is(err, io.EOF) {
+		t.Errorf("after the batch: %v", err)
+	}
+}
+
+func TestReplyGolden(t *testing.T) {
+	var e Encoder
+	e.Add(9, linkpass.Fail{ID: 1}) // a reply before it leaves nothing behind
+	e.Reset()
+	e.Add(3, linkpass.Send{ID: goldenPart, Server: goldenServer, Timeout: 80500 * time.Microsecond, Until: time.Hour})
+	e.Add(3, linkpass.Send{ID: goldenPart, Server: goldenOther})
+	e.Add(3, linkpass.Refuse{ID: 0x279440e6f2b19, RetryAfter: 250 * time.Millisecond})
+	e.Add(3, linkpass.Fail{ID: 0x279440e6f2b1a})
+	e.Add(3, linkpass.Cancel{ID: goldenPart, Attempt: 5})
+	e.Add(3, linkpass.SetTimer{After: 500125 * time.Microsecond, Token: 0x8877665544332211})
+	e.Add(3, linkpass.Probe{Server: goldenOther})
+	e.Add(258, linkpass.Subscribe{})
+	e.Add(3, linkpass.Answer{ID: goldenQuery, Whole: true})
+	e.Add(65535, linkpass.Answer{ID: goldenQuery})
+	e.BailOut(4, "index out of range")
+	e.BailOut(5, "nil")
+	var out bytes.Buffer
+	if err := e.Flush(&out); err != nil {
+		t.Fatal(err)
+	}
+	if *update {
+		text := "# header, twelve actions, texts\n"
+		for rest := out.Bytes(); len(rest) > 0; {
+			n := min(len(rest), actionSize)
+			if len(rest) == out.Len() {
+				n = replyHeaderSize
+			}
+			text += hex.EncodeToString(rest[:n]) + "\n"
+			rest = rest[n:]
+		}
+		if err := os.WriteFile("testdata/reply.hex", []byte(text), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if want := readHex(t, "reply.hex"); !bytes.Equal(out.Bytes(), want) {
+		t.Errorf("got\n%x\nwant\n%x", out.Bytes(), want)
+	}
+}
