--- a/internal/discovery/wire_golden_test.go
+++ b/internal/discovery/wire_golden_test.go
@@ -144,11 +144,22 @@
 
 func (failedRead) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
+// within takes what comes next; a test whose watch went astray ends instead of waiting for good.
+func within[T any](t *testing.T, c <-chan T) (v T) {
+	t.Helper()
+	select {
+	case v = <-c:
+	case <-time.After(10 * time.Second):
+		t.Fatal("nothing came for 10 s")
+	}
+	return v
+}
+
 // A watch that goes on from a known list through the golden ones: what it tells the core, and what it asks for.
 func TestWatchGolden(t *testing.T) {
-	requests, answers := make(chan string), make(chan string)
+	requests, answers := make(chan string, 16), make(chan string, 16)
 	defer close(answers)
-	core := &fakeCore{lists: make(chan coordinator.List, 1)}
+	core := &fakeCore{lists: make(chan coordinator.List, 16)}
 	ctx, cancel := context.WithCancel(t.Context())
 	w := NewWatcher(agent(t, requests, answers), goldenReader(), core, counters.New())
 	known, err := Parse(readList(t, "full.json"))
@@ -161,7 +172,7 @@
 
 	heard := func(name string, want coordinator.List) {
 		t.Helper()
-		if got := <-core.lists; !reflect.DeepEqual(got, want) {
+		if got := within(t, core.lists); !reflect.DeepEqual(got, want) {
 			t.Errorf("%s: got  %+v\nwant %+v", name, got, want)
 		}
 	}
@@ -169,12 +180,12 @@
 	lists := goldenLists()
 	heard("cached", coordinator.List{Mode: linkpass.ListCached, Members: lists[0].list.Members})
 	for _, i := range []int{1, 3, 4, 5, 2} {
-		got = append(got, entry{"before " + lists[i].file, <-requests})
+		got = append(got, entry{"before " + lists[i].file, within(t, requests)})
 		answers <- string(readList(t, lists[i].file))
 		if lists[i].file != "delta_empty.json" { // no news: the core hears nothing
 			heard(lists[i].file, lists[i].list)
 		}
 	}
-	got = append(got, entry{"after all", <-requests})
+	got = append(got, entry{"after all", within(t, requests)})
 	checkGolden(t, "watch.txt", got)
 }
