--- a/internal/coordinator/bench_test.go
+++ b/internal/coordinator/bench_test.go
@@ -41,12 +41,23 @@
 		if n > 0 {
 			name = fmt.Sprintf("slices=%d", n)
 		}
-		b.Run(name, func(b *testing.B) { benchQueries(b, n) })
+		b.Run(name, func(b *testing.B) { benchQueries(b, n, benchFleet{coordinators: 1, servers: 4, cells: 1, shards: 8}) })
 	}
 }
 
-func benchQueries(b *testing.B, n int) {
-	set := linkpass.Settings{Tick: time.Microsecond, Peers: 1, Shards: 8, Cells: 1, Reach: 1, Probes: false, Cancel: true, MaxAttempts: 3,
+// A query of eight parts through the core on a fixed layout, with the servers of 3, 80 and 300 coordinators: in sets of
+// three replicas that hold two shards each, as in the decision module's benchmark.
+func BenchmarkQueryFleet(b *testing.B) {
+	for _, f := range []benchFleet{{3, 15, 5, 10}, {80, 54, 18, 36}, {300, 201, 67, 134}} {
+		b.Run(fmt.Sprintf("coordinators=%d/servers=%d", f.coordinators, f.servers), func(b *testing.B) { benchQueries(b, 0, f) })
+	}
+}
+
+// benchFleet is what a coordinator sees of its site.
+type benchFleet struct{ coordinators, servers, cells, shards int }
+
+func benchQueries(b *testing.B, n int, fleet benchFleet) {
+	set := linkpass.Settings{Tick: time.Microsecond, Peers: fleet.coordinators, Shards: fleet.shards, Cells: fleet.cells, Reach: 1, Probes: false, Cancel: true, MaxAttempts: 3,
 		CallParts: 1, ReportFields: []linkpass.ReportField{linkpass.FieldInflight}, AnswerSlack: 20 * time.Millisecond,
 		Classes: []linkpass.Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Need: 1, Floor: 1}}}
 	core, err := New(Config{Settings: set, Seed: 7, ProbeTimeout: time.Second, Counters: counters.New(), Figures: counters.NewFigures([]string{"q"})})
@@ -58,8 +69,8 @@
 	done := make(chan struct{})
 	go func() { defer close(done); core.Run(ctx) }()
 	var members []Member
-	for i := range 4 {
-		members = append(members, Member{Entry: linkpass.Entry{Server: linkpass.ServerID(i), State: linkpass.Ready}})
+	for i := range fleet.servers {
+		members = append(members, Member{Entry: linkpass.Entry{Server: linkpass.ServerID(i), Cell: i % fleet.cells, State: linkpass.Ready}})
 	}
 	core.List(List{Mode: linkpass.ListFull, Members: members})
 	q := Query{Name: "q", Timeout: 2 * time.Second, Text: []byte("x")}
@@ -90,6 +101,7 @@
 			b.Fatalf("%+v", a)
 		}
 	}
+	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/8, "ns/part")
 	b.StopTimer()
 	cancel()
 	<-done
