--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -82,6 +82,41 @@
 	}
 }
 
+// The golden object with one thing changed: what is read differs in just that.
+func TestPlatformSettingsGoldenVariants(t *testing.T) {
+	golden := string(readGolden(t, "platform.json"))
+	tenants := golden[strings.Index(golden, `"tenants":`):strings.Index(golden, `  "tick"`)]
+	for _, c := range []struct {
+		name, old, new string
+		set            func(*linkpass.Settings, *Host)
+	}{
+		{"nominal weights", `"rough"`, `"nominal"`, func(*linkpass.Settings, *Host) {}},
+		{"weights without sizes", `"rough"`, `"none"`, func(s *linkpass.Settings, _ *Host) { s.Sized = false }},
+		{"polled list", `"subscribe"`, `"poll"`, func(s *linkpass.Settings, _ *Host) { s.Subscribe = false }},
+		{"no tenants", tenants, `"tenants": [],`, func(s *linkpass.Settings, h *Host) { s.Tenants, h.Tenants = nil, nil }},
+		{"tenants that are no objects", tenants, `"tenants": ["none"], "tenants.count": 1, "tenants.0.name": "north",`,
+			func(s *linkpass.Settings, h *Host) { s.Tenants, h.Tenants = nil, nil }},
+		{"no report", `["cpu", "active", "novelty", "waiting", "avg_ms", "rps", "err_rps"]`, `[]`,
+			func(s *linkpass.Settings, h *Host) { s.ReportFields, h.ReportNames = nil, nil }},
+		{"no weights of classes", `"class_need"`, `"old_class_need"`, func(s *linkpass.Settings, _ *Host) {
+			s.Classes[0].Need, s.Classes[1].Need, s.Classes[2].Need = 1, 1, 1
+		}},
+		{"null for a figure", `"max_open": 5000`, `"max_open": null`, func(s *linkpass.Settings, _ *Host) { s.MaxOpen = 0 }},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if strings.Count(golden, c.old) != 1 {
+				t.Fatalf("the golden object has %q %d times", c.old, strings.Count(golden, c.old))
+			}
+			set, host, err := ParseJSON([]byte(strings.Replace(golden, c.old, c.new, 1)))
+			wantSet, wantHost := goldenSettings(), goldenHost()
+			c.set(&wantSet, &wantHost)
+			if err != nil || !reflect.DeepEqual(set, wantSet) || !reflect.DeepEqual(host, wantHost) {
+				t.Errorf("got  %+v %+v, %v\nwant %+v %+v", set, host, err, wantSet, wantHost)
+			}
+		})
+	}
+}
+
 // Every field is set by the golden files, so that a key that is no longer read shows.
 func TestGoldenSettingsSetEveryField(t *testing.T) {
 	set := goldenSettings()
