--- a/internal/agree/wire_golden_test.go
+++ b/internal/agree/wire_golden_test.go
@@ -17,9 +17,9 @@
 // followerLog is the log of an instance that does not lead, with settings agreed and nothing else.
 type followerLog struct{ state *config.State }
 
-func (l followerLog) State() *config.State                          { return l.state }
-func (l followerLog) Leads() bool                                   { return false }
-func (l followerLog) Command(config.Command) (config.Result, error) { panic("a follower was asked") }
+func (l followerLog) State() *config.State                        { return l.state }
+func (followerLog) Leads() bool                                   { return false }
+func (followerLog) Command(config.Command) (config.Result, error) { panic("a follower was asked") }
 
 func openInstance(t *testing.T, name string, boot uint64) *Agreement {
 	t.Helper()
--- a/internal/control/wire_golden_test.go
+++ b/internal/control/wire_golden_test.go
@@ -90,16 +90,16 @@
 	store  *store.Store
 }
 
-func (c *fixedCoordinator) Status() Status             { return goldenStatus }
+func (*fixedCoordinator) Status() Status               { return goldenStatus }
 func (c *fixedCoordinator) Servers() ([]Server, error) { return goldenServers, c.err }
-func (c *fixedCoordinator) Drain() string              { return "drained" }
-func (c *fixedCoordinator) Activate() string           { return "serving" }
-func (c *fixedCoordinator) Settings() []Setting        { return goldenSettings }
-func (c *fixedCoordinator) Layouts() []IndexLayout     { return goldenLayout }
+func (*fixedCoordinator) Drain() string                { return "drained" }
+func (*fixedCoordinator) Activate() string             { return "serving" }
+func (*fixedCoordinator) Settings() []Setting          { return goldenSettings }
+func (*fixedCoordinator) Layouts() []IndexLayout       { return goldenLayout }
 func (c *fixedCoordinator) Agreed() (Agreed, error)    { return goldenAgreed, c.err }
 func (c *fixedCoordinator) Reload() (Reloaded, error)  { return goldenReloaded, c.err }
 func (c *fixedCoordinator) Store() *store.Store        { return c.store }
-func (c *fixedCoordinator) Search() http1.Handler {
+func (*fixedCoordinator) Search() http1.Handler {
 	return http1.HandlerFunc(func(_ context.Context, _ time.Duration, req *http1.Request) *http1.Response {
 		return &http1.Response{Status: 200, Body: []byte(req.Method + " " + req.Path + "?" + req.Query + " " + string(req.Body))}
 	})
--- a/internal/daemon/wire_golden_test.go
+++ b/internal/daemon/wire_golden_test.go
@@ -216,7 +216,7 @@
 }
 
 // The golden file sets every key of the operators' file, each to a value that is not its default, and each reaches its field.
-func TestOperatorsFileGolden(t *testing.T) {
+func TestOperatorsFileFieldsGolden(t *testing.T) {
 	c, err := LoadSearch(filepath.Join("testdata", "wire", "all_settings.toml"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/layout/plan.go
+++ b/internal/layout/plan.go
@@ -72,12 +72,13 @@
 	return Plan{}, false
 }
 
-// Command is one change of a layout: an order, a step or an abandonment.
+// Command is one change of a layout: an order, a step or an abandonment. It lies in the Raft log, under the names in its
+// tags; so do Advance and Abandon.
 type Command struct {
-	At      uint64 // the version it was made on; 0: any
-	Order   *Order
-	Advance *Advance
-	Abandon *Abandon
+	At      uint64   `json:"At"` // the version it was made on; 0: any
+	Order   *Order   `json:"Order"`
+	Advance *Advance `json:"Advance"`
+	Abandon *Abandon `json:"Abandon"`
 }
 
 // Order asks for a new plan.
@@ -90,15 +91,15 @@
 
 // Advance takes a plan to its next step.
 type Advance struct {
-	Plan    PlanID
-	Step    Step
-	Holding map[SliceID][]string // for both_hold and switched: sound servers that hold each new slice whole
+	Plan    PlanID               `json:"Plan"`
+	Step    Step                 `json:"Step"`
+	Holding map[SliceID][]string `json:"Holding"` // for both_hold and switched: sound servers that hold each new slice whole
 }
 
 // Abandon ends a plan before its switch.
 type Abandon struct {
-	Plan PlanID
-	Why  string
+	Plan PlanID `json:"Plan"`
+	Why  string `json:"Why"`
 }
 
 // Apply is the layout after a command. A command that has been carried out already
