--- a/internal/agree/agree.go
+++ b/internal/agree/agree.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"linkpass/internal/config"
-	"linkpass/internal/config/facts"
 	"linkpass/internal/config/merge"
+	"linkpass/internal/config/restriction"
 	"linkpass/internal/coordinator"
 	"linkpass/internal/counters"
 	"linkpass/internal/event"
@@ -33,7 +33,7 @@
 	Boot     uint64 // of this process; grows from one to the next
 	Next     func(coordinator.List)
 	Member   func(id string, spec config.Spec) (coordinator.Member, error) // how an added server is listed
-	Spread   map[string]func(context.Context, []facts.Order) error         // to each other instance, by id
+	Spread   map[string]func(context.Context, []restriction.Request) error // to each other instance, by id
 	Counters *counters.Set
 }
 
@@ -53,23 +53,23 @@
 	wake []chan struct{} // one for each who works while something is unsettled
 
 	mu     sync.Mutex // also orders what goes to Next
-	heard  *facts.Heard
+	heard  *restriction.PendingSet
 	merger *merge.Merger
 	log    Log // nil: not open yet
 	told   map[string]merge.Agreed
-	recent map[facts.ID]recent
+	recent map[restriction.ID]recent
 }
 
 // recent is an order that came a moment ago. It is spread although the log has settled it here: another instance may hear
 // this one and be far behind in the log.
 type recent struct {
-	order facts.Order
+	order restriction.Request
 	until time.Time
 }
 
 // New makes one that knows nothing yet.
 func New(c Config) *Agreement {
-	a := &Agreement{cfg: c, heard: facts.NewHeard(facts.Origin{Instance: c.Me, Boot: c.Boot}), merger: merge.New(), told: map[string]merge.Agreed{}, recent: map[facts.ID]recent{}}
+	a := &Agreement{cfg: c, heard: restriction.NewPendingSet(restriction.Origin{Instance: c.Me, Incarnation: c.Boot}), merger: merge.New(), told: map[string]merge.Agreed{}, recent: map[restriction.ID]recent{}}
 	for range len(c.Spread) + 1 {
 		a.wake = append(a.wake, make(chan struct{}, 1))
 	}
@@ -98,7 +98,7 @@
 	if a.log == nil {
 		return
 	}
-	a.heard.Applied(a.log.State())
+	a.heard.DropSettled(a.log.State())
 	a.tell(nil)
 }
 
@@ -106,7 +106,7 @@
 func (a *Agreement) tell(names []string) {
 	state := a.log.State()
 	names = append(names, state.Servers()...)
-	for _, o := range a.heard.Unsettled() {
+	for _, o := range a.heard.List() {
 		names = append(names, o.Server)
 	}
 	for name := range a.told {
@@ -134,7 +134,7 @@
 
 func (a *Agreement) agreed(state *config.State, name string) merge.Agreed {
 	v, _ := state.Server(name)
-	now := merge.Agreed{Hold: a.heard.Held(state, name), Weight: v.Weight}
+	now := merge.Agreed{Hold: a.heard.Effective(state, name), Weight: v.Weight}
 	if v.Spec != nil {
 		m, err := a.cfg.Member(name, *v.Spec)
 		if err != nil {
@@ -151,26 +151,26 @@
 
 // Restrict takes a server out of service: here at once, elsewhere as soon as it is heard there, for good once the log has it.
 // What the log would refuse by what is known here is refused here.
-func (a *Agreement) Restrict(server string, kind facts.Restriction, force bool) (facts.Order, error) {
+func (a *Agreement) Restrict(server string, kind restriction.Level, force bool) (restriction.Request, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.log == nil {
-		return facts.Order{}, ErrNotYet
+		return restriction.Request{}, ErrNotYet
 	}
 	state := a.log.State()
-	probe := facts.Order{ID: facts.ID{Origin: facts.Origin{Instance: a.cfg.Me, Boot: a.cfg.Boot + 1}, Seq: 1}, Server: server, Kind: kind, Force: force}
+	probe := restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: a.cfg.Me, Incarnation: a.cfg.Boot + 1}, Seq: 1}, Server: server, Level: kind, Force: force}
 	if _, r := state.Apply(config.Command{Kind: config.Restrict, Order: &probe}); r.Reason != config.Done && r.Reason != config.Unfounded {
-		return facts.Order{}, &Refused{r}
+		return restriction.Request{}, &Refused{r}
 	}
-	o, err := a.heard.Give(server, kind, force)
+	o, err := a.heard.Issue(server, kind, force)
 	if err != nil {
 		return o, err
 	}
-	if state.Settled().Has(o.ID) {
+	if state.Settled().Contains(o.ID) {
 		return o, fmt.Errorf("agree: order %s counts as settled: this process's clock is behind those before it", o.ID)
 	}
 	a.cfg.Counters.Add("orders_given", 1)
-	event.OrderHeard.Log(o.ID, o.Server, o.Kind, "an operator")
+	event.OrderHeard.Log(o.ID, o.Server, o.Level, "an operator")
 	a.remember(o)
 	a.tell(nil)
 	a.stir()
@@ -184,16 +184,16 @@
 func (r *Refused) Error() string { return fmt.Sprintf("%s: %s", r.Reason, r.Detail) }
 
 // Hear takes orders from another instance, beside the log.
-func (a *Agreement) Hear(from string, orders []facts.Order) error {
+func (a *Agreement) Hear(from string, orders []restriction.Request) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.log == nil {
 		return ErrNotYet
 	}
-	news := a.heard.Hear(a.log.State(), orders...)
+	news := a.heard.Receive(a.log.State(), orders...)
 	for _, o := range news {
 		a.cfg.Counters.Add("orders_heard", 1)
-		event.OrderHeard.Log(o.ID, o.Server, o.Kind, from)
+		event.OrderHeard.Log(o.ID, o.Server, o.Level, from)
 		a.remember(o)
 	}
 	if len(news) > 0 {
@@ -204,28 +204,28 @@
 }
 
 // Unsettled are the orders that the log has not decided yet.
-func (a *Agreement) Unsettled() []facts.Order {
+func (a *Agreement) Unsettled() []restriction.Request {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.heard.Unsettled()
+	return a.heard.List()
 }
 
 // remember keeps an order to be spread; the lock is held. Past the bound it is spread only until it is settled.
-func (a *Agreement) remember(o facts.Order) {
+func (a *Agreement) remember(o restriction.Request) {
 	now := time.Now()
-	maps.DeleteFunc(a.recent, func(_ facts.ID, r recent) bool { return r.until.Before(now) })
-	if len(a.recent) < facts.MaxHeard {
+	maps.DeleteFunc(a.recent, func(_ restriction.ID, r recent) bool { return r.until.Before(now) })
+	if len(a.recent) < restriction.MaxPending {
 		a.recent[o.ID] = recent{o, now.Add(spreadFor)}
 	}
 }
 
 // spreading are the orders that other instances are to hear of.
-func (a *Agreement) spreading() []facts.Order {
+func (a *Agreement) spreading() []restriction.Request {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	out := a.heard.Unsettled()
+	out := a.heard.List()
 	for id, r := range a.recent {
-		if r.until.After(time.Now()) && !slices.ContainsFunc(out, func(o facts.Order) bool { return o.ID == id }) {
+		if r.until.After(time.Now()) && !slices.ContainsFunc(out, func(o restriction.Request) bool { return o.ID == id }) {
 			out = append(out, r.order)
 		}
 	}
@@ -251,8 +251,8 @@
 		wake := a.wake[i]
 		i++
 		all.Go(func() {
-			told := map[facts.ID]bool{}
-			a.work(ctx, wake, a.spreading, func(open []facts.Order) { a.spread(ctx, id, send, open, told) })
+			told := map[restriction.ID]bool{}
+			a.work(ctx, wake, a.spreading, func(open []restriction.Request) { a.spread(ctx, id, send, open, told) })
 		})
 	}
 	all.Go(func() { a.work(ctx, a.wake[i], a.Unsettled, a.propose) })
@@ -260,7 +260,7 @@
 }
 
 // work does something again and again while there are orders for it, and sleeps otherwise.
-func (*Agreement) work(ctx context.Context, wake <-chan struct{}, orders func() []facts.Order, do func([]facts.Order)) {
+func (*Agreement) work(ctx context.Context, wake <-chan struct{}, orders func() []restriction.Request, do func([]restriction.Request)) {
 	for tries := 0; ; tries++ {
 		var again <-chan time.Time
 		if open := orders(); len(open) > 0 {
@@ -282,9 +282,9 @@
 }
 
 // spread tells another instance what it has not confirmed to have heard.
-func (a *Agreement) spread(ctx context.Context, id string, send func(context.Context, []facts.Order) error, open []facts.Order, told map[facts.ID]bool) {
-	still := map[facts.ID]bool{}
-	var news []facts.Order
+func (a *Agreement) spread(ctx context.Context, id string, send func(context.Context, []restriction.Request) error, open []restriction.Request, told map[restriction.ID]bool) {
+	still := map[restriction.ID]bool{}
+	var news []restriction.Request
 	for _, o := range open {
 		if still[o.ID] = told[o.ID]; !told[o.ID] {
 			news = append(news, o)
@@ -310,7 +310,7 @@
 }
 
 // propose asks the log to settle what is open, where this instance leads.
-func (a *Agreement) propose(open []facts.Order) {
+func (a *Agreement) propose(open []restriction.Request) {
 	if !a.log.Leads() {
 		return
 	}
@@ -321,7 +321,7 @@
 			return // no majority now: asked again
 		}
 		if r.Reason != config.Done && r.Reason != config.Decided {
-			event.OrderWithdrawn.Log(o.ID, o.Server, o.Kind, string(r.Reason))
+			event.OrderWithdrawn.Log(o.ID, o.Server, o.Level, string(r.Reason))
 		}
 	}
 }
--- a/internal/agree/agree_test.go
+++ b/internal/agree/agree_test.go
@@ -13,7 +13,7 @@
 	"linkpass"
 	"linkpass/internal/catalog"
 	"linkpass/internal/config"
-	"linkpass/internal/config/facts"
+	"linkpass/internal/config/restriction"
 	"linkpass/internal/coordinator"
 	"linkpass/internal/counters"
 	"linkpass/internal/event"
@@ -51,8 +51,8 @@
 func (n *network) up(i, j int) bool { n.mu.Lock(); defer n.mu.Unlock(); return !n.cut[i][j] }
 
 // send makes the way from one instance to another.
-func (n *network) send(i, j int) func(context.Context, []facts.Order) error {
-	return func(ctx context.Context, orders []facts.Order) error {
+func (n *network) send(i, j int) func(context.Context, []restriction.Request) error {
+	return func(ctx context.Context, orders []restriction.Request) error {
 		deliver := func() error {
 			select {
 			case <-time.After(n.delay(i, j)):
@@ -133,7 +133,7 @@
 	for i := range instances {
 		n.states[i], _ = config.New(&catalog.Catalog{}).Apply(n.log[0])
 		n.lists[i] = map[string]linkpass.ServerState{}
-		spread := map[string]func(context.Context, []facts.Order) error{}
+		spread := map[string]func(context.Context, []restriction.Request) error{}
 		for j := range instances {
 			n.links[i][j] = rand.New(rand.NewPCG(seed, uint64(10*i+j)))
 			if j != i {
@@ -182,7 +182,7 @@
 				at, cut := n.rng.IntN(instances), n.cut
 				n.mu.Unlock()
 				server := fmt.Sprint("s", s)
-				if _, err := n.nodes[at].Restrict(server, facts.Draining, false); err != nil {
+				if _, err := n.nodes[at].Restrict(server, restriction.Draining, false); err != nil {
 					t.Fatal(err)
 				}
 				if n.state(at, server) != linkpass.Draining {
--- a/internal/agree/wire_golden_test.go
+++ b/internal/agree/wire_golden_test.go
@@ -8,7 +8,7 @@
 
 	"linkpass/internal/catalog"
 	"linkpass/internal/config"
-	"linkpass/internal/config/facts"
+	"linkpass/internal/config/restriction"
 	"linkpass/internal/coordinator"
 	"linkpass/internal/counters"
 	"linkpass/internal/goldentest"
@@ -40,9 +40,9 @@
 }
 
 // goldenOrders are the orders of an instance "a", as its calls to the others carry them.
-var goldenOrders = []facts.Order{
-	{ID: facts.ID{Origin: facts.Origin{Instance: "a", Boot: 1764652800123456789}, Seq: 1}, Server: "s-1", Kind: facts.Draining},
-	{ID: facts.ID{Origin: facts.Origin{Instance: "a", Boot: 1764652800123456789}, Seq: 2}, Server: "s-2", Kind: facts.Removed, Force: true},
+var goldenOrders = []restriction.Request{
+	{ID: restriction.ID{Origin: restriction.Origin{Instance: "a", Incarnation: 1764652800123456789}, Seq: 1}, Server: "s-1", Level: restriction.Draining},
+	{ID: restriction.ID{Origin: restriction.Origin{Instance: "a", Incarnation: 1764652800123456789}, Seq: 2}, Server: "s-2", Level: restriction.Removed, Force: true},
 }
 
 func TestOrdersGolden(t *testing.T) { goldentest.JSON(t, "orders_request.json", goldenOrders) }
@@ -51,16 +51,16 @@
 func TestSpreadOrdersGolden(t *testing.T) {
 	a := openInstance(t, "a", 1764652800123456789)
 	for _, o := range goldenOrders {
-		if _, err := a.Restrict(o.Server, o.Kind, o.Force); err != nil {
+		if _, err := a.Restrict(o.Server, o.Level, o.Force); err != nil {
 			t.Fatal(err)
 		}
 	}
 	calls := 0
-	a.spread(context.Background(), "b", func(_ context.Context, orders []facts.Order) error {
+	a.spread(context.Background(), "b", func(_ context.Context, orders []restriction.Request) error {
 		calls++
 		goldentest.Encodes(t, "orders_request.json", orders)
 		return nil
-	}, a.spreading(), map[facts.ID]bool{})
+	}, a.spreading(), map[restriction.ID]bool{})
 	if calls != 1 {
 		t.Errorf("%d calls", calls)
 	}
@@ -69,7 +69,7 @@
 // Another instance takes the golden orders and holds them all.
 func TestHearGoldenOrders(t *testing.T) {
 	b := openInstance(t, "b", 5)
-	var orders []facts.Order
+	var orders []restriction.Request
 	if err := json.Unmarshal(goldentest.Read(t, "orders_request.json"), &orders); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cli/servers.go
+++ b/internal/cli/servers.go
@@ -34,10 +34,10 @@
 			fmt.Fprintf(w, "%s\tremoved\n", id)
 		}
 		for _, o := range a.Unsettled {
-			fmt.Fprintf(w, "%s\t%s here, not settled (order %s)\n", o.Server, o.Kind, o.ID)
+			fmt.Fprintf(w, "%s\t%s here, not settled (order %s)\n", o.Server, o.Level, o.ID)
 		}
 		for _, o := range a.Withdrawn {
-			fmt.Fprintf(w, "%s\t%s withdrawn (order %s): %s\n", o.Order.Server, o.Order.Kind, o.Order.ID, o.Why)
+			fmt.Fprintf(w, "%s\t%s withdrawn (order %s): %s\n", o.Order.Server, o.Order.Level, o.Order.ID, o.Why)
 		}
 	})
 }
--- a/internal/config/apply.go
+++ b/internal/config/apply.go
@@ -7,7 +7,7 @@
 	"slices"
 
 	"linkpass/internal/catalog"
-	"linkpass/internal/config/facts"
+	"linkpass/internal/config/restriction"
 )
 
 // Apply gives the state after a command, and what the command came to. The old state stays as it is. It never fails: what
@@ -139,10 +139,10 @@
 // restrict decides an order: it is taken, or withdrawn and said. It is settled either way.
 func (s *State) restrict(c Command) Result {
 	o := c.Order
-	if o == nil || o.Server == "" || len(o.Server) > MaxName || o.ID.Seq == 0 || o.Kind == facts.None || o.Kind > facts.Removed {
+	if o == nil || o.Server == "" || len(o.Server) > MaxName || o.ID.Seq == 0 || o.Level == restriction.None || o.Level > restriction.Removed {
 		return refuse(Malformed, "an order needs an id, a server and a kind")
 	}
-	if s.settled.Has(o.ID) {
+	if s.settled.Contains(o.ID) {
 		return refuse(Decided, "%s", o.ID)
 	}
 	s.settled = s.settled.With(o.ID)
@@ -153,15 +153,15 @@
 	return r
 }
 
-func (s *State) take(o facts.Order) Result {
+func (s *State) take(o restriction.Request) Result {
 	now, known := s.servers[o.Server]
 	if s.gone[o.Server] {
-		if o.Kind == facts.Removed {
+		if o.Level == restriction.Removed {
 			return Result{} // it is gone, as was asked
 		}
 		return refuse(WasGone, "%s", o.Server)
 	}
-	if !known && len(s.servers) >= MaxServers || o.Kind == facts.Removed && len(s.gone) >= MaxGone {
+	if !known && len(s.servers) >= MaxServers || o.Level == restriction.Removed && len(s.gone) >= MaxGone {
 		return refuse(Full, "%d servers, %d removed ids", len(s.servers), len(s.gone))
 	}
 	bare := s.bareWithout(o.Server)
@@ -171,18 +171,18 @@
 		r.Bare = told
 		return r
 	}
-	if o.Kind == facts.Removed {
+	if o.Level == restriction.Removed {
 		s.servers, s.gone = maps.Clone(s.servers), maps.Clone(s.gone)
 		delete(s.servers, o.Server)
 		s.gone[o.Server] = true
 		return Result{Bare: told}
 	}
-	now.Hold = max(now.Hold, o.Kind)
+	now.Hold = max(now.Hold, o.Level)
 	s.put(o.Server, now)
 	return Result{Bare: told}
 }
 
-func (s *State) withdraw(o facts.Order, why Reason) {
+func (s *State) withdraw(o restriction.Request, why Reason) {
 	s.withdrawn = append(slices.Clone(s.withdrawn), Withdrawn{o, why, s.version + 1})
 	if over := len(s.withdrawn) - MaxWithdrawn; over > 0 {
 		s.withdrawn = s.withdrawn[over:]
@@ -195,19 +195,19 @@
 	if r.Reason != Done {
 		return r
 	}
-	if len(c.Names) > facts.MaxHeard {
-		return refuse(Malformed, "%d orders are named, %d at most", len(c.Names), facts.MaxHeard)
+	if len(c.Names) > restriction.MaxPending {
+		return refuse(Malformed, "%d orders are named, %d at most", len(c.Names), restriction.MaxPending)
 	}
 	for _, id := range c.Names {
-		if !s.settled.Has(id) {
+		if !s.settled.Contains(id) {
 			s.settled = s.settled.With(id)
-			s.withdraw(facts.Order{ID: id, Server: c.Server, Kind: facts.Draining}, "undrained")
+			s.withdraw(restriction.Request{ID: id, Server: c.Server, Level: restriction.Draining}, "undrained")
 		}
 	}
-	if now.Hold == facts.None {
+	if now.Hold == restriction.None {
 		return Result{}
 	}
-	now.Hold = facts.None
+	now.Hold = restriction.None
 	s.put(c.Server, now)
 	return Result{}
 }
@@ -274,8 +274,8 @@
 // bareWithout names the slices that would have no holder in service if a server were restricted, and have one now: slices
 // of layouts by their holders, cells by the servers that were added. What only discovery knows of a cell is not seen here.
 func (s *State) bareWithout(server string) (bare []string) {
-	serves := func(id string) bool { return id != server && s.Agreed(id) == facts.None }
-	if s.Agreed(server) != facts.None {
+	serves := func(id string) bool { return id != server && s.Restriction(id) == restriction.None }
+	if s.Restriction(server) != restriction.None {
 		return nil // nothing changes for slices
 	}
 	for _, index := range slices.Sorted(maps.Keys(s.settings.Indices)) {
--- a/internal/config/command.go
+++ b/internal/config/command.go
@@ -8,7 +8,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"linkpass/internal/config/facts"
+	"linkpass/internal/config/restriction"
 	"linkpass/internal/layout"
 )
 
@@ -19,7 +19,7 @@
 const (
 	AddServer Kind = iota + 1
 	ChangeServer
-	Restrict // drain or remove, as an order of internal/config/facts
+	Restrict // drain or remove, as an order of internal/config/restriction
 	Undrain
 	SetWeight
 	Patch    // a JSON merge patch of the settings
@@ -45,15 +45,15 @@
 	Seq    uint64 `cbor:"3,keyasint,omitempty"` // from 1, growing
 	// If is the version of the object that was read: of the server, or of the settings; 0: any. A server is added where
 	// there is none.
-	If      uint64          `cbor:"4,keyasint,omitempty"`
-	Server  string          `cbor:"5,keyasint,omitempty"`
-	Spec    *Spec           `cbor:"6,keyasint,omitempty"`
-	Weight  float64         `cbor:"7,keyasint,omitempty"`
-	Order   *facts.Order    `cbor:"8,keyasint,omitempty"`
-	Names   []facts.ID      `cbor:"9,keyasint,omitempty"` // of Undrain: orders in sight that it withdraws too
-	Text    []byte          `cbor:"10,keyasint,omitempty"`
-	Index   string          `cbor:"11,keyasint,omitempty"`
-	Advance *layout.Command `cbor:"12,keyasint,omitempty"`
+	If      uint64               `cbor:"4,keyasint,omitempty"`
+	Server  string               `cbor:"5,keyasint,omitempty"`
+	Spec    *Spec                `cbor:"6,keyasint,omitempty"`
+	Weight  float64              `cbor:"7,keyasint,omitempty"`
+	Order   *restriction.Request `cbor:"8,keyasint,omitempty"`
+	Names   []restriction.ID     `cbor:"9,keyasint,omitempty"` // of Undrain: orders in sight that it withdraws too
+	Text    []byte               `cbor:"10,keyasint,omitempty"`
+	Index   string               `cbor:"11,keyasint,omitempty"`
+	Advance *layout.Command      `cbor:"12,keyasint,omitempty"`
 }
 
 // Reason says why a command did nothing; "": it did.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 
 	"linkpass/internal/catalog"
-	"linkpass/internal/config/facts"
+	"linkpass/internal/config/restriction"
 	"linkpass/internal/layout"
 	_ "linkpass/internal/seeded"
 )
@@ -54,10 +54,10 @@
 	case AddServer, ChangeServer:
 		c.Spec = &Spec{Addr: rapid.SampledFrom([]string{"", "h:1", "h:2"}).Draw(t, "addr"), Cell: rapid.IntRange(-1, 1).Draw(t, "cell")}
 	case Restrict:
-		c.Order = &facts.Order{ID: facts.ID{Origin: facts.Origin{Instance: rapid.SampledFrom([]string{"n0", "n1"}).Draw(t, "instance"), Boot: 1}, Seq: uint64(rapid.IntRange(0, n+1).Draw(t, "order"))},
-			Server: c.Server, Kind: facts.Restriction(rapid.IntRange(0, 3).Draw(t, "how")), Force: rapid.Bool().Draw(t, "force")}
+		c.Order = &restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: rapid.SampledFrom([]string{"n0", "n1"}).Draw(t, "instance"), Incarnation: 1}, Seq: uint64(rapid.IntRange(0, n+1).Draw(t, "order"))},
+			Server: c.Server, Level: restriction.Level(rapid.IntRange(0, 3).Draw(t, "how")), Force: rapid.Bool().Draw(t, "force")}
 	case Undrain:
-		c.Names = []facts.ID{{Origin: facts.Origin{Instance: "n0", Boot: 1}, Seq: uint64(rapid.IntRange(1, n+1).Draw(t, "named"))}}
+		c.Names = []restriction.ID{{Origin: restriction.Origin{Instance: "n0", Incarnation: 1}, Seq: uint64(rapid.IntRange(1, n+1).Draw(t, "named"))}}
 	case Patch:
 		c.If = rapid.SampledFrom([]uint64{0, s.Revised(), 7}).Draw(t, "on")
 		c.Text = []byte(rapid.SampledFrom([]string{`{"search":{"max_result_window":5}}`, `{"search":{"max_result_window":-5}}`, `{`}).Draw(t, "patch"))
@@ -92,7 +92,7 @@
 				t.Fatalf("%+v changed the state that it was applied to", c)
 			}
 			for _, id := range gone {
-				if _, back := next.Server(id); back || next.Agreed(id) != facts.Removed {
+				if _, back := next.Server(id); back || next.Restriction(id) != restriction.Removed {
 					t.Fatalf("%s came back", id)
 				}
 			}
@@ -137,7 +137,7 @@
 // checkBare looks at the slices by itself: by holders, not by the code under test.
 func checkBare(t *rapid.T, before, after *State, c Command, r Result) {
 	served := func(s *State, holders []string) bool {
-		return slices.ContainsFunc(holders, func(id string) bool { return s.Agreed(id) == facts.None })
+		return slices.ContainsFunc(holders, func(id string) bool { return s.Restriction(id) == restriction.None })
 	}
 	for _, slice := range after.Settings().Layout("players").Slices() {
 		if served(before, slice.Holders) && !served(after, slice.Holders) && (c.Order == nil || !c.Order.Force || len(r.Bare) == 0) {
@@ -204,10 +204,10 @@
 	s := founded(t)
 	for i := range uint64(MaxClients + 50) {
 		s, _ = s.Apply(Command{Kind: Restrict, Client: fmt.Sprint("client", i), Seq: 1,
-			Order: &facts.Order{ID: facts.ID{Origin: facts.Origin{Instance: "n", Boot: 1}, Seq: i + 1}, Server: "c", Kind: facts.Draining}})
+			Order: &restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: "n", Incarnation: 1}, Seq: i + 1}, Server: "c", Level: restriction.Draining}})
 	}
-	if n := len(s.Withdrawn()); n != MaxWithdrawn || len(s.sessions) != MaxClients || s.Agreed("c") != facts.None || len(s.Settled().Marks()) != 1 {
-		t.Errorf("%d withdrawn, %d clients, %s", n, len(s.sessions), s.Agreed("c"))
+	if n := len(s.Withdrawn()); n != MaxWithdrawn || len(s.sessions) != MaxClients || s.Restriction("c") != restriction.None || len(s.Settled().Intervals()) != 1 {
+		t.Errorf("%d withdrawn, %d clients, %s", n, len(s.sessions), s.Restriction("c"))
 	}
 	if _, ok := s.sessions["client0"]; ok {
 		t.Error("the oldest client is remembered")
--- a/internal/config/merge/merge.go
+++ b/internal/config/merge/merge.go
@@ -7,13 +7,13 @@
 	"slices"
 
 	"linkpass"
-	"linkpass/internal/config/facts"
+	"linkpass/internal/config/restriction"
 	"linkpass/internal/coordinator"
 )
 
 // Agreed is what instances agree on of a server, as it holds here.
 type Agreed struct {
-	Hold   facts.Restriction
+	Hold   restriction.Level
 	Weight float64             // 0: discovery's
 	Added  *coordinator.Member // as a command added it, in service; nil: only discovery can list it
 }
@@ -125,13 +125,13 @@
 	if !ok && a.Added != nil {
 		s, ok = *a.Added, true
 	}
-	if !ok || a.Hold == facts.Removed {
+	if !ok || a.Hold == restriction.Removed {
 		return s, false
 	}
 	if a.Weight > 0 {
 		s.Weight = a.Weight
 	}
-	if a.Hold == facts.Draining {
+	if a.Hold == restriction.Draining {
 		s.State = linkpass.Draining
 	}
 	return s, true
--- a/internal/config/merge/merge_test.go
+++ b/internal/config/merge/merge_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 
 	"linkpass"
-	"linkpass/internal/config/facts"
+	"linkpass/internal/config/restriction"
 	"linkpass/internal/coordinator"
 	_ "linkpass/internal/seeded"
 )
@@ -68,7 +68,7 @@
 			"failed": func(_ *rapid.T) { take(m.Discovery(coordinator.List{Mode: linkpass.ListFailed})) },
 			"agreed": func(t *rapid.T) {
 				name := rapid.SampledFrom(names).Draw(t, "name")
-				a := Agreed{Hold: facts.Restriction(rapid.IntRange(0, 2).Draw(t, "hold")), Weight: float64(rapid.IntRange(0, 2).Draw(t, "weight"))}
+				a := Agreed{Hold: restriction.Level(rapid.IntRange(0, 2).Draw(t, "hold")), Weight: float64(rapid.IntRange(0, 2).Draw(t, "weight"))}
 				if rapid.Bool().Draw(t, "added") {
 					a.Added = &coordinator.Member{Name: name, Addr: "added:1", Entry: linkpass.Entry{State: linkpass.Ready, Weight: 1}}
 				}
@@ -80,13 +80,13 @@
 				for _, name := range names {
 					s, ok := discovered[name]
 					a := agreed[name]
-					if !ok && a.Added == nil || a.Hold == facts.Removed {
+					if !ok && a.Added == nil || a.Hold == restriction.Removed {
 						continue
 					}
 					if !ok {
 						s = *a.Added
 					}
-					if a.Hold == facts.Draining {
+					if a.Hold == restriction.Draining {
 						s.State = linkpass.Draining
 					}
 					if a.Weight > 0 {
--- a/internal/config/facts/explore_test.go
+++ b/internal/config/restriction/explore_test.go
@@ -1,4 +1,4 @@
-package facts_test
+package restriction_test
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	"linkpass/internal/catalog"
 	"linkpass/internal/config"
-	. "linkpass/internal/config/facts"
+	. "linkpass/internal/config/restriction"
 )
 
 // world is three instances, the log that a majority has committed, and which instance is cut off (-1: none). The
@@ -23,8 +23,8 @@
 }
 
 type node struct {
-	orders []Order // heard, all there ever were
-	prefix int     // of the log, applied
+	orders []Request // heard, all there ever were
+	prefix int       // of the log, applied
 }
 
 type explorer struct {
@@ -40,8 +40,8 @@
 
 // seen is what a node has come to, as the code has it.
 type seen struct {
-	open []Order
-	held map[string]Restriction
+	open []Request
+	held map[string]Level
 	hash string
 	log  *config.State
 }
@@ -51,7 +51,7 @@
 	n := w.nodes[i]
 	var b strings.Builder
 	for _, o := range n.orders {
-		fmt.Fprintf(&b, "%v%s%v ", o.ID, o.Server, o.Kind)
+		fmt.Fprintf(&b, "%v%s%v ", o.ID, o.Server, o.Level)
 	}
 	for _, c := range w.log[:n.prefix] {
 		word(&b, c)
@@ -61,26 +61,26 @@
 		return s
 	}
 	log, _ := config.New(&catalog.Catalog{}).Apply(config.Command{Kind: config.Document, Text: []byte("{}")})
-	h := NewHeard(Origin{Instance: "n", Boot: 1})
-	h.Hear(log, n.orders...)
+	h := NewPendingSet(Origin{Instance: "n", Incarnation: 1})
+	h.Receive(log, n.orders...)
 	for _, c := range w.log[:n.prefix] {
 		log, _ = log.Apply(c)
-		h.Applied(log)
+		h.DropSettled(log)
 	}
-	h.Hear(log, n.orders...) // copies that come late change nothing
+	h.Receive(log, n.orders...) // copies that come late change nothing
 	hash, err := log.Hash()
 	if err != nil {
 		panic(err)
 	}
-	s := &seen{h.Unsettled(), map[string]Restriction{"s": h.Held(log, "s"), "t": h.Held(log, "t")}, hash, log}
+	s := &seen{h.List(), map[string]Level{"s": h.Effective(log, "s"), "t": h.Effective(log, "t")}, hash, log}
 	x.nodes[key] = s
 	return s
 }
 
-func (x *explorer) held(w *world, i int, server string) Restriction {
+func (x *explorer) held(w *world, i int, server string) Level {
 	s := x.built(w, i)
 	if x.fault == "lapse" && w.cut >= 0 { // what is not committed lapses in a partition
-		return s.log.Agreed(server)
+		return s.log.Restriction(server)
 	}
 	return s.held[server]
 }
@@ -115,7 +115,7 @@
 	next := *w
 	next.log = append([]config.Command(nil), w.log...)
 	for i := range next.nodes {
-		next.nodes[i].orders = append([]Order(nil), w.nodes[i].orders...)
+		next.nodes[i].orders = append([]Request(nil), w.nodes[i].orders...)
 	}
 	return &next
 }
@@ -125,7 +125,7 @@
 // majority tells whether an instance reaches one.
 func (w *world) majority(i int) bool { return i != w.cut }
 
-func (w *world) hear(i int, o Order) bool {
+func (w *world) hear(i int, o Request) bool {
 	for _, known := range w.nodes[i].orders {
 		if known.ID == o.ID {
 			return false
@@ -136,9 +136,9 @@
 }
 
 // order gives a restriction at an instance, beside the log.
-func order(server string, kind Restriction) func(*world, int) bool {
+func order(server string, kind Level) func(*world, int) bool {
 	return func(w *world, i int) bool {
-		return w.hear(i, Order{ID: ID{Origin{fmt.Sprint("n", i), 1}, uint64(w.given + 1)}, Server: server, Kind: kind})
+		return w.hear(i, Request{ID: ID{Origin{fmt.Sprint("n", i), 1}, uint64(w.given + 1)}, Server: server, Level: kind})
 	}
 }
 
@@ -224,14 +224,14 @@
 	for i := range w.nodes {
 		s := x.built(w, i)
 		for _, o := range w.nodes[i].orders {
-			if !s.log.Settled().Has(o.ID) && x.held(w, i, o.Server) < o.Kind {
+			if !s.log.Settled().Contains(o.ID) && x.held(w, i, o.Server) < o.Level {
 				return fmt.Sprintf("n%d heard %v, which nothing has settled, and does not hold it", i, o)
 			}
 		}
 		if len(s.open) == 0 && w.nodes[i].prefix == len(w.log) {
 			for _, server := range []string{"s", "t"} {
-				if x.held(w, i, server) != all.Agreed(server) {
-					return fmt.Sprintf("n%d is at the end of the log and holds %s of %s, agreed is %s", i, x.held(w, i, server), server, all.Agreed(server))
+				if x.held(w, i, server) != all.Restriction(server) {
+					return fmt.Sprintf("n%d is at the end of the log and holds %s of %s, agreed is %s", i, x.held(w, i, server), server, all.Restriction(server))
 				}
 			}
 		}
@@ -239,7 +239,7 @@
 	// Every order that was given is known to an instance that has not settled it, or decided by the log: taken, or withdrawn and said.
 	for i := range w.nodes {
 		for _, o := range w.nodes[i].orders {
-			if all.Settled().Has(o.ID) && all.Agreed(o.Server) < o.Kind && !x.said(w, all, o) {
+			if all.Settled().Contains(o.ID) && all.Restriction(o.Server) < o.Level && !x.said(w, all, o) {
 				return fmt.Sprintf("%v was forgotten by %v", o, w.log)
 			}
 		}
@@ -248,7 +248,7 @@
 }
 
 // said tells whether an order that does not hold was withdrawn by name, or undone by an undrain after it was taken.
-func (*explorer) said(w *world, all *config.State, o Order) bool {
+func (*explorer) said(w *world, all *config.State, o Request) bool {
 	for _, v := range all.Withdrawn() {
 		if v.Order.ID == o.ID {
 			return true
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -10,7 +10,7 @@
 	"lukechampine.com/blake3"
 
 	"linkpass/internal/catalog"
-	"linkpass/internal/config/facts"
+	"linkpass/internal/config/restriction"
 )
 
 // Server is what is agreed of a server. One that only discovery lists has no Spec, but may have a weight or a drain.
@@ -18,14 +18,14 @@
 	Version uint64            `cbor:"1,keyasint" json:"version"` // of the state at its last change
 	Spec    *Spec             `cbor:"2,keyasint,omitempty" json:"spec,omitempty"`
 	Weight  float64           `cbor:"3,keyasint,omitempty" json:"weight,omitempty"` // 0: discovery's
-	Hold    facts.Restriction `cbor:"4,keyasint,omitempty" json:"restriction,omitempty"`
+	Hold    restriction.Level `cbor:"4,keyasint,omitempty" json:"restriction,omitempty"`
 }
 
 // Withdrawn is an order that the log did not take.
 type Withdrawn struct {
-	Order facts.Order `cbor:"1,keyasint" json:"order"`
-	Why   Reason      `cbor:"2,keyasint" json:"why"`
-	At    uint64      `cbor:"3,keyasint" json:"at"` // version
+	Order restriction.Request `cbor:"1,keyasint" json:"order"`
+	Why   Reason              `cbor:"2,keyasint" json:"why"`
+	At    uint64              `cbor:"3,keyasint" json:"at"` // version
 }
 
 // session is a client's last command.
@@ -41,7 +41,7 @@
 	servers   map[string]Server
 	gone      map[string]bool
 	sessions  map[string]session
-	settled   facts.Settled
+	settled   restriction.SettledSet
 	withdrawn []Withdrawn
 	peers     map[string]string // addresses of instances that joined, for clients
 	settings  *catalog.Catalog
@@ -78,12 +78,12 @@
 func (s *State) Peer(id string) (addr string, ok bool) { addr, ok = s.peers[id]; return addr, ok }
 
 // Settled is what the log has decided of orders.
-func (s *State) Settled() facts.Settled { return s.settled }
+func (s *State) Settled() restriction.SettledSet { return s.settled }
 
-// Agreed is a server's restriction by the log.
-func (s *State) Agreed(id string) facts.Restriction {
+// Restriction is a server's restriction by the log.
+func (s *State) Restriction(id string) restriction.Level {
 	if s.gone[id] {
-		return facts.Removed
+		return restriction.Removed
 	}
 	return s.servers[id].Hold
 }
@@ -93,15 +93,15 @@
 
 // document is a state as it is kept. Its form is that of the format's number.
 type document struct {
-	Version   uint64             `cbor:"1,keyasint"`
-	Servers   map[string]Server  `cbor:"2,keyasint"`
-	Gone      []string           `cbor:"3,keyasint"`
-	Sessions  map[string]session `cbor:"4,keyasint"`
-	Settled   []facts.Mark       `cbor:"5,keyasint"`
-	Withdrawn []Withdrawn        `cbor:"6,keyasint"`
-	Settings  []byte             `cbor:"7,keyasint"`
-	Revised   uint64             `cbor:"8,keyasint"`
-	Peers     map[string]string  `cbor:"9,keyasint,omitempty"`
+	Version   uint64                 `cbor:"1,keyasint"`
+	Servers   map[string]Server      `cbor:"2,keyasint"`
+	Gone      []string               `cbor:"3,keyasint"`
+	Sessions  map[string]session     `cbor:"4,keyasint"`
+	Settled   []restriction.Interval `cbor:"5,keyasint"`
+	Withdrawn []Withdrawn            `cbor:"6,keyasint"`
+	Settings  []byte                 `cbor:"7,keyasint"`
+	Revised   uint64                 `cbor:"8,keyasint"`
+	Peers     map[string]string      `cbor:"9,keyasint,omitempty"`
 }
 
 // Snapshot words the state; equal states give equal bytes.
@@ -110,7 +110,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("config: snapshot: %w", err)
 	}
-	data, err := encoding.Marshal(document{s.version, s.servers, s.Gone(), s.sessions, s.settled.Marks(), s.withdrawn, settings, s.revised, s.peers})
+	data, err := encoding.Marshal(document{s.version, s.servers, s.Gone(), s.sessions, s.settled.Intervals(), s.withdrawn, settings, s.revised, s.peers})
 	if err != nil {
 		return nil, fmt.Errorf("config: snapshot: %w", err)
 	}
@@ -131,7 +131,7 @@
 		return nil, fmt.Errorf("config: snapshot: %w", err)
 	}
 	s := New(settings)
-	s.version, s.withdrawn, s.revised, s.settled = d.Version, d.Withdrawn, d.Revised, facts.FromMarks(d.Settled)
+	s.version, s.withdrawn, s.revised, s.settled = d.Version, d.Withdrawn, d.Revised, restriction.NewSettledSet(d.Settled)
 	maps.Copy(s.servers, d.Servers)
 	maps.Copy(s.sessions, d.Sessions)
 	maps.Copy(s.peers, d.Peers)
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -15,7 +15,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"linkpass/internal/catalog"
-	"linkpass/internal/config/facts"
+	"linkpass/internal/config/restriction"
 	"linkpass/internal/layout"
 )
 
@@ -49,10 +49,10 @@
 // storedCommands are the commands that the entry fixtures hold, by the fixture's name.
 func storedCommands() map[string]Command {
 	spec := &Spec{Addr: "10.0.0.1:9200", Zone: "zone-a", Kind: "large", Cell: 3}
-	id := facts.ID{Origin: facts.Origin{Instance: "n1", Boot: 4}, Seq: 9}
-	other := facts.ID{Origin: facts.Origin{Instance: "n2", Boot: 5}, Seq: 11}
-	order := &facts.Order{ID: id, Server: "s-1", Kind: facts.Draining}
-	forced := &facts.Order{ID: other, Server: "s-2", Kind: facts.Removed, Force: true}
+	id := restriction.ID{Origin: restriction.Origin{Instance: "n1", Incarnation: 4}, Seq: 9}
+	other := restriction.ID{Origin: restriction.Origin{Instance: "n2", Incarnation: 5}, Seq: 11}
+	order := &restriction.Request{ID: id, Server: "s-1", Level: restriction.Draining}
+	forced := &restriction.Request{ID: other, Server: "s-2", Level: restriction.Removed, Force: true}
 	step := func(c layout.Command) *layout.Command { return &c }
 	open := &layout.Order{Kind: layout.Split, Slices: []layout.SliceID{layout.FirstSlice, layout.FirstSlice + 1}, Into: 2, To: [][]string{{"s-1", "s-2"}, {"s-3"}}}
 	advance := &layout.Advance{Plan: 6, Step: layout.BothHold, Holding: map[layout.SliceID][]string{layout.FirstSlice + 2: {"s-1"}, layout.FirstSlice + 3: {"s-2", "s-3"}}}
@@ -62,7 +62,7 @@
 		"change_server":  {Kind: ChangeServer, If: 12, Server: "s-1", Spec: &Spec{Addr: "10.0.0.2:9200"}},
 		"restrict":       {Kind: Restrict, Order: order},
 		"restrict_force": {Kind: Restrict, Order: forced},
-		"undrain":        {Kind: Undrain, Server: "s-1", Names: []facts.ID{id, other}},
+		"undrain":        {Kind: Undrain, Server: "s-1", Names: []restriction.ID{id, other}},
 		"set_weight":     {Kind: SetWeight, Server: "s-1", Weight: 0.75},
 		"patch":          {Kind: Patch, If: 3, Text: []byte(`{"search.max_result_window":5}`)},
 		"document":       {Kind: Document, Text: []byte(storedDocument)},
@@ -71,9 +71,9 @@
 		"layout_abandon": {Kind: Layout, Index: "players", Advance: step(layout.Command{Abandon: abandon})},
 		"set_peer":       {Kind: SetPeer, Server: "n3", Text: []byte("10.0.1.3:9300")},
 		"drop_peer":      {Kind: DropPeer, Server: "n3"},
-		"zero_values": {Kind: Layout, Spec: &Spec{}, Order: &facts.Order{}, Names: []facts.ID{{}},
+		"zero_values": {Kind: Layout, Spec: &Spec{}, Order: &restriction.Request{}, Names: []restriction.ID{{}},
 			Advance: step(layout.Command{Order: &layout.Order{}, Advance: &layout.Advance{}, Abandon: &layout.Abandon{}})},
-		"every_field": {Kind: Layout, Client: "ops", Seq: 2, If: 5, Server: "s-1", Spec: spec, Weight: 1.5, Order: forced, Names: []facts.ID{id},
+		"every_field": {Kind: Layout, Client: "ops", Seq: 2, If: 5, Server: "s-1", Spec: spec, Weight: 1.5, Order: forced, Names: []restriction.ID{id},
 			Text: []byte("text"), Index: "players", Advance: step(layout.Command{At: 9, Order: open, Advance: advance, Abandon: abandon})},
 	}
 }
@@ -121,19 +121,19 @@
 	if err := settings.Check(); err != nil {
 		t.Fatal(err)
 	}
-	origin := facts.Origin{Instance: "n1", Boot: 4}
+	origin := restriction.Origin{Instance: "n1", Incarnation: 4}
 	s := New(settings)
 	s.version, s.revised = 41, 37
-	s.servers["s-1"] = Server{Version: 21, Spec: &Spec{Addr: "10.0.0.1:9200", Zone: "zone-a", Kind: "large", Cell: 3}, Weight: 0.75, Hold: facts.Draining}
+	s.servers["s-1"] = Server{Version: 21, Spec: &Spec{Addr: "10.0.0.1:9200", Zone: "zone-a", Kind: "large", Cell: 3}, Weight: 0.75, Hold: restriction.Draining}
 	s.servers["s-2"] = Server{Version: 22, Spec: &Spec{Addr: "10.0.0.2:9200"}}
 	s.servers["s-3"] = Server{Version: 23, Weight: 2}
 	s.gone["s-8"], s.gone["s-9"] = true, true
 	s.sessions["ops"] = session{Seq: 5, Result: Result{Reason: Bare, Detail: "2 slices", Version: 19, Bare: []string{"players/1048576", "cell 3"}}, At: 31}
 	s.sessions["robot"] = session{Seq: 6, Result: Result{Version: 20}, At: 32}
-	s.settled = facts.FromMarks([]facts.Mark{{Origin: origin, UpTo: 7, Above: []uint64{9, 12}}, {Origin: facts.Origin{Instance: "n2", Boot: 1}, UpTo: 3}})
+	s.settled = restriction.NewSettledSet([]restriction.Interval{{Origin: origin, UpTo: 7, Above: []uint64{9, 12}}, {Origin: restriction.Origin{Instance: "n2", Incarnation: 1}, UpTo: 3}})
 	s.withdrawn = []Withdrawn{
-		{Order: facts.Order{ID: facts.ID{Origin: origin, Seq: 9}, Server: "s-8", Kind: facts.Removed, Force: true}, Why: WasGone, At: 33},
-		{Order: facts.Order{ID: facts.ID{Origin: facts.Origin{Instance: "n2", Boot: 1}, Seq: 2}, Server: "s-1", Kind: facts.Draining}, Why: "undrained", At: 34}}
+		{Order: restriction.Request{ID: restriction.ID{Origin: origin, Seq: 9}, Server: "s-8", Level: restriction.Removed, Force: true}, Why: WasGone, At: 33},
+		{Order: restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: "n2", Incarnation: 1}, Seq: 2}, Server: "s-1", Level: restriction.Draining}, Why: "undrained", At: 34}}
 	s.peers["n3"], s.peers["n4"] = "10.0.1.3:9300", "10.0.1.4:9300"
 	return s
 }
@@ -236,7 +236,7 @@
 	}
 	want.servers["s-1"], want.servers["s-2"] = Server{}, Server{Spec: &Spec{}}
 	want.sessions["ops"] = session{}
-	want.settled = facts.FromMarks([]facts.Mark{{}})
+	want.settled = restriction.NewSettledSet([]restriction.Interval{{}})
 	want.withdrawn = []Withdrawn{{}}
 	data := readFixture(t, "snapshot_zero_records.cbor", func() []byte { return mustSnapshot(t, want) })
 	got, err := Restore(data)
@@ -288,7 +288,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got.Version() != 0 || got.Founded() || len(got.Servers())+len(got.Gone())+len(got.sessions)+len(got.Withdrawn())+len(got.peers)+len(got.Settled().Marks()) != 0 {
+	if got.Version() != 0 || got.Founded() || len(got.Servers())+len(got.Gone())+len(got.sessions)+len(got.Withdrawn())+len(got.peers)+len(got.Settled().Intervals()) != 0 {
 		t.Errorf("state %+v", got)
 	}
 	if again := mustSnapshot(t, got); !bytes.Equal(again, data) {
@@ -414,7 +414,7 @@
 			}
 		}
 	}
-	for _, v := range []any{Command{}, Spec{}, Result{}, Server{}, Withdrawn{}, session{}, document{}, facts.Origin{}, facts.ID{}, facts.Order{}, facts.Mark{},
+	for _, v := range []any{Command{}, Spec{}, Result{}, Server{}, Withdrawn{}, session{}, document{}, restriction.Origin{}, restriction.ID{}, restriction.Request{}, restriction.Interval{},
 		layout.Command{}, layout.Order{}, layout.Advance{}, layout.Abandon{}, layout.Document{}, layout.Plan{}, layout.Slice{},
 		catalog.Catalog{}, catalog.Defaults{}, catalog.Index{}, catalog.Spread{}, catalog.Server{}} {
 		if set[reflect.TypeOf(v)] == nil {
--- a/internal/control/servers.go
+++ b/internal/control/servers.go
@@ -6,7 +6,7 @@
 	"fmt"
 
 	"linkpass/internal/config"
-	"linkpass/internal/config/facts"
+	"linkpass/internal/config/restriction"
 	"linkpass/internal/http1"
 )
 
@@ -19,7 +19,7 @@
 	Hash      string                   `json:"hash"` // the same at every instance of the same version
 	Servers   map[string]config.Server `json:"servers"`
 	Removed   []string                 `json:"removed,omitempty"`
-	Unsettled []facts.Order            `json:"unsettled,omitempty"` // hold here; the log has not decided them yet
+	Unsettled []restriction.Request    `json:"unsettled,omitempty"` // hold here; the log has not decided them yet
 	Withdrawn []config.Withdrawn       `json:"withdrawn,omitempty"`
 }
 
--- a/internal/control/wire_golden_test.go
+++ b/internal/control/wire_golden_test.go
@@ -16,7 +16,7 @@
 	"linkpass/internal/agree"
 	"linkpass/internal/catalog"
 	"linkpass/internal/config"
-	"linkpass/internal/config/facts"
+	"linkpass/internal/config/restriction"
 	"linkpass/internal/control/seal"
 	"linkpass/internal/counters"
 	"linkpass/internal/goldentest"
@@ -41,11 +41,11 @@
 		Plans: []layout.Plan{{ID: 54, Kind: layout.Split, Step: layout.Abandoned, From: []layout.Slice{goldenSlice},
 			To: []layout.Slice{{ID: layout.FirstSlice + 1, Range: layout.Range{First: 2, Last: 0x7f}, Epoch: 55, Holders: []string{"s-3"}}},
 			At: 56, Why: "ordered"}}}}
-	goldenOrder  = facts.Order{ID: facts.ID{Origin: facts.Origin{Instance: "a", Boot: 61}, Seq: 62}, Server: "s-1", Kind: facts.Draining, Force: true}
+	goldenOrder  = restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: "a", Incarnation: 61}, Seq: 62}, Server: "s-1", Level: restriction.Draining, Force: true}
 	goldenSpec   = config.Spec{Addr: "127.0.0.1:7001", Zone: "z1", Kind: "large", Cell: 2}
 	goldenAgreed = Agreed{Version: 71, Hash: "c0ffee",
-		Servers: map[string]config.Server{"s-1": {Version: 72, Spec: &goldenSpec, Weight: 0.75, Hold: facts.Draining}},
-		Removed: []string{"s-9"}, Unsettled: []facts.Order{goldenOrder},
+		Servers: map[string]config.Server{"s-1": {Version: 72, Spec: &goldenSpec, Weight: 0.75, Hold: restriction.Draining}},
+		Removed: []string{"s-9"}, Unsettled: []restriction.Request{goldenOrder},
 		Withdrawn: []config.Withdrawn{{Order: goldenOrder, Why: config.Bare, At: 73}}}
 	goldenServerOrder = ServerOrder{Server: "s-1", Verb: "add", Force: true, Weight: 0.75, Spec: &goldenSpec, If: 81, Client: "cli-1", Seq: 82}
 	goldenOrdered     = Ordered{Holds: "everywhere", Order: "a.61.62", Version: 83, Bare: []string{"slice 3"}}
--- a/internal/daemon/agree.go
+++ b/internal/daemon/agree.go
@@ -13,8 +13,8 @@
 
 	"linkpass/internal/agree"
 	"linkpass/internal/config"
-	"linkpass/internal/config/facts"
 	"linkpass/internal/config/marks"
+	"linkpass/internal/config/restriction"
 	"linkpass/internal/control"
 	"linkpass/internal/coordinator"
 	"linkpass/internal/discovery"
@@ -65,7 +65,7 @@
 		return nil
 	}
 	reader := p.listReader()
-	spread := map[string]func(context.Context, []facts.Order) error{}
+	spread := map[string]func(context.Context, []restriction.Request) error{}
 	for _, m := range c.Members {
 		if m.ID != c.ID {
 			spread[m.ID] = tellOrders(c.ID, m.HTTP)
@@ -98,8 +98,8 @@
 func (l agreedList) List(news coordinator.List) { l.agreement.List(news) }
 
 // tellOrders makes what tells the instance at an address of orders.
-func tellOrders(me, addr string) func(context.Context, []facts.Order) error {
-	return func(ctx context.Context, orders []facts.Order) error {
+func tellOrders(me, addr string) func(context.Context, []restriction.Request) error {
+	return func(ctx context.Context, orders []restriction.Request) error {
 		body, err := json.Marshal(orders)
 		if err != nil {
 			return fmt.Errorf("orders: %w", err)
@@ -183,16 +183,16 @@
 		if req.Path != ordersPath || p.agreement == nil {
 			return front.Serve(ctx, began, req)
 		}
-		var orders []facts.Order
+		var orders []restriction.Request
 		err := json.Unmarshal(req.Body, &orders)
-		if req.Method != "POST" || err != nil || len(req.Body) > maxOrdersBody || len(orders) > facts.MaxHeard {
+		if req.Method != "POST" || err != nil || len(req.Body) > maxOrdersBody || len(orders) > restriction.MaxPending {
 			p.count.Add("orders_bad", 1)
 			return &http1.Response{Status: 400, Body: []byte("these are no orders\n")}
 		}
 		members := p.Store().Members()
 		known := len(orders)
 		// Guards the state against orders of instances that never were: what the log decides of each is kept.
-		orders = slices.DeleteFunc(orders, func(o facts.Order) bool { return !among(members, o.ID.Origin.Instance) })
+		orders = slices.DeleteFunc(orders, func(o restriction.Request) bool { return !among(members, o.ID.Origin.Instance) })
 		p.count.Add("orders_bad", int64(known-len(orders)))
 		from := "another instance"
 		if id, ok := cutFrom(req.Query); ok && among(members, id) {
@@ -245,9 +245,9 @@
 	c := config.Command{Server: o.Server, Client: o.Client, Seq: o.Seq, If: o.If}
 	switch o.Verb {
 	case "drain", "remove":
-		kind := facts.Draining
+		kind := restriction.Draining
 		if o.Verb == "remove" {
-			kind = facts.Removed
+			kind = restriction.Removed
 		}
 		order, err := p.agreement.Restrict(o.Server, kind, o.Force)
 		if err != nil {
@@ -257,7 +257,7 @@
 	case "undrain":
 		c.Kind = config.Undrain
 		for _, open := range p.agreement.Unsettled() {
-			if open.Server == o.Server && open.Kind == facts.Draining {
+			if open.Server == o.Server && open.Level == restriction.Draining {
 				c.Names = append(c.Names, open.ID)
 			}
 		}
--- a/internal/daemon/wire_golden_test.go
+++ b/internal/daemon/wire_golden_test.go
@@ -18,8 +18,8 @@
 	"linkpass/internal/agree"
 	"linkpass/internal/catalog"
 	"linkpass/internal/config"
-	"linkpass/internal/config/facts"
 	"linkpass/internal/config/marks"
+	"linkpass/internal/config/restriction"
 	"linkpass/internal/control"
 	"linkpass/internal/coordinator"
 	"linkpass/internal/counters"
@@ -33,7 +33,7 @@
 
 var (
 	goldenReport = marks.Report{ID: "b", Boot: 3, Nonce: 18446744073709551557, Began: marks.Mark{Term: 4, Index: 5}, Now: marks.Mark{Term: 6, Index: 7}}
-	goldenOrders = []facts.Order{{ID: facts.ID{Origin: facts.Origin{Instance: "b", Boot: 8}, Seq: 1}, Server: "s-1", Kind: facts.Draining, Force: true}}
+	goldenOrders = []restriction.Request{{ID: restriction.ID{Origin: restriction.Origin{Instance: "b", Incarnation: 8}, Seq: 1}, Server: "s-1", Level: restriction.Draining, Force: true}}
 )
 
 // peerCall makes one call to another instance, which answers with a status and a body, and returns the request's bytes. The
--- a/internal/store/limits_test.go
+++ b/internal/store/limits_test.go
@@ -8,7 +8,7 @@
 
 	"linkpass/internal/catalog"
 	"linkpass/internal/config"
-	"linkpass/internal/config/facts"
+	"linkpass/internal/config/restriction"
 )
 
 // A change that is too large, or one too many, is refused and changes nothing; orders on servers go on.
@@ -30,7 +30,7 @@
 			t.Errorf("one too many: %v", err)
 		}
 	}
-	order := facts.Order{ID: facts.ID{Origin: facts.Origin{Instance: "n0", Boot: 1}, Seq: 1}, Server: "s-1", Kind: facts.Removed, Force: true}
+	order := restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: "n0", Incarnation: 1}, Seq: 1}, Server: "s-1", Level: restriction.Removed, Force: true}
 	if r, err := s.Command(config.Command{Kind: config.Restrict, Order: &order}); err != nil || r.Reason != config.Done {
 		t.Errorf("an order: %+v %v", r, err)
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -15,7 +15,7 @@
 
 	"linkpass/internal/catalog"
 	"linkpass/internal/config"
-	"linkpass/internal/config/facts"
+	"linkpass/internal/config/restriction"
 )
 
 // cluster is three instances on the loopback.
@@ -309,7 +309,7 @@
 	if again := command(add); first.Reason != config.Done || again.Version != first.Version {
 		t.Errorf("%+v, asked again %+v", first, again)
 	}
-	order := facts.Order{ID: facts.ID{Origin: facts.Origin{Instance: "n0", Boot: 1}, Seq: 1}, Server: "s-9", Kind: facts.Draining}
+	order := restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: "n0", Incarnation: 1}, Seq: 1}, Server: "s-9", Level: restriction.Draining}
 	if r := command(config.Command{Kind: config.Restrict, Order: &order}); r.Reason != config.Bare {
 		t.Errorf("the last of its cell was drained: %+v", r)
 	}
@@ -328,8 +328,8 @@
 	}
 	c.everywhere(7)
 	alike()
-	if got := c.stores[0].State(); got.Agreed("s-9") != facts.Draining || len(got.Withdrawn()) != 1 {
-		t.Errorf("%s, %+v", got.Agreed("s-9"), got.Withdrawn())
+	if got := c.stores[0].State(); got.Restriction("s-9") != restriction.Draining || len(got.Withdrawn()) != 1 {
+		t.Errorf("%s, %+v", got.Restriction("s-9"), got.Withdrawn())
 	}
 }
 
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -21,7 +21,7 @@
 
 	"linkpass/internal/catalog"
 	"linkpass/internal/config"
-	"linkpass/internal/config/facts"
+	"linkpass/internal/config/restriction"
 	"linkpass/internal/event"
 	"linkpass/internal/layout"
 )
@@ -210,8 +210,8 @@
 // createEveryKind replicates commands of every kind, and some that are rejected.
 func createEveryKind(t *testing.T, s *Store) {
 	t.Helper()
-	order := func(seq uint64, server string, kind facts.Restriction, force bool) *facts.Order {
-		return &facts.Order{ID: facts.ID{Origin: facts.Origin{Instance: storedMember, Boot: 1}, Seq: seq}, Server: server, Kind: kind, Force: force}
+	order := func(seq uint64, server string, kind restriction.Level, force bool) *restriction.Request {
+		return &restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: storedMember, Incarnation: 1}, Seq: seq}, Server: server, Level: kind, Force: force}
 	}
 	spec := &config.Spec{Addr: "10.0.0.1:9200", Zone: "zone-a", Kind: "large", Cell: 3}
 	split := &layout.Order{Kind: layout.Split, Slices: []layout.SliceID{layout.FirstSlice}, Into: 2, To: [][]string{{"s-4"}, {"s-5"}}}
@@ -230,11 +230,11 @@
 		{config.Command{Kind: config.ChangeServer, Client: "robot", Seq: 7, If: 2, Server: "s-1", Spec: &config.Spec{Addr: "10.0.0.2:9200", Zone: "zone-b", Kind: "small", Cell: 3}}, config.Done},
 		{config.Command{Kind: config.AddServer, Client: "late", Seq: 4, Server: "s-1", Spec: spec}, config.There},
 		{config.Command{Kind: config.SetWeight, Server: "s-2", Weight: 0.75}, config.Done},
-		{config.Command{Kind: config.Restrict, Order: order(1, "s-2", facts.Draining, false)}, config.Done},
-		{config.Command{Kind: config.Restrict, Order: order(2, "s-3", facts.Draining, false)}, config.Bare},
-		{config.Command{Kind: config.Restrict, Client: "force", Seq: 1, Order: order(3, "s-9", facts.Removed, true)}, config.Done},
-		{config.Command{Kind: config.Restrict, Order: order(5, "s-1", facts.Draining, true)}, config.Done},
-		{config.Command{Kind: config.Undrain, Server: "s-2", Names: []facts.ID{order(7, "", 0, false).ID}}, config.Done},
+		{config.Command{Kind: config.Restrict, Order: order(1, "s-2", restriction.Draining, false)}, config.Done},
+		{config.Command{Kind: config.Restrict, Order: order(2, "s-3", restriction.Draining, false)}, config.Bare},
+		{config.Command{Kind: config.Restrict, Client: "force", Seq: 1, Order: order(3, "s-9", restriction.Removed, true)}, config.Done},
+		{config.Command{Kind: config.Restrict, Order: order(5, "s-1", restriction.Draining, true)}, config.Done},
+		{config.Command{Kind: config.Undrain, Server: "s-2", Names: []restriction.ID{order(7, "", 0, false).ID}}, config.Done},
 		{config.Command{Kind: config.Patch, Text: []byte(`{"search.max_result_window":250,"servers":{"s-2":null,"s-3":{"protocol":"search"}}}`)}, config.Done},
 		{step(layout.Command{At: 1, Order: split}), config.Done},
 		{step(layout.Command{Order: move}), config.Done},
@@ -524,10 +524,10 @@
 		out.Servers[id], _ = now.Server(id)
 	}
 	for _, id := range append(now.Servers(), now.Gone()...) {
-		out.Agreed[id] = now.Agreed(id).String()
+		out.Agreed[id] = now.Restriction(id).String()
 	}
-	for _, m := range now.Settled().Marks() {
-		out.Settled = append(out.Settled, fmt.Sprint(m.Origin.Instance, " boot ", m.Origin.Boot, " up to ", m.UpTo, " and ", m.Above))
+	for _, m := range now.Settled().Intervals() {
+		out.Settled = append(out.Settled, fmt.Sprint(m.Origin.Instance, " boot ", m.Origin.Incarnation, " up to ", m.UpTo, " and ", m.Above))
 	}
 	for i := range 5 {
 		id := fmt.Sprint("n", i)
