--- a/internal/config/marks/marks_test.go
+++ b/internal/config/rollback/marks_test.go
@@ -1,4 +1,4 @@
-package marks
+package rollback
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 // disk is an instance's: what a process writes and an image keeps.
 type disk struct {
 	boot uint64
-	mark Mark
+	mark Position
 }
 
 // An instance that starts, works, crashes and starts again is never refused, whatever is lost, repeated or late of its
@@ -18,9 +18,9 @@
 func TestOnlyOldDisksAreRefused(t *testing.T) {
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		m, nonce := NewMemory(), uint64(0)
+		m, nonce := NewDetector(), uint64(0)
 		var d, image, heard disk
-		var began Mark
+		var began Position
 		var sent []Report
 		start := func() {
 			nonce++
@@ -32,11 +32,11 @@
 		for range 60 {
 			switch rng.IntN(6) {
 			case 0, 1:
-				d.mark = Mark{d.mark.Term + rng.Uint64N(2), d.mark.Index + rng.Uint64N(3)}
+				d.mark = Position{d.mark.Term + rng.Uint64N(2), d.mark.Index + rng.Uint64N(3)}
 			case 2:
 				r := report()
 				if sent = append(sent, r); rng.IntN(3) > 0 {
-					if err := m.Hear(r); err != nil {
+					if err := m.Observe(r); err != nil {
 						t.Fatalf("seed %d: an honest instance is refused: %v", seed, err)
 					}
 					heard = d
@@ -44,11 +44,11 @@
 			case 3: // a late or repeated one: what comes of it reaches nobody if it is of an earlier process
 				if len(sent) > 0 {
 					r := sent[rng.IntN(len(sent))]
-					if err := m.Hear(r); err != nil && r.Boot == d.boot {
+					if err := m.Observe(r); err != nil && r.Incarnation == d.boot {
 						t.Fatalf("seed %d: %v", seed, err)
 					}
-					if r.Boot >= heard.boot {
-						heard = disk{r.Boot, heard.mark.join(r.Now)}
+					if r.Incarnation >= heard.boot {
+						heard = disk{r.Incarnation, heard.mark.max(r.Current)}
 					}
 				}
 			case 4:
@@ -57,10 +57,10 @@
 				image = d
 			}
 		}
-		lacks := image.mark.Lacks(heard.mark) || image.boot < heard.boot
+		lacks := image.mark.Behind(heard.mark) || image.boot < heard.boot
 		d = image
 		start()
-		if err := m.Hear(report()); lacks != errors.Is(err, ErrRestored) {
+		if err := m.Observe(report()); lacks != errors.Is(err, ErrRolledBack) {
 			t.Fatalf("seed %d: image %+v, heard %+v: %v", seed, image, heard, err)
 		}
 	}
@@ -68,33 +68,33 @@
 
 // A copy of a disk that runs beside the first is refused, and so is the first from then on: neither is to be trusted.
 func TestACopyRunsBeside(t *testing.T) {
-	m := NewMemory()
-	first, copied := Report{ID: "n1", Boot: 2, Nonce: 7}, Report{ID: "n1", Boot: 3, Nonce: 8, Now: Mark{1, 5}}
-	if err := errors.Join(m.Hear(first), m.Hear(copied)); err != nil {
+	m := NewDetector()
+	first, copied := Report{ID: "n1", Incarnation: 2, Nonce: 7}, Report{ID: "n1", Incarnation: 3, Nonce: 8, Current: Position{1, 5}}
+	if err := errors.Join(m.Observe(first), m.Observe(copied)); err != nil {
 		t.Fatal(err) // a later start: nothing tells it from an honest one
 	}
-	if err := m.Hear(first); !errors.Is(err, ErrRestored) {
+	if err := m.Observe(first); !errors.Is(err, ErrRolledBack) {
 		t.Error("the process before goes on, beside a later one")
 	}
 	copied.Nonce = 9
-	if err := m.Hear(copied); !errors.Is(err, ErrRestored) {
+	if err := m.Observe(copied); !errors.Is(err, ErrRolledBack) {
 		t.Error("two processes of one start")
 	}
 }
 
 // Strangers cannot fill the memory, and who is no member any more is forgotten.
 func TestMemoryIsBounded(t *testing.T) {
-	m := NewMemory()
-	for i := range 3 * MaxKnown {
-		if err := m.Hear(Report{ID: fmt.Sprint(i), Boot: 9}); err != nil || len(m.seen) > MaxKnown {
-			t.Fatal(len(m.seen), err)
+	m := NewDetector()
+	for i := range 3 * MaxInstances {
+		if err := m.Observe(Report{ID: fmt.Sprint(i), Incarnation: 9}); err != nil || len(m.instances) > MaxInstances {
+			t.Fatal(len(m.instances), err)
 		}
 	}
-	m.Keep([]string{"1", "nobody"})
-	if err := m.Hear(Report{ID: "0", Boot: 1}); len(m.seen) != 2 || err != nil {
-		t.Error(len(m.seen), err)
+	m.Retain([]string{"1", "nobody"})
+	if err := m.Observe(Report{ID: "0", Incarnation: 1}); len(m.instances) != 2 || err != nil {
+		t.Error(len(m.instances), err)
 	}
-	if err := m.Hear(Report{ID: "1", Boot: 1}); !errors.Is(err, ErrRestored) {
+	if err := m.Observe(Report{ID: "1", Incarnation: 1}); !errors.Is(err, ErrRolledBack) {
 		t.Error("a member was forgotten")
 	}
 }
--- a/internal/config/marks/report_json_test.go
+++ b/internal/config/rollback/report_json_test.go
@@ -1,4 +1,4 @@
-package marks
+package rollback
 
 import (
 	"encoding/json"
@@ -12,7 +12,7 @@
 		report Report
 		text   string
 	}{
-		{"every field", Report{ID: "n1", Boot: 2, Nonce: 3, Began: Mark{Term: 4, Index: 5}, Now: Mark{Term: 6, Index: 7}},
+		{"every field", Report{ID: "n1", Incarnation: 2, Nonce: 3, AtStart: Position{Term: 4, Index: 5}, Current: Position{Term: 6, Index: 7}},
 			`{"id":"n1","boot":2,"nonce":3,"began":{"term":4,"index":5},"now":{"term":6,"index":7}}`},
 		{"zero", Report{}, `{"id":"","boot":0,"nonce":0,"began":{"term":0,"index":0},"now":{"term":0,"index":0}}`},
 	} {
--- a/internal/daemon/agree.go
+++ b/internal/daemon/agree.go
@@ -13,8 +13,8 @@
 
 	"linkpass/internal/agree"
 	"linkpass/internal/config"
-	"linkpass/internal/config/marks"
 	"linkpass/internal/config/restriction"
+	"linkpass/internal/config/rollback"
 	"linkpass/internal/control"
 	"linkpass/internal/coordinator"
 	"linkpass/internal/discovery"
@@ -32,21 +32,21 @@
 const marksPath = "/_linkpass/marks"
 
 // tellMark reports to another instance how far this one is.
-func tellMark(ctx context.Context, m store.Member, r marks.Report) error {
+func tellMark(ctx context.Context, m store.Member, r rollback.Report) error {
 	body, err := json.Marshal(r)
 	if err != nil {
 		return fmt.Errorf("marks: %w", err)
 	}
 	said, err := callPeer(ctx, m.HTTP, "POST", marksPath, body)
 	if errors.Is(err, errConflict) {
-		err = fmt.Errorf("%w (%s)", marks.ErrRestored, strings.TrimSpace(string(said)))
+		err = fmt.Errorf("%w (%s)", rollback.ErrRolledBack, strings.TrimSpace(string(said)))
 	}
 	return err
 }
 
 // hearMark takes another instance's report.
 func (p *Program) hearMark(req *http1.Request) *http1.Response {
-	var r marks.Report
+	var r rollback.Report
 	if err := json.Unmarshal(req.Body, &r); req.Method != "POST" || err != nil || r.ID == "" {
 		p.count.Add("marks_bad", 1)
 		return &http1.Response{Status: 400, Body: []byte("this is no report\n")}
--- a/internal/daemon/wire_golden_test.go
+++ b/internal/daemon/wire_golden_test.go
@@ -18,8 +18,8 @@
 	"linkpass/internal/agree"
 	"linkpass/internal/catalog"
 	"linkpass/internal/config"
-	"linkpass/internal/config/marks"
 	"linkpass/internal/config/restriction"
+	"linkpass/internal/config/rollback"
 	"linkpass/internal/control"
 	"linkpass/internal/coordinator"
 	"linkpass/internal/counters"
@@ -32,7 +32,7 @@
 )
 
 var (
-	goldenReport = marks.Report{ID: "b", Boot: 3, Nonce: 18446744073709551557, Began: marks.Mark{Term: 4, Index: 5}, Now: marks.Mark{Term: 6, Index: 7}}
+	goldenReport = rollback.Report{ID: "b", Incarnation: 3, Nonce: 18446744073709551557, AtStart: rollback.Position{Term: 4, Index: 5}, Current: rollback.Position{Term: 6, Index: 7}}
 	goldenOrders = []restriction.Request{{ID: restriction.ID{Origin: restriction.Origin{Instance: "b", Incarnation: 8}, Seq: 1}, Server: "s-1", Level: restriction.Draining, Force: true}}
 )
 
@@ -106,7 +106,7 @@
 		_, err := peerCall(t, status, "an old disk\n", func(ctx context.Context, addr string) error {
 			return tellMark(ctx, store.Member{ID: "a", HTTP: addr}, goldenReport)
 		})
-		if err == nil || errors.Is(err, marks.ErrRestored) != restored {
+		if err == nil || errors.Is(err, rollback.ErrRolledBack) != restored {
 			t.Errorf("status %d: %v", status, err)
 		}
 	}
@@ -162,15 +162,19 @@
 	// Of the report every field counts: a disk that begins before the reported state is an old one.
 	for _, c := range []struct {
 		name   string
-		change func(*marks.Report)
+		change func(*rollback.Report)
 		status int
 	}{
-		{"the next start, as far as reported", func(r *marks.Report) { r.Boot, r.Nonce, r.Began = 4, 1, marks.Mark{Term: 6, Index: 7} }, 200},
-		{"a start on a disk with an earlier index", func(r *marks.Report) { r.Boot, r.Nonce, r.Began = 5, 2, marks.Mark{Term: 6, Index: 6} }, 409},
+		{"the next start, as far as reported", func(r *rollback.Report) {
+			r.Incarnation, r.Nonce, r.AtStart = 4, 1, rollback.Position{Term: 6, Index: 7}
+		}, 200},
+		{"a start on a disk with an earlier index", func(r *rollback.Report) {
+			r.Incarnation, r.Nonce, r.AtStart = 5, 2, rollback.Position{Term: 6, Index: 6}
+		}, 409},
 	} {
 		r := goldenReport
 		c.change(&r)
-		r.Now = r.Began
+		r.Current = r.AtStart
 		body, err := json.Marshal(r)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/store/marks.go
+++ b/internal/store/marks.go
@@ -11,7 +11,7 @@
 	"github.com/hashicorp/raft"
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 
-	"linkpass/internal/config/marks"
+	"linkpass/internal/config/rollback"
 	"linkpass/internal/event"
 )
 
@@ -28,9 +28,9 @@
 
 // marking is an instance's part in finding disks that are old.
 type marking struct {
-	began  marks.Report
+	began  rollback.Report
 	mu     sync.Mutex // guards heard
-	heard  *marks.Memory
+	heard  *rollback.Detector
 	cancel context.CancelFunc
 	ended  sync.WaitGroup
 }
@@ -59,8 +59,8 @@
 	if err := s.bolt.SetUint64(keyBoots, boots+1); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	at := marks.Mark{Term: term, Index: last}
-	s.marking.began = marks.Report{ID: s.config.ID, Boot: boots + 1, Nonce: rand.Uint64(), Began: at, Now: at}
+	at := rollback.Position{Term: term, Index: last}
+	s.marking.began = rollback.Report{ID: s.config.ID, Incarnation: boots + 1, Nonce: rand.Uint64(), AtStart: at, Current: at}
 	return s.report(context.Background(), s.config.Members, s.marking.began)
 }
 
@@ -75,7 +75,7 @@
 
 // report tells every other instance how far this one is. What cannot be reached is passed over; the error is that of one
 // which has seen this instance further than its disk was.
-func (s *Store) report(ctx context.Context, members []Member, r marks.Report) error {
+func (s *Store) report(ctx context.Context, members []Member, r rollback.Report) error {
 	if s.config.Report == nil {
 		return nil
 	}
@@ -90,7 +90,7 @@
 	}
 	all.Wait()
 	for i, err := range errs {
-		if errors.Is(err, marks.ErrRestored) {
+		if errors.Is(err, rollback.ErrRolledBack) {
 			return fmt.Errorf("store: %s says: %w", members[i].ID, err)
 		}
 	}
@@ -108,7 +108,7 @@
 		case <-tick.C:
 		}
 		r := s.marking.began
-		r.Now = marks.Mark{Term: s.raft.CurrentTerm(), Index: s.raft.AppliedIndex()}
+		r.Current = rollback.Position{Term: s.raft.CurrentTerm(), Index: s.raft.AppliedIndex()}
 		if err := s.report(ctx, s.Members(), r); err != nil {
 			s.machine.halted.Store(&err)
 			event.StoreRestored.Log(err)
@@ -122,13 +122,13 @@
 }
 
 // Heard takes another instance's report of itself.
-func (s *Store) Heard(r marks.Report) error {
+func (s *Store) Heard(r rollback.Report) error {
 	var ids []string
 	for _, m := range s.Members() {
 		ids = append(ids, m.ID)
 	}
 	s.marking.mu.Lock()
 	defer s.marking.mu.Unlock()
-	s.marking.heard.Keep(ids)
-	return s.marking.heard.Hear(r)
+	s.marking.heard.Retain(ids)
+	return s.marking.heard.Observe(r)
 }
--- a/internal/store/marks_test.go
+++ b/internal/store/marks_test.go
@@ -9,7 +9,7 @@
 	"sync"
 	"testing"
 
-	"linkpass/internal/config/marks"
+	"linkpass/internal/config/rollback"
 	"linkpass/internal/event"
 )
 
@@ -20,7 +20,7 @@
 	cut    bool
 }
 
-func (g *grapevine) tell(_ context.Context, m Member, r marks.Report) error {
+func (g *grapevine) tell(_ context.Context, m Member, r rollback.Report) error {
 	g.mu.Lock()
 	s := g.stores[m.ID]
 	if g.cut {
@@ -88,7 +88,7 @@
 	c.everywhere(9)
 	restart(victim) // all that it holds is told at once
 	back()
-	if _, err := g.open(c, victim); !errors.Is(err, marks.ErrRestored) {
+	if _, err := g.open(c, victim); !errors.Is(err, rollback.ErrRolledBack) {
 		t.Fatalf("an old disk was opened: %v", err)
 	}
 	back()
@@ -100,9 +100,9 @@
 	g.sever(false)
 	c.until("its part to end", func() bool {
 		_, err := s.ReadAs(Reading{Kind: Stale, MaxAge: DefaultMaxAge})
-		return errors.Is(err, marks.ErrRestored)
+		return errors.Is(err, rollback.ErrRolledBack)
 	})
-	if _, err := s.Change([]byte(window(1))); !errors.Is(err, marks.ErrRestored) || s.Leads() {
+	if _, err := s.Change([]byte(window(1))); !errors.Is(err, rollback.ErrRolledBack) || s.Leads() {
 		t.Errorf("it goes on: %v", err)
 	}
 	c.stop(victim)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -22,7 +22,7 @@
 
 	"linkpass/internal/catalog"
 	"linkpass/internal/config"
-	"linkpass/internal/config/marks"
+	"linkpass/internal/config/rollback"
 	"linkpass/internal/event"
 	"linkpass/internal/layout"
 )
@@ -55,7 +55,7 @@
 	LogKept int `toml:"-"`
 	// Report tells another instance how far this one is; its error is marks.ErrRestored where that one knows better. nil:
 	// nobody is told, and an old disk is not found.
-	Report func(context.Context, Member, marks.Report) error `toml:"-"`
+	Report func(context.Context, Member, rollback.Report) error `toml:"-"`
 	// Listener takes the place of one on this member's address, if set.
 	Listener net.Listener `toml:"-"`
 }
@@ -115,7 +115,7 @@
 			*d = time.Duration(c.Pace * float64(*d))
 		}
 	}
-	s := &Store{config: c, machine: &machine{changed: c.Changed, applied: c.Applied}, marking: marking{heard: marks.NewMemory()},
+	s := &Store{config: c, machine: &machine{changed: c.Changed, applied: c.Applied}, marking: marking{heard: rollback.NewDetector()},
 		changes: changesLimit()}
 	initial := c.Initial
 	if initial == nil {
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -573,8 +573,8 @@
 			s := mustOpenStored(t, dir, 0)
 			defer mustClose(t, s)
 			requireGolden(t, f.name+"_state.json", indented(t, readState(t, s)))
-			if began := s.marking.began; began.ID != storedMember || began.Boot != content.Boots+1 || began.Began.Term != content.Term ||
-				began.Began.Index != content.LastIndex || began.Now != began.Began {
+			if began := s.marking.began; began.ID != storedMember || began.Incarnation != content.Boots+1 || began.AtStart.Term != content.Term ||
+				began.AtStart.Index != content.LastIndex || began.Current != began.AtStart {
 				t.Errorf("report of the start: %+v", began)
 			}
 		})
--- a/internal/store/wire_golden_test.go
+++ b/internal/store/wire_golden_test.go
@@ -5,13 +5,13 @@
 	"testing"
 	"time"
 
-	"linkpass/internal/config/marks"
+	"linkpass/internal/config/rollback"
 	"linkpass/internal/goldentest"
 )
 
 func TestMarksReportGolden(t *testing.T) {
-	goldentest.JSON(t, "marks_request.json", marks.Report{ID: "n1", Boot: 3, Nonce: 18446744073709551557,
-		Began: marks.Mark{Term: 4, Index: 5}, Now: marks.Mark{Term: 6, Index: 7}})
+	goldentest.JSON(t, "marks_request.json", rollback.Report{ID: "n1", Incarnation: 3, Nonce: 18446744073709551557,
+		AtStart: rollback.Position{Term: 4, Index: 5}, Current: rollback.Position{Term: 6, Index: 7}})
 }
 
 func TestRecoveredGolden(t *testing.T) {
