--- a/internal/agree/agree.go
+++ b/internal/agree/agree.go
@@ -31,9 +31,9 @@
 type Config struct {
 	Me       string // this instance's id
 	Boot     uint64 // of this process; grows from one to the next
-	Next     func(coordinator.List)
-	Member   func(id string, spec config.Spec) (coordinator.Member, error) // how an added server is listed
-	Spread   map[string]func(context.Context, []restriction.Request) error // to each other instance, by id
+	Next     func(coordinator.EndpointUpdate)
+	Member   func(id string, spec config.Spec) (coordinator.Endpoint, error) // how an added server is listed
+	Spread   map[string]func(context.Context, []restriction.Request) error   // to each other instance, by id
 	Counters *counters.Set
 }
 
@@ -84,8 +84,8 @@
 	a.tell(log.State().Gone())
 }
 
-// List takes discovery's news and hands on the list's.
-func (a *Agreement) List(l coordinator.List) {
+// UpdateEndpoints takes discovery's news and hands on the list's.
+func (a *Agreement) UpdateEndpoints(l coordinator.EndpointUpdate) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.cfg.Next(a.merger.Discovery(l))
@@ -123,7 +123,7 @@
 			delete(a.told, name)
 		}
 	}
-	if l := a.merger.Agreed(news); len(l.Members) > 0 {
+	if l := a.merger.Agreed(news); len(l.Endpoints) > 0 {
 		a.cfg.Next(l)
 	}
 }
--- a/internal/agree/agree_test.go
+++ b/internal/agree/agree_test.go
@@ -140,21 +140,21 @@
 				spread[fmt.Sprint("n", j)] = n.send(i, j)
 			}
 		}
-		n.nodes[i] = New(Config{Me: fmt.Sprint("n", i), Boot: 1, Counters: counters.New(), Spread: spread, Next: func(l coordinator.List) {
+		n.nodes[i] = New(Config{Me: fmt.Sprint("n", i), Boot: 1, Counters: counters.New(), Spread: spread, Next: func(l coordinator.EndpointUpdate) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			for _, s := range l.Members {
+			for _, s := range l.Endpoints {
 				n.lists[i][s.Name] = s.State
 			}
-		}, Member: func(string, config.Spec) (coordinator.Member, error) {
-			return coordinator.Member{}, errors.New("none was added")
+		}, Member: func(string, config.Spec) (coordinator.Endpoint, error) {
+			return coordinator.Endpoint{}, errors.New("none was added")
 		}})
 		n.nodes[i].Open(view{n, i})
-		l := coordinator.List{Mode: linkpass.ListFull}
+		l := coordinator.EndpointUpdate{Mode: linkpass.ListFull}
 		for s := range 8 {
-			l.Members = append(l.Members, coordinator.Member{Name: fmt.Sprint("s", s), Entry: linkpass.Entry{State: linkpass.Ready}})
+			l.Endpoints = append(l.Endpoints, coordinator.Endpoint{Name: fmt.Sprint("s", s), Entry: linkpass.Entry{State: linkpass.Ready}})
 		}
-		n.nodes[i].List(l)
+		n.nodes[i].UpdateEndpoints(l)
 	}
 	return n
 }
--- a/internal/agree/wire_golden_test.go
+++ b/internal/agree/wire_golden_test.go
@@ -33,8 +33,10 @@
 			t.Fatal(r)
 		}
 	}
-	a := New(Config{Me: name, Boot: boot, Next: func(coordinator.List) {}, Counters: counters.New(),
-		Member: func(id string, _ config.Spec) (coordinator.Member, error) { return coordinator.Member{Name: id}, nil }})
+	a := New(Config{Me: name, Boot: boot, Next: func(coordinator.EndpointUpdate) {}, Counters: counters.New(),
+		Member: func(id string, _ config.Spec) (coordinator.Endpoint, error) {
+			return coordinator.Endpoint{Name: id}, nil
+		}})
 	a.Open(followerLog{state})
 	return a
 }
--- a/internal/config/merge/merge.go
+++ b/internal/config/merge/merge.go
@@ -14,65 +14,65 @@
 // Agreed is what instances agree on of a server, as it holds here.
 type Agreed struct {
 	Hold   restriction.Level
-	Weight float64             // 0: discovery's
-	Added  *coordinator.Member // as a command added it, in service; nil: only discovery can list it
+	Weight float64               // 0: discovery's
+	Added  *coordinator.Endpoint // as a command added it, in service; nil: only discovery can list it
 }
 
 // Merger holds what both sources have said. One goroutine uses it.
 type Merger struct {
-	discovered map[string]coordinator.Member
+	discovered map[string]coordinator.Endpoint
 	agreed     map[string]Agreed
-	out        map[string]coordinator.Member
+	out        map[string]coordinator.Endpoint
 	cached     bool // discovery's last word is one from before this process
 }
 
 // New has heard nothing yet.
 func New() *Merger {
-	return &Merger{discovered: map[string]coordinator.Member{}, agreed: map[string]Agreed{},
-		out: map[string]coordinator.Member{}, cached: true}
+	return &Merger{discovered: map[string]coordinator.Endpoint{}, agreed: map[string]Agreed{},
+		out: map[string]coordinator.Endpoint{}, cached: true}
 }
 
 // Discovery takes discovery's news, and gives the list's. A source that failed keeps its last word: that it failed is
 // handed on.
-func (m *Merger) Discovery(l coordinator.List) coordinator.List {
+func (m *Merger) Discovery(l coordinator.EndpointUpdate) coordinator.EndpointUpdate {
 	if l.Mode == linkpass.ListFailed {
 		return l
 	}
 	if l.Mode == linkpass.ListCached && !m.cached {
-		return coordinator.List{Mode: linkpass.ListDelta} // it has said something newer
+		return coordinator.EndpointUpdate{Mode: linkpass.ListDelta} // it has said something newer
 	}
 	m.cached = l.Mode == linkpass.ListCached
-	names := make([]string, 0, len(l.Members))
+	names := make([]string, 0, len(l.Endpoints))
 	if l.Mode != linkpass.ListDelta {
 		for name := range m.discovered {
 			names = append(names, name)
 		}
 		old := m.discovered
-		m.discovered = map[string]coordinator.Member{}
-		for _, s := range l.Members {
+		m.discovered = map[string]coordinator.Endpoint{}
+		for _, s := range l.Endpoints {
 			if was, ok := old[s.Name]; ok && s.State != linkpass.Gone && s.Since < was.Since { // the past: the last line stays
 				s = was
 			}
 			m.hear(s)
 		}
 	} else {
-		for _, s := range l.Members {
+		for _, s := range l.Endpoints {
 			if was, ok := m.discovered[s.Name]; !ok || s.State == linkpass.Gone || s.Since >= was.Since {
 				m.hear(s)
 			}
 		}
 	}
-	for _, s := range l.Members {
+	for _, s := range l.Endpoints {
 		names = append(names, s.Name)
 	}
 	if l.Mode == linkpass.ListDelta {
 		return m.changes(names)
 	}
 	m.changes(append(names, slices.Collect(maps.Keys(m.agreed))...))
-	return coordinator.List{Mode: l.Mode, Members: m.all()}
+	return coordinator.EndpointUpdate{Mode: l.Mode, Endpoints: m.all()}
 }
 
-func (m *Merger) hear(s coordinator.Member) {
+func (m *Merger) hear(s coordinator.Endpoint) {
 	if s.Name == "" {
 		return
 	}
@@ -85,7 +85,7 @@
 
 // Agreed takes what is agreed of a server now, and gives the list's news at once: a drain is told when either source
 // tells it.
-func (m *Merger) Agreed(now map[string]Agreed) coordinator.List {
+func (m *Merger) Agreed(now map[string]Agreed) coordinator.EndpointUpdate {
 	names := make([]string, 0, len(now))
 	for name, a := range now {
 		names = append(names, name)
@@ -99,9 +99,9 @@
 }
 
 // changes finds what is new of some servers.
-func (m *Merger) changes(names []string) coordinator.List {
+func (m *Merger) changes(names []string) coordinator.EndpointUpdate {
 	slices.Sort(names)
-	out := coordinator.List{Mode: linkpass.ListDelta}
+	out := coordinator.EndpointUpdate{Mode: linkpass.ListDelta}
 	for _, name := range slices.Compact(names) {
 		was, listed := m.out[name]
 		now, there := m.line(name)
@@ -109,17 +109,17 @@
 		case !there && listed:
 			delete(m.out, name)
 			was.State = linkpass.Gone
-			out.Members = append(out.Members, was)
+			out.Endpoints = append(out.Endpoints, was)
 		case there && (!listed || was != now):
 			m.out[name] = now
-			out.Members = append(out.Members, now)
+			out.Endpoints = append(out.Endpoints, now)
 		}
 	}
 	return out
 }
 
 // line is the one line of a server out of both sources.
-func (m *Merger) line(name string) (coordinator.Member, bool) {
+func (m *Merger) line(name string) (coordinator.Endpoint, bool) {
 	s, ok := m.discovered[name]
 	a := m.agreed[name]
 	if !ok && a.Added != nil {
@@ -137,8 +137,8 @@
 	return s, true
 }
 
-func (m *Merger) all() []coordinator.Member {
-	out := make([]coordinator.Member, 0, len(m.out))
+func (m *Merger) all() []coordinator.Endpoint {
+	out := make([]coordinator.Endpoint, 0, len(m.out))
 	for _, name := range slices.Sorted(maps.Keys(m.out)) {
 		out = append(out, m.out[name])
 	}
--- a/internal/config/merge/merge_test.go
+++ b/internal/config/merge/merge_test.go
@@ -16,8 +16,8 @@
 
 var names = []string{"a", "b", "c"}
 
-func line(t *rapid.T, label string) coordinator.Member {
-	return coordinator.Member{Name: rapid.SampledFrom(names).Draw(t, label+" name"), Addr: rapid.SampledFrom([]string{"h:1", "h:2"}).Draw(t, label+" addr"),
+func line(t *rapid.T, label string) coordinator.Endpoint {
+	return coordinator.Endpoint{Name: rapid.SampledFrom(names).Draw(t, label+" name"), Addr: rapid.SampledFrom([]string{"h:1", "h:2"}).Draw(t, label+" addr"),
 		Entry: linkpass.Entry{State: linkpass.ServerState(rapid.IntRange(0, 2).Draw(t, label+" state")), Weight: 1, Since: 0}}
 }
 
@@ -26,16 +26,16 @@
 func TestTheListIsWhatTheRulesSay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New()
-		discovered, agreed := map[string]coordinator.Member{}, map[string]Agreed{}
-		list := map[string]coordinator.Member{}
-		take := func(l coordinator.List) {
+		discovered, agreed := map[string]coordinator.Endpoint{}, map[string]Agreed{}
+		list := map[string]coordinator.Endpoint{}
+		take := func(l coordinator.EndpointUpdate) {
 			if l.Mode == linkpass.ListFailed {
 				return
 			}
 			if l.Mode != linkpass.ListDelta {
 				clear(list)
 			}
-			for _, s := range l.Members {
+			for _, s := range l.Endpoints {
 				if s.State == linkpass.Gone {
 					delete(list, s.Name)
 				} else {
@@ -51,32 +51,32 @@
 				} else {
 					discovered[s.Name] = s
 				}
-				take(m.Discovery(coordinator.List{Mode: linkpass.ListDelta, Members: []coordinator.Member{s}}))
+				take(m.Discovery(coordinator.EndpointUpdate{Mode: linkpass.ListDelta, Endpoints: []coordinator.Endpoint{s}}))
 			},
 			"full": func(t *rapid.T) {
 				clear(discovered)
-				l := coordinator.List{Mode: linkpass.ListFull}
+				l := coordinator.EndpointUpdate{Mode: linkpass.ListFull}
 				for _, name := range names {
 					if s := line(t, "s"); rapid.Bool().Draw(t, "listed") && s.State != linkpass.Gone {
 						s.Name = name
 						discovered[name] = s
-						l.Members = append(l.Members, s)
+						l.Endpoints = append(l.Endpoints, s)
 					}
 				}
 				take(m.Discovery(l))
 			},
-			"failed": func(_ *rapid.T) { take(m.Discovery(coordinator.List{Mode: linkpass.ListFailed})) },
+			"failed": func(_ *rapid.T) { take(m.Discovery(coordinator.EndpointUpdate{Mode: linkpass.ListFailed})) },
 			"agreed": func(t *rapid.T) {
 				name := rapid.SampledFrom(names).Draw(t, "name")
 				a := Agreed{Hold: restriction.Level(rapid.IntRange(0, 2).Draw(t, "hold")), Weight: float64(rapid.IntRange(0, 2).Draw(t, "weight"))}
 				if rapid.Bool().Draw(t, "added") {
-					a.Added = &coordinator.Member{Name: name, Addr: "added:1", Entry: linkpass.Entry{State: linkpass.Ready, Weight: 1}}
+					a.Added = &coordinator.Endpoint{Name: name, Addr: "added:1", Entry: linkpass.Entry{State: linkpass.Ready, Weight: 1}}
 				}
 				agreed[name] = a
 				take(m.Agreed(map[string]Agreed{name: a}))
 			},
 			"": func(t *rapid.T) {
-				want := map[string]coordinator.Member{}
+				want := map[string]coordinator.Endpoint{}
 				for _, name := range names {
 					s, ok := discovered[name]
 					a := agreed[name]
@@ -106,19 +106,19 @@
 // server's process.
 func TestThePastIsPassedOver(t *testing.T) {
 	m := New()
-	s := coordinator.Member{Name: "a", Addr: "h:2", Entry: linkpass.Entry{State: linkpass.Draining, Since: 20}}
-	m.Discovery(coordinator.List{Mode: linkpass.ListFull, Members: []coordinator.Member{s}})
+	s := coordinator.Endpoint{Name: "a", Addr: "h:2", Entry: linkpass.Entry{State: linkpass.Draining, Since: 20}}
+	m.Discovery(coordinator.EndpointUpdate{Mode: linkpass.ListFull, Endpoints: []coordinator.Endpoint{s}})
 	old := s
 	old.Since, old.State, old.Addr = 10, linkpass.Ready, "h:1"
 	for _, mode := range []linkpass.ListMode{linkpass.ListDelta, linkpass.ListFull, linkpass.ListCached} {
-		m.Discovery(coordinator.List{Mode: mode, Members: []coordinator.Member{old}})
-		if got := fmt.Sprint(m.all()); got != fmt.Sprint([]coordinator.Member{s}) {
+		m.Discovery(coordinator.EndpointUpdate{Mode: mode, Endpoints: []coordinator.Endpoint{old}})
+		if got := fmt.Sprint(m.all()); got != fmt.Sprint([]coordinator.Endpoint{s}) {
 			t.Errorf("mode %d: %s", mode, got)
 		}
 	}
 	next := s
 	next.Since, next.State = 30, linkpass.Ready
-	if l := m.Discovery(coordinator.List{Mode: linkpass.ListDelta, Members: []coordinator.Member{next}}); !slices.Contains(l.Members, next) {
+	if l := m.Discovery(coordinator.EndpointUpdate{Mode: linkpass.ListDelta, Endpoints: []coordinator.Endpoint{next}}); !slices.Contains(l.Endpoints, next) {
 		t.Errorf("a new process: %v", l)
 	}
 }
--- a/internal/coordinator/bench_test.go
+++ b/internal/coordinator/bench_test.go
@@ -15,7 +15,7 @@
 // instant answers every attempt and probe as soon as it is asked.
 type instant struct{ core *Core }
 
-func (*instant) List(List) {}
+func (*instant) UpdateEndpoints(EndpointUpdate) {}
 func (l *instant) Call(_ linkpass.ServerID, list []Attempt) bool {
 	for _, a := range list {
 		r := Result{End: end.Served, At: l.core.Now()}
@@ -68,11 +68,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); core.Run(ctx) }()
-	var members []Member
+	var members []Endpoint
 	for i := range fleet.servers {
-		members = append(members, Member{Entry: linkpass.Entry{Server: linkpass.ServerID(i), Cell: i % fleet.cells, State: linkpass.Ready}})
+		members = append(members, Endpoint{Entry: linkpass.Entry{Server: linkpass.ServerID(i), Cell: i % fleet.cells, State: linkpass.Ready}})
 	}
-	core.List(List{Mode: linkpass.ListFull, Members: members})
+	core.UpdateEndpoints(EndpointUpdate{Mode: linkpass.ListFull, Endpoints: members})
 	q := Query{Name: "q", Timeout: 2 * time.Second, Text: []byte("x")}
 	if n == 0 {
 		for i := range 8 {
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -160,16 +160,16 @@
 // Dead tells whether the attempt, or its query, has ended already; it may be asked anywhere.
 func (a Attempt) Dead() bool { return a.over != nil && a.over.Load() }
 
-// Member is one line of the server list.
-type Member struct {
+// Endpoint is one line of the server list.
+type Endpoint struct {
 	linkpass.Entry
 	Name, Addr string
 }
 
-// List is news of the servers.
-type List struct {
-	Mode    linkpass.ListMode
-	Members []Member
+// EndpointUpdate is news of the servers.
+type EndpointUpdate struct {
+	Mode      linkpass.ListMode
+	Endpoints []Endpoint
 }
 
 // Links carry attempts and probes to servers. They are called on the core's
@@ -177,7 +177,7 @@
 // whether the work was taken; what was taken ends by Core.Ended or
 // Core.ProbeEnded.
 type Links interface {
-	List(List)
+	UpdateEndpoints(EndpointUpdate)
 	Call(linkpass.ServerID, []Attempt) bool
 	Cancel(linkpass.ServerID, AttemptID)
 	Probe(server linkpass.ServerID, number uint64) bool
@@ -391,13 +391,13 @@
 	return func() { c.post(func() { c.left(open) }) }
 }
 
-// List takes news of the servers.
-func (c *Core) List(l List) {
+// UpdateEndpoints takes news of the servers.
+func (c *Core) UpdateEndpoints(l EndpointUpdate) {
 	c.post(func() {
 		c.count.Add("list_updates", 1)
-		c.links.List(l)
-		entries := make([]linkpass.Entry, len(l.Members))
-		for i, m := range l.Members {
+		c.links.UpdateEndpoints(l)
+		entries := make([]linkpass.Entry, len(l.Endpoints))
+		for i, m := range l.Endpoints {
 			entries[i] = m.Entry
 		}
 		c.events = append(c.events, linkpass.ListUpdate{Mode: l.Mode, Entries: entries})
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -23,7 +23,7 @@
 	mute    bool // probes stay without an answer
 }
 
-func (*links) List(List) {}
+func (*links) UpdateEndpoints(EndpointUpdate) {}
 func (l *links) Call(s linkpass.ServerID, list []Attempt) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,11 +81,11 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); core.Run(ctx) }()
-		var members []Member
+		var members []Endpoint
 		for i := range 4 {
-			members = append(members, Member{Entry: linkpass.Entry{Server: linkpass.ServerID(i), Cell: i % 2, State: linkpass.Ready}})
+			members = append(members, Endpoint{Entry: linkpass.Entry{Server: linkpass.ServerID(i), Cell: i % 2, State: linkpass.Ready}})
 		}
-		core.List(List{Mode: linkpass.ListFull, Members: members})
+		core.UpdateEndpoints(EndpointUpdate{Mode: linkpass.ListFull, Endpoints: members})
 		f(l, func(timeout time.Duration, parts ...Part) (*[]Answer, func()) {
 			answers := new([]Answer)
 			leave := core.Submit(Query{Name: "q", Began: core.Now(), Timeout: timeout, Parts: parts,
--- a/internal/daemon/agree.go
+++ b/internal/daemon/agree.go
@@ -71,13 +71,13 @@
 			spread[m.ID] = tellOrders(c.ID, m.HTTP)
 		}
 	}
-	p.agreement = agree.New(agree.Config{Me: c.ID, Boot: uint64(time.Now().UnixNano()), Next: p.listeners().List, Spread: spread, Counters: p.count,
-		Member: func(id string, s config.Spec) (coordinator.Member, error) {
+	p.agreement = agree.New(agree.Config{Me: c.ID, Boot: uint64(time.Now().UnixNano()), Next: p.listeners().UpdateEndpoints, Spread: spread, Counters: p.count,
+		Member: func(id string, s config.Spec) (coordinator.Endpoint, error) {
 			l, err := reader.List(discovery.Document{Servers: []discovery.Server{{ID: id, Addr: s.Addr, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell, State: "in_service", Weight: 1}}})
 			if err != nil {
-				return coordinator.Member{}, err
+				return coordinator.Endpoint{}, err
 			}
-			return l.Members[0], nil
+			return l.Endpoints[0], nil
 		}})
 	return nil
 }
@@ -94,8 +94,10 @@
 	agreement *agree.Agreement
 }
 
-// List hands discovery's news to the agreement, which hands on the list's.
-func (l agreedList) List(news coordinator.List) { l.agreement.List(news) }
+// UpdateEndpoints hands discovery's news to the agreement, which hands on the list's.
+func (l agreedList) UpdateEndpoints(news coordinator.EndpointUpdate) {
+	l.agreement.UpdateEndpoints(news)
+}
 
 // tellOrders makes what tells the instance at an address of orders.
 func tellOrders(me, addr string) func(context.Context, []restriction.Request) error {
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -45,14 +45,14 @@
 	names map[linkpass.ServerID]string
 }
 
-// List follows the list of servers.
-func (r *roster) List(l coordinator.List) {
+// UpdateEndpoints follows the list of servers.
+func (r *roster) UpdateEndpoints(l coordinator.EndpointUpdate) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if l.Mode != linkpass.ListDelta || r.names == nil {
 		r.names = map[linkpass.ServerID]string{}
 	}
-	for _, m := range l.Members {
+	for _, m := range l.Endpoints {
 		if m.State == linkpass.Gone {
 			delete(r.names, m.Server)
 		} else {
@@ -71,7 +71,9 @@
 }
 
 // listener follows news of the list.
-type listener interface{ List(coordinator.List) }
+type listener interface {
+	UpdateEndpoints(coordinator.EndpointUpdate)
+}
 
 // listTee hands the list of servers to the core and to those who follow it.
 type listTee struct {
@@ -79,12 +81,12 @@
 	others []listener
 }
 
-// List hands on news of the list.
-func (t listTee) List(l coordinator.List) {
+// UpdateEndpoints hands on news of the list.
+func (t listTee) UpdateEndpoints(l coordinator.EndpointUpdate) {
 	for _, o := range t.others {
-		o.List(l)
+		o.UpdateEndpoints(l)
 	}
-	t.Core.List(l)
+	t.Core.UpdateEndpoints(l)
 }
 
 var _ discovery.Core = listTee{}
--- a/internal/daemon/wire_golden_test.go
+++ b/internal/daemon/wire_golden_test.go
@@ -127,8 +127,10 @@
 	t.Cleanup(func() { _ = st.Close() })
 	p := &Program{count: counters.New()}
 	p.opened.Store(st)
-	p.agreement = agree.New(agree.Config{Me: "a", Boot: 9, Next: func(coordinator.List) {}, Counters: p.count,
-		Member: func(id string, _ config.Spec) (coordinator.Member, error) { return coordinator.Member{Name: id}, nil }})
+	p.agreement = agree.New(agree.Config{Me: "a", Boot: 9, Next: func(coordinator.EndpointUpdate) {}, Counters: p.count,
+		Member: func(id string, _ config.Spec) (coordinator.Endpoint, error) {
+			return coordinator.Endpoint{Name: id}, nil
+		}})
 	p.agreement.Open(st)
 	front := http1.HandlerFunc(func(context.Context, time.Duration, *http1.Request) *http1.Response {
 		return &http1.Response{Status: 299}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -76,20 +76,20 @@
 
 // List turns a document into news; one that names a server that can't be
 // understood is refused as a whole, as part of a list would mislead.
-func (r *Reader) List(d Document) (coordinator.List, error) {
-	out := coordinator.List{Mode: linkpass.ListDelta}
+func (r *Reader) List(d Document) (coordinator.EndpointUpdate, error) {
+	out := coordinator.EndpointUpdate{Mode: linkpass.ListDelta}
 	if d.Full {
 		out.Mode = linkpass.ListFull
 	}
 	for _, s := range d.Servers {
 		state, ok := states[s.State]
 		if !ok || s.ID == "" || s.Cell < 0 || s.Cell >= r.Cells || math.IsNaN(s.Weight) || s.Weight < 0 {
-			return coordinator.List{}, fmt.Errorf("discovery: unusable server %q state %q cell %d", s.ID, s.State, s.Cell)
+			return coordinator.EndpointUpdate{}, fmt.Errorf("discovery: unusable server %q state %q cell %d", s.ID, s.State, s.Cell)
 		}
 		if _, err := net.ResolveTCPAddr("tcp", s.Addr); err != nil && state != linkpass.Gone {
-			return coordinator.List{}, fmt.Errorf("discovery: server %q: %w", s.ID, err)
+			return coordinator.EndpointUpdate{}, fmt.Errorf("discovery: server %q: %w", s.ID, err)
 		}
-		out.Members = append(out.Members, coordinator.Member{Name: s.ID, Addr: s.Addr, Entry: linkpass.Entry{
+		out.Endpoints = append(out.Endpoints, coordinator.Endpoint{Name: s.ID, Addr: s.Addr, Entry: linkpass.Entry{
 			Server: ServerID(s.ID), Zone: max(0, slices.Index(r.Zones, s.Zone)),
 			Kind: max(0, slices.Index(r.Kinds, s.Kind)), Cell: s.Cell, State: state, Weight: s.Weight,
 			Since: r.Clock(s.StartedMS)}})
@@ -106,7 +106,7 @@
 
 // Core takes the news and keeps the deadlines.
 type Core interface {
-	List(coordinator.List)
+	UpdateEndpoints(coordinator.EndpointUpdate)
 	Now() time.Duration
 	Arm(at time.Duration, fire func()) (disarm func())
 }
@@ -182,8 +182,8 @@
 	} else {
 		list.Mode = linkpass.ListCached
 		w.version = known.Version
-		w.Core.List(list)
-		if len(list.Members) > 0 {
+		w.Core.UpdateEndpoints(list)
+		if len(list.Endpoints) > 0 {
 			wait = firstWait
 		}
 	}
@@ -320,7 +320,7 @@
 
 func (w *Watcher) take(data []byte) error {
 	d, err := Parse(data)
-	var list coordinator.List
+	var list coordinator.EndpointUpdate
 	if err == nil {
 		list, err = w.Reader.List(d)
 	}
@@ -335,8 +335,8 @@
 	}
 	w.Counters.Add("discovery_answers", 1)
 	w.version = d.Version
-	if d.Full || len(list.Members) > 0 {
-		w.Core.List(list)
+	if d.Full || len(list.Endpoints) > 0 {
+		w.Core.UpdateEndpoints(list)
 	}
 	w.usable()
 	return nil
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -25,7 +25,7 @@
 )
 
 type fakeCore struct {
-	lists chan coordinator.List
+	lists chan coordinator.EndpointUpdate
 	armed chan limit // nil: deadlines never fall due
 }
 
@@ -34,8 +34,8 @@
 	fire func()
 }
 
-func (f *fakeCore) List(l coordinator.List) { f.lists <- l }
-func (*fakeCore) Now() time.Duration        { return 0 }
+func (f *fakeCore) UpdateEndpoints(l coordinator.EndpointUpdate) { f.lists <- l }
+func (*fakeCore) Now() time.Duration                             { return 0 }
 func (f *fakeCore) Arm(at time.Duration, fire func()) (disarm func()) {
 	if f.armed != nil {
 		f.armed <- limit{at, fire}
@@ -92,7 +92,7 @@
 func TestWatchContinuesFromVersionZero(t *testing.T) {
 	paths, answers := make(chan string), make(chan string)
 	defer close(answers)
-	core := &fakeCore{lists: make(chan coordinator.List, 4)}
+	core := &fakeCore{lists: make(chan coordinator.EndpointUpdate, 4)}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	w := NewWatcher(agent(t, paths, answers), reader(), core, counters.New())
@@ -101,7 +101,7 @@
 		defer close(done)
 		w.Run(ctx, Document{Version: 0, Full: true, Servers: []Server{{ID: "s-1", Addr: "127.0.0.1:9", State: "in_service"}}})
 	}()
-	if l := <-core.lists; l.Mode != linkpass.ListCached || len(l.Members) != 1 {
+	if l := <-core.lists; l.Mode != linkpass.ListCached || len(l.Endpoints) != 1 {
 		t.Fatalf("known list came as %+v", l)
 	}
 	next := func(want string) {
@@ -115,7 +115,7 @@
 	next("/registry/instances?after=0&wait_ms=")
 	answers <- `{"version":2,"full":false,"servers":[` + server + `]}`
 	l := <-core.lists
-	if m := l.Members[0]; l.Mode != linkpass.ListDelta || m.Zone != 1 || m.Cell != 3 || m.Since != 7*time.Millisecond {
+	if m := l.Endpoints[0]; l.Mode != linkpass.ListDelta || m.Zone != 1 || m.Cell != 3 || m.Since != 7*time.Millisecond {
 		t.Errorf("change came as %+v", l)
 	}
 	next("/registry/instances?after=2&wait_ms=")
@@ -165,7 +165,7 @@
 			tries <- struct{}{}
 		}
 	}()
-	w := NewWatcher(ln.Addr().String(), reader(), &fakeCore{lists: make(chan coordinator.List, 1)}, counters.New())
+	w := NewWatcher(ln.Addr().String(), reader(), &fakeCore{lists: make(chan coordinator.EndpointUpdate, 1)}, counters.New())
 	done := make(chan struct{})
 	go func() { defer close(done); w.Run(ctx, Document{}) }()
 	for range 4 {
@@ -186,7 +186,7 @@
 	defer close(answers)
 	newPaths, newAnswers := make(chan string), make(chan string)
 	defer close(newAnswers)
-	core := &fakeCore{lists: make(chan coordinator.List, 4)}
+	core := &fakeCore{lists: make(chan coordinator.EndpointUpdate, 4)}
 	ctx, cancel := context.WithCancel(t.Context())
 	w := NewWatcher(agent(t, paths, answers), reader(), core, counters.New())
 	done := make(chan struct{})
@@ -199,7 +199,7 @@
 		t.Errorf("asked %q of the new address", got)
 	}
 	newAnswers <- `{"version":3,"full":true,"servers":[` + server + `]}`
-	if l := <-core.lists; l.Mode != linkpass.ListFull || len(l.Members) != 1 {
+	if l := <-core.lists; l.Mode != linkpass.ListFull || len(l.Endpoints) != 1 {
 		t.Errorf("%+v", l)
 	}
 	if got := <-newPaths; !strings.HasPrefix(got, "/registry/instances?after=3&") {
@@ -214,7 +214,7 @@
 func TestSilentWatchIsGivenUp(t *testing.T) {
 	paths, answers := make(chan string), make(chan string)
 	defer close(answers)
-	core := &fakeCore{lists: make(chan coordinator.List, 4), armed: make(chan limit, 8)}
+	core := &fakeCore{lists: make(chan coordinator.EndpointUpdate, 4), armed: make(chan limit, 8)}
 	ctx, cancel := context.WithCancel(t.Context())
 	w := NewWatcher(agent(t, paths, answers), reader(), core, counters.New())
 	done := make(chan struct{})
@@ -264,7 +264,7 @@
 	paths, answers := make(chan string), make(chan string)
 	defer close(answers)
 	ctx, cancel := context.WithCancel(t.Context())
-	core := &fakeCore{lists: make(chan coordinator.List, 4)}
+	core := &fakeCore{lists: make(chan coordinator.EndpointUpdate, 4)}
 	w := NewWatcher(agent(t, paths, answers), reader(), core, counters.New())
 	done := make(chan struct{})
 	go func() { defer close(done); w.Run(ctx, Document{Version: 9, Full: true}) }()
@@ -285,7 +285,7 @@
 	paths, answers := make(chan string), make(chan string)
 	defer close(answers)
 	ctx, cancel := context.WithCancel(t.Context())
-	core := &fakeCore{lists: make(chan coordinator.List, 4)}
+	core := &fakeCore{lists: make(chan coordinator.EndpointUpdate, 4)}
 	w := NewWatcher(agent(t, paths, answers), reader(), core, counters.New())
 	done := make(chan struct{})
 	go func() { defer close(done); w.Run(ctx, Document{Version: 9, Full: true}) }()
@@ -296,7 +296,7 @@
 		t.Errorf("asked %q after a version that went back, %d lists taken", got, len(core.lists))
 	}
 	answers <- "{\r\n  \"version\": 4,\n\t\"full\": true,\n  \"servers\": [\n    " + strings.ReplaceAll(server, ",", ",\n      ") + "\n  ]\n}\n"
-	if l := <-core.lists; l.Mode != linkpass.ListFull || len(l.Members) != 1 {
+	if l := <-core.lists; l.Mode != linkpass.ListFull || len(l.Endpoints) != 1 {
 		t.Errorf("%+v", l)
 	}
 	if got := <-paths; !strings.HasPrefix(got, "/registry/instances?after=4&") {
@@ -310,7 +310,7 @@
 func TestReadyWithoutAnyList(t *testing.T) {
 	for _, known := range []Document{{}, {Servers: []Server{{ID: "s-1", State: "asleep"}}}} {
 		paths, answers := make(chan string, 1), make(chan string)
-		core := &fakeCore{lists: make(chan coordinator.List, 4), armed: make(chan limit, 8)}
+		core := &fakeCore{lists: make(chan coordinator.EndpointUpdate, 4), armed: make(chan limit, 8)}
 		ctx, cancel := context.WithCancel(t.Context())
 		w := NewWatcher(agent(t, paths, answers), reader(), core, counters.New())
 		done := make(chan struct{})
@@ -349,7 +349,7 @@
 		close(watched)
 	}()
 	ctx, cancel := context.WithCancel(t.Context())
-	core := &fakeCore{lists: make(chan coordinator.List, 4)}
+	core := &fakeCore{lists: make(chan coordinator.EndpointUpdate, 4)}
 	w := NewWatcher(broken.Addr().String(), reader(), core, counters.New())
 	w.Patience = Pushed(time.Second)
 	done := make(chan struct{})
@@ -364,7 +364,7 @@
 	}
 	answers <- `{"version":12,"full":true,"servers":[` + server + `]}`
 	<-core.lists // the list last known
-	if l := <-core.lists; l.Mode != linkpass.ListFull || len(l.Members) != 1 {
+	if l := <-core.lists; l.Mode != linkpass.ListFull || len(l.Endpoints) != 1 {
 		t.Errorf("heard %+v", l)
 	}
 	cancel()
--- a/internal/discovery/patience_test.go
+++ b/internal/discovery/patience_test.go
@@ -34,7 +34,7 @@
 func TestASilentAgentIsAskedAnew(t *testing.T) {
 	paths, answers := make(chan string), make(chan string)
 	defer close(answers)
-	core := &fakeCore{lists: make(chan coordinator.List, 4), armed: make(chan limit, 8)}
+	core := &fakeCore{lists: make(chan coordinator.EndpointUpdate, 4), armed: make(chan limit, 8)}
 	ctx, cancel := context.WithCancel(t.Context())
 	w := NewWatcher(agent(t, paths, answers), reader(), core, counters.New())
 	w.Patience = Pushed(time.Second)
@@ -57,7 +57,7 @@
 	}
 	answers <- `{"version":12,"full":true,"servers":[` + server + `]}`
 	<-core.lists // the list last known
-	if l := <-core.lists; len(l.Members) != 1 {
+	if l := <-core.lists; len(l.Endpoints) != 1 {
 		t.Errorf("heard %+v", l)
 	}
 	cancel()
--- a/internal/discovery/wire_golden_test.go
+++ b/internal/discovery/wire_golden_test.go
@@ -21,7 +21,7 @@
 type goldenList struct {
 	file     string
 	document Document
-	list     coordinator.List
+	list     coordinator.EndpointUpdate
 }
 
 var (
@@ -30,9 +30,9 @@
 	goldenSecond = Server{ID: "s-2", Addr: "[::1]:7002", Zone: "ebene", Kind: "m2", Cell: 5, State: "in_service", Weight: 1,
 		StartedMS: 7}
 
-	goldenFirstMember = coordinator.Member{Name: "s-5be2a07c", Addr: "127.0.0.1:7001", Entry: linkpass.Entry{
+	goldenFirstMember = coordinator.Endpoint{Name: "s-5be2a07c", Addr: "127.0.0.1:7001", Entry: linkpass.Entry{
 		Server: 0xace623f1fdc27c8a, Zone: 1, Kind: 1, Cell: 3, State: linkpass.Ready, Weight: 1.5, Since: 1700000000123 * time.Millisecond}}
-	goldenSecondMember = coordinator.Member{Name: "s-2", Addr: "[::1]:7002", Entry: linkpass.Entry{
+	goldenSecondMember = coordinator.Endpoint{Name: "s-2", Addr: "[::1]:7002", Entry: linkpass.Entry{
 		Server: 0x817cdd195c3fc43d, Cell: 5, State: linkpass.Ready, Weight: 1, Since: 7 * time.Millisecond}}
 )
 
@@ -41,18 +41,18 @@
 	draining.State = "terminating"
 	drainingMember := goldenFirstMember
 	drainingMember.State = linkpass.Draining
-	goneMember := coordinator.Member{Name: "s-2", Entry: linkpass.Entry{Server: goldenSecondMember.Server, State: linkpass.Gone}}
+	goneMember := coordinator.Endpoint{Name: "s-2", Entry: linkpass.Entry{Server: goldenSecondMember.Server, State: linkpass.Gone}}
 	full := Document{Version: 41, Full: true, Servers: []Server{goldenFirst, goldenSecond}}
-	members := []coordinator.Member{goldenFirstMember, goldenSecondMember}
+	members := []coordinator.Endpoint{goldenFirstMember, goldenSecondMember}
 	return []goldenList{
-		{"full.json", full, coordinator.List{Mode: linkpass.ListFull, Members: members}},
-		{"full_indented.json", full, coordinator.List{Mode: linkpass.ListFull, Members: members}},
-		{"full_empty.json", Document{Version: 1, Full: true, Servers: []Server{}}, coordinator.List{Mode: linkpass.ListFull}},
+		{"full.json", full, coordinator.EndpointUpdate{Mode: linkpass.ListFull, Endpoints: members}},
+		{"full_indented.json", full, coordinator.EndpointUpdate{Mode: linkpass.ListFull, Endpoints: members}},
+		{"full_empty.json", Document{Version: 1, Full: true, Servers: []Server{}}, coordinator.EndpointUpdate{Mode: linkpass.ListFull}},
 		{"delta.json", Document{Version: 42, Servers: []Server{goldenSecond}},
-			coordinator.List{Mode: linkpass.ListDelta, Members: members[1:]}},
+			coordinator.EndpointUpdate{Mode: linkpass.ListDelta, Endpoints: members[1:]}},
 		{"delta_draining.json", Document{Version: 43, Servers: []Server{draining, gone}},
-			coordinator.List{Mode: linkpass.ListDelta, Members: []coordinator.Member{drainingMember, goneMember}}},
-		{"delta_empty.json", Document{Version: 43, Servers: []Server{}}, coordinator.List{Mode: linkpass.ListDelta}},
+			coordinator.EndpointUpdate{Mode: linkpass.ListDelta, Endpoints: []coordinator.Endpoint{drainingMember, goneMember}}},
+		{"delta_empty.json", Document{Version: 43, Servers: []Server{}}, coordinator.EndpointUpdate{Mode: linkpass.ListDelta}},
 	}
 }
 
@@ -159,7 +159,7 @@
 func TestWatchGolden(t *testing.T) {
 	requests, answers := make(chan string, 16), make(chan string, 16)
 	defer close(answers)
-	core := &fakeCore{lists: make(chan coordinator.List, 16)}
+	core := &fakeCore{lists: make(chan coordinator.EndpointUpdate, 16)}
 	ctx, cancel := context.WithCancel(t.Context())
 	w := NewWatcher(agent(t, requests, answers), goldenReader(), core, counters.New())
 	known, err := Parse(readList(t, "full.json"))
@@ -170,7 +170,7 @@
 	go func() { defer close(done); w.Run(ctx, known) }()
 	defer func() { cancel(); <-done }()
 
-	heard := func(name string, want coordinator.List) {
+	heard := func(name string, want coordinator.EndpointUpdate) {
 		t.Helper()
 		if got := within(t, core.lists); !reflect.DeepEqual(got, want) {
 			t.Errorf("%s: got  %+v\nwant %+v", name, got, want)
@@ -178,7 +178,7 @@
 	}
 	var got []entry
 	lists := goldenLists()
-	heard("cached", coordinator.List{Mode: linkpass.ListCached, Members: lists[0].list.Members})
+	heard("cached", coordinator.EndpointUpdate{Mode: linkpass.ListCached, Endpoints: lists[0].list.Endpoints})
 	for _, i := range []int{1, 3, 4, 5, 2} {
 		got = append(got, entry{"before " + lists[i].file, within(t, requests)})
 		answers <- string(readList(t, lists[i].file))
--- a/internal/layout/steward/steward.go
+++ b/internal/layout/steward/steward.go
@@ -75,7 +75,7 @@
 	cfg Config
 
 	mu      sync.Mutex
-	members map[string]coordinator.Member
+	members map[string]coordinator.Endpoint
 	paced   bool // the pace has changed and Run has not seen it
 
 	// Owned by Run.
@@ -96,18 +96,18 @@
 
 // New makes a steward.
 func New(c Config) *Steward {
-	return &Steward{cfg: c, members: map[string]coordinator.Member{}, lines: map[string]*line{},
+	return &Steward{cfg: c, members: map[string]coordinator.Endpoint{}, lines: map[string]*line{},
 		pressure: reshape.Pressure{Share: pressedFrom, Quiet: quietFor * c.Poll, Least: tellFrom}}
 }
 
-// List follows the list of servers.
-func (s *Steward) List(l coordinator.List) {
+// UpdateEndpoints follows the list of servers.
+func (s *Steward) UpdateEndpoints(l coordinator.EndpointUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if l.Mode != linkpass.ListDelta {
 		clear(s.members)
 	}
-	for _, m := range l.Members {
+	for _, m := range l.Endpoints {
 		if m.State == linkpass.Gone {
 			delete(s.members, m.Name)
 		} else {
@@ -209,7 +209,7 @@
 }
 
 // callAll tells every listed server its duties; one that holds nothing is told so too.
-func (s *Steward) callAll(ctx context.Context, members map[string]coordinator.Member, duties map[string][]reshape.Duty) {
+func (s *Steward) callAll(ctx context.Context, members map[string]coordinator.Endpoint, duties map[string][]reshape.Duty) {
 	type heard struct {
 		name  string
 		reply Reply
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -43,7 +43,7 @@
 }
 
 type member struct {
-	coordinator.Member
+	coordinator.Endpoint
 	protocol string
 	carrier  Carrier
 }
@@ -53,10 +53,10 @@
 	return &Set{protocols: p, members: map[linkpass.ServerID]*member{}}
 }
 
-// List follows the list of servers.
-func (s *Set) List(l coordinator.List) {
+// UpdateEndpoints follows the list of servers.
+func (s *Set) UpdateEndpoints(l coordinator.EndpointUpdate) {
 	named := map[linkpass.ServerID]bool{}
-	for _, m := range l.Members {
+	for _, m := range l.Endpoints {
 		named[m.Server] = true
 		s.follow(m)
 	}
@@ -70,7 +70,7 @@
 	}
 }
 
-func (s *Set) follow(m coordinator.Member) {
+func (s *Set) follow(m coordinator.Endpoint) {
 	old := s.members[m.Server]
 	if m.State == linkpass.Gone {
 		if old != nil {
@@ -88,7 +88,7 @@
 	if old.carrier != nil && m.Since > old.Since {
 		old.carrier.Restarted(m.Since)
 	}
-	old.Member = m
+	old.Endpoint = m
 	s.speak(old)
 	old.carrier.Fit(m.State == linkpass.Ready)
 }
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -40,7 +40,7 @@
 	s := NewSet(Protocols{Makers: map[string]Make{"plain": maker("plain"), "search": maker("search")},
 		Of: func(string) string { return protocol }})
 	list := func(mode linkpass.ListMode, addr string, state linkpass.ServerState, since time.Duration) {
-		s.List(coordinator.List{Mode: mode, Members: []coordinator.Member{{Name: "s", Addr: addr,
+		s.UpdateEndpoints(coordinator.EndpointUpdate{Mode: mode, Endpoints: []coordinator.Endpoint{{Name: "s", Addr: addr,
 			Entry: linkpass.Entry{Server: 1, State: state, Since: since}}}})
 	}
 	step := func(what string, want ...string) {
@@ -73,7 +73,7 @@
 		t.Errorf("it moved: %q", notes)
 	}
 	notes = nil
-	s.List(coordinator.List{Mode: linkpass.ListFull})
+	s.UpdateEndpoints(coordinator.EndpointUpdate{Mode: linkpass.ListFull})
 	step("a full list without it", "plain@b retire")
 	if s.Call(1, part) {
 		t.Error("work for a server that is gone was taken")
--- a/internal/peer/burst_test.go
+++ b/internal/peer/burst_test.go
@@ -35,7 +35,7 @@
 	calls atomic.Int64
 }
 
-func (*way) List(coordinator.List) {}
+func (*way) UpdateEndpoints(coordinator.EndpointUpdate) {}
 func (w *way) Call(_ linkpass.ServerID, list []coordinator.Attempt) bool {
 	w.calls.Add(int64(len(list)))
 	return w.Peer.Call(list)
@@ -63,7 +63,7 @@
 	done := make(chan struct{})
 	go func() { defer close(done); core.Run(ctx) }()
 	t.Cleanup(func() { w.Close(); w.Wait(); cancel(); <-done })
-	core.List(coordinator.List{Mode: linkpass.ListFull, Members: []coordinator.Member{{Entry: linkpass.Entry{Server: 1, State: linkpass.Ready}}}})
+	core.UpdateEndpoints(coordinator.EndpointUpdate{Mode: linkpass.ListFull, Endpoints: []coordinator.Endpoint{{Entry: linkpass.Entry{Server: 1, State: linkpass.Ready}}}})
 	const burst = 5 // as many as the module admits with no latency known
 	answers := make(chan coordinator.Answer, burst+1)
 	ask := func(name string) (leave func()) {
