--- a/Makefile
+++ b/Makefile
@@ -3,7 +3,7 @@
 POLICY_LINES = 940
 
 # Packages that decide and touch no I/O, clock or goroutine; lint holds them to it.
-PURE = . internal/bodies/tier internal/config internal/config/restriction internal/config/rollback internal/config/merge internal/control/seal internal/layout internal/layout/coverage internal/layout/replan internal/layout/reshape internal/schema
+PURE = . internal/bodies/tier internal/config internal/config/restriction internal/config/rollback internal/config/endpointmerge internal/control/seal internal/layout internal/layout/coverage internal/layout/replan internal/layout/reshape internal/schema
 # Packages that hold state and do I/O.
 STATE = internal/agree internal/bodies internal/catalog internal/coordinator internal/layout/steward internal/parts internal/store
 
--- a/internal/agree/agree.go
+++ b/internal/agree/agree.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"linkpass/internal/config"
-	"linkpass/internal/config/merge"
+	"linkpass/internal/config/endpointmerge"
 	"linkpass/internal/config/restriction"
 	"linkpass/internal/coordinator"
 	"linkpass/internal/counters"
@@ -54,9 +54,9 @@
 
 	mu     sync.Mutex // also orders what goes to Next
 	heard  *restriction.PendingSet
-	merger *merge.Merger
+	merger *endpointmerge.Merger
 	log    Log // nil: not open yet
-	told   map[string]merge.Agreed
+	told   map[string]endpointmerge.Override
 	recent map[restriction.ID]recent
 }
 
@@ -69,7 +69,7 @@
 
 // New makes one that knows nothing yet.
 func New(c Config) *Agreement {
-	a := &Agreement{cfg: c, heard: restriction.NewPendingSet(restriction.Origin{Instance: c.Me, Incarnation: c.Boot}), merger: merge.New(), told: map[string]merge.Agreed{}, recent: map[restriction.ID]recent{}}
+	a := &Agreement{cfg: c, heard: restriction.NewPendingSet(restriction.Origin{Instance: c.Me, Incarnation: c.Boot}), merger: endpointmerge.New(), told: map[string]endpointmerge.Override{}, recent: map[restriction.ID]recent{}}
 	for range len(c.Spread) + 1 {
 		a.wake = append(a.wake, make(chan struct{}, 1))
 	}
@@ -88,7 +88,7 @@
 func (a *Agreement) UpdateEndpoints(l coordinator.EndpointUpdate) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.cfg.Next(a.merger.Discovery(l))
+	a.cfg.Next(a.merger.ApplyDiscovery(l))
 }
 
 // Applied says that the log has moved on.
@@ -113,28 +113,28 @@
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	news := map[string]merge.Agreed{}
+	news := map[string]endpointmerge.Override{}
 	for _, name := range slices.Compact(names) {
 		now := a.agreed(state, name)
 		if was := a.told[name]; !same(was, now) {
 			news[name], a.told[name] = now, now
 		}
-		if now == (merge.Agreed{}) {
+		if now == (endpointmerge.Override{}) {
 			delete(a.told, name)
 		}
 	}
-	if l := a.merger.Agreed(news); len(l.Endpoints) > 0 {
+	if l := a.merger.ApplyOverrides(news); len(l.Endpoints) > 0 {
 		a.cfg.Next(l)
 	}
 }
 
-func same(a, b merge.Agreed) bool {
-	return a.Hold == b.Hold && a.Weight == b.Weight && (a.Added == nil) == (b.Added == nil) && (a.Added == nil || *a.Added == *b.Added)
+func same(a, b endpointmerge.Override) bool {
+	return a.Restriction == b.Restriction && a.Weight == b.Weight && (a.Added == nil) == (b.Added == nil) && (a.Added == nil || *a.Added == *b.Added)
 }
 
-func (a *Agreement) agreed(state *config.State, name string) merge.Agreed {
+func (a *Agreement) agreed(state *config.State, name string) endpointmerge.Override {
 	v, _ := state.Server(name)
-	now := merge.Agreed{Hold: a.heard.Effective(state, name), Weight: v.Weight}
+	now := endpointmerge.Override{Restriction: a.heard.Effective(state, name), Weight: v.Weight}
 	if v.Spec != nil {
 		m, err := a.cfg.Member(name, *v.Spec)
 		if err != nil {
--- a/internal/config/merge/merge.go
+++ b/internal/config/endpointmerge/merge.go
@@ -1,6 +1,6 @@
-// Package merge makes one list of servers out of discovery's and the agreed one. It touches no I/O, clock or goroutine; its
+// Package endpointmerge makes one list of servers out of discovery's and the agreed one. It touches no I/O, clock or goroutine; its
 // rules stand in docs/design/raft.md.
-package merge
+package endpointmerge
 
 import (
 	"maps"
@@ -11,30 +11,30 @@
 	"linkpass/internal/coordinator"
 )
 
-// Agreed is what instances agree on of a server, as it holds here.
-type Agreed struct {
-	Hold   restriction.Level
-	Weight float64               // 0: discovery's
-	Added  *coordinator.Endpoint // as a command added it, in service; nil: only discovery can list it
+// Override is what instances agree on of a server, as it holds here.
+type Override struct {
+	Restriction restriction.Level
+	Weight      float64               // 0: discovery's
+	Added       *coordinator.Endpoint // as a command added it, in service; nil: only discovery can list it
 }
 
 // Merger holds what both sources have said. One goroutine uses it.
 type Merger struct {
 	discovered map[string]coordinator.Endpoint
-	agreed     map[string]Agreed
-	out        map[string]coordinator.Endpoint
+	overrides  map[string]Override
+	merged     map[string]coordinator.Endpoint
 	cached     bool // discovery's last word is one from before this process
 }
 
 // New has heard nothing yet.
 func New() *Merger {
-	return &Merger{discovered: map[string]coordinator.Endpoint{}, agreed: map[string]Agreed{},
-		out: map[string]coordinator.Endpoint{}, cached: true}
+	return &Merger{discovered: map[string]coordinator.Endpoint{}, overrides: map[string]Override{},
+		merged: map[string]coordinator.Endpoint{}, cached: true}
 }
 
-// Discovery takes discovery's news, and gives the list's. A source that failed keeps its last word: that it failed is
+// ApplyDiscovery takes discovery's news, and gives the list's. A source that failed keeps its last word: that it failed is
 // handed on.
-func (m *Merger) Discovery(l coordinator.EndpointUpdate) coordinator.EndpointUpdate {
+func (m *Merger) ApplyDiscovery(l coordinator.EndpointUpdate) coordinator.EndpointUpdate {
 	if l.Mode == linkpass.ListFailed {
 		return l
 	}
@@ -53,12 +53,12 @@
 			if was, ok := old[s.Name]; ok && s.State != linkpass.Gone && s.Since < was.Since { // the past: the last line stays
 				s = was
 			}
-			m.hear(s)
+			m.observe(s)
 		}
 	} else {
 		for _, s := range l.Endpoints {
 			if was, ok := m.discovered[s.Name]; !ok || s.State == linkpass.Gone || s.Since >= was.Since {
-				m.hear(s)
+				m.observe(s)
 			}
 		}
 	}
@@ -66,13 +66,13 @@
 		names = append(names, s.Name)
 	}
 	if l.Mode == linkpass.ListDelta {
-		return m.changes(names)
+		return m.diff(names)
 	}
-	m.changes(append(names, slices.Collect(maps.Keys(m.agreed))...))
-	return coordinator.EndpointUpdate{Mode: l.Mode, Endpoints: m.all()}
+	m.diff(append(names, slices.Collect(maps.Keys(m.overrides))...))
+	return coordinator.EndpointUpdate{Mode: l.Mode, Endpoints: m.endpoints()}
 }
 
-func (m *Merger) hear(s coordinator.Endpoint) {
+func (m *Merger) observe(s coordinator.Endpoint) {
 	if s.Name == "" {
 		return
 	}
@@ -83,64 +83,64 @@
 	m.discovered[s.Name] = s
 }
 
-// Agreed takes what is agreed of a server now, and gives the list's news at once: a drain is told when either source
+// ApplyOverrides takes what is agreed of a server now, and gives the list's news at once: a drain is told when either source
 // tells it.
-func (m *Merger) Agreed(now map[string]Agreed) coordinator.EndpointUpdate {
+func (m *Merger) ApplyOverrides(now map[string]Override) coordinator.EndpointUpdate {
 	names := make([]string, 0, len(now))
 	for name, a := range now {
 		names = append(names, name)
-		if a == (Agreed{}) {
-			delete(m.agreed, name)
+		if a == (Override{}) {
+			delete(m.overrides, name)
 		} else {
-			m.agreed[name] = a
+			m.overrides[name] = a
 		}
 	}
-	return m.changes(names)
+	return m.diff(names)
 }
 
-// changes finds what is new of some servers.
-func (m *Merger) changes(names []string) coordinator.EndpointUpdate {
+// diff finds what is new of some servers.
+func (m *Merger) diff(names []string) coordinator.EndpointUpdate {
 	slices.Sort(names)
 	out := coordinator.EndpointUpdate{Mode: linkpass.ListDelta}
 	for _, name := range slices.Compact(names) {
-		was, listed := m.out[name]
-		now, there := m.line(name)
+		was, listed := m.merged[name]
+		now, there := m.mergedEndpoint(name)
 		switch {
 		case !there && listed:
-			delete(m.out, name)
+			delete(m.merged, name)
 			was.State = linkpass.Gone
 			out.Endpoints = append(out.Endpoints, was)
 		case there && (!listed || was != now):
-			m.out[name] = now
+			m.merged[name] = now
 			out.Endpoints = append(out.Endpoints, now)
 		}
 	}
 	return out
 }
 
-// line is the one line of a server out of both sources.
-func (m *Merger) line(name string) (coordinator.Endpoint, bool) {
+// mergedEndpoint is the one line of a server out of both sources.
+func (m *Merger) mergedEndpoint(name string) (coordinator.Endpoint, bool) {
 	s, ok := m.discovered[name]
-	a := m.agreed[name]
+	a := m.overrides[name]
 	if !ok && a.Added != nil {
 		s, ok = *a.Added, true
 	}
-	if !ok || a.Hold == restriction.Removed {
+	if !ok || a.Restriction == restriction.Removed {
 		return s, false
 	}
 	if a.Weight > 0 {
 		s.Weight = a.Weight
 	}
-	if a.Hold == restriction.Draining {
+	if a.Restriction == restriction.Draining {
 		s.State = linkpass.Draining
 	}
 	return s, true
 }
 
-func (m *Merger) all() []coordinator.Endpoint {
-	out := make([]coordinator.Endpoint, 0, len(m.out))
-	for _, name := range slices.Sorted(maps.Keys(m.out)) {
-		out = append(out, m.out[name])
+func (m *Merger) endpoints() []coordinator.Endpoint {
+	out := make([]coordinator.Endpoint, 0, len(m.merged))
+	for _, name := range slices.Sorted(maps.Keys(m.merged)) {
+		out = append(out, m.merged[name])
 	}
 	return out
 }
--- a/internal/config/merge/merge_test.go
+++ b/internal/config/endpointmerge/merge_test.go
@@ -1,4 +1,4 @@
-package merge
+package endpointmerge
 
 import (
 	"fmt"
@@ -26,7 +26,7 @@
 func TestTheListIsWhatTheRulesSay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New()
-		discovered, agreed := map[string]coordinator.Endpoint{}, map[string]Agreed{}
+		discovered, agreed := map[string]coordinator.Endpoint{}, map[string]Override{}
 		list := map[string]coordinator.Endpoint{}
 		take := func(l coordinator.EndpointUpdate) {
 			if l.Mode == linkpass.ListFailed {
@@ -51,7 +51,7 @@
 				} else {
 					discovered[s.Name] = s
 				}
-				take(m.Discovery(coordinator.EndpointUpdate{Mode: linkpass.ListDelta, Endpoints: []coordinator.Endpoint{s}}))
+				take(m.ApplyDiscovery(coordinator.EndpointUpdate{Mode: linkpass.ListDelta, Endpoints: []coordinator.Endpoint{s}}))
 			},
 			"full": func(t *rapid.T) {
 				clear(discovered)
@@ -63,30 +63,30 @@
 						l.Endpoints = append(l.Endpoints, s)
 					}
 				}
-				take(m.Discovery(l))
+				take(m.ApplyDiscovery(l))
 			},
-			"failed": func(_ *rapid.T) { take(m.Discovery(coordinator.EndpointUpdate{Mode: linkpass.ListFailed})) },
+			"failed": func(_ *rapid.T) { take(m.ApplyDiscovery(coordinator.EndpointUpdate{Mode: linkpass.ListFailed})) },
 			"agreed": func(t *rapid.T) {
 				name := rapid.SampledFrom(names).Draw(t, "name")
-				a := Agreed{Hold: restriction.Level(rapid.IntRange(0, 2).Draw(t, "hold")), Weight: float64(rapid.IntRange(0, 2).Draw(t, "weight"))}
+				a := Override{Restriction: restriction.Level(rapid.IntRange(0, 2).Draw(t, "hold")), Weight: float64(rapid.IntRange(0, 2).Draw(t, "weight"))}
 				if rapid.Bool().Draw(t, "added") {
 					a.Added = &coordinator.Endpoint{Name: name, Addr: "added:1", Entry: linkpass.Entry{State: linkpass.Ready, Weight: 1}}
 				}
 				agreed[name] = a
-				take(m.Agreed(map[string]Agreed{name: a}))
+				take(m.ApplyOverrides(map[string]Override{name: a}))
 			},
 			"": func(t *rapid.T) {
 				want := map[string]coordinator.Endpoint{}
 				for _, name := range names {
 					s, ok := discovered[name]
 					a := agreed[name]
-					if !ok && a.Added == nil || a.Hold == restriction.Removed {
+					if !ok && a.Added == nil || a.Restriction == restriction.Removed {
 						continue
 					}
 					if !ok {
 						s = *a.Added
 					}
-					if a.Hold == restriction.Draining {
+					if a.Restriction == restriction.Draining {
 						s.State = linkpass.Draining
 					}
 					if a.Weight > 0 {
@@ -107,18 +107,18 @@
 func TestThePastIsPassedOver(t *testing.T) {
 	m := New()
 	s := coordinator.Endpoint{Name: "a", Addr: "h:2", Entry: linkpass.Entry{State: linkpass.Draining, Since: 20}}
-	m.Discovery(coordinator.EndpointUpdate{Mode: linkpass.ListFull, Endpoints: []coordinator.Endpoint{s}})
+	m.ApplyDiscovery(coordinator.EndpointUpdate{Mode: linkpass.ListFull, Endpoints: []coordinator.Endpoint{s}})
 	old := s
 	old.Since, old.State, old.Addr = 10, linkpass.Ready, "h:1"
 	for _, mode := range []linkpass.ListMode{linkpass.ListDelta, linkpass.ListFull, linkpass.ListCached} {
-		m.Discovery(coordinator.EndpointUpdate{Mode: mode, Endpoints: []coordinator.Endpoint{old}})
-		if got := fmt.Sprint(m.all()); got != fmt.Sprint([]coordinator.Endpoint{s}) {
+		m.ApplyDiscovery(coordinator.EndpointUpdate{Mode: mode, Endpoints: []coordinator.Endpoint{old}})
+		if got := fmt.Sprint(m.endpoints()); got != fmt.Sprint([]coordinator.Endpoint{s}) {
 			t.Errorf("mode %d: %s", mode, got)
 		}
 	}
 	next := s
 	next.Since, next.State = 30, linkpass.Ready
-	if l := m.Discovery(coordinator.EndpointUpdate{Mode: linkpass.ListDelta, Endpoints: []coordinator.Endpoint{next}}); !slices.Contains(l.Endpoints, next) {
+	if l := m.ApplyDiscovery(coordinator.EndpointUpdate{Mode: linkpass.ListDelta, Endpoints: []coordinator.Endpoint{next}}); !slices.Contains(l.Endpoints, next) {
 		t.Errorf("a new process: %v", l)
 	}
 }
