--- a/internal/agree/agree.go
+++ b/internal/agree/agree.go
@@ -32,8 +32,8 @@
 	Me       string // this instance's id
 	Boot     uint64 // of this process; grows from one to the next
 	Next     func(coordinator.EndpointUpdate)
-	Member   func(id string, spec config.Spec) (coordinator.Endpoint, error) // how an added server is listed
-	Spread   map[string]func(context.Context, []restriction.Request) error   // to each other instance, by id
+	Member   func(id string, spec config.ServerSpec) (coordinator.Endpoint, error) // how an added server is listed
+	Spread   map[string]func(context.Context, []restriction.Request) error         // to each other instance, by id
 	Counters *counters.Set
 }
 
@@ -81,7 +81,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.log = log
-	a.tell(log.State().Gone())
+	a.tell(log.State().RemovedIDs())
 }
 
 // UpdateEndpoints takes discovery's news and hands on the list's.
@@ -105,7 +105,7 @@
 // tell hands on what has changed of servers, these and all that something is agreed of. The lock is held.
 func (a *Agreement) tell(names []string) {
 	state := a.log.State()
-	names = append(names, state.Servers()...)
+	names = append(names, state.ServerIDs()...)
 	for _, o := range a.heard.List() {
 		names = append(names, o.Server)
 	}
@@ -159,7 +159,7 @@
 	}
 	state := a.log.State()
 	probe := restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: a.cfg.Me, Incarnation: a.cfg.Boot + 1}, Seq: 1}, Server: server, Level: kind, Force: force}
-	if _, r := state.Apply(config.Command{Kind: config.Restrict, Order: &probe}); r.Reason != config.Done && r.Reason != config.Unfounded {
+	if _, r := state.Apply(config.Command{Kind: config.RestrictServer, Restriction: &probe}); r.Reason != config.Applied && r.Reason != config.NotInitialized {
 		return restriction.Request{}, &Refused{r}
 	}
 	o, err := a.heard.Issue(server, kind, force)
@@ -315,12 +315,12 @@
 		return
 	}
 	for _, o := range open {
-		r, err := a.log.Command(config.Command{Kind: config.Restrict, Order: &o})
+		r, err := a.log.Command(config.Command{Kind: config.RestrictServer, Restriction: &o})
 		if err != nil {
 			a.cfg.Counters.Add("orders_not_proposed", 1)
 			return // no majority now: asked again
 		}
-		if r.Reason != config.Done && r.Reason != config.Decided {
+		if r.Reason != config.Applied && r.Reason != config.AlreadySettled {
 			event.OrderWithdrawn.Log(o.ID, o.Server, o.Level, string(r.Reason))
 		}
 	}
--- a/internal/agree/agree_test.go
+++ b/internal/agree/agree_test.go
@@ -129,9 +129,9 @@
 }
 
 func newNetwork(seed uint64) *network {
-	n := &network{rng: rand.New(rand.NewPCG(seed, 3)), log: []config.Command{{Kind: config.Document, Text: []byte("{}")}}}
+	n := &network{rng: rand.New(rand.NewPCG(seed, 3)), log: []config.Command{{Kind: config.ReplaceSettings, Payload: []byte("{}")}}}
 	for i := range instances {
-		n.states[i], _ = config.New(&catalog.Catalog{}).Apply(n.log[0])
+		n.states[i], _ = config.NewState(&catalog.Catalog{}).Apply(n.log[0])
 		n.lists[i] = map[string]linkpass.ServerState{}
 		spread := map[string]func(context.Context, []restriction.Request) error{}
 		for j := range instances {
@@ -146,7 +146,7 @@
 			for _, s := range l.Endpoints {
 				n.lists[i][s.Name] = s.State
 			}
-		}, Member: func(string, config.Spec) (coordinator.Endpoint, error) {
+		}, Member: func(string, config.ServerSpec) (coordinator.Endpoint, error) {
 			return coordinator.Endpoint{}, errors.New("none was added")
 		}})
 		n.nodes[i].Open(view{n, i})
--- a/internal/agree/wire_golden_test.go
+++ b/internal/agree/wire_golden_test.go
@@ -23,18 +23,18 @@
 
 func openInstance(t *testing.T, name string, boot uint64) *Agreement {
 	t.Helper()
-	state, r := config.New(&catalog.Catalog{}).Apply(config.Command{Kind: config.Document, Text: []byte(`{"search":{}}`)})
-	if r.Reason != config.Done {
+	state, r := config.NewState(&catalog.Catalog{}).Apply(config.Command{Kind: config.ReplaceSettings, Payload: []byte(`{"search":{}}`)})
+	if r.Reason != config.Applied {
 		t.Fatal(r)
 	}
 	for _, server := range []string{"s-1", "s-2"} {
-		state, r = state.Apply(config.Command{Kind: config.AddServer, Server: server, Spec: &config.Spec{Addr: "127.0.0.1:7001"}})
-		if r.Reason != config.Done {
+		state, r = state.Apply(config.Command{Kind: config.AddServer, Server: server, Spec: &config.ServerSpec{Addr: "127.0.0.1:7001"}})
+		if r.Reason != config.Applied {
 			t.Fatal(r)
 		}
 	}
 	a := New(Config{Me: name, Boot: boot, Next: func(coordinator.EndpointUpdate) {}, Counters: counters.New(),
-		Member: func(id string, _ config.Spec) (coordinator.Endpoint, error) {
+		Member: func(id string, _ config.ServerSpec) (coordinator.Endpoint, error) {
 			return coordinator.Endpoint{Name: id}, nil
 		}})
 	a.Open(followerLog{state})
--- a/internal/cli/servers.go
+++ b/internal/cli/servers.go
@@ -28,7 +28,7 @@
 			if s.Spec != nil {
 				addr = s.Spec.Addr
 			}
-			fmt.Fprintf(w, "%s\t%s\t%g\t%s\t%d\n", id, s.Hold, s.Weight, addr, s.Version)
+			fmt.Fprintf(w, "%s\t%s\t%g\t%s\t%d\n", id, s.Restriction, s.Weight, addr, s.Version)
 		}
 		for _, id := range a.Removed {
 			fmt.Fprintf(w, "%s\tremoved\n", id)
@@ -37,7 +37,7 @@
 			fmt.Fprintf(w, "%s\t%s here, not settled (order %s)\n", o.Server, o.Level, o.ID)
 		}
 		for _, o := range a.Withdrawn {
-			fmt.Fprintf(w, "%s\t%s withdrawn (order %s): %s\n", o.Order.Server, o.Order.Level, o.Order.ID, o.Why)
+			fmt.Fprintf(w, "%s\t%s withdrawn (order %s): %s\n", o.Request.Server, o.Request.Level, o.Request.ID, o.Reason)
 		}
 	})
 }
@@ -74,7 +74,7 @@
 
 // Run adds a server, or changes one that was added.
 func (c addCommand) Run(e *env) error {
-	o := control.ServerOrder{Server: c.Server, Verb: "add", Spec: &config.Spec{Addr: c.Addr, Zone: c.Zone, Kind: c.Kind, Cell: c.Cell}}
+	o := control.ServerOrder{Server: c.Server, Verb: "add", Spec: &config.ServerSpec{Addr: c.Addr, Zone: c.Zone, Kind: c.Kind, Cell: c.Cell}}
 	if c.Change {
 		o.Verb = "change"
 	}
--- a/internal/config/apply.go
+++ b/internal/config/apply.go
@@ -13,19 +13,19 @@
 // Apply gives the state after a command, and what the command came to. The old state stays as it is. It never fails: what
 // can't be done is a result.
 func (s *State) Apply(c Command) (*State, Result) {
-	if again, ok := s.sessions[c.Client]; ok && c.Client != "" {
+	if again, ok := s.sessions[c.ClientID]; ok && c.ClientID != "" {
 		if c.Seq == again.Seq {
 			return s.count(c, again.Result, true), again.Result
 		}
 		if c.Seq < again.Seq {
-			r := Result{Reason: Old, Version: s.version + 1}
+			r := Result{Reason: StaleSequence, Version: s.version + 1}
 			return s.count(c, r, true), r
 		}
 	}
 	next := *s
 	r := next.do(c)
 	r.Version = s.version + 1
-	if r.Reason != Done && c.Kind != Restrict { // a refused order is settled all the same
+	if r.Reason != Applied && c.Kind != RestrictServer { // a refused order is settled all the same
 		next = *s
 	}
 	return next.count(c, r, false), r
@@ -35,11 +35,11 @@
 func (s *State) count(c Command, r Result, known bool) *State {
 	next := *s
 	next.version++
-	if c.Client == "" || known {
+	if c.ClientID == "" || known {
 		return &next
 	}
 	next.sessions = maps.Clone(s.sessions)
-	next.sessions[c.Client] = session{c.Seq, r, next.version}
+	next.sessions[c.ClientID] = clientSession{c.Seq, r, next.version}
 	if len(next.sessions) > MaxClients {
 		oldest, at := "", uint64(math.MaxUint64)
 		for client, v := range next.sessions { // versions differ: the choice is the same everywhere
@@ -58,30 +58,30 @@
 
 // do changes the state, which is the caller's own but for its maps.
 func (s *State) do(c Command) Result {
-	if len(c.Client) > MaxName || len(c.Server) > MaxName {
-		return refuse(Malformed, "a name has %d bytes at most", MaxName)
+	if len(c.ClientID) > MaxNameBytes || len(c.Server) > MaxNameBytes {
+		return refuse(Invalid, "a name has %d bytes at most", MaxNameBytes)
 	}
-	if s.revised == 0 && c.Kind != Document {
+	if s.settingsVersion == 0 && c.Kind != ReplaceSettings {
 		// Instances may differ in what their files say: only a document makes them alike.
-		return refuse(Unfounded, "command %d", c.Kind)
+		return refuse(NotInitialized, "command %d", c.Kind)
 	}
 	switch c.Kind {
-	case AddServer, ChangeServer:
+	case AddServer, UpdateServer:
 		return s.specify(c)
-	case SetWeight:
+	case SetServerWeight:
 		return s.weigh(c)
-	case Restrict:
+	case RestrictServer:
 		return s.restrict(c)
-	case Undrain:
+	case UndrainServer:
 		return s.undrain(c)
-	case Patch, Document:
+	case PatchSettings, ReplaceSettings:
 		return s.set(c)
-	case Layout:
+	case AdvanceShardMap:
 		return s.advance(c)
-	case SetPeer, DropPeer:
+	case SetMemberAddress, RemoveMemberAddress:
 		return s.peer(c)
 	}
-	return refuse(Malformed, "command %d", c.Kind)
+	return refuse(Invalid, "command %d", c.Kind)
 }
 
 // read finds a server that a command names, and checks the version that it was made on.
@@ -89,13 +89,13 @@
 	now, ok := s.servers[c.Server]
 	switch {
 	case c.Server == "":
-		return now, refuse(Malformed, "no server is named")
-	case s.gone[c.Server]:
-		return now, refuse(WasGone, "%s", c.Server)
-	case c.If != 0 && (!ok || c.If != now.Version):
-		return now, refuse(Conflict, "%s is at version %d, the command was made on %d", c.Server, now.Version, c.If)
+		return now, refuse(Invalid, "no server is named")
+	case s.removed[c.Server]:
+		return now, refuse(ServerIDRetired, "%s", c.Server)
+	case c.ExpectedVersion != 0 && (!ok || c.ExpectedVersion != now.Version):
+		return now, refuse(Conflict, "%s is at version %d, the command was made on %d", c.Server, now.Version, c.ExpectedVersion)
 	case !ok && len(s.servers) >= MaxServers:
-		return now, refuse(Full, "%d servers", MaxServers)
+		return now, refuse(LimitExceeded, "%d servers", MaxServers)
 	}
 	return now, Result{}
 }
@@ -109,14 +109,14 @@
 func (s *State) specify(c Command) Result {
 	now, r := s.read(c)
 	switch {
-	case r.Reason != Done:
+	case r.Reason != Applied:
 		return r
 	case c.Spec == nil || c.Spec.Addr == "" || c.Spec.Cell < 0:
-		return refuse(Malformed, "%s needs an address and a cell", c.Server)
+		return refuse(Invalid, "%s needs an address and a cell", c.Server)
 	case c.Kind == AddServer && now.Spec != nil:
-		return refuse(There, "%s", c.Server)
-	case c.Kind == ChangeServer && now.Spec == nil:
-		return refuse(Unknown, "%s", c.Server)
+		return refuse(ServerExists, "%s", c.Server)
+	case c.Kind == UpdateServer && now.Spec == nil:
+		return refuse(ServerNotFound, "%s", c.Server)
 	}
 	now.Spec = c.Spec
 	s.put(c.Server, now)
@@ -125,11 +125,11 @@
 
 func (s *State) weigh(c Command) Result {
 	now, r := s.read(c)
-	if r.Reason != Done {
+	if r.Reason != Applied {
 		return r
 	}
 	if math.IsNaN(c.Weight) || math.IsInf(c.Weight, 0) || c.Weight < 0 {
-		return refuse(Malformed, "weight %v", c.Weight)
+		return refuse(Invalid, "weight %v", c.Weight)
 	}
 	now.Weight = c.Weight
 	s.put(c.Server, now)
@@ -138,16 +138,16 @@
 
 // restrict decides an order: it is taken, or withdrawn and said. It is settled either way.
 func (s *State) restrict(c Command) Result {
-	o := c.Order
-	if o == nil || o.Server == "" || len(o.Server) > MaxName || o.ID.Seq == 0 || o.Level == restriction.None || o.Level > restriction.Removed {
-		return refuse(Malformed, "an order needs an id, a server and a kind")
+	o := c.Restriction
+	if o == nil || o.Server == "" || len(o.Server) > MaxNameBytes || o.ID.Seq == 0 || o.Level == restriction.None || o.Level > restriction.Removed {
+		return refuse(Invalid, "an order needs an id, a server and a kind")
 	}
 	if s.settled.Contains(o.ID) {
-		return refuse(Decided, "%s", o.ID)
+		return refuse(AlreadySettled, "%s", o.ID)
 	}
 	s.settled = s.settled.With(o.ID)
 	r := s.take(*o)
-	if r.Reason != Done {
+	if r.Reason != Applied {
 		s.withdraw(*o, r.Reason)
 	}
 	return r
@@ -155,113 +155,113 @@
 
 func (s *State) take(o restriction.Request) Result {
 	now, known := s.servers[o.Server]
-	if s.gone[o.Server] {
+	if s.removed[o.Server] {
 		if o.Level == restriction.Removed {
 			return Result{} // it is gone, as was asked
 		}
-		return refuse(WasGone, "%s", o.Server)
+		return refuse(ServerIDRetired, "%s", o.Server)
 	}
-	if !known && len(s.servers) >= MaxServers || o.Level == restriction.Removed && len(s.gone) >= MaxGone {
-		return refuse(Full, "%d servers, %d removed ids", len(s.servers), len(s.gone))
+	if !known && len(s.servers) >= MaxServers || o.Level == restriction.Removed && len(s.removed) >= MaxRemovedIDs {
+		return refuse(LimitExceeded, "%d servers, %d removed ids", len(s.servers), len(s.removed))
 	}
 	bare := s.bareWithout(o.Server)
-	told := bare[:min(len(bare), MaxBareTold)]
+	told := bare[:min(len(bare), MaxReportedShards)]
 	if len(bare) > 0 && !o.Force {
-		r := refuse(Bare, "%d slices, %s among them", len(bare), bare[0])
-		r.Bare = told
+		r := refuse(NoReplicaLeft, "%d slices, %s among them", len(bare), bare[0])
+		r.UncoveredShards = told
 		return r
 	}
 	if o.Level == restriction.Removed {
-		s.servers, s.gone = maps.Clone(s.servers), maps.Clone(s.gone)
+		s.servers, s.removed = maps.Clone(s.servers), maps.Clone(s.removed)
 		delete(s.servers, o.Server)
-		s.gone[o.Server] = true
-		return Result{Bare: told}
+		s.removed[o.Server] = true
+		return Result{UncoveredShards: told}
 	}
-	now.Hold = max(now.Hold, o.Level)
+	now.Restriction = max(now.Restriction, o.Level)
 	s.put(o.Server, now)
-	return Result{Bare: told}
+	return Result{UncoveredShards: told}
 }
 
 func (s *State) withdraw(o restriction.Request, why Reason) {
-	s.withdrawn = append(slices.Clone(s.withdrawn), Withdrawn{o, why, s.version + 1})
-	if over := len(s.withdrawn) - MaxWithdrawn; over > 0 {
-		s.withdrawn = s.withdrawn[over:]
+	s.rejected = append(slices.Clone(s.rejected), RejectedRestriction{o, why, s.version + 1})
+	if over := len(s.rejected) - MaxRejectedRestrictions; over > 0 {
+		s.rejected = s.rejected[over:]
 	}
 }
 
 // undrain brings a server back, and withdraws the orders that were in sight when it was asked for.
 func (s *State) undrain(c Command) Result {
 	now, r := s.read(c)
-	if r.Reason != Done {
+	if r.Reason != Applied {
 		return r
 	}
-	if len(c.Names) > restriction.MaxPending {
-		return refuse(Malformed, "%d orders are named, %d at most", len(c.Names), restriction.MaxPending)
+	if len(c.WithdrawnIDs) > restriction.MaxPending {
+		return refuse(Invalid, "%d orders are named, %d at most", len(c.WithdrawnIDs), restriction.MaxPending)
 	}
-	for _, id := range c.Names {
+	for _, id := range c.WithdrawnIDs {
 		if !s.settled.Contains(id) {
 			s.settled = s.settled.With(id)
 			s.withdraw(restriction.Request{ID: id, Server: c.Server, Level: restriction.Draining}, "undrained")
 		}
 	}
-	if now.Hold == restriction.None {
+	if now.Restriction == restriction.None {
 		return Result{}
 	}
-	now.Hold = restriction.None
+	now.Restriction = restriction.None
 	s.put(c.Server, now)
 	return Result{}
 }
 
 // peer notes an instance's address, or forgets it.
 func (s *State) peer(c Command) Result {
-	_, known := s.peers[c.Server]
-	if c.Server == "" || c.Kind == SetPeer && (len(c.Text) == 0 || len(c.Text) > MaxName) {
-		return refuse(Malformed, "an instance needs an id and an address")
+	_, known := s.memberAddresses[c.Server]
+	if c.Server == "" || c.Kind == SetMemberAddress && (len(c.Payload) == 0 || len(c.Payload) > MaxNameBytes) {
+		return refuse(Invalid, "an instance needs an id and an address")
 	}
-	if c.Kind == SetPeer && !known && len(s.peers) >= MaxPeers {
-		return refuse(Full, "%d instances", MaxPeers)
+	if c.Kind == SetMemberAddress && !known && len(s.memberAddresses) >= MaxMemberAddresses {
+		return refuse(LimitExceeded, "%d instances", MaxMemberAddresses)
 	}
-	s.peers = maps.Clone(s.peers)
-	if delete(s.peers, c.Server); c.Kind == SetPeer {
-		s.peers[c.Server] = string(c.Text)
+	s.memberAddresses = maps.Clone(s.memberAddresses)
+	if delete(s.memberAddresses, c.Server); c.Kind == SetMemberAddress {
+		s.memberAddresses[c.Server] = string(c.Payload)
 	}
 	return Result{}
 }
 
 // set changes the settings.
 func (s *State) set(c Command) Result {
-	if c.If != 0 && c.If != s.revised {
-		return refuse(Conflict, "the settings are at version %d, the command was made on %d", s.revised, c.If)
+	if c.ExpectedVersion != 0 && c.ExpectedVersion != s.settingsVersion {
+		return refuse(Conflict, "the settings are at version %d, the command was made on %d", s.settingsVersion, c.ExpectedVersion)
 	}
-	next, err := s.settings.Patch(c.Text)
-	if c.Kind == Document {
-		next, err = catalog.ParseAfter(c.Text, s.settings)
+	next, err := s.settings.Patch(c.Payload)
+	if c.Kind == ReplaceSettings {
+		next, err = catalog.ParseAfter(c.Payload, s.settings)
 	}
-	if err == nil && s.revised != 0 {
+	if err == nil && s.settingsVersion != 0 {
 		err = next.Follows(s.settings)
 	}
 	if err != nil {
-		return refuse(Malformed, "%s", err)
+		return refuse(Invalid, "%s", err)
 	}
 	return s.revise(next)
 }
 
 func (s *State) revise(next *catalog.Catalog) Result {
 	c := *next
-	if c.Revision = 1; s.revised != 0 {
+	if c.Revision = 1; s.settingsVersion != 0 {
 		c.Revision = s.settings.Revision + 1
 	}
-	s.settings, s.revised = &c, s.version+1
+	s.settings, s.settingsVersion = &c, s.version+1
 	return Result{}
 }
 
 // advance takes a step of a layout. Layouts check for themselves what version a step was made on.
 func (s *State) advance(c Command) Result {
 	l := s.settings.Layout(c.Index)
-	if l == nil || c.Advance == nil {
-		return refuse(Malformed, "index %q has no layout, or no step is given", c.Index)
+	if l == nil || c.ShardMapCommand == nil {
+		return refuse(Invalid, "index %q has no layout, or no step is given", c.Index)
 	}
-	next, err := l.Apply(*c.Advance)
+	next, err := l.Apply(*c.ShardMapCommand)
 	if err != nil {
 		return refuse(Conflict, "%s", err)
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -31,8 +31,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, r := New(&catalog.Catalog{}).Apply(Command{Kind: Document, Text: doc})
-	if r.Reason != Done {
+	s, r := NewState(&catalog.Catalog{}).Apply(Command{Kind: ReplaceSettings, Payload: doc})
+	if r.Reason != Applied {
 		t.Fatal(r)
 	}
 	return s
@@ -42,28 +42,28 @@
 
 // command draws one that may be anything, sound or not, made on a version that may be the right one.
 func command(t *rapid.T, s *State, n int) Command {
-	c := Command{Kind: Kind(rapid.IntRange(1, int(kinds)-1).Draw(t, "kind")), Server: rapid.SampledFrom(servers).Draw(t, "server"),
+	c := Command{Kind: CommandKind(rapid.IntRange(1, int(commandKinds)-1).Draw(t, "kind")), Server: rapid.SampledFrom(servers).Draw(t, "server"),
 		Weight: rapid.SampledFrom([]float64{-1, 0, 0.5, 2}).Draw(t, "weight")}
 	if rapid.Bool().Draw(t, "client") {
-		c.Client, c.Seq = rapid.SampledFrom([]string{"x", "y"}).Draw(t, "name"), uint64(rapid.IntRange(1, 20).Draw(t, "seq"))
+		c.ClientID, c.Seq = rapid.SampledFrom([]string{"x", "y"}).Draw(t, "name"), uint64(rapid.IntRange(1, 20).Draw(t, "seq"))
 	}
 	if now, ok := s.Server(c.Server); ok && rapid.Bool().Draw(t, "if") {
-		c.If = now.Version + uint64(rapid.IntRange(0, 1).Draw(t, "off"))
+		c.ExpectedVersion = now.Version + uint64(rapid.IntRange(0, 1).Draw(t, "off"))
 	}
 	switch c.Kind {
-	case AddServer, ChangeServer:
-		c.Spec = &Spec{Addr: rapid.SampledFrom([]string{"", "h:1", "h:2"}).Draw(t, "addr"), Cell: rapid.IntRange(-1, 1).Draw(t, "cell")}
-	case Restrict:
-		c.Order = &restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: rapid.SampledFrom([]string{"n0", "n1"}).Draw(t, "instance"), Incarnation: 1}, Seq: uint64(rapid.IntRange(0, n+1).Draw(t, "order"))},
+	case AddServer, UpdateServer:
+		c.Spec = &ServerSpec{Addr: rapid.SampledFrom([]string{"", "h:1", "h:2"}).Draw(t, "addr"), Cell: rapid.IntRange(-1, 1).Draw(t, "cell")}
+	case RestrictServer:
+		c.Restriction = &restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: rapid.SampledFrom([]string{"n0", "n1"}).Draw(t, "instance"), Incarnation: 1}, Seq: uint64(rapid.IntRange(0, n+1).Draw(t, "order"))},
 			Server: c.Server, Level: restriction.Level(rapid.IntRange(0, 3).Draw(t, "how")), Force: rapid.Bool().Draw(t, "force")}
-	case Undrain:
-		c.Names = []restriction.ID{{Origin: restriction.Origin{Instance: "n0", Incarnation: 1}, Seq: uint64(rapid.IntRange(1, n+1).Draw(t, "named"))}}
-	case Patch:
-		c.If = rapid.SampledFrom([]uint64{0, s.Revised(), 7}).Draw(t, "on")
-		c.Text = []byte(rapid.SampledFrom([]string{`{"search":{"max_result_window":5}}`, `{"search":{"max_result_window":-5}}`, `{`}).Draw(t, "patch"))
-	case Layout:
+	case UndrainServer:
+		c.WithdrawnIDs = []restriction.ID{{Origin: restriction.Origin{Instance: "n0", Incarnation: 1}, Seq: uint64(rapid.IntRange(1, n+1).Draw(t, "named"))}}
+	case PatchSettings:
+		c.ExpectedVersion = rapid.SampledFrom([]uint64{0, s.SettingsVersion(), 7}).Draw(t, "on")
+		c.Payload = []byte(rapid.SampledFrom([]string{`{"search":{"max_result_window":5}}`, `{"search":{"max_result_window":-5}}`, `{`}).Draw(t, "patch"))
+	case AdvanceShardMap:
 		c.Index = rapid.SampledFrom([]string{"players", "nobody"}).Draw(t, "index")
-		c.Advance = &layout.Command{Order: &layout.Order{Kind: layout.Split, Slices: []layout.SliceID{layout.FirstSlice}, Into: 2}}
+		c.ShardMapCommand = &layout.Command{Order: &layout.Order{Kind: layout.Split, Slices: []layout.SliceID{layout.FirstSlice}, Into: 2}}
 	}
 	return c
 }
@@ -86,7 +86,7 @@
 				t.Fatal(err)
 			}
 			history = append(history, entry)
-			before, gone := words(t, s), s.Gone()
+			before, gone := words(t, s), s.RemovedIDs()
 			next, r := s.Apply(c)
 			if !bytes.Equal(words(t, s), before) {
 				t.Fatalf("%+v changed the state that it was applied to", c)
@@ -97,9 +97,9 @@
 				}
 			}
 			checkBare(t, s, next, c, r)
-			if c.Client != "" && r.Reason != Old {
+			if c.ClientID != "" && r.Reason != StaleSequence {
 				again, r2 := next.Apply(c)
-				if fmt.Sprint(r2) != fmt.Sprint(r) || again.Version() != next.Version()+1 || !slices.Equal(again.Servers(), next.Servers()) || again.Revised() != next.Revised() {
+				if fmt.Sprint(r2) != fmt.Sprint(r) || again.Version() != next.Version()+1 || !slices.Equal(again.ServerIDs(), next.ServerIDs()) || again.SettingsVersion() != next.SettingsVersion() {
 					t.Fatalf("asked again: %+v, then %+v", r, r2)
 				}
 			}
@@ -140,7 +140,7 @@
 		return slices.ContainsFunc(holders, func(id string) bool { return s.Restriction(id) == restriction.None })
 	}
 	for _, slice := range after.Settings().Layout("players").Slices() {
-		if served(before, slice.Holders) && !served(after, slice.Holders) && (c.Order == nil || !c.Order.Force || len(r.Bare) == 0) {
+		if served(before, slice.Holders) && !served(after, slice.Holders) && (c.Restriction == nil || !c.Restriction.Force || len(r.UncoveredShards) == 0) {
 			t.Fatalf("%+v left slice %d bare: %+v", c, slice.ID, r)
 		}
 	}
@@ -148,20 +148,20 @@
 
 // An entry that was cut, changed, or is of a later program stops the instance; it is never half applied and never a panic.
 func TestEntriesOfLaterPrograms(t *testing.T) {
-	entry, err := Encode(Command{Kind: SetWeight, Server: "a", Weight: 1})
+	entry, err := Encode(Command{Kind: SetServerWeight, Server: "a", Weight: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	later, _ := encoding.Marshal(map[int]any{1: uint8(kinds), 5: "a"})
-	field, _ := encoding.Marshal(map[int]any{1: uint8(SetWeight), 5: "a", 99: "more"})
-	for name, data := range map[string][]byte{"format": append([]byte{format + 1}, entry[1:]...), "kind": append([]byte{format}, later...),
-		"field": append([]byte{format}, field...), "empty": nil, "after": append(slices.Clone(entry), 0)} {
-		if c, err := Decode(data); !errors.Is(err, ErrFormat) {
+	later, _ := encMode.Marshal(map[int]any{1: uint8(commandKinds), 5: "a"})
+	field, _ := encMode.Marshal(map[int]any{1: uint8(SetServerWeight), 5: "a", 99: "more"})
+	for name, data := range map[string][]byte{"format": append([]byte{formatVersion + 1}, entry[1:]...), "kind": append([]byte{formatVersion}, later...),
+		"field": append([]byte{formatVersion}, field...), "empty": nil, "after": append(slices.Clone(entry), 0)} {
+		if c, err := Decode(data); !errors.Is(err, ErrUnknownFormat) {
 			t.Errorf("%s: %+v %v", name, c, err)
 		}
 	}
 	for i := range entry {
-		if _, err := Decode(entry[:i]); !errors.Is(err, ErrFormat) {
+		if _, err := Decode(entry[:i]); !errors.Is(err, ErrUnknownFormat) {
 			t.Errorf("cut at %d: %v", i, err)
 		}
 	}
@@ -179,16 +179,16 @@
 
 // Instances whose files differ are alike from the first document on, and take nothing before it.
 func TestFilesThatDiffer(t *testing.T) {
-	one, other := New(settings(t)), New(&catalog.Catalog{Search: catalog.Defaults{MaxResultWindow: 7}})
+	one, other := NewState(settings(t)), NewState(&catalog.Catalog{Search: catalog.Defaults{MaxResultWindow: 7}})
 	doc, err := json.Marshal(settings(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, c := range []Command{{Kind: SetWeight, Server: "a", Weight: 2}, {Kind: Document, Text: doc}, {Kind: SetWeight, Server: "a", Weight: 2}} {
+	for i, c := range []Command{{Kind: SetServerWeight, Server: "a", Weight: 2}, {Kind: ReplaceSettings, Payload: doc}, {Kind: SetServerWeight, Server: "a", Weight: 2}} {
 		var r, r2 Result
 		one, r = one.Apply(c)
 		other, r2 = other.Apply(c)
-		if r.Reason != r2.Reason || (r.Reason == Unfounded) != (i == 0) {
+		if r.Reason != r2.Reason || (r.Reason == NotInitialized) != (i == 0) {
 			t.Errorf("command %d: %+v, %+v", i, r, r2)
 		}
 	}
@@ -203,10 +203,10 @@
 func TestBounds(t *testing.T) {
 	s := founded(t)
 	for i := range uint64(MaxClients + 50) {
-		s, _ = s.Apply(Command{Kind: Restrict, Client: fmt.Sprint("client", i), Seq: 1,
-			Order: &restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: "n", Incarnation: 1}, Seq: i + 1}, Server: "c", Level: restriction.Draining}})
+		s, _ = s.Apply(Command{Kind: RestrictServer, ClientID: fmt.Sprint("client", i), Seq: 1,
+			Restriction: &restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: "n", Incarnation: 1}, Seq: i + 1}, Server: "c", Level: restriction.Draining}})
 	}
-	if n := len(s.Withdrawn()); n != MaxWithdrawn || len(s.sessions) != MaxClients || s.Restriction("c") != restriction.None || len(s.Settled().Intervals()) != 1 {
+	if n := len(s.RejectedRestrictions()); n != MaxRejectedRestrictions || len(s.sessions) != MaxClients || s.Restriction("c") != restriction.None || len(s.Settled().Intervals()) != 1 {
 		t.Errorf("%d withdrawn, %d clients, %s", n, len(s.sessions), s.Restriction("c"))
 	}
 	if _, ok := s.sessions["client0"]; ok {
--- a/internal/config/restriction/explore_test.go
+++ b/internal/config/restriction/explore_test.go
@@ -60,7 +60,7 @@
 	if s := x.nodes[key]; s != nil {
 		return s
 	}
-	log, _ := config.New(&catalog.Catalog{}).Apply(config.Command{Kind: config.Document, Text: []byte("{}")})
+	log, _ := config.NewState(&catalog.Catalog{}).Apply(config.Command{Kind: config.ReplaceSettings, Payload: []byte("{}")})
 	h := NewPendingSet(Origin{Instance: "n", Incarnation: 1})
 	h.Receive(log, n.orders...)
 	for _, c := range w.log[:n.prefix] {
@@ -86,10 +86,10 @@
 }
 
 func word(b *strings.Builder, c config.Command) {
-	if c.Kind == config.Restrict {
-		fmt.Fprintf(b, "%v ", c.Order.ID)
+	if c.Kind == config.RestrictServer {
+		fmt.Fprintf(b, "%v ", c.Restriction.ID)
 	} else {
-		fmt.Fprintf(b, "u%v ", c.Names)
+		fmt.Fprintf(b, "u%v ", c.WithdrawnIDs)
 	}
 }
 
@@ -148,10 +148,10 @@
 		if !w.majority(i) || w.nodes[i].prefix != len(w.log) {
 			return false
 		}
-		c := config.Command{Kind: config.Undrain, Server: server}
+		c := config.Command{Kind: config.UndrainServer, Server: server}
 		for _, o := range w.nodes[i].orders {
 			if o.Server == server && x.fault != "unnamed" {
-				c.Names = append(c.Names, o.ID)
+				c.WithdrawnIDs = append(c.WithdrawnIDs, o.ID)
 			}
 		}
 		w.log = append(w.log, c)
@@ -194,7 +194,7 @@
 		if w.majority(i) {
 			for _, o := range open {
 				add(func(w *world) bool {
-					w.log = append(w.log, config.Command{Kind: config.Restrict, Order: &o})
+					w.log = append(w.log, config.Command{Kind: config.RestrictServer, Restriction: &o})
 					return len(w.log) <= 3
 				})
 			}
@@ -249,15 +249,15 @@
 
 // said tells whether an order that does not hold was withdrawn by name, or undone by an undrain after it was taken.
 func (*explorer) said(w *world, all *config.State, o Request) bool {
-	for _, v := range all.Withdrawn() {
-		if v.Order.ID == o.ID {
+	for _, v := range all.RejectedRestrictions() {
+		if v.Request.ID == o.ID {
 			return true
 		}
 	}
 	taken := false
 	for _, c := range w.log {
-		taken = taken || c.Kind == config.Restrict && c.Order.ID == o.ID
-		if taken && c.Kind == config.Undrain && c.Server == o.Server {
+		taken = taken || c.Kind == config.RestrictServer && c.Restriction.ID == o.ID
+		if taken && c.Kind == config.UndrainServer && c.Server == o.Server {
 			return true
 		}
 	}
@@ -289,7 +289,7 @@
 			}
 			if x.fault != "mute" {
 				for _, o := range x.built(w, i).open {
-					w.log = append(w.log, config.Command{Kind: config.Restrict, Order: &o})
+					w.log = append(w.log, config.Command{Kind: config.RestrictServer, Restriction: &o})
 				}
 			}
 			for j := range w.nodes {
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -15,21 +15,21 @@
 
 // Server is what is agreed of a server. One that only discovery lists has no Spec, but may have a weight or a drain.
 type Server struct {
-	Version uint64            `cbor:"1,keyasint" json:"version"` // of the state at its last change
-	Spec    *Spec             `cbor:"2,keyasint,omitempty" json:"spec,omitempty"`
-	Weight  float64           `cbor:"3,keyasint,omitempty" json:"weight,omitempty"` // 0: discovery's
-	Hold    restriction.Level `cbor:"4,keyasint,omitempty" json:"restriction,omitempty"`
+	Version     uint64            `cbor:"1,keyasint" json:"version"` // of the state at its last change
+	Spec        *ServerSpec       `cbor:"2,keyasint,omitempty" json:"spec,omitempty"`
+	Weight      float64           `cbor:"3,keyasint,omitempty" json:"weight,omitempty"` // 0: discovery's
+	Restriction restriction.Level `cbor:"4,keyasint,omitempty" json:"restriction,omitempty"`
 }
 
-// Withdrawn is an order that the log did not take.
-type Withdrawn struct {
-	Order restriction.Request `cbor:"1,keyasint" json:"order"`
-	Why   Reason              `cbor:"2,keyasint" json:"why"`
-	At    uint64              `cbor:"3,keyasint" json:"at"` // version
+// RejectedRestriction is an order that the log did not take.
+type RejectedRestriction struct {
+	Request restriction.Request `cbor:"1,keyasint" json:"order"`
+	Reason  Reason              `cbor:"2,keyasint" json:"why"`
+	Version uint64              `cbor:"3,keyasint" json:"at"` // version
 }
 
-// session is a client's last command.
-type session struct {
+// clientSession is a client's last command.
+type clientSession struct {
 	Seq    uint64 `cbor:"1,keyasint"`
 	Result Result `cbor:"2,keyasint"`
 	At     uint64 `cbor:"3,keyasint"` // version
@@ -37,24 +37,24 @@
 
 // State is what is agreed. A published one is never changed: Apply gives the next.
 type State struct {
-	version   uint64
-	servers   map[string]Server
-	gone      map[string]bool
-	sessions  map[string]session
-	settled   restriction.SettledSet
-	withdrawn []Withdrawn
-	peers     map[string]string // addresses of instances that joined, for clients
-	settings  *catalog.Catalog
-	revised   uint64 // version at the last change of the settings
+	version         uint64
+	servers         map[string]Server
+	removed         map[string]bool
+	sessions        map[string]clientSession
+	settled         restriction.SettledSet
+	rejected        []RejectedRestriction
+	memberAddresses map[string]string // addresses of instances that joined, for clients
+	settings        *catalog.Catalog
+	settingsVersion uint64 // version at the last change of the settings
 }
 
-// New is the state before the first command, with the settings that an instance's file names.
-func New(settings *catalog.Catalog) *State {
-	return &State{servers: map[string]Server{}, gone: map[string]bool{}, sessions: map[string]session{}, peers: map[string]string{}, settings: settings}
+// NewState is the state before the first command, with the settings that an instance's file names.
+func NewState(settings *catalog.Catalog) *State {
+	return &State{servers: map[string]Server{}, removed: map[string]bool{}, sessions: map[string]clientSession{}, memberAddresses: map[string]string{}, settings: settings}
 }
 
-// Founded tells whether settings were agreed at all: until then each instance has those of its file.
-func (s *State) Founded() bool { return s.revised != 0 }
+// Initialized tells whether settings were agreed at all: until then each instance has those of its file.
+func (s *State) Initialized() bool { return s.settingsVersion != 0 }
 
 // Version counts the commands that came, refused ones too.
 func (s *State) Version() uint64 { return s.version }
@@ -62,46 +62,49 @@
 // Settings are the settings that hold. They are not the caller's to change.
 func (s *State) Settings() *catalog.Catalog { return s.settings }
 
-// Revised is the version at which the settings last changed.
-func (s *State) Revised() uint64 { return s.revised }
+// SettingsVersion is the version at which the settings last changed.
+func (s *State) SettingsVersion() uint64 { return s.settingsVersion }
 
 // Server is what is agreed of a server.
 func (s *State) Server(id string) (Server, bool) { v, ok := s.servers[id]; return v, ok }
 
-// Servers are all that something is agreed of, by id.
-func (s *State) Servers() []string { return slices.Sorted(maps.Keys(s.servers)) }
+// ServerIDs are all that something is agreed of, by id.
+func (s *State) ServerIDs() []string { return slices.Sorted(maps.Keys(s.servers)) }
 
-// Gone are the removed ids.
-func (s *State) Gone() []string { return slices.Sorted(maps.Keys(s.gone)) }
+// RemovedIDs are the removed ids.
+func (s *State) RemovedIDs() []string { return slices.Sorted(maps.Keys(s.removed)) }
 
-// Peer is the address for clients of an instance that joined in service.
-func (s *State) Peer(id string) (addr string, ok bool) { addr, ok = s.peers[id]; return addr, ok }
+// MemberAddress is the address for clients of an instance that joined in service.
+func (s *State) MemberAddress(id string) (addr string, ok bool) {
+	addr, ok = s.memberAddresses[id]
+	return addr, ok
+}
 
 // Settled is what the log has decided of orders.
 func (s *State) Settled() restriction.SettledSet { return s.settled }
 
 // Restriction is a server's restriction by the log.
 func (s *State) Restriction(id string) restriction.Level {
-	if s.gone[id] {
+	if s.removed[id] {
 		return restriction.Removed
 	}
-	return s.servers[id].Hold
+	return s.servers[id].Restriction
 }
 
-// Withdrawn are the last orders that the log did not take, oldest first.
-func (s *State) Withdrawn() []Withdrawn { return slices.Clone(s.withdrawn) }
-
-// document is a state as it is kept. Its form is that of the format's number.
-type document struct {
-	Version   uint64                 `cbor:"1,keyasint"`
-	Servers   map[string]Server      `cbor:"2,keyasint"`
-	Gone      []string               `cbor:"3,keyasint"`
-	Sessions  map[string]session     `cbor:"4,keyasint"`
-	Settled   []restriction.Interval `cbor:"5,keyasint"`
-	Withdrawn []Withdrawn            `cbor:"6,keyasint"`
-	Settings  []byte                 `cbor:"7,keyasint"`
-	Revised   uint64                 `cbor:"8,keyasint"`
-	Peers     map[string]string      `cbor:"9,keyasint,omitempty"`
+// RejectedRestrictions are the last orders that the log did not take, oldest first.
+func (s *State) RejectedRestrictions() []RejectedRestriction { return slices.Clone(s.rejected) }
+
+// stateDocument is a state as it is kept. Its form is that of the format's number.
+type stateDocument struct {
+	Version   uint64                   `cbor:"1,keyasint"`
+	Servers   map[string]Server        `cbor:"2,keyasint"`
+	Gone      []string                 `cbor:"3,keyasint"`
+	Sessions  map[string]clientSession `cbor:"4,keyasint"`
+	Settled   []restriction.Interval   `cbor:"5,keyasint"`
+	Withdrawn []RejectedRestriction    `cbor:"6,keyasint"`
+	Settings  []byte                   `cbor:"7,keyasint"`
+	Revised   uint64                   `cbor:"8,keyasint"`
+	Peers     map[string]string        `cbor:"9,keyasint,omitempty"`
 }
 
 // Snapshot words the state; equal states give equal bytes.
@@ -110,33 +113,33 @@
 	if err != nil {
 		return nil, fmt.Errorf("config: snapshot: %w", err)
 	}
-	data, err := encoding.Marshal(document{s.version, s.servers, s.Gone(), s.sessions, s.settled.Intervals(), s.withdrawn, settings, s.revised, s.peers})
+	data, err := encMode.Marshal(stateDocument{s.version, s.servers, s.RemovedIDs(), s.sessions, s.settled.Intervals(), s.rejected, settings, s.settingsVersion, s.memberAddresses})
 	if err != nil {
 		return nil, fmt.Errorf("config: snapshot: %w", err)
 	}
-	return append([]byte{format}, data...), nil
+	return append([]byte{formatVersion}, data...), nil
 }
 
 // Restore reads a snapshot.
 func Restore(data []byte) (*State, error) {
-	if len(data) == 0 || data[0] != format {
-		return nil, fmt.Errorf("%w: a snapshot of format %d", ErrFormat, first(data))
+	if len(data) == 0 || data[0] != formatVersion {
+		return nil, fmt.Errorf("%w: a snapshot of format %d", ErrUnknownFormat, firstByte(data))
 	}
-	var d document
-	if err := decoding.Unmarshal(data[1:], &d); err != nil {
+	var d stateDocument
+	if err := decMode.Unmarshal(data[1:], &d); err != nil {
 		return nil, fmt.Errorf("config: snapshot: %w", err)
 	}
 	settings, err := catalog.Parse(d.Settings)
 	if err != nil {
 		return nil, fmt.Errorf("config: snapshot: %w", err)
 	}
-	s := New(settings)
-	s.version, s.withdrawn, s.revised, s.settled = d.Version, d.Withdrawn, d.Revised, restriction.NewSettledSet(d.Settled)
+	s := NewState(settings)
+	s.version, s.rejected, s.settingsVersion, s.settled = d.Version, d.Withdrawn, d.Revised, restriction.NewSettledSet(d.Settled)
 	maps.Copy(s.servers, d.Servers)
 	maps.Copy(s.sessions, d.Sessions)
-	maps.Copy(s.peers, d.Peers)
+	maps.Copy(s.memberAddresses, d.Peers)
 	for _, id := range d.Gone {
-		s.gone[id] = true
+		s.removed[id] = true
 	}
 	return s, nil
 }
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -48,7 +48,7 @@
 
 // storedCommands are the commands that the entry fixtures hold, by the fixture's name.
 func storedCommands() map[string]Command {
-	spec := &Spec{Addr: "10.0.0.1:9200", Zone: "zone-a", Kind: "large", Cell: 3}
+	spec := &ServerSpec{Addr: "10.0.0.1:9200", Zone: "zone-a", Kind: "large", Cell: 3}
 	id := restriction.ID{Origin: restriction.Origin{Instance: "n1", Incarnation: 4}, Seq: 9}
 	other := restriction.ID{Origin: restriction.Origin{Instance: "n2", Incarnation: 5}, Seq: 11}
 	order := &restriction.Request{ID: id, Server: "s-1", Level: restriction.Draining}
@@ -58,23 +58,23 @@
 	advance := &layout.Advance{Plan: 6, Step: layout.BothHold, Holding: map[layout.SliceID][]string{layout.FirstSlice + 2: {"s-1"}, layout.FirstSlice + 3: {"s-2", "s-3"}}}
 	abandon := &layout.Abandon{Plan: 7, Why: "the target is down"}
 	return map[string]Command{
-		"add_server":     {Kind: AddServer, Client: "ops", Seq: 1, Server: "s-1", Spec: spec},
-		"change_server":  {Kind: ChangeServer, If: 12, Server: "s-1", Spec: &Spec{Addr: "10.0.0.2:9200"}},
-		"restrict":       {Kind: Restrict, Order: order},
-		"restrict_force": {Kind: Restrict, Order: forced},
-		"undrain":        {Kind: Undrain, Server: "s-1", Names: []restriction.ID{id, other}},
-		"set_weight":     {Kind: SetWeight, Server: "s-1", Weight: 0.75},
-		"patch":          {Kind: Patch, If: 3, Text: []byte(`{"search.max_result_window":5}`)},
-		"document":       {Kind: Document, Text: []byte(storedDocument)},
-		"layout_order":   {Kind: Layout, Index: "players", Advance: step(layout.Command{At: 8, Order: open})},
-		"layout_advance": {Kind: Layout, Index: "players", Advance: step(layout.Command{Advance: advance})},
-		"layout_abandon": {Kind: Layout, Index: "players", Advance: step(layout.Command{Abandon: abandon})},
-		"set_peer":       {Kind: SetPeer, Server: "n3", Text: []byte("10.0.1.3:9300")},
-		"drop_peer":      {Kind: DropPeer, Server: "n3"},
-		"zero_values": {Kind: Layout, Spec: &Spec{}, Order: &restriction.Request{}, Names: []restriction.ID{{}},
-			Advance: step(layout.Command{Order: &layout.Order{}, Advance: &layout.Advance{}, Abandon: &layout.Abandon{}})},
-		"every_field": {Kind: Layout, Client: "ops", Seq: 2, If: 5, Server: "s-1", Spec: spec, Weight: 1.5, Order: forced, Names: []restriction.ID{id},
-			Text: []byte("text"), Index: "players", Advance: step(layout.Command{At: 9, Order: open, Advance: advance, Abandon: abandon})},
+		"add_server":     {Kind: AddServer, ClientID: "ops", Seq: 1, Server: "s-1", Spec: spec},
+		"change_server":  {Kind: UpdateServer, ExpectedVersion: 12, Server: "s-1", Spec: &ServerSpec{Addr: "10.0.0.2:9200"}},
+		"restrict":       {Kind: RestrictServer, Restriction: order},
+		"restrict_force": {Kind: RestrictServer, Restriction: forced},
+		"undrain":        {Kind: UndrainServer, Server: "s-1", WithdrawnIDs: []restriction.ID{id, other}},
+		"set_weight":     {Kind: SetServerWeight, Server: "s-1", Weight: 0.75},
+		"patch":          {Kind: PatchSettings, ExpectedVersion: 3, Payload: []byte(`{"search.max_result_window":5}`)},
+		"document":       {Kind: ReplaceSettings, Payload: []byte(storedDocument)},
+		"layout_order":   {Kind: AdvanceShardMap, Index: "players", ShardMapCommand: step(layout.Command{At: 8, Order: open})},
+		"layout_advance": {Kind: AdvanceShardMap, Index: "players", ShardMapCommand: step(layout.Command{Advance: advance})},
+		"layout_abandon": {Kind: AdvanceShardMap, Index: "players", ShardMapCommand: step(layout.Command{Abandon: abandon})},
+		"set_peer":       {Kind: SetMemberAddress, Server: "n3", Payload: []byte("10.0.1.3:9300")},
+		"drop_peer":      {Kind: RemoveMemberAddress, Server: "n3"},
+		"zero_values": {Kind: AdvanceShardMap, Spec: &ServerSpec{}, Restriction: &restriction.Request{}, WithdrawnIDs: []restriction.ID{{}},
+			ShardMapCommand: step(layout.Command{Order: &layout.Order{}, Advance: &layout.Advance{}, Abandon: &layout.Abandon{}})},
+		"every_field": {Kind: AdvanceShardMap, ClientID: "ops", Seq: 2, ExpectedVersion: 5, Server: "s-1", Spec: spec, Weight: 1.5, Restriction: forced, WithdrawnIDs: []restriction.ID{id},
+			Payload: []byte("text"), Index: "players", ShardMapCommand: step(layout.Command{At: 9, Order: open, Advance: advance, Abandon: abandon})},
 	}
 }
 
@@ -122,19 +122,19 @@
 		t.Fatal(err)
 	}
 	origin := restriction.Origin{Instance: "n1", Incarnation: 4}
-	s := New(settings)
-	s.version, s.revised = 41, 37
-	s.servers["s-1"] = Server{Version: 21, Spec: &Spec{Addr: "10.0.0.1:9200", Zone: "zone-a", Kind: "large", Cell: 3}, Weight: 0.75, Hold: restriction.Draining}
-	s.servers["s-2"] = Server{Version: 22, Spec: &Spec{Addr: "10.0.0.2:9200"}}
+	s := NewState(settings)
+	s.version, s.settingsVersion = 41, 37
+	s.servers["s-1"] = Server{Version: 21, Spec: &ServerSpec{Addr: "10.0.0.1:9200", Zone: "zone-a", Kind: "large", Cell: 3}, Weight: 0.75, Restriction: restriction.Draining}
+	s.servers["s-2"] = Server{Version: 22, Spec: &ServerSpec{Addr: "10.0.0.2:9200"}}
 	s.servers["s-3"] = Server{Version: 23, Weight: 2}
-	s.gone["s-8"], s.gone["s-9"] = true, true
-	s.sessions["ops"] = session{Seq: 5, Result: Result{Reason: Bare, Detail: "2 slices", Version: 19, Bare: []string{"players/1048576", "cell 3"}}, At: 31}
-	s.sessions["robot"] = session{Seq: 6, Result: Result{Version: 20}, At: 32}
+	s.removed["s-8"], s.removed["s-9"] = true, true
+	s.sessions["ops"] = clientSession{Seq: 5, Result: Result{Reason: NoReplicaLeft, Detail: "2 slices", Version: 19, UncoveredShards: []string{"players/1048576", "cell 3"}}, At: 31}
+	s.sessions["robot"] = clientSession{Seq: 6, Result: Result{Version: 20}, At: 32}
 	s.settled = restriction.NewSettledSet([]restriction.Interval{{Origin: origin, UpTo: 7, Above: []uint64{9, 12}}, {Origin: restriction.Origin{Instance: "n2", Incarnation: 1}, UpTo: 3}})
-	s.withdrawn = []Withdrawn{
-		{Order: restriction.Request{ID: restriction.ID{Origin: origin, Seq: 9}, Server: "s-8", Level: restriction.Removed, Force: true}, Why: WasGone, At: 33},
-		{Order: restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: "n2", Incarnation: 1}, Seq: 2}, Server: "s-1", Level: restriction.Draining}, Why: "undrained", At: 34}}
-	s.peers["n3"], s.peers["n4"] = "10.0.1.3:9300", "10.0.1.4:9300"
+	s.rejected = []RejectedRestriction{
+		{Request: restriction.Request{ID: restriction.ID{Origin: origin, Seq: 9}, Server: "s-8", Level: restriction.Removed, Force: true}, Reason: ServerIDRetired, Version: 33},
+		{Request: restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: "n2", Incarnation: 1}, Seq: 2}, Server: "s-1", Level: restriction.Draining}, Reason: "undrained", Version: 34}}
+	s.memberAddresses["n3"], s.memberAddresses["n4"] = "10.0.1.3:9300", "10.0.1.4:9300"
 	return s
 }
 
@@ -198,11 +198,11 @@
 	if err != nil || len(files) != len(commands) {
 		t.Errorf("%d entry fixtures, %d commands, %v", len(files), len(commands), err)
 	}
-	seen := map[Kind]bool{}
+	seen := map[CommandKind]bool{}
 	for _, c := range commands {
 		seen[c.Kind] = true
 	}
-	for k := Kind(1); k < kinds; k++ {
+	for k := CommandKind(1); k < commandKinds; k++ {
 		if !seen[k] {
 			t.Errorf("no entry of kind %d", k)
 		}
@@ -230,14 +230,14 @@
 
 // Records whose fields are all zero hold the forms of empty fields.
 func TestStoredSnapshotOfZeroRecordsReadsBaseFormat(t *testing.T) {
-	want := New(&catalog.Catalog{})
+	want := NewState(&catalog.Catalog{})
 	if err := want.settings.Check(); err != nil {
 		t.Fatal(err)
 	}
-	want.servers["s-1"], want.servers["s-2"] = Server{}, Server{Spec: &Spec{}}
-	want.sessions["ops"] = session{}
+	want.servers["s-1"], want.servers["s-2"] = Server{}, Server{Spec: &ServerSpec{}}
+	want.sessions["ops"] = clientSession{}
 	want.settled = restriction.NewSettledSet([]restriction.Interval{{}})
-	want.withdrawn = []Withdrawn{{}}
+	want.rejected = []RejectedRestriction{{}}
 	data := readFixture(t, "snapshot_zero_records.cbor", func() []byte { return mustSnapshot(t, want) })
 	got, err := Restore(data)
 	if err != nil {
@@ -254,8 +254,8 @@
 	s := storedState(t)
 	full, zero := storedCommands()["every_field"], storedCommands()["zero_values"]
 	for name, records := range map[string][]any{
-		"records_full.json": {s.servers["s-1"], s.sessions["ops"].Result, s.withdrawn, full.Spec, full.Order, full.Names, full.Advance.Order},
-		"records_zero.json": {Server{}, Result{}, Withdrawn{}, zero.Spec, zero.Order, zero.Names, zero.Advance.Order},
+		"records_full.json": {s.servers["s-1"], s.sessions["ops"].Result, s.rejected, full.Spec, full.Restriction, full.WithdrawnIDs, full.ShardMapCommand.Order},
+		"records_zero.json": {Server{}, Result{}, RejectedRestriction{}, zero.Spec, zero.Restriction, zero.WithdrawnIDs, zero.ShardMapCommand.Order},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := json.MarshalIndent(records, "", "  ")
@@ -283,12 +283,12 @@
 
 // A state without any content holds the forms of empty maps and lists.
 func TestStoredEmptySnapshotReadsBaseFormat(t *testing.T) {
-	data := readFixture(t, "snapshot_empty.cbor", func() []byte { return mustSnapshot(t, New(&catalog.Catalog{})) })
+	data := readFixture(t, "snapshot_empty.cbor", func() []byte { return mustSnapshot(t, NewState(&catalog.Catalog{})) })
 	got, err := Restore(data)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got.Version() != 0 || got.Founded() || len(got.Servers())+len(got.Gone())+len(got.sessions)+len(got.Withdrawn())+len(got.peers)+len(got.Settled().Intervals()) != 0 {
+	if got.Version() != 0 || got.Initialized() || len(got.ServerIDs())+len(got.RemovedIDs())+len(got.sessions)+len(got.RejectedRestrictions())+len(got.memberAddresses)+len(got.Settled().Intervals()) != 0 {
 		t.Errorf("state %+v", got)
 	}
 	if again := mustSnapshot(t, got); !bytes.Equal(again, data) {
@@ -303,8 +303,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, r := New(&catalog.Catalog{}).Apply(c)
-	if r.Reason != Done {
+	s, r := NewState(&catalog.Catalog{}).Apply(c)
+	if r.Reason != Applied {
 		t.Fatalf("result %+v", r)
 	}
 	got := mustSnapshot(t, s)
@@ -318,11 +318,11 @@
 		t.Run(name, func(t *testing.T) {
 			entry := readFixture(t, "entry_"+name+".cbor", nil)
 			for n := range entry {
-				if c, err := Decode(entry[:n]); !errors.Is(err, ErrFormat) {
+				if c, err := Decode(entry[:n]); !errors.Is(err, ErrUnknownFormat) {
 					t.Errorf("first %d of %d bytes: %+v, %v", n, len(entry), c, err)
 				}
 			}
-			if c, err := Decode(append(entry, 0)); !errors.Is(err, ErrFormat) {
+			if c, err := Decode(append(entry, 0)); !errors.Is(err, ErrUnknownFormat) {
 				t.Errorf("a byte too many: %+v, %v", c, err)
 			}
 		})
@@ -333,12 +333,12 @@
 	for _, name := range []string{"snapshot.cbor", "snapshot_empty.cbor", "snapshot_zero_records.cbor", "snapshot_of_document.cbor"} {
 		t.Run(name, func(t *testing.T) {
 			data := readFixture(t, name, nil)
-			if s, err := Restore(nil); !errors.Is(err, ErrFormat) || s != nil {
+			if s, err := Restore(nil); !errors.Is(err, ErrUnknownFormat) || s != nil {
 				t.Errorf("no bytes: %v, %v", s, err)
 			}
 			for n := 1; n < len(data); n++ {
 				s, err := Restore(data[:n])
-				if s != nil || errors.Is(err, ErrFormat) || !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, io.EOF) {
+				if s != nil || errors.Is(err, ErrUnknownFormat) || !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, io.EOF) {
 					t.Errorf("first %d of %d bytes: %v, %v", n, len(data), s, err)
 				}
 			}
@@ -395,8 +395,8 @@
 		}
 		fieldsSet(reflect.ValueOf(c), set)
 	}
-	var d document
-	if err := decoding.Unmarshal(readFixture(t, "snapshot.cbor", nil)[1:], &d); err != nil {
+	var d stateDocument
+	if err := decMode.Unmarshal(readFixture(t, "snapshot.cbor", nil)[1:], &d); err != nil {
 		t.Fatal(err)
 	}
 	fieldsSet(reflect.ValueOf(d), set)
@@ -414,7 +414,7 @@
 			}
 		}
 	}
-	for _, v := range []any{Command{}, Spec{}, Result{}, Server{}, Withdrawn{}, session{}, document{}, restriction.Origin{}, restriction.ID{}, restriction.Request{}, restriction.Interval{},
+	for _, v := range []any{Command{}, ServerSpec{}, Result{}, Server{}, RejectedRestriction{}, clientSession{}, stateDocument{}, restriction.Origin{}, restriction.ID{}, restriction.Request{}, restriction.Interval{},
 		layout.Command{}, layout.Order{}, layout.Advance{}, layout.Abandon{}, layout.Document{}, layout.Plan{}, layout.Slice{},
 		catalog.Catalog{}, catalog.Defaults{}, catalog.Index{}, catalog.Spread{}, catalog.Server{}} {
 		if set[reflect.TypeOf(v)] == nil {
--- a/internal/control/servers.go
+++ b/internal/control/servers.go
@@ -15,24 +15,24 @@
 
 // Agreed is what instances agree on of servers.
 type Agreed struct {
-	Version   uint64                   `json:"version"`
-	Hash      string                   `json:"hash"` // the same at every instance of the same version
-	Servers   map[string]config.Server `json:"servers"`
-	Removed   []string                 `json:"removed,omitempty"`
-	Unsettled []restriction.Request    `json:"unsettled,omitempty"` // hold here; the log has not decided them yet
-	Withdrawn []config.Withdrawn       `json:"withdrawn,omitempty"`
+	Version   uint64                       `json:"version"`
+	Hash      string                       `json:"hash"` // the same at every instance of the same version
+	Servers   map[string]config.Server     `json:"servers"`
+	Removed   []string                     `json:"removed,omitempty"`
+	Unsettled []restriction.Request        `json:"unsettled,omitempty"` // hold here; the log has not decided them yet
+	Withdrawn []config.RejectedRestriction `json:"withdrawn,omitempty"`
 }
 
 // ServerOrder is what an operator wants of a server.
 type ServerOrder struct {
-	Server string       `json:"server"`
-	Verb   string       `json:"verb"` // drain, undrain, remove, add, change, weight
-	Force  bool         `json:"force,omitempty"`
-	Weight float64      `json:"weight,omitempty"`
-	Spec   *config.Spec `json:"spec,omitempty"`
-	If     uint64       `json:"if,omitempty"` // the server's version that was read; 0: any
-	Client string       `json:"client,omitempty"`
-	Seq    uint64       `json:"seq,omitempty"` // with Client: asked again, it is done once
+	Server string             `json:"server"`
+	Verb   string             `json:"verb"` // drain, undrain, remove, add, change, weight
+	Force  bool               `json:"force,omitempty"`
+	Weight float64            `json:"weight,omitempty"`
+	Spec   *config.ServerSpec `json:"spec,omitempty"`
+	If     uint64             `json:"if,omitempty"` // the server's version that was read; 0: any
+	Client string             `json:"client,omitempty"`
+	Seq    uint64             `json:"seq,omitempty"` // with Client: asked again, it is done once
 }
 
 // Ordered is what became of it.
--- a/internal/control/wire_golden_test.go
+++ b/internal/control/wire_golden_test.go
@@ -42,11 +42,11 @@
 			To: []layout.Slice{{ID: layout.FirstSlice + 1, Range: layout.Range{First: 2, Last: 0x7f}, Epoch: 55, Holders: []string{"s-3"}}},
 			At: 56, Why: "ordered"}}}}
 	goldenOrder  = restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: "a", Incarnation: 61}, Seq: 62}, Server: "s-1", Level: restriction.Draining, Force: true}
-	goldenSpec   = config.Spec{Addr: "127.0.0.1:7001", Zone: "z1", Kind: "large", Cell: 2}
+	goldenSpec   = config.ServerSpec{Addr: "127.0.0.1:7001", Zone: "z1", Kind: "large", Cell: 2}
 	goldenAgreed = Agreed{Version: 71, Hash: "c0ffee",
-		Servers: map[string]config.Server{"s-1": {Version: 72, Spec: &goldenSpec, Weight: 0.75, Hold: restriction.Draining}},
+		Servers: map[string]config.Server{"s-1": {Version: 72, Spec: &goldenSpec, Weight: 0.75, Restriction: restriction.Draining}},
 		Removed: []string{"s-9"}, Unsettled: []restriction.Request{goldenOrder},
-		Withdrawn: []config.Withdrawn{{Order: goldenOrder, Why: config.Bare, At: 73}}}
+		Withdrawn: []config.RejectedRestriction{{Request: goldenOrder, Reason: config.NoReplicaLeft, Version: 73}}}
 	goldenServerOrder = ServerOrder{Server: "s-1", Verb: "add", Force: true, Weight: 0.75, Spec: &goldenSpec, If: 81, Client: "cli-1", Seq: 82}
 	goldenOrdered     = Ordered{Holds: "everywhere", Order: "a.61.62", Version: 83, Bare: []string{"slice 3"}}
 	goldenMemberOrder = MemberOrder{Verb: "join", ID: "c", Raft: "127.0.0.1:9302", HTTP: "127.0.0.1:9202"}
@@ -187,7 +187,7 @@
 		status int
 	}{
 		{"not the leader", &store.NotLeader{Leader: store.Member{ID: "b", HTTP: "127.0.0.1:9200"}}, 421},
-		{"refused by the log", &agree.Refused{Result: config.Result{Reason: config.Unknown}}, 409},
+		{"refused by the log", &agree.Refused{Result: config.Result{Reason: config.ServerNotFound}}, 409},
 		{"no store", ErrNoStore, 409}, {"member", store.ErrMember, 409}, {"majority", store.ErrMajority, 409}, {"behind", store.ErrBehind, 409},
 		{"too large", store.ErrTooLarge, 413}, {"busy", store.ErrBusy, 429}, {"no quorum", store.ErrNoQuorum, 503}, {"no leader", store.ErrNoLeader, 503},
 	} {
@@ -415,6 +415,6 @@
 // A command's reason is told by the API and kept in the replicated state, whose hash instances of two versions compare: its
 // text is part of the format.
 func TestWithdrawnReasonsGolden(t *testing.T) {
-	goldentest.Encodes(t, "reasons.json", []config.Reason{config.Done, config.Conflict, config.Unknown, config.There, config.WasGone, config.Bare,
-		config.Decided, config.Old, config.Unfounded, config.Full, config.Malformed})
+	goldentest.Encodes(t, "reasons.json", []config.Reason{config.Applied, config.Conflict, config.ServerNotFound, config.ServerExists, config.ServerIDRetired, config.NoReplicaLeft,
+		config.AlreadySettled, config.StaleSequence, config.NotInitialized, config.LimitExceeded, config.Invalid})
 }
--- a/internal/daemon/agree.go
+++ b/internal/daemon/agree.go
@@ -72,7 +72,7 @@
 		}
 	}
 	p.agreement = agree.New(agree.Config{Me: c.ID, Boot: uint64(time.Now().UnixNano()), Next: p.listeners().UpdateEndpoints, Spread: spread, Counters: p.count,
-		Member: func(id string, s config.Spec) (coordinator.Endpoint, error) {
+		Member: func(id string, s config.ServerSpec) (coordinator.Endpoint, error) {
 			l, err := reader.List(discovery.Document{Servers: []discovery.Server{{ID: id, Addr: s.Addr, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell, State: "in_service", Weight: 1}}})
 			if err != nil {
 				return coordinator.Endpoint{}, err
@@ -227,10 +227,10 @@
 	}
 	s := st.State()
 	out.Version, out.Servers = s.Version(), map[string]config.Server{}
-	for _, id := range s.Servers() {
+	for _, id := range s.ServerIDs() {
 		out.Servers[id], _ = s.Server(id)
 	}
-	out.Removed, out.Withdrawn, out.Unsettled = s.Gone(), s.Withdrawn(), p.agreement.Unsettled()
+	out.Removed, out.Withdrawn, out.Unsettled = s.RemovedIDs(), s.RejectedRestrictions(), p.agreement.Unsettled()
 	if out.Hash, err = s.Hash(); err != nil {
 		return out, err
 	}
@@ -244,7 +244,7 @@
 	if st == nil {
 		return out, control.ErrNoStore
 	}
-	c := config.Command{Server: o.Server, Client: o.Client, Seq: o.Seq, If: o.If}
+	c := config.Command{Server: o.Server, ClientID: o.Client, Seq: o.Seq, ExpectedVersion: o.If}
 	switch o.Verb {
 	case "drain", "remove":
 		kind := restriction.Draining
@@ -257,31 +257,31 @@
 		}
 		return control.Ordered{Holds: "here, and wherever it is heard; the log settles it", Order: order.ID.String()}, nil
 	case "undrain":
-		c.Kind = config.Undrain
+		c.Kind = config.UndrainServer
 		for _, open := range p.agreement.Unsettled() {
 			if open.Server == o.Server && open.Level == restriction.Draining {
-				c.Names = append(c.Names, open.ID)
+				c.WithdrawnIDs = append(c.WithdrawnIDs, open.ID)
 			}
 		}
 	case "add", "change":
 		if c.Kind = config.AddServer; o.Verb == "change" {
-			c.Kind = config.ChangeServer
+			c.Kind = config.UpdateServer
 		}
 		c.Spec = o.Spec
 		if o.Spec != nil && o.Spec.Cell >= p.cfg.module.Cells {
-			return out, &agree.Refused{Result: config.Result{Reason: config.Malformed, Detail: fmt.Sprintf("there are %d cells", p.cfg.module.Cells)}}
+			return out, &agree.Refused{Result: config.Result{Reason: config.Invalid, Detail: fmt.Sprintf("there are %d cells", p.cfg.module.Cells)}}
 		}
 	case "weight":
-		c.Kind, c.Weight = config.SetWeight, o.Weight
+		c.Kind, c.Weight = config.SetServerWeight, o.Weight
 	default:
-		return out, &agree.Refused{Result: config.Result{Reason: config.Malformed, Detail: fmt.Sprintf("no such order: %.40q", o.Verb)}}
+		return out, &agree.Refused{Result: config.Result{Reason: config.Invalid, Detail: fmt.Sprintf("no such order: %.40q", o.Verb)}}
 	}
 	r, err := st.Command(c)
 	var other *store.NotLeader
-	if err == nil && r.Reason != config.Done {
+	if err == nil && r.Reason != config.Applied {
 		err = &agree.Refused{Result: r}
 	} else if errors.As(err, &other) {
 		err = fmt.Errorf("%w; ask there", err)
 	}
-	return control.Ordered{Holds: "everywhere", Version: r.Version, Bare: r.Bare}, err
+	return control.Ordered{Holds: "everywhere", Version: r.Version, Bare: r.UncoveredShards}, err
 }
--- a/internal/daemon/wire_golden_test.go
+++ b/internal/daemon/wire_golden_test.go
@@ -128,7 +128,7 @@
 	p := &Program{count: counters.New()}
 	p.opened.Store(st)
 	p.agreement = agree.New(agree.Config{Me: "a", Boot: 9, Next: func(coordinator.EndpointUpdate) {}, Counters: p.count,
-		Member: func(id string, _ config.Spec) (coordinator.Endpoint, error) {
+		Member: func(id string, _ config.ServerSpec) (coordinator.Endpoint, error) {
 			return coordinator.Endpoint{Name: id}, nil
 		}})
 	p.agreement.Open(st)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -242,14 +242,14 @@
 	}
 	holds(t, w.nodes, "s-01", "draining", true)
 	var refused *agree.Refused
-	if err := order(w.nodes[1], "drain", "s-02", false); !errors.As(err, &refused) || refused.Reason != config.Bare {
+	if err := order(w.nodes[1], "drain", "s-02", false); !errors.As(err, &refused) || refused.Reason != config.NoReplicaLeft {
 		t.Errorf("the last holder was drained: %v", err)
 	}
 	if err := order(w.nodes[1], "remove", "s-02", true); err != nil {
 		t.Fatal(err)
 	}
 	holds(t, w.nodes, "s-02", "gone", true)
-	if err := order(w.nodes[2], "drain", "s-02", true); !errors.As(err, &refused) || refused.Reason != config.WasGone {
+	if err := order(w.nodes[2], "drain", "s-02", true); !errors.As(err, &refused) || refused.Reason != config.ServerIDRetired {
 		t.Errorf("what was removed was drained: %v", err)
 	}
 	hashes := map[string]bool{}
--- a/internal/layout/wire_golden_test.go
+++ b/internal/layout/wire_golden_test.go
@@ -77,7 +77,7 @@
 		"command_abandon.cbor": {At: 8, Abandon: &layout.Abandon{Plan: 9, Why: "ordered"}},
 	} {
 		t.Run(file, func(t *testing.T) {
-			want := config.Command{Kind: config.Layout, Index: "players", Advance: &c}
+			want := config.Command{Kind: config.AdvanceShardMap, Index: "players", ShardMapCommand: &c}
 			data, err := config.Encode(want)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -40,7 +40,7 @@
 	var out []Peer
 	for _, v := range future.Configuration().Servers {
 		id := string(v.ID)
-		http, ok := s.State().Peer(id)
+		http, ok := s.State().MemberAddress(id)
 		if m, named := s.config.member(id); !ok && named {
 			http = m.HTTP
 		}
@@ -69,9 +69,9 @@
 	if len(peers) >= MaxMembers {
 		return fmt.Errorf("%w: %d members are the most", ErrMember, MaxMembers)
 	}
-	if r, err := s.Command(config.Command{Kind: config.SetPeer, Server: m.ID, Text: []byte(m.HTTP)}); err != nil {
+	if r, err := s.Command(config.Command{Kind: config.SetMemberAddress, Server: m.ID, Payload: []byte(m.HTTP)}); err != nil {
 		return err
-	} else if r.Reason != config.Done {
+	} else if r.Reason != config.Applied {
 		return fmt.Errorf("%w: %s: %s", ErrMember, r.Reason, r.Detail)
 	}
 	return s.confirm(s.raft.AddNonvoter(raft.ServerID(m.ID), raft.ServerAddress(m.Raft), 0, applyLimit))
@@ -124,7 +124,7 @@
 	if id == s.config.ID {
 		return nil // what leads next drops its address, or nobody does: it is a line of text
 	}
-	_, err = s.Command(config.Command{Kind: config.DropPeer, Server: id})
+	_, err = s.Command(config.Command{Kind: config.RemoveMemberAddress, Server: id})
 	return err
 }
 
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -67,7 +67,7 @@
 		return r, fmt.Errorf("%w: %d of the other members %v answer: let them elect a leader, or stop them", ErrUnsafe, n, r.Dropped)
 	}
 	m := &machine{}
-	m.current.Store(config.New(&catalog.Catalog{}))
+	m.current.Store(config.NewState(&catalog.Catalog{}))
 	only := raft.Configuration{Servers: []raft.Server{{ID: raft.ServerID(c.ID), Address: raft.ServerAddress(me.Raft)}}}
 	if err := raft.RecoverCluster(rc, m, bolt, bolt, snaps, transport, only); err != nil {
 		return r, fmt.Errorf("store: recovery: %w", err)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -121,7 +121,7 @@
 	if initial == nil {
 		initial = &catalog.Catalog{}
 	}
-	s.machine.current.Store(config.New(initial))
+	s.machine.current.Store(config.NewState(initial))
 	bolt, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(c.Dir, "raft.db")})
 	if err != nil {
 		return nil, fmt.Errorf("store: log: %w", err)
@@ -215,7 +215,7 @@
 	} else if next == now {
 		return now, nil
 	}
-	return s.settle(config.Command{Kind: config.Patch, Text: patch})
+	return s.settle(config.Command{Kind: config.PatchSettings, Payload: patch})
 }
 
 // Step takes a step of an index's layout once a majority has it. A step that changes nothing is not replicated; one that
@@ -234,7 +234,7 @@
 	if next, err := l.Apply(c); err != nil || next == l {
 		return err
 	}
-	_, err = s.settle(config.Command{Kind: config.Layout, Index: index, Advance: &c})
+	_, err = s.settle(config.Command{Kind: config.AdvanceShardMap, Index: index, ShardMapCommand: &c})
 	return err
 }
 
@@ -259,7 +259,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	return s.settle(config.Command{Kind: config.Document, Text: data})
+	return s.settle(config.Command{Kind: config.ReplaceSettings, Payload: data})
 }
 
 // settle replicates a command upon the settings that hold here, and gives those that hold then. The lock is held.
@@ -267,12 +267,12 @@
 	if err := s.found(c); err != nil {
 		return nil, err
 	}
-	c.If = s.State().Revised()
+	c.ExpectedVersion = s.State().SettingsVersion()
 	r, err := s.apply(c)
 	if err != nil {
 		return nil, err
 	}
-	if r.Reason != config.Done {
+	if r.Reason != config.Applied {
 		return nil, refused(r)
 	}
 	return s.Current(), nil
@@ -280,15 +280,15 @@
 
 // found replicates this instance's settings before the first command that is no document: until then instances may differ.
 func (s *Store) found(c config.Command) error {
-	if s.State().Founded() || c.Kind == config.Document {
+	if s.State().Initialized() || c.Kind == config.ReplaceSettings {
 		return nil
 	}
 	data, err := json.Marshal(s.Current())
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	r, err := s.apply(config.Command{Kind: config.Document, Text: data})
-	if err == nil && r.Reason != config.Done {
+	r, err := s.apply(config.Command{Kind: config.ReplaceSettings, Payload: data})
+	if err == nil && r.Reason != config.Applied {
 		err = refused(r)
 	}
 	return err
@@ -296,7 +296,7 @@
 
 // Command replicates a command once a majority has it, and tells what it came to. Only the leader takes one.
 func (s *Store) Command(c config.Command) (config.Result, error) {
-	if c.Kind != config.Restrict {
+	if c.Kind != config.RestrictServer {
 		if err := s.admit(); err != nil {
 			return config.Result{}, err
 		}
@@ -372,7 +372,7 @@
 	addr, id := s.raft.LeaderWithID()
 	if id != "" && string(id) != s.config.ID {
 		m, _ := s.config.member(string(id))
-		if http, ok := s.State().Peer(string(id)); ok {
+		if http, ok := s.State().MemberAddress(string(id)); ok {
 			m.HTTP = http
 		}
 		return &NotLeader{Member{string(id), string(addr), m.HTTP}}
@@ -427,7 +427,7 @@
 	c, err := decode(entry.Data, now)
 	if err != nil {
 		err = fmt.Errorf("store: entry %d: %w", entry.Index, err)
-		if errors.Is(err, config.ErrFormat) {
+		if errors.Is(err, config.ErrUnknownFormat) {
 			m.halted.Store(&err)
 			event.StoreHalted.Log(entry.Index, err)
 		} else {
@@ -437,7 +437,7 @@
 	}
 	next, r := now.Apply(c)
 	m.set(next)
-	if r.Reason != config.Done {
+	if r.Reason != config.Applied {
 		event.SettingsBad.Log(entry.Index, refused(r))
 	} else if next.Settings() != now.Settings() {
 		event.SettingsChanged.Log(entry.Index)
@@ -454,7 +454,7 @@
 	if err == nil && doc.Revision != 0 && doc.Revision != now.Settings().Revision+1 {
 		err = fmt.Errorf("%w: revision %d after %d", ErrConflict, doc.Revision, now.Settings().Revision)
 	}
-	return config.Command{Kind: config.Document, Text: data}, err
+	return config.Command{Kind: config.ReplaceSettings, Payload: data}, err
 }
 
 // Snapshot is the state as it stands.
@@ -474,8 +474,8 @@
 	}
 	var s *config.State
 	if len(data) > 0 && data[0] == '{' {
-		s, _ = config.New(&catalog.Catalog{}).Apply(config.Command{Kind: config.Document, Text: data})
-		if !s.Founded() {
+		s, _ = config.NewState(&catalog.Catalog{}).Apply(config.Command{Kind: config.ReplaceSettings, Payload: data})
+		if !s.Initialized() {
 			err = catalog.ErrInvalid
 		}
 	} else {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -214,7 +214,7 @@
 // Two changes made on one document: the log holds both, and the second finds that another came first.
 func TestAChangeIsACompareAndSet(t *testing.T) {
 	m := &machine{}
-	m.current.Store(config.New(&catalog.Catalog{}))
+	m.current.Store(config.NewState(&catalog.Catalog{}))
 	apply := func(text string) any { return m.Apply(&raft.Log{Data: []byte(text)}) }
 	if err, bad := apply(`{"revision":1,"search":{"max_result_window":5}}`).(error); bad {
 		t.Fatal(err)
@@ -237,13 +237,13 @@
 // were whole, and what held before goes on holding. A newer program's snapshot or log brings it back.
 func TestAnEntryOfALaterProgram(t *testing.T) {
 	m := &machine{}
-	m.current.Store(config.New(&catalog.Catalog{}))
+	m.current.Store(config.NewState(&catalog.Catalog{}))
 	apply := func(data []byte) any { return m.Apply(&raft.Log{Data: data}) }
-	patch, err := config.Encode(config.Command{Kind: config.Document, Text: []byte(`{"search":{"max_result_window":5}}`)})
+	patch, err := config.Encode(config.Command{Kind: config.ReplaceSettings, Payload: []byte(`{"search":{"max_result_window":5}}`)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := apply(patch); r.(config.Result).Reason != config.Done {
+	if r := apply(patch); r.(config.Result).Reason != config.Applied {
 		t.Fatal(r)
 	}
 	sound, err := m.current.Load().Snapshot()
@@ -251,21 +251,21 @@
 		t.Fatal(err)
 	}
 	for _, data := range [][]byte{{99, 1}, patch} {
-		if err, _ := apply(data).(error); !errors.Is(err, config.ErrFormat) {
+		if err, _ := apply(data).(error); !errors.Is(err, config.ErrUnknownFormat) {
 			t.Errorf("%x: %v", data, err)
 		}
 	}
-	if _, err := m.Snapshot(); !errors.Is(err, config.ErrFormat) {
+	if _, err := m.Snapshot(); !errors.Is(err, config.ErrUnknownFormat) {
 		t.Errorf("a snapshot of what is not held: %v", err)
 	}
 	s := &Store{machine: m}
-	if err := s.leads(); !errors.Is(err, config.ErrFormat) || s.Current().Window() != 5 {
+	if err := s.leads(); !errors.Is(err, config.ErrUnknownFormat) || s.Current().Window() != 5 {
 		t.Errorf("%v, window %d", err, s.Current().Window())
 	}
 	if err := m.Restore(io.NopCloser(bytes.NewReader(sound))); err != nil {
 		t.Fatal(err)
 	}
-	if r, ok := apply(patch).(config.Result); !ok || r.Reason != config.Done {
+	if r, ok := apply(patch).(config.Result); !ok || r.Reason != config.Applied {
 		t.Errorf("after a snapshot: %+v", r)
 	}
 	for i := range sound { // a snapshot that was cut is never taken
@@ -304,17 +304,17 @@
 			return len(hashes) == 1
 		})
 	}
-	add := config.Command{Kind: config.AddServer, Client: "me", Seq: 1, Server: "s-9", Spec: &config.Spec{Addr: "127.0.0.1:1"}}
+	add := config.Command{Kind: config.AddServer, ClientID: "me", Seq: 1, Server: "s-9", Spec: &config.ServerSpec{Addr: "127.0.0.1:1"}}
 	first := command(add)
-	if again := command(add); first.Reason != config.Done || again.Version != first.Version {
+	if again := command(add); first.Reason != config.Applied || again.Version != first.Version {
 		t.Errorf("%+v, asked again %+v", first, again)
 	}
 	order := restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: "n0", Incarnation: 1}, Seq: 1}, Server: "s-9", Level: restriction.Draining}
-	if r := command(config.Command{Kind: config.Restrict, Order: &order}); r.Reason != config.Bare {
+	if r := command(config.Command{Kind: config.RestrictServer, Restriction: &order}); r.Reason != config.NoReplicaLeft {
 		t.Errorf("the last of its cell was drained: %+v", r)
 	}
 	order.Force, order.ID.Seq = true, 2
-	if r := command(config.Command{Kind: config.Restrict, Order: &order}); r.Reason != config.Done || len(r.Bare) != 1 {
+	if r := command(config.Command{Kind: config.RestrictServer, Restriction: &order}); r.Reason != config.Applied || len(r.UncoveredShards) != 1 {
 		t.Errorf("forced: %+v", r)
 	}
 	c.change(window(7))
@@ -328,8 +328,8 @@
 	}
 	c.everywhere(7)
 	alike()
-	if got := c.stores[0].State(); got.Restriction("s-9") != restriction.Draining || len(got.Withdrawn()) != 1 {
-		t.Errorf("%s, %+v", got.Restriction("s-9"), got.Withdrawn())
+	if got := c.stores[0].State(); got.Restriction("s-9") != restriction.Draining || len(got.RejectedRestrictions()) != 1 {
+		t.Errorf("%s, %+v", got.Restriction("s-9"), got.RejectedRestrictions())
 	}
 }
 
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -213,39 +213,39 @@
 	order := func(seq uint64, server string, kind restriction.Level, force bool) *restriction.Request {
 		return &restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: storedMember, Incarnation: 1}, Seq: seq}, Server: server, Level: kind, Force: force}
 	}
-	spec := &config.Spec{Addr: "10.0.0.1:9200", Zone: "zone-a", Kind: "large", Cell: 3}
+	spec := &config.ServerSpec{Addr: "10.0.0.1:9200", Zone: "zone-a", Kind: "large", Cell: 3}
 	split := &layout.Order{Kind: layout.Split, Slices: []layout.SliceID{layout.FirstSlice}, Into: 2, To: [][]string{{"s-4"}, {"s-5"}}}
 	move := &layout.Order{Kind: layout.Move, Slices: []layout.SliceID{layout.FirstSlice + 1}, To: [][]string{{"s-6", "s-7"}}}
 	both := map[layout.SliceID][]string{layout.FirstSlice + 2: {"s-4"}, layout.FirstSlice + 3: {"s-5"}}
 	step := func(c layout.Command) config.Command {
-		return config.Command{Kind: config.Layout, Index: "players", Advance: &c}
+		return config.Command{Kind: config.AdvanceShardMap, Index: "players", ShardMapCommand: &c}
 	}
 	for _, c := range []struct {
 		command config.Command
 		want    config.Reason
 	}{
-		{config.Command{Kind: config.Document, Text: []byte(baseDocument)}, config.Done},
-		{config.Command{Kind: config.AddServer, Client: "ops", Seq: 1, Server: "s-1", Spec: spec}, config.Done},
-		{config.Command{Kind: config.AddServer, Client: "ops", Seq: 2, Server: "s-9", Spec: &config.Spec{Addr: "10.0.0.9:9200", Cell: 1}}, config.Done},
-		{config.Command{Kind: config.ChangeServer, Client: "robot", Seq: 7, If: 2, Server: "s-1", Spec: &config.Spec{Addr: "10.0.0.2:9200", Zone: "zone-b", Kind: "small", Cell: 3}}, config.Done},
-		{config.Command{Kind: config.AddServer, Client: "late", Seq: 4, Server: "s-1", Spec: spec}, config.There},
-		{config.Command{Kind: config.SetWeight, Server: "s-2", Weight: 0.75}, config.Done},
-		{config.Command{Kind: config.Restrict, Order: order(1, "s-2", restriction.Draining, false)}, config.Done},
-		{config.Command{Kind: config.Restrict, Order: order(2, "s-3", restriction.Draining, false)}, config.Bare},
-		{config.Command{Kind: config.Restrict, Client: "force", Seq: 1, Order: order(3, "s-9", restriction.Removed, true)}, config.Done},
-		{config.Command{Kind: config.Restrict, Order: order(5, "s-1", restriction.Draining, true)}, config.Done},
-		{config.Command{Kind: config.Undrain, Server: "s-2", Names: []restriction.ID{order(7, "", 0, false).ID}}, config.Done},
-		{config.Command{Kind: config.Patch, Text: []byte(`{"search.max_result_window":250,"servers":{"s-2":null,"s-3":{"protocol":"search"}}}`)}, config.Done},
-		{step(layout.Command{At: 1, Order: split}), config.Done},
-		{step(layout.Command{Order: move}), config.Done},
-		{step(layout.Command{Advance: &layout.Advance{Plan: 1, Step: layout.Copying}}), config.Done},
-		{step(layout.Command{Advance: &layout.Advance{Plan: 1, Step: layout.BothHold, Holding: both}}), config.Done},
-		{step(layout.Command{Advance: &layout.Advance{Plan: 1, Step: layout.Switched, Holding: both}}), config.Done},
-		{step(layout.Command{Abandon: &layout.Abandon{Plan: 2, Why: "the target is down"}}), config.Done},
+		{config.Command{Kind: config.ReplaceSettings, Payload: []byte(baseDocument)}, config.Applied},
+		{config.Command{Kind: config.AddServer, ClientID: "ops", Seq: 1, Server: "s-1", Spec: spec}, config.Applied},
+		{config.Command{Kind: config.AddServer, ClientID: "ops", Seq: 2, Server: "s-9", Spec: &config.ServerSpec{Addr: "10.0.0.9:9200", Cell: 1}}, config.Applied},
+		{config.Command{Kind: config.UpdateServer, ClientID: "robot", Seq: 7, ExpectedVersion: 2, Server: "s-1", Spec: &config.ServerSpec{Addr: "10.0.0.2:9200", Zone: "zone-b", Kind: "small", Cell: 3}}, config.Applied},
+		{config.Command{Kind: config.AddServer, ClientID: "late", Seq: 4, Server: "s-1", Spec: spec}, config.ServerExists},
+		{config.Command{Kind: config.SetServerWeight, Server: "s-2", Weight: 0.75}, config.Applied},
+		{config.Command{Kind: config.RestrictServer, Restriction: order(1, "s-2", restriction.Draining, false)}, config.Applied},
+		{config.Command{Kind: config.RestrictServer, Restriction: order(2, "s-3", restriction.Draining, false)}, config.NoReplicaLeft},
+		{config.Command{Kind: config.RestrictServer, ClientID: "force", Seq: 1, Restriction: order(3, "s-9", restriction.Removed, true)}, config.Applied},
+		{config.Command{Kind: config.RestrictServer, Restriction: order(5, "s-1", restriction.Draining, true)}, config.Applied},
+		{config.Command{Kind: config.UndrainServer, Server: "s-2", WithdrawnIDs: []restriction.ID{order(7, "", 0, false).ID}}, config.Applied},
+		{config.Command{Kind: config.PatchSettings, Payload: []byte(`{"search.max_result_window":250,"servers":{"s-2":null,"s-3":{"protocol":"search"}}}`)}, config.Applied},
+		{step(layout.Command{At: 1, Order: split}), config.Applied},
+		{step(layout.Command{Order: move}), config.Applied},
+		{step(layout.Command{Advance: &layout.Advance{Plan: 1, Step: layout.Copying}}), config.Applied},
+		{step(layout.Command{Advance: &layout.Advance{Plan: 1, Step: layout.BothHold, Holding: both}}), config.Applied},
+		{step(layout.Command{Advance: &layout.Advance{Plan: 1, Step: layout.Switched, Holding: both}}), config.Applied},
+		{step(layout.Command{Abandon: &layout.Abandon{Plan: 2, Why: "the target is down"}}), config.Applied},
 		{step(layout.Command{Order: &layout.Order{Kind: layout.Merge, Slices: []layout.SliceID{layout.FirstSlice + 2, layout.FirstSlice + 3}, To: [][]string{{"s-4"}}}}), config.Conflict},
-		{config.Command{Kind: config.SetPeer, Server: "n2", Text: []byte("10.0.1.2:9300")}, config.Done},
-		{config.Command{Kind: config.SetPeer, Server: "n3", Text: []byte("10.0.1.3:9300")}, config.Done},
-		{config.Command{Kind: config.DropPeer, Server: "n2"}, config.Done},
+		{config.Command{Kind: config.SetMemberAddress, Server: "n2", Payload: []byte("10.0.1.2:9300")}, config.Applied},
+		{config.Command{Kind: config.SetMemberAddress, Server: "n3", Payload: []byte("10.0.1.3:9300")}, config.Applied},
+		{config.Command{Kind: config.RemoveMemberAddress, Server: "n2"}, config.Applied},
 	} {
 		mustCommand(t, s, c.command, c.want)
 	}
@@ -264,12 +264,12 @@
 	s := mustOpenStored(t, dir, 0)
 	createEveryKind(t, s)
 	takeSnapshot(t, s)
-	mustCommand(t, s, config.Command{Kind: config.SetWeight, Server: "s-4", Weight: 1.25}, config.Done)
+	mustCommand(t, s, config.Command{Kind: config.SetServerWeight, Server: "s-4", Weight: 1.25}, config.Applied)
 	if err := s.Join(Member{ID: storedLearner, Raft: storedAddress + "1", HTTP: "http-1"}); err != nil {
 		t.Fatal(err)
 	}
 	takeSnapshot(t, s)
-	mustCommand(t, s, config.Command{Kind: config.SetWeight, Server: "s-5", Weight: 1.5}, config.Done)
+	mustCommand(t, s, config.Command{Kind: config.SetServerWeight, Server: "s-5", Weight: 1.5}, config.Applied)
 	mustClose(t, s)
 }
 
@@ -279,10 +279,10 @@
 	createEveryKind(t, s)
 	takeSnapshot(t, s)
 	for i := range 6 {
-		mustCommand(t, s, config.Command{Kind: config.SetWeight, Server: "s-4", Weight: float64(i + 1)}, config.Done)
+		mustCommand(t, s, config.Command{Kind: config.SetServerWeight, Server: "s-4", Weight: float64(i + 1)}, config.Applied)
 	}
 	takeSnapshot(t, s)
-	mustCommand(t, s, config.Command{Kind: config.SetWeight, Server: "s-5", Weight: 1.5}, config.Done)
+	mustCommand(t, s, config.Command{Kind: config.SetServerWeight, Server: "s-5", Weight: 1.5}, config.Applied)
 	mustClose(t, s)
 }
 
@@ -312,7 +312,7 @@
 			t.Fatal(err)
 		}
 	}
-	mustCommand(t, s, config.Command{Kind: config.SetWeight, Server: "s-2", Weight: 3}, config.Done)
+	mustCommand(t, s, config.Command{Kind: config.SetServerWeight, Server: "s-2", Weight: 3}, config.Applied)
 	mustClose(t, s)
 }
 
@@ -330,7 +330,7 @@
 	if err := s.raft.Apply([]byte(documents[1]), applyLimit).Error(); err != nil {
 		t.Fatal(err)
 	}
-	mustCommand(t, s, config.Command{Kind: config.SetWeight, Server: "s-2", Weight: 3}, config.Done)
+	mustCommand(t, s, config.Command{Kind: config.SetServerWeight, Server: "s-2", Weight: 3}, config.Applied)
 	snaps, err := raft.NewFileSnapshotStoreWithLogger(dir, keepSnaps, event.Raft())
 	if err != nil {
 		t.Fatal(err)
@@ -472,7 +472,7 @@
 func requireRestored(t *testing.T, data []byte) {
 	t.Helper()
 	m := &machine{}
-	m.current.Store(config.New(&catalog.Catalog{}))
+	m.current.Store(config.NewState(&catalog.Catalog{}))
 	if err := m.Restore(io.NopCloser(bytes.NewReader(data))); err != nil {
 		t.Fatal(err)
 	}
@@ -486,22 +486,22 @@
 
 // storedState is the state that an opened store gives, under names of the fixtures' own.
 type storedState struct {
-	Version   uint64                   `json:"version"`
-	Revised   uint64                   `json:"revised"`
-	Hash      string                   `json:"hash"`
-	Servers   map[string]config.Server `json:"servers"`
-	Agreed    map[string]string        `json:"agreed"`
-	Gone      []string                 `json:"gone"`
-	Settled   []string                 `json:"settled"`
-	Withdrawn []config.Withdrawn       `json:"withdrawn"`
-	Peers     map[string]string        `json:"peers"`
-	Members   []string                 `json:"members"`
-	Window    int                      `json:"window"`
-	Timeout   string                   `json:"timeout"`
-	Partial   bool                     `json:"allow_partial"`
-	Protocols map[string]string        `json:"protocols"`
-	Settings  *catalog.Catalog         `json:"settings"`
-	Snapshot  string                   `json:"snapshot"`
+	Version   uint64                       `json:"version"`
+	Revised   uint64                       `json:"revised"`
+	Hash      string                       `json:"hash"`
+	Servers   map[string]config.Server     `json:"servers"`
+	Agreed    map[string]string            `json:"agreed"`
+	Gone      []string                     `json:"gone"`
+	Settled   []string                     `json:"settled"`
+	Withdrawn []config.RejectedRestriction `json:"withdrawn"`
+	Peers     map[string]string            `json:"peers"`
+	Members   []string                     `json:"members"`
+	Window    int                          `json:"window"`
+	Timeout   string                       `json:"timeout"`
+	Partial   bool                         `json:"allow_partial"`
+	Protocols map[string]string            `json:"protocols"`
+	Settings  *catalog.Catalog             `json:"settings"`
+	Snapshot  string                       `json:"snapshot"`
 }
 
 func readState(t *testing.T, s *Store) storedState {
@@ -517,13 +517,13 @@
 	}
 	requireRestored(t, data)
 	c := now.Settings()
-	out := storedState{Version: now.Version(), Revised: now.Revised(), Hash: hash, Servers: map[string]config.Server{}, Agreed: map[string]string{},
-		Gone: now.Gone(), Withdrawn: now.Withdrawn(), Peers: map[string]string{}, Window: c.Window(), Timeout: c.Timeout().String(),
+	out := storedState{Version: now.Version(), Revised: now.SettingsVersion(), Hash: hash, Servers: map[string]config.Server{}, Agreed: map[string]string{},
+		Gone: now.RemovedIDs(), Withdrawn: now.RejectedRestrictions(), Peers: map[string]string{}, Window: c.Window(), Timeout: c.Timeout().String(),
 		Partial: c.AllowPartial(), Protocols: map[string]string{}, Settings: c, Snapshot: diagnose(t, data)}
-	for _, id := range now.Servers() {
+	for _, id := range now.ServerIDs() {
 		out.Servers[id], _ = now.Server(id)
 	}
-	for _, id := range append(now.Servers(), now.Gone()...) {
+	for _, id := range append(now.ServerIDs(), now.RemovedIDs()...) {
 		out.Agreed[id] = now.Restriction(id).String()
 	}
 	for _, m := range now.Settled().Intervals() {
@@ -531,7 +531,7 @@
 	}
 	for i := range 5 {
 		id := fmt.Sprint("n", i)
-		if addr, ok := now.Peer(id); ok {
+		if addr, ok := now.MemberAddress(id); ok {
 			out.Peers[id] = addr
 		}
 	}
@@ -584,7 +584,7 @@
 // The log fixtures hold a command of every kind.
 func TestStoredLogHoldsEveryKind(t *testing.T) {
 	quiet(t)
-	seen := map[config.Kind]bool{}
+	seen := map[config.CommandKind]bool{}
 	bolt, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(copyFixture(t, "log"), logName)})
 	if err != nil {
 		t.Fatal(err)
@@ -608,7 +608,7 @@
 		}
 		seen[c.Kind] = true
 	}
-	for k := config.AddServer; k <= config.DropPeer; k++ {
+	for k := config.AddServer; k <= config.RemoveMemberAddress; k++ {
 		if !seen[k] {
 			t.Errorf("no command of kind %d", k)
 		}
--- a/internal/store/stored_truncated_test.go
+++ b/internal/store/stored_truncated_test.go
@@ -129,7 +129,7 @@
 				}
 				defer mustClose(t, s)
 				(&cluster{t: t}).until("the cut entry halts the instance", func() bool { return s.machine.halted.Load() != nil })
-				if _, err := s.Read(); !errors.Is(err, config.ErrFormat) {
+				if _, err := s.Read(); !errors.Is(err, config.ErrUnknownFormat) {
 					t.Errorf("read: %v", err)
 				}
 				got, err := s.State().Snapshot()
@@ -151,7 +151,7 @@
 	defer bolt.Close()
 	l := lastCommand(t, bolt)
 	m := &machine{}
-	m.current.Store(config.New(&catalog.Catalog{Search: catalog.Defaults{MaxResultWindow: storedWindow}}))
+	m.current.Store(config.NewState(&catalog.Catalog{Search: catalog.Defaults{MaxResultWindow: storedWindow}}))
 	for i := uint64(1); i < l.Index; i++ {
 		var e raft.Log
 		if err := bolt.GetLog(i, &e); err != nil {
@@ -185,7 +185,7 @@
 			if err != nil || !bytes.Equal(got, before) {
 				t.Errorf("state %q, %v; want %q", got, err, before)
 			}
-			mustCommand(t, s, config.Command{Kind: config.SetWeight, Server: "s-2", Weight: 4}, config.Done)
+			mustCommand(t, s, config.Command{Kind: config.SetServerWeight, Server: "s-2", Weight: 4}, config.Applied)
 		})
 	}
 }
