--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -13,8 +13,8 @@
 	"strings"
 	"time"
 
-	"linkpass/internal/agree"
 	"linkpass/internal/catalog"
+	"linkpass/internal/endpoints"
 	"linkpass/internal/event"
 	"linkpass/internal/http1"
 	"linkpass/internal/layout"
@@ -313,7 +313,7 @@
 	if errors.As(err, &other) {
 		return fail(421, fmt.Errorf("%w; ask there", err))
 	}
-	var refused *agree.Refused
+	var refused *endpoints.RejectedError
 	if errors.As(err, &refused) || errors.Is(err, ErrNoStore) ||
 		errors.Is(err, store.ErrMember) || errors.Is(err, store.ErrMajority) || errors.Is(err, store.ErrBehind) {
 		return fail(409, err)
--- a/internal/control/wire_golden_test.go
+++ b/internal/control/wire_golden_test.go
@@ -13,12 +13,12 @@
 	"testing"
 	"time"
 
-	"linkpass/internal/agree"
 	"linkpass/internal/catalog"
 	"linkpass/internal/config"
 	"linkpass/internal/config/restriction"
 	"linkpass/internal/control/seal"
 	"linkpass/internal/counters"
+	"linkpass/internal/endpoints"
 	"linkpass/internal/goldentest"
 	"linkpass/internal/http1"
 	"linkpass/internal/layout"
@@ -187,7 +187,7 @@
 		status int
 	}{
 		{"not the leader", &store.NotLeader{Leader: store.Member{ID: "b", HTTP: "127.0.0.1:9200"}}, 421},
-		{"refused by the log", &agree.Refused{Result: config.Result{Reason: config.ServerNotFound}}, 409},
+		{"refused by the log", &endpoints.RejectedError{Result: config.Result{Reason: config.ServerNotFound}}, 409},
 		{"no store", ErrNoStore, 409}, {"member", store.ErrMember, 409}, {"majority", store.ErrMajority, 409}, {"behind", store.ErrBehind, 409},
 		{"too large", store.ErrTooLarge, 413}, {"busy", store.ErrBusy, 429}, {"no quorum", store.ErrNoQuorum, 503}, {"no leader", store.ErrNoLeader, 503},
 	} {
@@ -257,7 +257,7 @@
 		}
 	})
 	h := Handler{&fixedCoordinator{store: s}}
-	for end := time.Now().Add(30 * time.Second); !s.Leads(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(30 * time.Second); !s.IsLeader(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("no leader was elected")
 		}
--- a/internal/daemon/agree.go
+++ b/internal/daemon/agree.go
@@ -11,13 +11,13 @@
 	"strings"
 	"time"
 
-	"linkpass/internal/agree"
 	"linkpass/internal/config"
 	"linkpass/internal/config/restriction"
 	"linkpass/internal/config/rollback"
 	"linkpass/internal/control"
 	"linkpass/internal/coordinator"
 	"linkpass/internal/discovery"
+	"linkpass/internal/endpoints"
 	"linkpass/internal/http1"
 	"linkpass/internal/store"
 )
@@ -71,8 +71,8 @@
 			spread[m.ID] = tellOrders(c.ID, m.HTTP)
 		}
 	}
-	p.agreement = agree.New(agree.Config{Me: c.ID, Boot: uint64(time.Now().UnixNano()), Next: p.listeners().UpdateEndpoints, Spread: spread, Counters: p.count,
-		Member: func(id string, s config.ServerSpec) (coordinator.Endpoint, error) {
+	p.agreement = endpoints.New(endpoints.Config{InstanceID: c.ID, Incarnation: uint64(time.Now().UnixNano()), OnUpdate: p.listeners().UpdateEndpoints, Broadcast: spread, Counters: p.count,
+		ResolveEndpoint: func(id string, s config.ServerSpec) (coordinator.Endpoint, error) {
 			l, err := reader.List(discovery.Document{Servers: []discovery.Server{{ID: id, Addr: s.Addr, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell, State: "in_service", Weight: 1}}})
 			if err != nil {
 				return coordinator.Endpoint{}, err
@@ -91,7 +91,7 @@
 // agreedList is the core as discovery's watcher sees it where instances agree on the list too.
 type agreedList struct {
 	*coordinator.Core
-	agreement *agree.Agreement
+	agreement *endpoints.Registry
 }
 
 // UpdateEndpoints hands discovery's news to the agreement, which hands on the list's.
@@ -200,7 +200,7 @@
 		if id, ok := cutFrom(req.Query); ok && among(members, id) {
 			from = id
 		}
-		if err := p.agreement.Hear(from, orders); err != nil {
+		if err := p.agreement.ReceiveRestrictions(from, orders); err != nil {
 			return &http1.Response{Status: 503, Body: []byte(err.Error() + "\n")}
 		}
 		return &http1.Response{Status: 200}
@@ -230,7 +230,7 @@
 	for _, id := range s.ServerIDs() {
 		out.Servers[id], _ = s.Server(id)
 	}
-	out.Removed, out.Withdrawn, out.Unsettled = s.RemovedIDs(), s.RejectedRestrictions(), p.agreement.Unsettled()
+	out.Removed, out.Withdrawn, out.Unsettled = s.RemovedIDs(), s.RejectedRestrictions(), p.agreement.PendingRestrictions()
 	if out.Hash, err = s.Hash(); err != nil {
 		return out, err
 	}
@@ -258,7 +258,7 @@
 		return control.Ordered{Holds: "here, and wherever it is heard; the log settles it", Order: order.ID.String()}, nil
 	case "undrain":
 		c.Kind = config.UndrainServer
-		for _, open := range p.agreement.Unsettled() {
+		for _, open := range p.agreement.PendingRestrictions() {
 			if open.Server == o.Server && open.Level == restriction.Draining {
 				c.WithdrawnIDs = append(c.WithdrawnIDs, open.ID)
 			}
@@ -269,17 +269,17 @@
 		}
 		c.Spec = o.Spec
 		if o.Spec != nil && o.Spec.Cell >= p.cfg.module.Cells {
-			return out, &agree.Refused{Result: config.Result{Reason: config.Invalid, Detail: fmt.Sprintf("there are %d cells", p.cfg.module.Cells)}}
+			return out, &endpoints.RejectedError{Result: config.Result{Reason: config.Invalid, Detail: fmt.Sprintf("there are %d cells", p.cfg.module.Cells)}}
 		}
 	case "weight":
 		c.Kind, c.Weight = config.SetServerWeight, o.Weight
 	default:
-		return out, &agree.Refused{Result: config.Result{Reason: config.Invalid, Detail: fmt.Sprintf("no such order: %.40q", o.Verb)}}
+		return out, &endpoints.RejectedError{Result: config.Result{Reason: config.Invalid, Detail: fmt.Sprintf("no such order: %.40q", o.Verb)}}
 	}
-	r, err := st.Command(c)
+	r, err := st.Propose(c)
 	var other *store.NotLeader
 	if err == nil && r.Reason != config.Applied {
-		err = &agree.Refused{Result: r}
+		err = &endpoints.RejectedError{Result: r}
 	} else if errors.As(err, &other) {
 		err = fmt.Errorf("%w; ask there", err)
 	}
--- a/internal/daemon/fronts.go
+++ b/internal/daemon/fronts.go
@@ -163,14 +163,14 @@
 	answers := opensearch.FixedSettings(p.fixed.Load)
 	if p.cfg.Search.Store.ID != "" {
 		c := p.cfg.Search.Store
-		c.Initial, c.Changed, c.Applied, c.Report = initial, p.layouts.take, p.agreement.Applied, tellMark
+		c.Initial, c.Changed, c.Applied, c.Report = initial, p.layouts.take, p.agreement.LogApplied, tellMark
 		s, err := store.Open(c)
 		if err != nil {
 			return nil, err
 		}
 		p.store = s
 		p.opened.Store(s)
-		p.agreement.Open(s)
+		p.agreement.Attach(s)
 		p.settle(s.Current)
 		answers = opensearch.StoreSettings(s)
 	}
--- a/internal/daemon/reshape.go
+++ b/internal/daemon/reshape.go
@@ -94,10 +94,10 @@
 // stored is the store, which opens later than the steward is made.
 type stored struct{ p *Program }
 
-// Leads tells whether this instance leads.
-func (s stored) Leads() bool {
+// IsLeader tells whether this instance leads.
+func (s stored) IsLeader() bool {
 	st := s.p.opened.Load()
-	return st != nil && st.Leads()
+	return st != nil && st.IsLeader()
 }
 
 // Current is the document as this instance has it.
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -15,13 +15,13 @@
 	"time"
 
 	"linkpass"
-	"linkpass/internal/agree"
 	"linkpass/internal/bodies"
 	"linkpass/internal/bodies/tier"
 	"linkpass/internal/catalog"
 	"linkpass/internal/coordinator"
 	"linkpass/internal/counters"
 	"linkpass/internal/discovery"
+	"linkpass/internal/endpoints"
 	"linkpass/internal/event"
 	"linkpass/internal/frame"
 	"linkpass/internal/handover"
@@ -60,8 +60,8 @@
 	store      *store.Store // nil: off
 	opened     atomic.Pointer[store.Store]
 	layouts    *layouts
-	steward    *steward.Steward // of the layouts; nil: no store
-	agreement  *agree.Agreement // on servers; nil: no store
+	steward    *steward.Steward    // of the layouts; nil: no store
+	agreement  *endpoints.Registry // on servers; nil: no store
 	bodies     *bodies.Store
 	roster     roster
 	began      time.Time
--- a/internal/daemon/wire_golden_test.go
+++ b/internal/daemon/wire_golden_test.go
@@ -15,7 +15,6 @@
 	"testing"
 	"time"
 
-	"linkpass/internal/agree"
 	"linkpass/internal/catalog"
 	"linkpass/internal/config"
 	"linkpass/internal/config/restriction"
@@ -24,6 +23,7 @@
 	"linkpass/internal/coordinator"
 	"linkpass/internal/counters"
 	"linkpass/internal/discovery"
+	"linkpass/internal/endpoints"
 	"linkpass/internal/goldentest"
 	"linkpass/internal/http1"
 	"linkpass/internal/layout"
@@ -127,11 +127,11 @@
 	t.Cleanup(func() { _ = st.Close() })
 	p := &Program{count: counters.New()}
 	p.opened.Store(st)
-	p.agreement = agree.New(agree.Config{Me: "a", Boot: 9, Next: func(coordinator.EndpointUpdate) {}, Counters: p.count,
-		Member: func(id string, _ config.ServerSpec) (coordinator.Endpoint, error) {
+	p.agreement = endpoints.New(endpoints.Config{InstanceID: "a", Incarnation: 9, OnUpdate: func(coordinator.EndpointUpdate) {}, Counters: p.count,
+		ResolveEndpoint: func(id string, _ config.ServerSpec) (coordinator.Endpoint, error) {
 			return coordinator.Endpoint{Name: id}, nil
 		}})
-	p.agreement.Open(st)
+	p.agreement.Attach(st)
 	front := http1.HandlerFunc(func(context.Context, time.Duration, *http1.Request) *http1.Response {
 		return &http1.Response{Status: 299}
 	})
@@ -158,7 +158,7 @@
 	if res := send("orders_request.http"); res.Status != 200 || len(res.Body) != 0 {
 		t.Errorf("orders: %d %q", res.Status, res.Body)
 	}
-	if got := p.agreement.Unsettled(); !reflect.DeepEqual(got, goldenOrders) {
+	if got := p.agreement.PendingRestrictions(); !reflect.DeepEqual(got, goldenOrders) {
 		t.Errorf("orders received: %+v, want %+v", got, goldenOrders)
 	}
 	// Of the report every field counts: a disk that begins before the reported state is an old one.
--- a/internal/agree/agree.go
+++ b/internal/endpoints/agree.go
@@ -1,7 +1,7 @@
-// Package agree keeps an instance's list of servers by discovery and by what instances agree on: orders hold here at once,
+// Package endpoints keeps an instance's list of servers by discovery and by what instances agree on: orders hold here at once,
 // are spread beside the log, and are proposed until the log has settled them. It decides nothing that internal/config does
 // not decide.
-package agree
+package endpoints
 
 import (
 	"context"
@@ -20,21 +20,21 @@
 	"linkpass/internal/event"
 )
 
-// Log is the replicated store.
-type Log interface {
+// ReplicatedLog is the replicated store.
+type ReplicatedLog interface {
 	State() *config.State
-	Leads() bool
-	Command(config.Command) (config.Result, error)
+	IsLeader() bool
+	Propose(config.Command) (config.Result, error)
 }
 
 // Config sets up an instance's part.
 type Config struct {
-	Me       string // this instance's id
-	Boot     uint64 // of this process; grows from one to the next
-	Next     func(coordinator.EndpointUpdate)
-	Member   func(id string, spec config.ServerSpec) (coordinator.Endpoint, error) // how an added server is listed
-	Spread   map[string]func(context.Context, []restriction.Request) error         // to each other instance, by id
-	Counters *counters.Set
+	InstanceID      string // this instance's id
+	Incarnation     uint64 // of this process; grows from one to the next
+	OnUpdate        func(coordinator.EndpointUpdate)
+	ResolveEndpoint func(id string, spec config.ServerSpec) (coordinator.Endpoint, error) // how an added server is listed
+	Broadcast       map[string]func(context.Context, []restriction.Request) error         // to each other instance, by id
+	Counters        *counters.Set
 }
 
 const (
@@ -47,17 +47,17 @@
 	spreadFor   = 10 * time.Second       // an order that the log has settled
 )
 
-// Agreement is an instance's part. Its methods may be called from anywhere.
-type Agreement struct {
+// Registry is an instance's part. Its methods may be called from anywhere.
+type Registry struct {
 	cfg  Config
 	wake []chan struct{} // one for each who works while something is unsettled
 
-	mu     sync.Mutex // also orders what goes to Next
-	heard  *restriction.PendingSet
-	merger *endpointmerge.Merger
-	log    Log // nil: not open yet
-	told   map[string]endpointmerge.Override
-	recent map[restriction.ID]recent
+	mu        sync.Mutex // also orders what goes to Next
+	pending   *restriction.PendingSet
+	merger    *endpointmerge.Merger
+	log       ReplicatedLog // nil: not open yet
+	announced map[string]endpointmerge.Override
+	recent    map[restriction.ID]recent
 }
 
 // recent is an order that came a moment ago. It is spread although the log has settled it here: another instance may hear
@@ -68,63 +68,63 @@
 }
 
 // New makes one that knows nothing yet.
-func New(c Config) *Agreement {
-	a := &Agreement{cfg: c, heard: restriction.NewPendingSet(restriction.Origin{Instance: c.Me, Incarnation: c.Boot}), merger: endpointmerge.New(), told: map[string]endpointmerge.Override{}, recent: map[restriction.ID]recent{}}
-	for range len(c.Spread) + 1 {
+func New(c Config) *Registry {
+	a := &Registry{cfg: c, pending: restriction.NewPendingSet(restriction.Origin{Instance: c.InstanceID, Incarnation: c.Incarnation}), merger: endpointmerge.New(), announced: map[string]endpointmerge.Override{}, recent: map[restriction.ID]recent{}}
+	for range len(c.Broadcast) + 1 {
 		a.wake = append(a.wake, make(chan struct{}, 1))
 	}
 	return a
 }
 
-// Open says that the log can be read from now on.
-func (a *Agreement) Open(log Log) {
+// Attach says that the log can be read from now on.
+func (a *Registry) Attach(log ReplicatedLog) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.log = log
-	a.tell(log.State().RemovedIDs())
+	a.announce(log.State().RemovedIDs())
 }
 
 // UpdateEndpoints takes discovery's news and hands on the list's.
-func (a *Agreement) UpdateEndpoints(l coordinator.EndpointUpdate) {
+func (a *Registry) UpdateEndpoints(l coordinator.EndpointUpdate) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.cfg.Next(a.merger.ApplyDiscovery(l))
+	a.cfg.OnUpdate(a.merger.ApplyDiscovery(l))
 }
 
-// Applied says that the log has moved on.
-func (a *Agreement) Applied() {
+// LogApplied says that the log has moved on.
+func (a *Registry) LogApplied() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.log == nil {
 		return
 	}
-	a.heard.DropSettled(a.log.State())
-	a.tell(nil)
+	a.pending.DropSettled(a.log.State())
+	a.announce(nil)
 }
 
-// tell hands on what has changed of servers, these and all that something is agreed of. The lock is held.
-func (a *Agreement) tell(names []string) {
+// announce hands on what has changed of servers, these and all that something is agreed of. The lock is held.
+func (a *Registry) announce(names []string) {
 	state := a.log.State()
 	names = append(names, state.ServerIDs()...)
-	for _, o := range a.heard.List() {
+	for _, o := range a.pending.List() {
 		names = append(names, o.Server)
 	}
-	for name := range a.told {
+	for name := range a.announced {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	news := map[string]endpointmerge.Override{}
 	for _, name := range slices.Compact(names) {
-		now := a.agreed(state, name)
-		if was := a.told[name]; !same(was, now) {
-			news[name], a.told[name] = now, now
+		now := a.override(state, name)
+		if was := a.announced[name]; !same(was, now) {
+			news[name], a.announced[name] = now, now
 		}
 		if now == (endpointmerge.Override{}) {
-			delete(a.told, name)
+			delete(a.announced, name)
 		}
 	}
 	if l := a.merger.ApplyOverrides(news); len(l.Endpoints) > 0 {
-		a.cfg.Next(l)
+		a.cfg.OnUpdate(l)
 	}
 }
 
@@ -132,11 +132,11 @@
 	return a.Restriction == b.Restriction && a.Weight == b.Weight && (a.Added == nil) == (b.Added == nil) && (a.Added == nil || *a.Added == *b.Added)
 }
 
-func (a *Agreement) agreed(state *config.State, name string) endpointmerge.Override {
+func (a *Registry) override(state *config.State, name string) endpointmerge.Override {
 	v, _ := state.Server(name)
-	now := endpointmerge.Override{Restriction: a.heard.Effective(state, name), Weight: v.Weight}
+	now := endpointmerge.Override{Restriction: a.pending.Effective(state, name), Weight: v.Weight}
 	if v.Spec != nil {
-		m, err := a.cfg.Member(name, *v.Spec)
+		m, err := a.cfg.ResolveEndpoint(name, *v.Spec)
 		if err != nil {
 			event.ListBad.Log(fmt.Errorf("agreed server %q: %w", name, err))
 			return now
@@ -146,23 +146,23 @@
 	return now
 }
 
-// ErrNotYet says that the store is not open.
-var ErrNotYet = errors.New("agree: the store is not open yet")
+// ErrStoreNotReady says that the store is not open.
+var ErrStoreNotReady = errors.New("agree: the store is not open yet")
 
 // Restrict takes a server out of service: here at once, elsewhere as soon as it is heard there, for good once the log has it.
 // What the log would refuse by what is known here is refused here.
-func (a *Agreement) Restrict(server string, kind restriction.Level, force bool) (restriction.Request, error) {
+func (a *Registry) Restrict(server string, kind restriction.Level, force bool) (restriction.Request, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.log == nil {
-		return restriction.Request{}, ErrNotYet
+		return restriction.Request{}, ErrStoreNotReady
 	}
 	state := a.log.State()
-	probe := restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: a.cfg.Me, Incarnation: a.cfg.Boot + 1}, Seq: 1}, Server: server, Level: kind, Force: force}
+	probe := restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: a.cfg.InstanceID, Incarnation: a.cfg.Incarnation + 1}, Seq: 1}, Server: server, Level: kind, Force: force}
 	if _, r := state.Apply(config.Command{Kind: config.RestrictServer, Restriction: &probe}); r.Reason != config.Applied && r.Reason != config.NotInitialized {
-		return restriction.Request{}, &Refused{r}
+		return restriction.Request{}, &RejectedError{r}
 	}
-	o, err := a.heard.Issue(server, kind, force)
+	o, err := a.pending.Issue(server, kind, force)
 	if err != nil {
 		return o, err
 	}
@@ -172,46 +172,46 @@
 	a.cfg.Counters.Add("orders_given", 1)
 	event.OrderHeard.Log(o.ID, o.Server, o.Level, "an operator")
 	a.remember(o)
-	a.tell(nil)
-	a.stir()
+	a.announce(nil)
+	a.wakeWorkers()
 	return o, nil
 }
 
-// Refused is a command that the log did not take, or would not.
-type Refused struct{ config.Result }
+// RejectedError is a command that the log did not take, or would not.
+type RejectedError struct{ config.Result }
 
 // Error says why.
-func (r *Refused) Error() string { return fmt.Sprintf("%s: %s", r.Reason, r.Detail) }
+func (r *RejectedError) Error() string { return fmt.Sprintf("%s: %s", r.Reason, r.Detail) }
 
-// Hear takes orders from another instance, beside the log.
-func (a *Agreement) Hear(from string, orders []restriction.Request) error {
+// ReceiveRestrictions takes orders from another instance, beside the log.
+func (a *Registry) ReceiveRestrictions(from string, orders []restriction.Request) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.log == nil {
-		return ErrNotYet
+		return ErrStoreNotReady
 	}
-	news := a.heard.Receive(a.log.State(), orders...)
+	news := a.pending.Receive(a.log.State(), orders...)
 	for _, o := range news {
 		a.cfg.Counters.Add("orders_heard", 1)
 		event.OrderHeard.Log(o.ID, o.Server, o.Level, from)
 		a.remember(o)
 	}
 	if len(news) > 0 {
-		a.tell(nil)
-		a.stir()
+		a.announce(nil)
+		a.wakeWorkers()
 	}
 	return nil
 }
 
-// Unsettled are the orders that the log has not decided yet.
-func (a *Agreement) Unsettled() []restriction.Request {
+// PendingRestrictions are the orders that the log has not decided yet.
+func (a *Registry) PendingRestrictions() []restriction.Request {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.heard.List()
+	return a.pending.List()
 }
 
 // remember keeps an order to be spread; the lock is held. Past the bound it is spread only until it is settled.
-func (a *Agreement) remember(o restriction.Request) {
+func (a *Registry) remember(o restriction.Request) {
 	now := time.Now()
 	maps.DeleteFunc(a.recent, func(_ restriction.ID, r recent) bool { return r.until.Before(now) })
 	if len(a.recent) < restriction.MaxPending {
@@ -219,11 +219,11 @@
 	}
 }
 
-// spreading are the orders that other instances are to hear of.
-func (a *Agreement) spreading() []restriction.Request {
+// toBroadcast are the orders that other instances are to hear of.
+func (a *Registry) toBroadcast() []restriction.Request {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	out := a.heard.List()
+	out := a.pending.List()
 	for id, r := range a.recent {
 		if r.until.After(time.Now()) && !slices.ContainsFunc(out, func(o restriction.Request) bool { return o.ID == id }) {
 			out = append(out, r.order)
@@ -232,8 +232,8 @@
 	return out
 }
 
-// stir wakes those who spread and propose.
-func (a *Agreement) stir() {
+// wakeWorkers wakes those who spread and propose.
+func (a *Registry) wakeWorkers() {
 	for _, c := range a.wake {
 		select {
 		case c <- struct{}{}:
@@ -244,23 +244,23 @@
 
 // Run spreads and proposes until the context ends: one worker for each other instance, so that one that hangs holds up
 // nobody, and one for the log.
-func (a *Agreement) Run(ctx context.Context) {
+func (a *Registry) Run(ctx context.Context) {
 	var all sync.WaitGroup
 	i := 0
-	for id, send := range a.cfg.Spread {
+	for id, send := range a.cfg.Broadcast {
 		wake := a.wake[i]
 		i++
 		all.Go(func() {
 			told := map[restriction.ID]bool{}
-			a.work(ctx, wake, a.spreading, func(open []restriction.Request) { a.spread(ctx, id, send, open, told) })
+			a.work(ctx, wake, a.toBroadcast, func(open []restriction.Request) { a.broadcast(ctx, id, send, open, told) })
 		})
 	}
-	all.Go(func() { a.work(ctx, a.wake[i], a.Unsettled, a.propose) })
+	all.Go(func() { a.work(ctx, a.wake[i], a.PendingRestrictions, a.propose) })
 	all.Wait()
 }
 
 // work does something again and again while there are orders for it, and sleeps otherwise.
-func (*Agreement) work(ctx context.Context, wake <-chan struct{}, orders func() []restriction.Request, do func([]restriction.Request)) {
+func (*Registry) work(ctx context.Context, wake <-chan struct{}, orders func() []restriction.Request, do func([]restriction.Request)) {
 	for tries := 0; ; tries++ {
 		var again <-chan time.Time
 		if open := orders(); len(open) > 0 {
@@ -281,8 +281,8 @@
 	}
 }
 
-// spread tells another instance what it has not confirmed to have heard.
-func (a *Agreement) spread(ctx context.Context, id string, send func(context.Context, []restriction.Request) error, open []restriction.Request, told map[restriction.ID]bool) {
+// broadcast tells another instance what it has not confirmed to have heard.
+func (a *Registry) broadcast(ctx context.Context, id string, send func(context.Context, []restriction.Request) error, open []restriction.Request, told map[restriction.ID]bool) {
 	still := map[restriction.ID]bool{}
 	var news []restriction.Request
 	for _, o := range open {
@@ -310,12 +310,12 @@
 }
 
 // propose asks the log to settle what is open, where this instance leads.
-func (a *Agreement) propose(open []restriction.Request) {
-	if !a.log.Leads() {
+func (a *Registry) propose(open []restriction.Request) {
+	if !a.log.IsLeader() {
 		return
 	}
 	for _, o := range open {
-		r, err := a.log.Command(config.Command{Kind: config.RestrictServer, Restriction: &o})
+		r, err := a.log.Propose(config.Command{Kind: config.RestrictServer, Restriction: &o})
 		if err != nil {
 			a.cfg.Counters.Add("orders_not_proposed", 1)
 			return // no majority now: asked again
--- a/internal/agree/agree_test.go
+++ b/internal/endpoints/agree_test.go
@@ -1,4 +1,4 @@
-package agree
+package endpoints
 
 import (
 	"context"
@@ -30,7 +30,7 @@
 	cut    [instances][instances]bool
 	log    []config.Command
 	states [instances]*config.State
-	nodes  [instances]*Agreement
+	nodes  [instances]*Registry
 	lists  [instances]map[string]linkpass.ServerState
 }
 
@@ -62,11 +62,11 @@
 			if !n.up(i, j) || n.chance(i, j, 0.3) {
 				return errLost
 			}
-			return n.nodes[j].Hear(fmt.Sprint("n", i), orders)
+			return n.nodes[j].ReceiveRestrictions(fmt.Sprint("n", i), orders)
 		}
 		if n.chance(i, j, 0.3) {
 			late := n.delay(i, j)
-			go func() { time.Sleep(late); _ = n.nodes[j].Hear("late", orders) }() // a copy that comes late, and past the others
+			go func() { time.Sleep(late); _ = n.nodes[j].ReceiveRestrictions("late", orders) }() // a copy that comes late, and past the others
 		}
 		if err := deliver(); err != nil {
 			return err
@@ -85,8 +85,8 @@
 }
 
 func (v view) State() *config.State { v.n.mu.Lock(); defer v.n.mu.Unlock(); return v.n.states[v.me] }
-func (v view) Leads() bool          { return v.me == 0 }
-func (v view) Command(c config.Command) (config.Result, error) {
+func (v view) IsLeader() bool       { return v.me == 0 }
+func (v view) Propose(c config.Command) (config.Result, error) {
 	time.Sleep(v.n.delay(v.me, v.me))
 	v.n.mu.Lock()
 	majority := false
@@ -117,7 +117,7 @@
 			}
 		}
 		n.mu.Unlock()
-		n.nodes[i].Applied()
+		n.nodes[i].LogApplied()
 	}
 	return last
 }
@@ -140,16 +140,16 @@
 				spread[fmt.Sprint("n", j)] = n.send(i, j)
 			}
 		}
-		n.nodes[i] = New(Config{Me: fmt.Sprint("n", i), Boot: 1, Counters: counters.New(), Spread: spread, Next: func(l coordinator.EndpointUpdate) {
+		n.nodes[i] = New(Config{InstanceID: fmt.Sprint("n", i), Incarnation: 1, Counters: counters.New(), Broadcast: spread, OnUpdate: func(l coordinator.EndpointUpdate) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			for _, s := range l.Endpoints {
 				n.lists[i][s.Name] = s.State
 			}
-		}, Member: func(string, config.ServerSpec) (coordinator.Endpoint, error) {
+		}, ResolveEndpoint: func(string, config.ServerSpec) (coordinator.Endpoint, error) {
 			return coordinator.Endpoint{}, errors.New("none was added")
 		}})
-		n.nodes[i].Open(view{n, i})
+		n.nodes[i].Attach(view{n, i})
 		l := coordinator.EndpointUpdate{Mode: linkpass.ListFull}
 		for s := range 8 {
 			l.Endpoints = append(l.Endpoints, coordinator.Endpoint{Name: fmt.Sprint("s", s), Entry: linkpass.Entry{State: linkpass.Ready}})
@@ -203,7 +203,7 @@
 			hash := ""
 			for i, a := range n.nodes {
 				h, err := n.states[i].Hash()
-				if open := a.Unsettled(); err != nil || len(open) > 0 || hash != "" && h != hash {
+				if open := a.PendingRestrictions(); err != nil || len(open) > 0 || hash != "" && h != hash {
 					t.Errorf("seed %d: n%d has %v open, state %s, %v", seed, i, open, h, err)
 				}
 				hash = h
--- a/internal/agree/wire_golden_test.go
+++ b/internal/endpoints/wire_golden_test.go
@@ -1,4 +1,4 @@
-package agree
+package endpoints
 
 import (
 	"context"
@@ -18,10 +18,10 @@
 type followerLog struct{ state *config.State }
 
 func (l followerLog) State() *config.State                        { return l.state }
-func (followerLog) Leads() bool                                   { return false }
-func (followerLog) Command(config.Command) (config.Result, error) { panic("a follower was asked") }
+func (followerLog) IsLeader() bool                                { return false }
+func (followerLog) Propose(config.Command) (config.Result, error) { panic("a follower was asked") }
 
-func openInstance(t *testing.T, name string, boot uint64) *Agreement {
+func openInstance(t *testing.T, name string, boot uint64) *Registry {
 	t.Helper()
 	state, r := config.NewState(&catalog.Catalog{}).Apply(config.Command{Kind: config.ReplaceSettings, Payload: []byte(`{"search":{}}`)})
 	if r.Reason != config.Applied {
@@ -33,11 +33,11 @@
 			t.Fatal(r)
 		}
 	}
-	a := New(Config{Me: name, Boot: boot, Next: func(coordinator.EndpointUpdate) {}, Counters: counters.New(),
-		Member: func(id string, _ config.ServerSpec) (coordinator.Endpoint, error) {
+	a := New(Config{InstanceID: name, Incarnation: boot, OnUpdate: func(coordinator.EndpointUpdate) {}, Counters: counters.New(),
+		ResolveEndpoint: func(id string, _ config.ServerSpec) (coordinator.Endpoint, error) {
 			return coordinator.Endpoint{Name: id}, nil
 		}})
-	a.Open(followerLog{state})
+	a.Attach(followerLog{state})
 	return a
 }
 
@@ -58,11 +58,11 @@
 		}
 	}
 	calls := 0
-	a.spread(context.Background(), "b", func(_ context.Context, orders []restriction.Request) error {
+	a.broadcast(context.Background(), "b", func(_ context.Context, orders []restriction.Request) error {
 		calls++
 		goldentest.Encodes(t, "orders_request.json", orders)
 		return nil
-	}, a.spreading(), map[restriction.ID]bool{})
+	}, a.toBroadcast(), map[restriction.ID]bool{})
 	if calls != 1 {
 		t.Errorf("%d calls", calls)
 	}
@@ -75,10 +75,10 @@
 	if err := json.Unmarshal(goldentest.Read(t, "orders_request.json"), &orders); err != nil {
 		t.Fatal(err)
 	}
-	if err := b.Hear("a", orders); err != nil {
+	if err := b.ReceiveRestrictions("a", orders); err != nil {
 		t.Fatal(err)
 	}
-	if got := b.Unsettled(); !reflect.DeepEqual(got, goldenOrders) {
+	if got := b.PendingRestrictions(); !reflect.DeepEqual(got, goldenOrders) {
 		t.Errorf("got %+v, want %+v", got, goldenOrders)
 	}
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -14,9 +14,9 @@
 	"testing"
 	"time"
 
-	"linkpass/internal/agree"
 	"linkpass/internal/config"
 	"linkpass/internal/control"
+	"linkpass/internal/endpoints"
 	"linkpass/internal/event"
 	"linkpass/internal/http1"
 	"linkpass/internal/standin"
@@ -241,7 +241,7 @@
 		t.Fatal(err)
 	}
 	holds(t, w.nodes, "s-01", "draining", true)
-	var refused *agree.Refused
+	var refused *endpoints.RejectedError
 	if err := order(w.nodes[1], "drain", "s-02", false); !errors.As(err, &refused) || refused.Reason != config.NoReplicaLeft {
 		t.Errorf("the last holder was drained: %v", err)
 	}
--- a/internal/layout/steward/steward.go
+++ b/internal/layout/steward/steward.go
@@ -47,7 +47,7 @@
 // Store is the replicated document.
 type Store interface {
 	Current() *catalog.Catalog
-	Leads() bool
+	IsLeader() bool
 	Step(index string, c layout.Command) error
 }
 
@@ -147,7 +147,7 @@
 			tick.Reset(poll)
 			limits, s.controller = l, nil // a new one reads the plans from the layouts, as after a change of leader
 		}
-		if !s.cfg.Store.Leads() {
+		if !s.cfg.Store.IsLeader() {
 			s.rest()
 			continue
 		}
--- a/internal/store/limits_test.go
+++ b/internal/store/limits_test.go
@@ -16,7 +16,7 @@
 	c := newCluster(t)
 	s := c.stores[c.change(window(7))]
 	big := config.Command{Kind: config.SetMemberAddress, Server: "n9", Payload: bytes.Repeat([]byte("x"), MaxCommand)}
-	if _, err := s.Command(big); !errors.Is(err, ErrTooLarge) {
+	if _, err := s.Propose(big); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("an entry over the bound: %v", err)
 	}
 	s.changes.SetLimit(0)
@@ -24,14 +24,14 @@
 	}
 	_, change := s.Change([]byte(window(8)))
 	_, update := s.Update(func(now *catalog.Catalog) (*catalog.Catalog, error) { return now.Patch([]byte(window(8))) })
-	_, command := s.Command(config.Command{Kind: config.SetServerWeight, Server: "s-1", Weight: 2})
+	_, command := s.Propose(config.Command{Kind: config.SetServerWeight, Server: "s-1", Weight: 2})
 	for _, err := range []error{change, update, command} {
 		if !errors.Is(err, ErrBusy) {
 			t.Errorf("one too many: %v", err)
 		}
 	}
 	order := restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: "n0", Incarnation: 1}, Seq: 1}, Server: "s-1", Level: restriction.Removed, Force: true}
-	if r, err := s.Command(config.Command{Kind: config.RestrictServer, Restriction: &order}); err != nil || r.Reason != config.Applied {
+	if r, err := s.Propose(config.Command{Kind: config.RestrictServer, Restriction: &order}); err != nil || r.Reason != config.Applied {
 		t.Errorf("an order: %+v %v", r, err)
 	}
 	if w := s.Current().Window(); w != 7 {
--- a/internal/store/marks_test.go
+++ b/internal/store/marks_test.go
@@ -102,7 +102,7 @@
 		_, err := s.ReadAs(Reading{Kind: Stale, MaxAge: DefaultMaxAge})
 		return errors.Is(err, rollback.ErrRolledBack)
 	})
-	if _, err := s.Change([]byte(window(1))); !errors.Is(err, rollback.ErrRolledBack) || s.Leads() {
+	if _, err := s.Change([]byte(window(1))); !errors.Is(err, rollback.ErrRolledBack) || s.IsLeader() {
 		t.Errorf("it goes on: %v", err)
 	}
 	c.stop(victim)
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -69,7 +69,7 @@
 	if len(peers) >= MaxMembers {
 		return fmt.Errorf("%w: %d members are the most", ErrMember, MaxMembers)
 	}
-	if r, err := s.Command(config.Command{Kind: config.SetMemberAddress, Server: m.ID, Payload: []byte(m.HTTP)}); err != nil {
+	if r, err := s.Propose(config.Command{Kind: config.SetMemberAddress, Server: m.ID, Payload: []byte(m.HTTP)}); err != nil {
 		return err
 	} else if r.Reason != config.Applied {
 		return fmt.Errorf("%w: %s: %s", ErrMember, r.Reason, r.Detail)
@@ -124,7 +124,7 @@
 	if id == s.config.ID {
 		return nil // what leads next drops its address, or nobody does: it is a line of text
 	}
-	_, err = s.Command(config.Command{Kind: config.RemoveMemberAddress, Server: id})
+	_, err = s.Propose(config.Command{Kind: config.RemoveMemberAddress, Server: id})
 	return err
 }
 
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -294,8 +294,8 @@
 	return err
 }
 
-// Command replicates a command once a majority has it, and tells what it came to. Only the leader takes one.
-func (s *Store) Command(c config.Command) (config.Result, error) {
+// Propose replicates a command once a majority has it, and tells what it came to. Only the leader takes one.
+func (s *Store) Propose(c config.Command) (config.Result, error) {
 	if c.Kind != config.RestrictServer {
 		if err := s.admit(); err != nil {
 			return config.Result{}, err
@@ -380,8 +380,8 @@
 	return ErrNoLeader
 }
 
-// Leads tells whether this instance is the leader, as far as it knows.
-func (s *Store) Leads() bool { return s.raft.State() == raft.Leader }
+// IsLeader tells whether this instance is the leader, as far as it knows.
+func (s *Store) IsLeader() bool { return s.raft.State() == raft.Leader }
 
 // Close stops the instance; its state stays on disk.
 func (s *Store) Close() error {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -283,7 +283,7 @@
 		c.until("a leader", func() bool {
 			for _, s := range c.stores {
 				var err error
-				if r, err = s.Command(cmd); err == nil {
+				if r, err = s.Propose(cmd); err == nil {
 					return true
 				}
 			}
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -92,7 +92,7 @@
 func awaitLeader(t testing.TB, s *Store) {
 	t.Helper()
 	(&cluster{t: t}).until("the only voter leads and has applied its log", func() bool {
-		return s.Leads() && s.raft.Barrier(applyLimit).Error() == nil
+		return s.IsLeader() && s.raft.Barrier(applyLimit).Error() == nil
 	})
 }
 
@@ -202,7 +202,7 @@
 // mustCommand replicates a command that must be taken.
 func mustCommand(t *testing.T, s *Store, c config.Command, want config.Reason) {
 	t.Helper()
-	if r, err := s.Command(c); err != nil || r.Reason != want {
+	if r, err := s.Propose(c); err != nil || r.Reason != want {
 		t.Fatalf("%+v: %+v, %v", c, r, err)
 	}
 }
