--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -242,11 +242,11 @@
 	if err != nil {
 		return fail(400, err)
 	}
-	how, err := store.ParseReading(params)
+	how, err := store.ParseReadOptions(params)
 	if err != nil {
 		return fail(400, err)
 	}
-	c, err := s.ReadAs(how)
+	c, err := s.ReadWith(how)
 	if err != nil {
 		return storeFail(err)
 	}
@@ -270,7 +270,7 @@
 		return reply(map[string]any{"ok": true, "indices": len(doc.Indices), "servers": len(doc.Servers)})
 	}
 	kept := 0
-	now, err := s.Update(func(now *catalog.Catalog) (*catalog.Catalog, error) {
+	now, err := s.UpdateSettings(func(now *catalog.Catalog) (*catalog.Catalog, error) {
 		next := doc
 		for name := range doc.Indices { // where the slices lie now, no backup can know
 			if l := now.Layout(name); l != nil && doc.Layout(name) != nil {
@@ -315,7 +315,7 @@
 	}
 	var refused *endpoints.RejectedError
 	if errors.As(err, &refused) || errors.Is(err, ErrNoStore) ||
-		errors.Is(err, store.ErrMember) || errors.Is(err, store.ErrMajority) || errors.Is(err, store.ErrBehind) {
+		errors.Is(err, store.ErrUnknownMember) || errors.Is(err, store.ErrQuorumAtRisk) || errors.Is(err, store.ErrLearnerBehind) {
 		return fail(409, err)
 	}
 	switch {
--- a/internal/control/wire_golden_test.go
+++ b/internal/control/wire_golden_test.go
@@ -188,7 +188,7 @@
 	}{
 		{"not the leader", &store.NotLeader{Leader: store.Member{ID: "b", HTTP: "127.0.0.1:9200"}}, 421},
 		{"refused by the log", &endpoints.RejectedError{Result: config.Result{Reason: config.ServerNotFound}}, 409},
-		{"no store", ErrNoStore, 409}, {"member", store.ErrMember, 409}, {"majority", store.ErrMajority, 409}, {"behind", store.ErrBehind, 409},
+		{"no store", ErrNoStore, 409}, {"member", store.ErrUnknownMember, 409}, {"majority", store.ErrQuorumAtRisk, 409}, {"behind", store.ErrLearnerBehind, 409},
 		{"too large", store.ErrTooLarge, 413}, {"busy", store.ErrBusy, 429}, {"no quorum", store.ErrNoQuorum, 503}, {"no leader", store.ErrNoLeader, 503},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -246,7 +246,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := store.Open(store.Config{ID: "a", Dir: t.TempDir(), Pace: 0.2, Listener: ln, Initial: initial,
+	s, err := store.Open(store.Config{ID: "a", Dir: t.TempDir(), TimeScale: 0.2, Listener: ln, InitialSettings: initial,
 		Members: []store.Member{{ID: "a", Raft: ln.Addr().String(), HTTP: "a"}}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/daemon/agree.go
+++ b/internal/daemon/agree.go
@@ -51,7 +51,7 @@
 		p.count.Add("marks_bad", 1)
 		return &http1.Response{Status: 400, Body: []byte("this is no report\n")}
 	}
-	if err := p.Store().Heard(r); err != nil {
+	if err := p.Store().ObservePosition(r); err != nil {
 		p.count.Add("marks_refused", 1)
 		return &http1.Response{Status: 409, Body: []byte(err.Error() + "\n")}
 	}
@@ -153,9 +153,9 @@
 	defer cancel()
 	switch o.Verb {
 	case "join":
-		return st.Join(store.Member{ID: o.ID, Raft: o.Raft, HTTP: o.HTTP})
+		return st.AddLearner(store.Member{ID: o.ID, Raft: o.Raft, HTTP: o.HTTP})
 	case "promote":
-		return st.Promote(o.ID, func(m store.Member, version uint64) error {
+		return st.PromoteLearner(o.ID, func(m store.Member, version uint64) error {
 			text, err := callPeer(ctx, m.HTTP, "GET", versionPath, nil)
 			if err != nil {
 				return err
@@ -166,9 +166,9 @@
 			return nil
 		})
 	case "leave":
-		return st.Leave(ctx, o.ID)
+		return st.RemoveMember(ctx, o.ID)
 	}
-	return fmt.Errorf("%w: no such order: %.40q", store.ErrMember, o.Verb)
+	return fmt.Errorf("%w: no such order: %.40q", store.ErrUnknownMember, o.Verb)
 }
 
 const maxOrdersBody = 64 << 10 // bytes of one call
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -216,7 +216,7 @@
 	}
 	slices.SortFunc(s.Layouts, func(a, b control.Layout) int { return strings.Compare(a.Index, b.Index) })
 	if st := p.Store(); st != nil {
-		s.Store = &control.StoreStatus{ID: st.ID(), Leader: st.Leader(), Revision: st.Current().Revision}
+		s.Store = &control.StoreStatus{ID: st.ID(), Leader: st.Leader(), Revision: st.Settings().Revision}
 		for _, m := range st.Members() {
 			s.Store.Members = append(s.Store.Members, control.StoreMember{ID: m.ID, Raft: m.Raft, HTTP: m.HTTP, Leader: m.ID == s.Store.Leader})
 		}
--- a/internal/daemon/fronts.go
+++ b/internal/daemon/fronts.go
@@ -163,7 +163,7 @@
 	answers := opensearch.FixedSettings(p.fixed.Load)
 	if p.cfg.Search.Store.ID != "" {
 		c := p.cfg.Search.Store
-		c.Initial, c.Changed, c.Applied, c.Report = initial, p.layouts.take, p.agreement.LogApplied, tellMark
+		c.InitialSettings, c.OnSettingsChanged, c.OnApplied, c.ReportPosition = initial, p.layouts.take, p.agreement.LogApplied, tellMark
 		s, err := store.Open(c)
 		if err != nil {
 			return nil, err
@@ -171,7 +171,7 @@
 		p.store = s
 		p.opened.Store(s)
 		p.agreement.Attach(s)
-		p.settle(s.Current)
+		p.settle(s.Settings)
 		answers = opensearch.StoreSettings(s)
 	}
 	ln, err := net.Listen("tcp", p.cfg.Search.Listen)
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -149,7 +149,7 @@
 			},
 			Servers: map[string]catalog.Server{"s-5be2a07c": {Protocol: "search"}, "s-2": {Protocol: "plain"}},
 		},
-		Store: store.Config{ID: "a", Dir: "/var/lib/linkpass/store", Join: true, Pace: 1.5, Members: []store.Member{
+		Store: store.Config{ID: "a", Dir: "/var/lib/linkpass/store", Join: true, TimeScale: 1.5, Members: []store.Member{
 			{ID: "a", Raft: "127.0.0.1:9300", HTTP: "127.0.0.1:9200"}, {ID: "b", Raft: "127.0.0.1:9400", HTTP: "127.0.0.1:9401"}}},
 		Reshape: Reshape{Moves: 5, PerServer: 2, Poll: "1100ms", RetireAfter: "6s", Patience: "11m", Replan: &no},
 		Bodies: Bodies{MemoryKiB: 8193, LargestKiB: 1025, FilesKiB: 262145, Dir: "/var/lib/linkpass/bodies", MaxKiB: 65, Off: true,
--- a/internal/daemon/reshape.go
+++ b/internal/daemon/reshape.go
@@ -100,8 +100,10 @@
 	return st != nil && st.IsLeader()
 }
 
-// Current is the document as this instance has it.
-func (s stored) Current() *catalog.Catalog { return s.p.opened.Load().Current() }
+// Settings is the document as this instance has it.
+func (s stored) Settings() *catalog.Catalog { return s.p.opened.Load().Settings() }
 
-// Step takes a step of a layout.
-func (s stored) Step(index string, c layout.Command) error { return s.p.opened.Load().Step(index, c) }
+// AdvanceShardMap takes a step of a layout.
+func (s stored) AdvanceShardMap(index string, c layout.Command) error {
+	return s.p.opened.Load().AdvanceShardMap(index, c)
+}
--- a/internal/daemon/run_test.go
+++ b/internal/daemon/run_test.go
@@ -67,7 +67,7 @@
 	}
 	cfg.Search = Search{Listen: "127.0.0.1:0", Catalog: catalog.Catalog{Indices: map[string]catalog.Index{
 		"players": {Class: "whole", Slices: []int{0, 1, 2}}, "tables": {Class: "share", Slices: []int{0, 1}}, "lost": {Class: "whole", Slices: []int{0, 77}}}},
-		Store: store.Config{ID: "a", Dir: t.TempDir(), Pace: 0.2, Listener: raft,
+		Store: store.Config{ID: "a", Dir: t.TempDir(), TimeScale: 0.2, Listener: raft,
 			Members: []store.Member{{ID: "a", Raft: raft.Addr().String(), HTTP: "here"}}}}
 	for _, change := range changes {
 		change(&cfg)
--- a/internal/daemon/wire_golden_test.go
+++ b/internal/daemon/wire_golden_test.go
@@ -119,7 +119,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	st, err := store.Open(store.Config{ID: "a", Dir: t.TempDir(), Pace: 0.2, Listener: ln, Initial: &catalog.Catalog{},
+	st, err := store.Open(store.Config{ID: "a", Dir: t.TempDir(), TimeScale: 0.2, Listener: ln, InitialSettings: &catalog.Catalog{},
 		Members: append([]store.Member{{ID: "a", Raft: ln.Addr().String(), HTTP: "127.0.0.1:1"}}, members...)})
 	if err != nil {
 		t.Fatal(err)
@@ -242,7 +242,7 @@
 				"movable": {Class: "league-table", Layout: &layout.Document{Version: 2, NextSlice: layout.FirstSlice + 2, NextPlan: 3,
 					Slices: []layout.Slice{slice(0, 0, 1<<63-1, "s-1"), slice(1, 1<<63, math.MaxUint64, "s-2")}}}},
 			Servers: map[string]catalog.Server{"s-1": {Protocol: "search"}}},
-		Store: store.Config{ID: "a", Dir: "/var/lib/linkpass/store", Join: true, Pace: 0.5, Members: []store.Member{
+		Store: store.Config{ID: "a", Dir: "/var/lib/linkpass/store", Join: true, TimeScale: 0.5, Members: []store.Member{
 			{ID: "a", Raft: "127.0.0.1:9300", HTTP: "127.0.0.1:9200"}, {ID: "b", Raft: "127.0.0.1:9301", HTTP: "127.0.0.1:9201"}}},
 		Reshape: Reshape{Moves: 5, PerServer: 2, Poll: "2s", RetireAfter: "3s", Patience: "4m", Replan: &no},
 		Bodies: Bodies{MemoryKiB: 4096, LargestKiB: 512, FilesKiB: 8192, Dir: "/var/lib/linkpass/bodies", MaxKiB: 128, Off: true,
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -153,7 +153,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	now := there.nodes[0].p.Store().Current()
+	now := there.nodes[0].p.Store().Settings()
 	if now.Search.MaxResultWindow != doc.Search.MaxResultWindow || revision < 2 {
 		t.Errorf("%+v, backup %+v of revision %d", now.Search, doc.Search, revision)
 	}
--- a/internal/layout/steward/steward.go
+++ b/internal/layout/steward/steward.go
@@ -46,9 +46,9 @@
 
 // Store is the replicated document.
 type Store interface {
-	Current() *catalog.Catalog
+	Settings() *catalog.Catalog
 	IsLeader() bool
-	Step(index string, c layout.Command) error
+	AdvanceShardMap(index string, c layout.Command) error
 }
 
 // Config sets up a steward.
@@ -171,7 +171,7 @@
 
 // round calls every server once, then takes the steps that the controller wants.
 func (s *Steward) round(ctx context.Context) {
-	c := s.cfg.Store.Current()
+	c := s.cfg.Store.Settings()
 	layouts := map[string]*layout.Layout{}
 	for name := range c.Indices {
 		if l := c.Layout(name); l != nil {
@@ -307,7 +307,7 @@
 // take carries one step into the store. One that came too late is dropped: the next round
 // looks at what holds then.
 func (s *Steward) take(step reshape.Step) {
-	err := s.cfg.Store.Step(step.Index, step.Command)
+	err := s.cfg.Store.AdvanceShardMap(step.Index, step.Command)
 	what, plan := "", layout.PlanID(0)
 	if a := step.Command.Advance; a != nil {
 		what, plan = string(a.Step), a.Plan
--- a/internal/opensearch/layouts.go
+++ b/internal/opensearch/layouts.go
@@ -23,7 +23,7 @@
 // Changes takes changes of the document, each a compare-and-set. The search front has
 // none where its settings are a file's.
 type Changes interface {
-	Update(func(*catalog.Catalog) (*catalog.Catalog, error)) (*catalog.Catalog, error)
+	UpdateSettings(func(*catalog.Catalog) (*catalog.Catalog, error)) (*catalog.Catalog, error)
 }
 
 // maxCommands bounds one call of /_cluster/reroute.
@@ -287,7 +287,7 @@
 	if dry := params.Get("dry_run"); dry == "true" {
 		next, err = change(f.Catalog())
 	} else if dry == "" || dry == "false" {
-		next, err = f.Changes.Update(change)
+		next, err = f.Changes.UpdateSettings(change)
 	} else {
 		return f.reject(badRequest("illegal_argument_exception", fmt.Sprintf("Failed to parse value [%.40s] as only [true] or [false] are allowed.", dry)))
 	}
--- a/internal/opensearch/layouts_test.go
+++ b/internal/opensearch/layouts_test.go
@@ -19,7 +19,7 @@
 // changes stands in for the store.
 type changes struct{ now *catalog.Catalog }
 
-func (c *changes) Update(change func(*catalog.Catalog) (*catalog.Catalog, error)) (*catalog.Catalog, error) {
+func (c *changes) UpdateSettings(change func(*catalog.Catalog) (*catalog.Catalog, error)) (*catalog.Catalog, error) {
 	next, err := change(c.now)
 	if err == nil {
 		c.now = next
--- a/internal/opensearch/opensearch_test.go
+++ b/internal/opensearch/opensearch_test.go
@@ -256,13 +256,13 @@
 	patch string
 }
 
-func (r *replicated) ReadAs(how store.Reading) (*catalog.Catalog, error) {
-	if how.Kind == store.Local {
+func (r *replicated) ReadWith(how store.ReadOptions) (*catalog.Catalog, error) {
+	if how.Consistency == store.Local {
 		return settings(), nil
 	}
 	return settings(), r.err
 }
-func (r *replicated) Change(p []byte) (*catalog.Catalog, error) {
+func (r *replicated) PatchSettings(p []byte) (*catalog.Catalog, error) {
 	r.patch = string(p)
 	return settings(), r.err
 }
--- a/internal/opensearch/settings.go
+++ b/internal/opensearch/settings.go
@@ -16,8 +16,8 @@
 
 // Replicated is the settings' store.
 type Replicated interface {
-	ReadAs(store.Reading) (*catalog.Catalog, error)
-	Change(patch []byte) (*catalog.Catalog, error)
+	ReadWith(store.ReadOptions) (*catalog.Catalog, error)
+	PatchSettings(patch []byte) (*catalog.Catalog, error)
 }
 
 // StoreSettings answers /_cluster/settings from a store: GET reads (with
@@ -30,11 +30,11 @@
 		}
 		switch req.Method {
 		case "GET":
-			how, err := store.ParseReading(params)
+			how, err := store.ParseReadOptions(params)
 			if err != nil {
 				return errorResponse(badRequest("illegal_argument_exception", err.Error()))
 			}
-			c, err := s.ReadAs(how)
+			c, err := s.ReadWith(how)
 			if err != nil {
 				return storeError(err, "/_cluster/settings")
 			}
@@ -44,7 +44,7 @@
 			if bad != nil {
 				return errorResponse(bad)
 			}
-			c, err := s.Change(patch)
+			c, err := s.PatchSettings(patch)
 			if err != nil {
 				return storeError(err, "/_cluster/settings")
 			}
--- a/internal/store/limits.go
+++ b/internal/store/limits.go
@@ -12,7 +12,7 @@
 // Limits on what clients may put into the log. Orders on servers (drain, remove) are not held up by them: the instances
 // have at most a bounded number of those unsettled.
 const (
-	MaxCommand = 1 << 20 // bytes of an entry
+	MaxCommandBytes = 1 << 20 // bytes of an entry
 	// Changes a second, and at once after a pause: each is written to disk by every instance.
 	changesPace, changesAtOnce = 100, 200
 
@@ -40,7 +40,7 @@
 
 // bound sets how much of the log is kept and sent at once.
 func (c *Config) bound(rc *raft.Config) {
-	kept := c.LogKept
+	kept := c.TrailingLogs
 	if kept == 0 {
 		kept = logKept
 	}
--- a/internal/store/limits_test.go
+++ b/internal/store/limits_test.go
@@ -15,15 +15,15 @@
 func TestChangesAreBounded(t *testing.T) {
 	c := newCluster(t)
 	s := c.stores[c.change(window(7))]
-	big := config.Command{Kind: config.SetMemberAddress, Server: "n9", Payload: bytes.Repeat([]byte("x"), MaxCommand)}
+	big := config.Command{Kind: config.SetMemberAddress, Server: "n9", Payload: bytes.Repeat([]byte("x"), MaxCommandBytes)}
 	if _, err := s.Propose(big); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("an entry over the bound: %v", err)
 	}
 	s.changes.SetLimit(0)
 	for s.changes.Allow() {
 	}
-	_, change := s.Change([]byte(window(8)))
-	_, update := s.Update(func(now *catalog.Catalog) (*catalog.Catalog, error) { return now.Patch([]byte(window(8))) })
+	_, change := s.PatchSettings([]byte(window(8)))
+	_, update := s.UpdateSettings(func(now *catalog.Catalog) (*catalog.Catalog, error) { return now.Patch([]byte(window(8))) })
 	_, command := s.Propose(config.Command{Kind: config.SetServerWeight, Server: "s-1", Weight: 2})
 	for _, err := range []error{change, update, command} {
 		if !errors.Is(err, ErrBusy) {
@@ -34,7 +34,7 @@
 	if r, err := s.Propose(config.Command{Kind: config.RestrictServer, Restriction: &order}); err != nil || r.Reason != config.Applied {
 		t.Errorf("an order: %+v %v", r, err)
 	}
-	if w := s.Current().Window(); w != 7 {
+	if w := s.Settings().Window(); w != 7 {
 		t.Errorf("window %d", w)
 	}
 }
--- a/internal/store/marks.go
+++ b/internal/store/marks.go
@@ -76,7 +76,7 @@
 // report tells every other instance how far this one is. What cannot be reached is passed over; the error is that of one
 // which has seen this instance further than its disk was.
 func (s *Store) report(ctx context.Context, members []Member, r rollback.Report) error {
-	if s.config.Report == nil {
+	if s.config.ReportPosition == nil {
 		return nil
 	}
 	call, cancel := context.WithTimeout(ctx, reportLimit)
@@ -85,7 +85,7 @@
 	var all sync.WaitGroup
 	for i, m := range members {
 		if m.ID != s.config.ID && m.HTTP != "" {
-			all.Go(func() { errs[i] = s.config.Report(call, m, r) })
+			all.Go(func() { errs[i] = s.config.ReportPosition(call, m, r) })
 		}
 	}
 	all.Wait()
@@ -121,8 +121,8 @@
 	}
 }
 
-// Heard takes another instance's report of itself.
-func (s *Store) Heard(r rollback.Report) error {
+// ObservePosition takes another instance's report of itself.
+func (s *Store) ObservePosition(r rollback.Report) error {
 	var ids []string
 	for _, m := range s.Members() {
 		ids = append(ids, m.ID)
--- a/internal/store/marks_test.go
+++ b/internal/store/marks_test.go
@@ -30,7 +30,7 @@
 	if s == nil {
 		return errors.New("out of reach")
 	}
-	return s.Heard(r)
+	return s.ObservePosition(r)
 }
 
 func (g *grapevine) sever(cut bool) {
@@ -41,7 +41,7 @@
 
 func (g *grapevine) open(c *cluster, i int) (*Store, error) {
 	id := c.members[i].ID
-	s, err := Open(Config{ID: id, Dir: filepath.Join(c.dir, id), Members: c.members, Pace: pace, Report: g.tell})
+	s, err := Open(Config{ID: id, Dir: filepath.Join(c.dir, id), Members: c.members, TimeScale: pace, ReportPosition: g.tell})
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if err != nil {
@@ -99,10 +99,10 @@
 	}
 	g.sever(false)
 	c.until("its part to end", func() bool {
-		_, err := s.ReadAs(Reading{Kind: Stale, MaxAge: DefaultMaxAge})
+		_, err := s.ReadWith(ReadOptions{Consistency: Stale, MaxAge: DefaultMaxAge})
 		return errors.Is(err, rollback.ErrRolledBack)
 	})
-	if _, err := s.Change([]byte(window(1))); !errors.Is(err, rollback.ErrRolledBack) || s.IsLeader() {
+	if _, err := s.PatchSettings([]byte(window(1))); !errors.Is(err, rollback.ErrRolledBack) || s.IsLeader() {
 		t.Errorf("it goes on: %v", err)
 	}
 	c.stop(victim)
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -15,9 +15,9 @@
 
 // Errors of a change of members.
 var (
-	ErrMember   = errors.New("store: no such member")
-	ErrMajority = errors.New("store: it would leave too few members that answer for a majority")
-	ErrBehind   = errors.New("store: the learner has not caught up")
+	ErrUnknownMember = errors.New("store: no such member")
+	ErrQuorumAtRisk  = errors.New("store: it would leave too few members that answer for a majority")
+	ErrLearnerBehind = errors.New("store: the learner has not caught up")
 )
 
 // MaxMembers bounds the instances of a store; more make every change slower and none safer.
@@ -25,61 +25,61 @@
 
 const reachLimit = 300 * time.Millisecond // for a member to take a connection
 
-// Peer is a member as the log has it.
-type Peer struct {
+// MemberStatus is a member as the log has it.
+type MemberStatus struct {
 	Member
 	Voter bool
 }
 
-// Peers are the members by the log: those that vote and those that learn.
-func (s *Store) Peers() ([]Peer, error) {
+// MemberStatuses are the members by the log: those that vote and those that learn.
+func (s *Store) MemberStatuses() ([]MemberStatus, error) {
 	future := s.raft.GetConfiguration()
 	if err := future.Error(); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	var out []Peer
+	var out []MemberStatus
 	for _, v := range future.Configuration().Servers {
 		id := string(v.ID)
 		http, ok := s.State().MemberAddress(id)
 		if m, named := s.config.member(id); !ok && named {
 			http = m.HTTP
 		}
-		out = append(out, Peer{Member{ID: id, Raft: string(v.Address), HTTP: http}, v.Suffrage == raft.Voter})
+		out = append(out, MemberStatus{Member{ID: id, Raft: string(v.Address), HTTP: http}, v.Suffrage == raft.Voter})
 	}
 	return out, nil
 }
 
-// Join lets an instance learn: it gets the log and does not vote. Only the leader takes it.
-func (s *Store) Join(m Member) error {
+// AddLearner lets an instance learn: it gets the log and does not vote. Only the leader takes it.
+func (s *Store) AddLearner(m Member) error {
 	peers, err := s.lead()
 	if err != nil {
 		return err
 	}
 	if m.ID == "" || m.Raft == "" || m.HTTP == "" {
-		return fmt.Errorf("%w: a member needs an id and both addresses", ErrMember)
+		return fmt.Errorf("%w: a member needs an id and both addresses", ErrUnknownMember)
 	}
 	for _, p := range peers {
 		if p.ID == m.ID && p.Raft == m.Raft {
 			return nil // asked again
 		}
 		if p.ID == m.ID || p.Raft == m.Raft {
-			return fmt.Errorf("%w: %s is a member at %s already; a member that comes back without its disk needs a new id", ErrMember, p.ID, p.Raft)
+			return fmt.Errorf("%w: %s is a member at %s already; a member that comes back without its disk needs a new id", ErrUnknownMember, p.ID, p.Raft)
 		}
 	}
 	if len(peers) >= MaxMembers {
-		return fmt.Errorf("%w: %d members are the most", ErrMember, MaxMembers)
+		return fmt.Errorf("%w: %d members are the most", ErrUnknownMember, MaxMembers)
 	}
 	if r, err := s.Propose(config.Command{Kind: config.SetMemberAddress, Server: m.ID, Payload: []byte(m.HTTP)}); err != nil {
 		return err
 	} else if r.Reason != config.Applied {
-		return fmt.Errorf("%w: %s: %s", ErrMember, r.Reason, r.Detail)
+		return fmt.Errorf("%w: %s: %s", ErrUnknownMember, r.Reason, r.Detail)
 	}
 	return s.confirm(s.raft.AddNonvoter(raft.ServerID(m.ID), raft.ServerAddress(m.Raft), 0, applyLimit))
 }
 
-// Promote lets a learner vote. Caught tells whether it has caught up with a version of the state; one that has not would
+// PromoteLearner lets a learner vote. Caught tells whether it has caught up with a version of the state; one that has not would
 // hold up every change.
-func (s *Store) Promote(id string, caught func(Member, uint64) error) error {
+func (s *Store) PromoteLearner(id string, caught func(Member, uint64) error) error {
 	peers, err := s.lead()
 	if err != nil {
 		return err
@@ -92,21 +92,21 @@
 			return nil
 		}
 		if err := caught(p.Member, s.State().Version()); err != nil {
-			return fmt.Errorf("%w: %s: %w", ErrBehind, id, err)
+			return fmt.Errorf("%w: %s: %w", ErrLearnerBehind, id, err)
 		}
 		return s.confirm(s.raft.AddVoter(raft.ServerID(id), raft.ServerAddress(p.Raft), 0, applyLimit))
 	}
-	return fmt.Errorf("%w: %s", ErrMember, id)
+	return fmt.Errorf("%w: %s", ErrUnknownMember, id)
 }
 
-// Leave takes a member away, dead or alive. What would leave fewer voters that answer than a majority of those that remain
+// RemoveMember takes a member away, dead or alive. What would leave fewer voters that answer than a majority of those that remain
 // is refused.
-func (s *Store) Leave(ctx context.Context, id string) error {
+func (s *Store) RemoveMember(ctx context.Context, id string) error {
 	peers, err := s.lead()
 	if err != nil {
 		return err
 	}
-	left, there := []Peer{}, false
+	left, there := []MemberStatus{}, false
 	for _, p := range peers {
 		if there = there || p.ID == id; p.ID != id && p.Voter {
 			left = append(left, p)
@@ -116,7 +116,7 @@
 		return nil // asked again
 	}
 	if alive := s.alive(ctx, left); alive < len(left)/2+1 {
-		return fmt.Errorf("%w: %d of %d voters answer", ErrMajority, alive, len(left))
+		return fmt.Errorf("%w: %d of %d voters answer", ErrQuorumAtRisk, alive, len(left))
 	}
 	if err := s.confirm(s.raft.RemoveServer(raft.ServerID(id), 0, applyLimit)); err != nil {
 		return err
@@ -129,18 +129,18 @@
 }
 
 // lead tells the members, where this instance leads.
-func (s *Store) lead() ([]Peer, error) {
+func (s *Store) lead() ([]MemberStatus, error) {
 	if err := s.leads(); err != nil {
 		return nil, err
 	}
 	if err := s.confirm(s.raft.VerifyLeader()); err != nil {
 		return nil, err
 	}
-	return s.Peers()
+	return s.MemberStatuses()
 }
 
 // alive counts those of some members that take a connection, this instance among them.
-func (s *Store) alive(ctx context.Context, peers []Peer) (n int) {
+func (s *Store) alive(ctx context.Context, peers []MemberStatus) (n int) {
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	for _, p := range peers {
--- a/internal/store/reads.go
+++ b/internal/store/reads.go
@@ -11,10 +11,10 @@
 	"linkpass/internal/catalog"
 )
 
-// Reading is how sure a read is to be.
-type Reading struct {
-	Kind   string        // Linearizable, Lease, Stale or Local; "": Linearizable
-	MaxAge time.Duration // of Stale
+// ReadOptions is how sure a read is to be.
+type ReadOptions struct {
+	Consistency string        // Linearizable, Lease, Stale or Local; "": Linearizable
+	MaxAge      time.Duration // of Stale
 }
 
 // The kinds of reads.
@@ -35,22 +35,22 @@
 // ErrStale says that this instance is too far behind for the read.
 var ErrStale = errors.New("store: what this instance has may be older than was asked for")
 
-// ParseReading reads the parameters read and max_age of a call; local=true is an older word for read=local.
-func ParseReading(v url.Values) (Reading, error) {
-	r := Reading{Kind: v.Get("read"), MaxAge: DefaultMaxAge}
+// ParseReadOptions reads the parameters read and max_age of a call; local=true is an older word for read=local.
+func ParseReadOptions(v url.Values) (ReadOptions, error) {
+	r := ReadOptions{Consistency: v.Get("read"), MaxAge: DefaultMaxAge}
 	if v.Get("local") == "true" {
-		r.Kind = Local
+		r.Consistency = Local
 	}
-	switch r.Kind {
+	switch r.Consistency {
 	case "":
-		r.Kind = Linearizable
+		r.Consistency = Linearizable
 	case Linearizable, Lease, Stale, Local:
 	default:
-		return r, fmt.Errorf("read %.40q is none of linearizable, lease, stale and local", r.Kind)
+		return r, fmt.Errorf("read %.40q is none of linearizable, lease, stale and local", r.Consistency)
 	}
 	if text := v.Get("max_age"); text != "" {
 		d, err := time.ParseDuration(text)
-		if err != nil || d <= 0 || r.Kind != Stale {
+		if err != nil || d <= 0 || r.Consistency != Stale {
 			return r, fmt.Errorf("max_age %.40q is no time above 0, or the read is not stale", text)
 		}
 		r.MaxAge = d
@@ -58,15 +58,15 @@
 	return r, nil
 }
 
-// ReadAs is the catalog, as sure as is asked for.
-func (s *Store) ReadAs(r Reading) (*catalog.Catalog, error) {
-	switch r.Kind {
+// ReadWith is the catalog, as sure as is asked for.
+func (s *Store) ReadWith(r ReadOptions) (*catalog.Catalog, error) {
+	switch r.Consistency {
 	case Lease:
 		return s.readLease()
 	case Stale:
 		return s.readStale(r.MaxAge)
 	case Local:
-		return s.Current(), nil
+		return s.Settings(), nil
 	}
 	return s.Read()
 }
@@ -82,7 +82,7 @@
 		}
 		s.barred.Store(term)
 	}
-	c := s.Current()
+	c := s.Settings()
 	return c, s.leads() // it may have ended while the document was taken
 }
 
@@ -102,5 +102,5 @@
 	if applied := s.raft.AppliedIndex(); applied < committed {
 		return nil, fmt.Errorf("%w: %d entries are to be applied", ErrStale, committed-applied)
 	}
-	return s.Current(), nil
+	return s.Settings(), nil
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -43,19 +43,19 @@
 	// which only its own line counts.
 	Join bool `toml:"join"`
 
-	Initial *catalog.Catalog `toml:"-"` // what holds until something is replicated; nil: nothing
-	// Pace scales Raft's own time limits, 1 being the library's defaults.
-	Pace float64 `toml:"pace"`
-	// Changed is called with each document that takes hold, one after another; it
+	InitialSettings *catalog.Catalog `toml:"-"` // what holds until something is replicated; nil: nothing
+	// TimeScale scales Raft's own time limits, 1 being the library's defaults.
+	TimeScale float64 `toml:"pace"`
+	// OnSettingsChanged is called with each document that takes hold, one after another; it
 	// should not wait for long.
-	Changed func(*catalog.Catalog) `toml:"-"`
-	// Applied is called after each entry and snapshot that this instance has taken; it should not wait for long.
-	Applied func() `toml:"-"`
-	// LogKept is how many entries stay in the log past a snapshot; 0: the usual number.
-	LogKept int `toml:"-"`
-	// Report tells another instance how far this one is; its error is marks.ErrRestored where that one knows better. nil:
+	OnSettingsChanged func(*catalog.Catalog) `toml:"-"`
+	// OnApplied is called after each entry and snapshot that this instance has taken; it should not wait for long.
+	OnApplied func() `toml:"-"`
+	// TrailingLogs is how many entries stay in the log past a snapshot; 0: the usual number.
+	TrailingLogs int `toml:"-"`
+	// ReportPosition tells another instance how far this one is; its error is marks.ErrRestored where that one knows better. nil:
 	// nobody is told, and an old disk is not found.
-	Report func(context.Context, Member, rollback.Report) error `toml:"-"`
+	ReportPosition func(context.Context, Member, rollback.Report) error `toml:"-"`
 	// Listener takes the place of one on this member's address, if set.
 	Listener net.Listener `toml:"-"`
 }
@@ -85,7 +85,7 @@
 	config  Config
 	raft    *raft.Raft
 	bolt    *raftboltdb.BoltStore
-	machine *machine
+	machine *stateMachine
 	marking marking
 	changes *rate.Limiter // of clients
 
@@ -110,14 +110,14 @@
 	rc := raft.DefaultConfig()
 	rc.LocalID, rc.Logger = raft.ServerID(c.ID), logger
 	c.bound(rc)
-	if c.Pace > 0 {
+	if c.TimeScale > 0 {
 		for _, d := range []*time.Duration{&rc.HeartbeatTimeout, &rc.ElectionTimeout, &rc.LeaderLeaseTimeout, &rc.CommitTimeout} {
-			*d = time.Duration(c.Pace * float64(*d))
+			*d = time.Duration(c.TimeScale * float64(*d))
 		}
 	}
-	s := &Store{config: c, machine: &machine{changed: c.Changed, applied: c.Applied}, marking: marking{heard: rollback.NewDetector()},
+	s := &Store{config: c, machine: &stateMachine{changed: c.OnSettingsChanged, applied: c.OnApplied}, marking: marking{heard: rollback.NewDetector()},
 		changes: changesLimit()}
-	initial := c.Initial
+	initial := c.InitialSettings
 	if initial == nil {
 		initial = &catalog.Catalog{}
 	}
@@ -179,8 +179,8 @@
 	return Member{}, false
 }
 
-// Current is the catalog as this instance has it.
-func (s *Store) Current() *catalog.Catalog { return s.State().Settings() }
+// Settings is the catalog as this instance has it.
+func (s *Store) Settings() *catalog.Catalog { return s.State().Settings() }
 
 // State is all that is agreed, as this instance has it.
 func (s *Store) State() *config.State { return s.machine.current.Load() }
@@ -196,11 +196,11 @@
 	if err := s.confirm(s.raft.Barrier(applyLimit)); err != nil {
 		return nil, err
 	}
-	return s.Current(), nil
+	return s.Settings(), nil
 }
 
-// Change applies a merge patch once a majority has it.
-func (s *Store) Change(patch []byte) (*catalog.Catalog, error) {
+// PatchSettings applies a merge patch once a majority has it.
+func (s *Store) PatchSettings(patch []byte) (*catalog.Catalog, error) {
 	if err := s.admit(); err != nil {
 		return nil, err
 	}
@@ -218,9 +218,9 @@
 	return s.settle(config.Command{Kind: config.PatchSettings, Payload: patch})
 }
 
-// Step takes a step of an index's layout once a majority has it. A step that changes nothing is not replicated; one that
+// AdvanceShardMap takes a step of an index's layout once a majority has it. A step that changes nothing is not replicated; one that
 // cannot be taken is the layout's error.
-func (s *Store) Step(index string, c layout.Command) error {
+func (s *Store) AdvanceShardMap(index string, c layout.Command) error {
 	s.changing.Lock()
 	defer s.changing.Unlock()
 	now, err := s.Read()
@@ -238,10 +238,10 @@
 	return err
 }
 
-// Update replicates what change makes of the document that holds. It is a compare-and-set:
+// UpdateSettings replicates what change makes of the document that holds. It is a compare-and-set:
 // a document that another one has come before is refused with ErrConflict. A change that
 // gives back the document it was given replicates nothing.
-func (s *Store) Update(change func(*catalog.Catalog) (*catalog.Catalog, error)) (*catalog.Catalog, error) {
+func (s *Store) UpdateSettings(change func(*catalog.Catalog) (*catalog.Catalog, error)) (*catalog.Catalog, error) {
 	if err := s.admit(); err != nil {
 		return nil, err
 	}
@@ -275,7 +275,7 @@
 	if r.Reason != config.Applied {
 		return nil, refused(r)
 	}
-	return s.Current(), nil
+	return s.Settings(), nil
 }
 
 // found replicates this instance's settings before the first command that is no document: until then instances may differ.
@@ -283,7 +283,7 @@
 	if s.State().Initialized() || c.Kind == config.ReplaceSettings {
 		return nil
 	}
-	data, err := json.Marshal(s.Current())
+	data, err := json.Marshal(s.Settings())
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
@@ -317,8 +317,8 @@
 	if err != nil {
 		return config.Result{}, fmt.Errorf("store: %w", err)
 	}
-	if len(data) > MaxCommand {
-		return config.Result{}, fmt.Errorf("%w: %d bytes of %d", ErrTooLarge, len(data), MaxCommand)
+	if len(data) > MaxCommandBytes {
+		return config.Result{}, fmt.Errorf("%w: %d bytes of %d", ErrTooLarge, len(data), MaxCommandBytes)
 	}
 	future := s.raft.Apply(data, applyLimit)
 	if err := s.confirm(future); err != nil {
@@ -397,8 +397,8 @@
 	return nil
 }
 
-// machine is the replicated state.
-type machine struct {
+// stateMachine is the replicated state.
+type stateMachine struct {
 	current atomic.Pointer[config.State]
 	halted  atomic.Pointer[error] // why it takes no more entries; nil: it does
 	changed func(*catalog.Catalog)
@@ -406,7 +406,7 @@
 }
 
 // set publishes a state.
-func (m *machine) set(s *config.State) {
+func (m *stateMachine) set(s *config.State) {
 	was := m.current.Load()
 	m.current.Store(s)
 	if m.changed != nil && s.Settings() != was.Settings() {
@@ -419,7 +419,7 @@
 
 // Apply takes one entry. One that this program does not know ends its part in the store: to go on without it would be to
 // diverge. What held before goes on holding here, and reads and changes say why they fail.
-func (m *machine) Apply(entry *raft.Log) any {
+func (m *stateMachine) Apply(entry *raft.Log) any {
 	if why := m.halted.Load(); why != nil {
 		return *why
 	}
@@ -458,7 +458,7 @@
 }
 
 // Snapshot is the state as it stands.
-func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
+func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	if why := m.halted.Load(); why != nil {
 		return nil, *why // it would claim entries that it does not hold
 	}
@@ -466,7 +466,7 @@
 }
 
 // Restore takes a snapshot's state, also one from before there were commands: a document.
-func (m *machine) Restore(in io.ReadCloser) error {
+func (m *stateMachine) Restore(in io.ReadCloser) error {
 	defer in.Close()
 	data, err := io.ReadAll(in)
 	if err != nil {
@@ -517,7 +517,7 @@
 
 // Members are the instances by the log, or those of the file where it can't be read.
 func (s *Store) Members() (out []Member) {
-	peers, err := s.Peers()
+	peers, err := s.MemberStatuses()
 	if err != nil || len(peers) == 0 {
 		return s.config.Members
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -60,8 +60,8 @@
 
 func (c *cluster) open(i int, ln net.Listener) {
 	c.t.Helper()
-	s, err := Open(Config{ID: c.members[i].ID, Dir: filepath.Join(c.dir, c.members[i].ID), Members: c.members, Pace: pace,
-		LogKept: c.logKept, Listener: ln, Initial: &catalog.Catalog{Search: catalog.Defaults{MaxResultWindow: 50}}})
+	s, err := Open(Config{ID: c.members[i].ID, Dir: filepath.Join(c.dir, c.members[i].ID), Members: c.members, TimeScale: pace,
+		TrailingLogs: c.logKept, Listener: ln, InitialSettings: &catalog.Catalog{Search: catalog.Defaults{MaxResultWindow: 50}}})
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -96,7 +96,7 @@
 			if s == nil {
 				continue
 			}
-			if _, err := s.Change([]byte(patch)); err == nil {
+			if _, err := s.PatchSettings([]byte(patch)); err == nil {
 				leader = i
 				return true
 			}
@@ -111,7 +111,7 @@
 	c.t.Helper()
 	c.until(fmt.Sprint("window ", window, " everywhere"), func() bool {
 		for _, s := range c.stores {
-			if s != nil && s.Current().Window() != window {
+			if s != nil && s.Settings().Window() != window {
 				return false
 			}
 		}
@@ -132,14 +132,14 @@
 		}
 		var other *NotLeader
 		c.until("a follower that names the leader", func() bool {
-			_, err := s.Change([]byte(window(8)))
+			_, err := s.PatchSettings([]byte(window(8)))
 			return errors.As(err, &other)
 		})
 		if _, ok := c.stores[leader].config.member(other.Leader.ID); !ok || other.Leader.HTTP == "" {
 			t.Errorf("named %+v", other.Leader)
 		}
 	}
-	if _, err := c.stores[leader].Change([]byte(`{"servers.s-1.protocol":"telnet"}`)); !errors.Is(err, catalog.ErrInvalid) {
+	if _, err := c.stores[leader].PatchSettings([]byte(`{"servers.s-1.protocol":"telnet"}`)); !errors.Is(err, catalog.ErrInvalid) {
 		t.Errorf("an unusable change: %v", err)
 	}
 	c.stop(leader)
@@ -148,7 +148,7 @@
 	}
 	c.everywhere(7)
 	c.open(leader, nil) // comes back from its own disk and catches up
-	c.until("the change made while it was away", func() bool { return c.stores[leader].Current().Protocol("s-1") == catalog.Search })
+	c.until("the change made while it was away", func() bool { return c.stores[leader].Settings().Protocol("s-1") == catalog.Search })
 }
 
 func TestAllRestartFromDisk(t *testing.T) {
@@ -170,7 +170,7 @@
 	c.everywhere(9)
 	c.until("the change from the log", func() bool {
 		for _, s := range c.stores {
-			if s.Current().Protocol("s-1") != catalog.Search {
+			if s.Settings().Protocol("s-1") != catalog.Search {
 				return false
 			}
 		}
@@ -189,7 +189,7 @@
 		}
 	}
 	last := c.stores[leader]
-	_, err := last.Change([]byte(window(10)))
+	_, err := last.PatchSettings([]byte(window(10)))
 	if !errors.Is(err, ErrNoQuorum) && !errors.Is(err, ErrNoLeader) {
 		t.Errorf("a change without a majority: %v", err)
 	}
@@ -197,7 +197,7 @@
 		_, err := last.Read()
 		return errors.Is(err, ErrNoLeader)
 	})
-	if last.Current().Window() != 9 {
+	if last.Settings().Window() != 9 {
 		t.Error("an unconfirmed change is in force")
 	}
 }
@@ -213,7 +213,7 @@
 
 // Two changes made on one document: the log holds both, and the second finds that another came first.
 func TestAChangeIsACompareAndSet(t *testing.T) {
-	m := &machine{}
+	m := &stateMachine{}
 	m.current.Store(config.NewState(&catalog.Catalog{}))
 	apply := func(text string) any { return m.Apply(&raft.Log{Data: []byte(text)}) }
 	if err, bad := apply(`{"revision":1,"search":{"max_result_window":5}}`).(error); bad {
@@ -236,7 +236,7 @@
 // An entry of a later program ends this instance's part: nothing after it is taken, nothing is read or snapshotted as if it
 // were whole, and what held before goes on holding. A newer program's snapshot or log brings it back.
 func TestAnEntryOfALaterProgram(t *testing.T) {
-	m := &machine{}
+	m := &stateMachine{}
 	m.current.Store(config.NewState(&catalog.Catalog{}))
 	apply := func(data []byte) any { return m.Apply(&raft.Log{Data: data}) }
 	patch, err := config.Encode(config.Command{Kind: config.ReplaceSettings, Payload: []byte(`{"search":{"max_result_window":5}}`)})
@@ -259,8 +259,8 @@
 		t.Errorf("a snapshot of what is not held: %v", err)
 	}
 	s := &Store{machine: m}
-	if err := s.leads(); !errors.Is(err, config.ErrUnknownFormat) || s.Current().Window() != 5 {
-		t.Errorf("%v, window %d", err, s.Current().Window())
+	if err := s.leads(); !errors.Is(err, config.ErrUnknownFormat) || s.Settings().Window() != 5 {
+		t.Errorf("%v, window %d", err, s.Settings().Window())
 	}
 	if err := m.Restore(io.NopCloser(bytes.NewReader(sound))); err != nil {
 		t.Fatal(err)
@@ -341,7 +341,7 @@
 	c.everywhere(7)
 	kinds := func(s *Store, age time.Duration) (out []error) {
 		for _, kind := range []string{Linearizable, Lease, Stale, Local} {
-			doc, err := s.ReadAs(Reading{kind, age})
+			doc, err := s.ReadWith(ReadOptions{kind, age})
 			if err == nil && doc.Window() != 7 {
 				err = fmt.Errorf("%s: window %d", kind, doc.Window())
 			}
@@ -376,7 +376,7 @@
 	})
 	for _, bad := range []string{"read=soon", "read=stale&max_age=0s", "max_age=1s", "read=stale&max_age=x"} {
 		v, _ := url.ParseQuery(bad)
-		if r, err := ParseReading(v); err == nil {
+		if r, err := ParseReadOptions(v); err == nil {
 			t.Errorf("%s was taken: %+v", bad, r)
 		}
 	}
@@ -392,7 +392,7 @@
 		t.Fatal(err)
 	}
 	m := Member{ID: "n3", Raft: ln.Addr().String(), HTTP: "http-3"}
-	join := Config{ID: m.ID, Dir: filepath.Join(c.dir, m.ID), Members: []Member{m}, Join: true, Pace: pace, Listener: ln}
+	join := Config{ID: m.ID, Dir: filepath.Join(c.dir, m.ID), Members: []Member{m}, Join: true, TimeScale: pace, Listener: ln}
 	fourth, err := Open(join)
 	if err != nil {
 		t.Fatal(err)
@@ -405,25 +405,25 @@
 		return nil
 	}
 	s := c.stores[leader]
-	if err := s.Promote("n3", caught); !errors.Is(err, ErrMember) {
+	if err := s.PromoteLearner("n3", caught); !errors.Is(err, ErrUnknownMember) {
 		t.Errorf("a stranger votes: %v", err)
 	}
 	for range 2 { // asked again after a lost answer
-		if err := s.Join(m); err != nil {
+		if err := s.AddLearner(m); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := s.Join(Member{"n3", "127.0.0.1:1", "x"}); !errors.Is(err, ErrMember) {
+	if err := s.AddLearner(Member{"n3", "127.0.0.1:1", "x"}); !errors.Is(err, ErrUnknownMember) {
 		t.Errorf("the same id at another address: %v", err)
 	}
-	if err := s.Promote("n3", func(Member, uint64) error { return errors.New("far behind") }); !errors.Is(err, ErrBehind) {
+	if err := s.PromoteLearner("n3", func(Member, uint64) error { return errors.New("far behind") }); !errors.Is(err, ErrLearnerBehind) {
 		t.Errorf("one that is behind votes: %v", err)
 	}
-	c.until("the learner caught up", func() bool { return s.Promote("n3", caught) == nil })
+	c.until("the learner caught up", func() bool { return s.PromoteLearner("n3", caught) == nil })
 	c.change(window(8))
 	c.everywhere(8)
 	voters := func() (n int) {
-		peers, err := s.Peers()
+		peers, err := s.MemberStatuses()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -439,19 +439,19 @@
 	}
 	dead := (leader + 1) % 3
 	c.stop(dead)
-	c.until("the dead member is taken away", func() bool { return s.Leave(t.Context(), c.members[dead].ID) == nil })
+	c.until("the dead member is taken away", func() bool { return s.RemoveMember(t.Context(), c.members[dead].ID) == nil })
 	if n := voters(); n != 3 {
 		t.Errorf("%d voters after one was replaced", n)
 	}
 	c.stop((leader + 2) % 3)
-	if err := s.Leave(t.Context(), "n3"); !errors.Is(err, ErrMajority) {
+	if err := s.RemoveMember(t.Context(), "n3"); !errors.Is(err, ErrQuorumAtRisk) {
 		t.Errorf("the majority was given away: %v", err)
 	}
 	c.change(window(9)) // two of three still are one
-	if fourth.Current().Window() == 9 {
+	if fourth.Settings().Window() == 9 {
 		return
 	}
-	c.until("the change at the fourth", func() bool { return fourth.Current().Window() == 9 })
+	c.until("the change at the fourth", func() bool { return fourth.Settings().Window() == 9 })
 }
 
 // A majority that is lost for good: recovery is refused while the instance runs and while another member answers, and then
@@ -462,17 +462,17 @@
 	c.change(`{"servers":{"s-1":{"protocol":"search"}}}`)
 	c.everywhere(7)
 	left := (leader + 1) % 3
-	c.until("all of it at the one that is left", func() bool { return c.stores[left].Current().Protocol("s-1") == catalog.Search })
+	c.until("all of it at the one that is left", func() bool { return c.stores[left].Settings().Protocol("s-1") == catalog.Search })
 	want, err := c.stores[left].State().Hash()
 	if err != nil {
 		t.Fatal(err)
 	}
 	conf := Config{ID: c.members[left].ID, Dir: filepath.Join(c.dir, c.members[left].ID), Members: c.members}
-	if _, err := Recover(t.Context(), conf, true); !errors.Is(err, ErrUnsafe) {
+	if _, err := Recover(t.Context(), conf, true); !errors.Is(err, ErrRecoveryRefused) {
 		t.Errorf("while it runs: %v", err)
 	}
 	c.stop(left)
-	if _, err := Recover(t.Context(), conf, false); !errors.Is(err, ErrUnsafe) {
+	if _, err := Recover(t.Context(), conf, false); !errors.Is(err, ErrRecoveryRefused) {
 		t.Errorf("while others answer: %v", err)
 	}
 	c.stop(leader)
@@ -483,13 +483,13 @@
 	}
 	c.open(left, nil)
 	c.change(window(9)) // it leads alone
-	if s := c.stores[left]; s.Current().Window() != 9 || s.Current().Protocol("s-1") != catalog.Search {
-		t.Errorf("%+v", s.Current())
+	if s := c.stores[left]; s.Settings().Window() != 9 || s.Settings().Protocol("s-1") != catalog.Search {
+		t.Errorf("%+v", s.Settings())
 	}
-	if peers, err := c.stores[left].Peers(); err != nil || len(peers) != 1 {
+	if peers, err := c.stores[left].MemberStatuses(); err != nil || len(peers) != 1 {
 		t.Errorf("%v %v", peers, err)
 	}
-	if _, err := Recover(t.Context(), Config{ID: "x", Dir: t.TempDir(), Members: []Member{{ID: "x", Raft: "127.0.0.1:1"}}}, true); !errors.Is(err, ErrUnsafe) {
+	if _, err := Recover(t.Context(), Config{ID: "x", Dir: t.TempDir(), Members: []Member{{ID: "x", Raft: "127.0.0.1:1"}}}, true); !errors.Is(err, ErrRecoveryRefused) {
 		t.Errorf("from nothing: %v", err)
 	}
 }
@@ -501,7 +501,7 @@
 	for _, kind := range []string{Linearizable, Lease, Stale, Local} {
 		b.Run(kind, func(b *testing.B) {
 			for b.Loop() {
-				if _, err := s.ReadAs(Reading{kind, time.Minute}); err != nil {
+				if _, err := s.ReadWith(ReadOptions{kind, time.Minute}); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/store/stored_crash_test.go
+++ b/internal/store/stored_crash_test.go
@@ -32,8 +32,8 @@
 		fmt.Println("no listener:", err)
 		return
 	}
-	s, err := Open(Config{ID: storedMember, Dir: dir, Members: []Member{{ID: storedMember, Raft: storedAddress, HTTP: "http-0"}}, Pace: pace,
-		Listener: ln, Initial: &catalog.Catalog{Search: catalog.Defaults{MaxResultWindow: storedWindow}}})
+	s, err := Open(Config{ID: storedMember, Dir: dir, Members: []Member{{ID: storedMember, Raft: storedAddress, HTTP: "http-0"}}, TimeScale: pace,
+		Listener: ln, InitialSettings: &catalog.Catalog{Search: catalog.Defaults{MaxResultWindow: storedWindow}}})
 	if err != nil {
 		fmt.Println("error:", err)
 		return
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -70,8 +70,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := Open(Config{ID: storedMember, Dir: dir, Members: []Member{{ID: storedMember, Raft: storedAddress, HTTP: "http-0"}}, Pace: pace,
-		LogKept: logKept, Listener: ln, Initial: &catalog.Catalog{Search: catalog.Defaults{MaxResultWindow: storedWindow}}})
+	s, err := Open(Config{ID: storedMember, Dir: dir, Members: []Member{{ID: storedMember, Raft: storedAddress, HTTP: "http-0"}}, TimeScale: pace,
+		TrailingLogs: logKept, Listener: ln, InitialSettings: &catalog.Catalog{Search: catalog.Defaults{MaxResultWindow: storedWindow}}})
 	if err != nil {
 		_ = ln.Close()
 	}
@@ -265,7 +265,7 @@
 	createEveryKind(t, s)
 	takeSnapshot(t, s)
 	mustCommand(t, s, config.Command{Kind: config.SetServerWeight, Server: "s-4", Weight: 1.25}, config.Applied)
-	if err := s.Join(Member{ID: storedLearner, Raft: storedAddress + "1", HTTP: "http-1"}); err != nil {
+	if err := s.AddLearner(Member{ID: storedLearner, Raft: storedAddress + "1", HTTP: "http-1"}); err != nil {
 		t.Fatal(err)
 	}
 	takeSnapshot(t, s)
@@ -471,7 +471,7 @@
 // requireRestored restores a snapshot and takes it again, byte for byte.
 func requireRestored(t *testing.T, data []byte) {
 	t.Helper()
-	m := &machine{}
+	m := &stateMachine{}
 	m.current.Store(config.NewState(&catalog.Catalog{}))
 	if err := m.Restore(io.NopCloser(bytes.NewReader(data))); err != nil {
 		t.Fatal(err)
@@ -539,7 +539,7 @@
 		id := fmt.Sprint("s-", i)
 		out.Protocols[id] = c.Protocol(id)
 	}
-	peers, err := s.Peers()
+	peers, err := s.MemberStatuses()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/store/stored_truncated_test.go
+++ b/internal/store/stored_truncated_test.go
@@ -150,7 +150,7 @@
 	}
 	defer bolt.Close()
 	l := lastCommand(t, bolt)
-	m := &machine{}
+	m := &stateMachine{}
 	m.current.Store(config.NewState(&catalog.Catalog{Search: catalog.Defaults{MaxResultWindow: storedWindow}}))
 	for i := uint64(1); i < l.Index; i++ {
 		var e raft.Log
--- a/internal/store/wire_golden_test.go
+++ b/internal/store/wire_golden_test.go
@@ -15,33 +15,33 @@
 }
 
 func TestRecoveredGolden(t *testing.T) {
-	goldentest.JSON(t, "recovered.json", Recovered{Version: 8, Hash: "c0ffee", Dropped: []string{"n2"}})
+	goldentest.JSON(t, "recovered.json", RecoveryResult{Version: 8, Hash: "c0ffee", Dropped: []string{"n2"}})
 }
 
 // The parameters of a read, as URLs of the admin API and of the search front carry them.
 func TestReadParameters(t *testing.T) {
 	for _, c := range []struct {
 		query string
-		want  Reading
+		want  ReadOptions
 		bad   bool
 	}{
-		{"", Reading{"linearizable", 5 * time.Second}, false},
-		{"read=linearizable", Reading{"linearizable", 5 * time.Second}, false},
-		{"read=lease", Reading{"lease", 5 * time.Second}, false},
-		{"read=stale", Reading{"stale", 5 * time.Second}, false},
-		{"read=stale&max_age=250ms", Reading{"stale", 250 * time.Millisecond}, false},
-		{"read=local", Reading{"local", 5 * time.Second}, false},
-		{"local=true", Reading{"local", 5 * time.Second}, false},
-		{"read=any", Reading{}, true},
-		{"read=lease&max_age=1s", Reading{}, true},
-		{"read=stale&max_age=0s", Reading{}, true},
+		{"", ReadOptions{"linearizable", 5 * time.Second}, false},
+		{"read=linearizable", ReadOptions{"linearizable", 5 * time.Second}, false},
+		{"read=lease", ReadOptions{"lease", 5 * time.Second}, false},
+		{"read=stale", ReadOptions{"stale", 5 * time.Second}, false},
+		{"read=stale&max_age=250ms", ReadOptions{"stale", 250 * time.Millisecond}, false},
+		{"read=local", ReadOptions{"local", 5 * time.Second}, false},
+		{"local=true", ReadOptions{"local", 5 * time.Second}, false},
+		{"read=any", ReadOptions{}, true},
+		{"read=lease&max_age=1s", ReadOptions{}, true},
+		{"read=stale&max_age=0s", ReadOptions{}, true},
 	} {
 		t.Run(c.query, func(t *testing.T) {
 			values, err := url.ParseQuery(c.query)
 			if err != nil {
 				t.Fatal(err)
 			}
-			got, err := ParseReading(values)
+			got, err := ParseReadOptions(values)
 			if c.bad != (err != nil) || !c.bad && got != c.want {
 				t.Errorf("got %+v, %v; want %+v", got, err, c.want)
 			}
