--- a/internal/config/apply.go
+++ b/internal/config/apply.go
@@ -6,8 +6,8 @@
 	"math"
 	"slices"
 
-	"linkpass/internal/catalog"
 	"linkpass/internal/config/restriction"
+	"linkpass/internal/searchconfig"
 )
 
 // Apply gives the state after a command, and what the command came to. The old state stays as it is. It never fails: what
@@ -235,10 +235,10 @@
 	}
 	next, err := s.settings.Patch(c.Payload)
 	if c.Kind == ReplaceSettings {
-		next, err = catalog.ParseAfter(c.Payload, s.settings)
+		next, err = searchconfig.ParseUpdate(c.Payload, s.settings)
 	}
 	if err == nil && s.settingsVersion != 0 {
-		err = next.Follows(s.settings)
+		err = next.ValidateTransition(s.settings)
 	}
 	if err != nil {
 		return refuse(Invalid, "%s", err)
@@ -246,7 +246,7 @@
 	return s.revise(next)
 }
 
-func (s *State) revise(next *catalog.Catalog) Result {
+func (s *State) revise(next *searchconfig.Config) Result {
 	c := *next
 	if c.Revision = 1; s.settingsVersion != 0 {
 		c.Revision = s.settings.Revision + 1
@@ -257,7 +257,7 @@
 
 // advance takes a step of a layout. Layouts check for themselves what version a step was made on.
 func (s *State) advance(c Command) Result {
-	l := s.settings.Layout(c.Index)
+	l := s.settings.ShardMap(c.Index)
 	if l == nil || c.ShardMapCommand == nil {
 		return refuse(Invalid, "index %q has no layout, or no step is given", c.Index)
 	}
@@ -268,7 +268,7 @@
 	if next == l {
 		return Result{}
 	}
-	return s.revise(s.settings.WithLayout(c.Index, next))
+	return s.revise(s.settings.WithShardMap(c.Index, next))
 }
 
 // bareWithout names the slices that would have no holder in service if a server were restricted, and have one now: slices
@@ -279,7 +279,7 @@
 		return nil // nothing changes for slices
 	}
 	for _, index := range slices.Sorted(maps.Keys(s.settings.Indices)) {
-		l := s.settings.Layout(index)
+		l := s.settings.ShardMap(index)
 		if l == nil {
 			continue
 		}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,15 +10,15 @@
 
 	"pgregory.net/rapid"
 
-	"linkpass/internal/catalog"
 	"linkpass/internal/config/restriction"
 	"linkpass/internal/layout"
+	"linkpass/internal/searchconfig"
 	_ "linkpass/internal/seeded"
 )
 
 // settings have an index with two sets of holders, a+b and c.
-func settings(t interface{ Fatal(...any) }) *catalog.Catalog {
-	c, err := catalog.Parse([]byte(`{"indices":{"players":{"class":"lookup","spread":{"slices":2,"sets":[["a","b"],["c"]]}}}}`))
+func settings(t interface{ Fatal(...any) }) *searchconfig.Config {
+	c, err := searchconfig.Parse([]byte(`{"indices":{"players":{"class":"lookup","spread":{"slices":2,"sets":[["a","b"],["c"]]}}}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, r := NewState(&catalog.Catalog{}).Apply(Command{Kind: ReplaceSettings, Payload: doc})
+	s, r := NewState(&searchconfig.Config{}).Apply(Command{Kind: ReplaceSettings, Payload: doc})
 	if r.Reason != Applied {
 		t.Fatal(r)
 	}
@@ -139,7 +139,7 @@
 	served := func(s *State, holders []string) bool {
 		return slices.ContainsFunc(holders, func(id string) bool { return s.Restriction(id) == restriction.None })
 	}
-	for _, slice := range after.Settings().Layout("players").Slices() {
+	for _, slice := range after.Settings().ShardMap("players").Slices() {
 		if served(before, slice.Holders) && !served(after, slice.Holders) && (c.Restriction == nil || !c.Restriction.Force || len(r.UncoveredShards) == 0) {
 			t.Fatalf("%+v left slice %d bare: %+v", c, slice.ID, r)
 		}
@@ -179,7 +179,7 @@
 
 // Instances whose files differ are alike from the first document on, and take nothing before it.
 func TestFilesThatDiffer(t *testing.T) {
-	one, other := NewState(settings(t)), NewState(&catalog.Catalog{Search: catalog.Defaults{MaxResultWindow: 7}})
+	one, other := NewState(settings(t)), NewState(&searchconfig.Config{Search: searchconfig.Defaults{MaxResultWindow: 7}})
 	doc, err := json.Marshal(settings(t))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/restriction/explore_test.go
+++ b/internal/config/restriction/explore_test.go
@@ -7,9 +7,9 @@
 	"strings"
 	"testing"
 
-	"linkpass/internal/catalog"
 	"linkpass/internal/config"
 	. "linkpass/internal/config/restriction"
+	"linkpass/internal/searchconfig"
 )
 
 // world is three instances, the log that a majority has committed, and which instance is cut off (-1: none). The
@@ -60,7 +60,7 @@
 	if s := x.nodes[key]; s != nil {
 		return s
 	}
-	log, _ := config.NewState(&catalog.Catalog{}).Apply(config.Command{Kind: config.ReplaceSettings, Payload: []byte("{}")})
+	log, _ := config.NewState(&searchconfig.Config{}).Apply(config.Command{Kind: config.ReplaceSettings, Payload: []byte("{}")})
 	h := NewPendingSet(Origin{Instance: "n", Incarnation: 1})
 	h.Receive(log, n.orders...)
 	for _, c := range w.log[:n.prefix] {
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -9,8 +9,8 @@
 
 	"lukechampine.com/blake3"
 
-	"linkpass/internal/catalog"
 	"linkpass/internal/config/restriction"
+	"linkpass/internal/searchconfig"
 )
 
 // Server is what is agreed of a server. One that only discovery lists has no Spec, but may have a weight or a drain.
@@ -44,12 +44,12 @@
 	settled         restriction.SettledSet
 	rejected        []RejectedRestriction
 	memberAddresses map[string]string // addresses of instances that joined, for clients
-	settings        *catalog.Catalog
+	settings        *searchconfig.Config
 	settingsVersion uint64 // version at the last change of the settings
 }
 
 // NewState is the state before the first command, with the settings that an instance's file names.
-func NewState(settings *catalog.Catalog) *State {
+func NewState(settings *searchconfig.Config) *State {
 	return &State{servers: map[string]Server{}, removed: map[string]bool{}, sessions: map[string]clientSession{}, memberAddresses: map[string]string{}, settings: settings}
 }
 
@@ -60,7 +60,7 @@
 func (s *State) Version() uint64 { return s.version }
 
 // Settings are the settings that hold. They are not the caller's to change.
-func (s *State) Settings() *catalog.Catalog { return s.settings }
+func (s *State) Settings() *searchconfig.Config { return s.settings }
 
 // SettingsVersion is the version at which the settings last changed.
 func (s *State) SettingsVersion() uint64 { return s.settingsVersion }
@@ -129,7 +129,7 @@
 	if err := decMode.Unmarshal(data[1:], &d); err != nil {
 		return nil, fmt.Errorf("config: snapshot: %w", err)
 	}
-	settings, err := catalog.Parse(d.Settings)
+	settings, err := searchconfig.Parse(d.Settings)
 	if err != nil {
 		return nil, fmt.Errorf("config: snapshot: %w", err)
 	}
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -14,9 +14,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"linkpass/internal/catalog"
 	"linkpass/internal/config/restriction"
 	"linkpass/internal/layout"
+	"linkpass/internal/searchconfig"
 )
 
 // writeStored adds fixtures that are missing. One that exists is never written again: it stands for the data that earlier
@@ -79,17 +79,17 @@
 }
 
 // storedCatalog is the settings of the snapshot fixture.
-func storedCatalog() *catalog.Catalog {
+func storedCatalog() *searchconfig.Config {
 	const first = layout.FirstSlice
 	partial := false
 	whole := func(from, to uint64) layout.Range { return layout.Range{First: from, Last: to} }
 	low, mid, high := whole(0, 0x3fffffffffffffff), whole(0x4000000000000000, 0x7fffffffffffffff), whole(0x8000000000000000, 0xffffffffffffffff)
-	return &catalog.Catalog{
+	return &searchconfig.Config{
 		Revision: 7,
-		Search:   catalog.Defaults{Timeout: "1500ms", AllowPartial: &partial, MaxResultWindow: 250},
-		Indices: map[string]catalog.Index{
-			"fixed": {Class: "bulk", Slices: []int{0, 2, 5}},
-			"players": {Class: "lookup", Layout: &layout.Document{Version: 9, NextSlice: first + 10, NextPlan: 6,
+		Search:   searchconfig.Defaults{Timeout: "1500ms", AllowPartial: &partial, MaxResultWindow: 250},
+		Indices: map[string]searchconfig.Index{
+			"fixed": {Class: "bulk", Shards: []int{0, 2, 5}},
+			"players": {Class: "lookup", ShardMap: &layout.Document{Version: 9, NextSlice: first + 10, NextPlan: 6,
 				Slices: []layout.Slice{{ID: first, Range: low, Epoch: 1, Holders: []string{"s-1", "s-2"}},
 					{ID: first + 4, Range: mid, Epoch: 8, Holders: []string{"s-3"}},
 					{ID: first + 2, Range: high, Epoch: 1, Holders: []string{"s-2"}}},
@@ -109,7 +109,7 @@
 						From: []layout.Slice{{ID: first + 2, Range: high, Epoch: 1, Holders: []string{"s-2"}}},
 						To:   []layout.Slice{{ID: first + 6, Range: high, Holders: []string{"s-6"}}}}}}},
 		},
-		Servers: map[string]catalog.Server{"s-1": {Protocol: catalog.Search}, "s-2": {Protocol: catalog.Plain}},
+		Servers: map[string]searchconfig.Server{"s-1": {Protocol: searchconfig.ProtocolSearch}, "s-2": {Protocol: searchconfig.ProtocolPlain}},
 	}
 }
 
@@ -118,7 +118,7 @@
 func storedState(t *testing.T) *State {
 	t.Helper()
 	settings := storedCatalog()
-	if err := settings.Check(); err != nil {
+	if err := settings.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	origin := restriction.Origin{Instance: "n1", Incarnation: 4}
@@ -153,11 +153,11 @@
 		}
 	}
 	for name, index := range want.settings.Indices {
-		l := got.settings.Layout(name)
-		if (l != nil) != (index.Layout != nil) {
+		l := got.settings.ShardMap(name)
+		if (l != nil) != (index.ShardMap != nil) {
 			t.Errorf("index %s: has a layout: %t", name, l != nil)
-		} else if l != nil && !reflect.DeepEqual(l.Document(), *index.Layout) {
-			t.Errorf("index %s: layout\n%+v\nwant:\n%+v", name, l.Document(), *index.Layout)
+		} else if l != nil && !reflect.DeepEqual(l.Document(), *index.ShardMap) {
+			t.Errorf("index %s: layout\n%+v\nwant:\n%+v", name, l.Document(), *index.ShardMap)
 		}
 	}
 }
@@ -230,8 +230,8 @@
 
 // Records whose fields are all zero hold the forms of empty fields.
 func TestStoredSnapshotOfZeroRecordsReadsBaseFormat(t *testing.T) {
-	want := NewState(&catalog.Catalog{})
-	if err := want.settings.Check(); err != nil {
+	want := NewState(&searchconfig.Config{})
+	if err := want.settings.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	want.servers["s-1"], want.servers["s-2"] = Server{}, Server{Spec: &ServerSpec{}}
@@ -283,7 +283,7 @@
 
 // A state without any content holds the forms of empty maps and lists.
 func TestStoredEmptySnapshotReadsBaseFormat(t *testing.T) {
-	data := readFixture(t, "snapshot_empty.cbor", func() []byte { return mustSnapshot(t, NewState(&catalog.Catalog{})) })
+	data := readFixture(t, "snapshot_empty.cbor", func() []byte { return mustSnapshot(t, NewState(&searchconfig.Config{})) })
 	got, err := Restore(data)
 	if err != nil {
 		t.Fatal(err)
@@ -303,7 +303,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, r := NewState(&catalog.Catalog{}).Apply(c)
+	s, r := NewState(&searchconfig.Config{}).Apply(c)
 	if r.Reason != Applied {
 		t.Fatalf("result %+v", r)
 	}
@@ -401,7 +401,7 @@
 	}
 	fieldsSet(reflect.ValueOf(d), set)
 	for _, text := range [][]byte{d.Settings, []byte(storedDocument)} {
-		var c catalog.Catalog
+		var c searchconfig.Config
 		if err := json.Unmarshal(text, &c); err != nil {
 			t.Fatal(err)
 		}
@@ -416,7 +416,7 @@
 	}
 	for _, v := range []any{Command{}, ServerSpec{}, Result{}, Server{}, RejectedRestriction{}, clientSession{}, stateDocument{}, restriction.Origin{}, restriction.ID{}, restriction.Request{}, restriction.Interval{},
 		layout.Command{}, layout.Order{}, layout.Advance{}, layout.Abandon{}, layout.Document{}, layout.Plan{}, layout.Slice{},
-		catalog.Catalog{}, catalog.Defaults{}, catalog.Index{}, catalog.Spread{}, catalog.Server{}} {
+		searchconfig.Config{}, searchconfig.Defaults{}, searchconfig.Index{}, searchconfig.InitialSharding{}, searchconfig.Server{}} {
 		if set[reflect.TypeOf(v)] == nil {
 			t.Errorf("%T is in no fixture", v)
 		}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -13,11 +13,11 @@
 	"strings"
 	"time"
 
-	"linkpass/internal/catalog"
 	"linkpass/internal/endpoints"
 	"linkpass/internal/event"
 	"linkpass/internal/http1"
 	"linkpass/internal/layout"
+	"linkpass/internal/searchconfig"
 	"linkpass/internal/store"
 )
 
@@ -270,11 +270,11 @@
 		return reply(map[string]any{"ok": true, "indices": len(doc.Indices), "servers": len(doc.Servers)})
 	}
 	kept := 0
-	now, err := s.UpdateSettings(func(now *catalog.Catalog) (*catalog.Catalog, error) {
+	now, err := s.UpdateSettings(func(now *searchconfig.Config) (*searchconfig.Config, error) {
 		next := doc
 		for name := range doc.Indices { // where the slices lie now, no backup can know
-			if l := now.Layout(name); l != nil && doc.Layout(name) != nil {
-				next, kept = next.WithLayout(name, l), kept+1
+			if l := now.ShardMap(name); l != nil && doc.ShardMap(name) != nil {
+				next, kept = next.WithShardMap(name, l), kept+1
 			}
 		}
 		return next, nil
@@ -286,7 +286,7 @@
 }
 
 // OpenBackup reads a backup and checks that it is whole and can be used.
-func OpenBackup(data []byte) (*catalog.Catalog, error) {
+func OpenBackup(data []byte) (*searchconfig.Config, error) {
 	var b Backup
 	if err := json.Unmarshal(data, &b); err != nil {
 		return nil, fmt.Errorf("backup: %w", err)
@@ -301,7 +301,7 @@
 	if got := sum(compact.Bytes()); got != b.Sum {
 		return nil, fmt.Errorf("backup: its sum is %.16s…, it says %.16s…: it was changed or cut", got, b.Sum)
 	}
-	doc, err := catalog.Parse(compact.Bytes())
+	doc, err := searchconfig.Parse(compact.Bytes())
 	if err != nil {
 		return nil, fmt.Errorf("backup: %w", err)
 	}
--- a/internal/control/wire_golden_test.go
+++ b/internal/control/wire_golden_test.go
@@ -13,7 +13,6 @@
 	"testing"
 	"time"
 
-	"linkpass/internal/catalog"
 	"linkpass/internal/config"
 	"linkpass/internal/config/restriction"
 	"linkpass/internal/control/seal"
@@ -22,6 +21,7 @@
 	"linkpass/internal/goldentest"
 	"linkpass/internal/http1"
 	"linkpass/internal/layout"
+	"linkpass/internal/searchconfig"
 	"linkpass/internal/store"
 )
 
@@ -242,7 +242,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	initial, err := catalog.Parse([]byte(goldenDocument))
+	initial, err := searchconfig.Parse([]byte(goldenDocument))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -8,9 +8,9 @@
 	"strconv"
 
 	"linkpass"
-	"linkpass/internal/catalog"
 	"linkpass/internal/discovery"
 	"linkpass/internal/schema"
+	"linkpass/internal/searchconfig"
 	"linkpass/internal/settings"
 	"linkpass/internal/store"
 )
@@ -35,7 +35,7 @@
 // Search is the file of the search front.
 type Search struct {
 	Listen string `toml:"listen"`
-	catalog.Catalog
+	searchconfig.Config
 	Store   store.Config `toml:"store"`
 	Reshape Reshape      `toml:"reshape"`
 	Bodies  Bodies       `toml:"bodies"`
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -210,7 +210,7 @@
 	}
 	c := (*p.current.Load())()
 	for name := range c.Indices {
-		if l := c.Layout(name); l != nil {
+		if l := c.ShardMap(name); l != nil {
 			s.Layouts = append(s.Layouts, control.Layout{Index: name, Version: l.Version(), Slices: l.Len(), Plans: len(l.Plans())})
 		}
 	}
@@ -279,7 +279,7 @@
 	c := (*p.current.Load())()
 	var out []control.IndexLayout
 	for _, name := range slices.Sorted(maps.Keys(c.Indices)) {
-		l := c.Layout(name)
+		l := c.ShardMap(name)
 		if l == nil {
 			continue
 		}
--- a/internal/daemon/fronts.go
+++ b/internal/daemon/fronts.go
@@ -7,13 +7,13 @@
 	"os"
 	"strconv"
 
-	"linkpass/internal/catalog"
 	"linkpass/internal/event"
 	"linkpass/internal/http1"
 	"linkpass/internal/opensearch"
 	"linkpass/internal/operator"
 	"linkpass/internal/parts"
 	"linkpass/internal/platform"
+	"linkpass/internal/searchconfig"
 	"linkpass/internal/store"
 )
 
@@ -141,7 +141,7 @@
 }
 
 // settle names the search settings that hold.
-func (p *Program) settle(current func() *catalog.Catalog) { p.current.Store(&current) }
+func (p *Program) settle(current func() *searchconfig.Config) { p.current.Store(&current) }
 
 // searchPart is the search front, and the store where there is one. It has an address and files that another process
 // may still hold.
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -17,9 +17,9 @@
 	"github.com/BurntSushi/toml"
 
 	"linkpass"
-	"linkpass/internal/catalog"
 	"linkpass/internal/discovery"
 	"linkpass/internal/layout"
+	"linkpass/internal/searchconfig"
 	"linkpass/internal/settings"
 	"linkpass/internal/store"
 )
@@ -137,17 +137,17 @@
 	no := false
 	s := Search{
 		Listen: "127.0.0.1:9200",
-		Catalog: catalog.Catalog{
-			Search: catalog.Defaults{Timeout: "1500ms", AllowPartial: &no, MaxResultWindow: 10001},
-			Indices: map[string]catalog.Index{
-				"players": {Class: "team-lookup", Slices: []int{0, 2, 5}},
-				"scores":  {Class: "league-table", Spread: &catalog.Spread{Slices: 4, Sets: [][]string{{"s-01", "s-02"}, {"s-03", "s-04"}}}},
-				"moves": {Class: "trade", Layout: &layout.Document{Version: 7, NextSlice: 1048580, NextPlan: 3, Slices: []layout.Slice{
+		Config: searchconfig.Config{
+			Search: searchconfig.Defaults{Timeout: "1500ms", AllowPartial: &no, MaxResultWindow: 10001},
+			Indices: map[string]searchconfig.Index{
+				"players": {Class: "team-lookup", Shards: []int{0, 2, 5}},
+				"scores":  {Class: "league-table", InitialSharding: &searchconfig.InitialSharding{Shards: 4, ReplicaSets: [][]string{{"s-01", "s-02"}, {"s-03", "s-04"}}}},
+				"moves": {Class: "trade", ShardMap: &layout.Document{Version: 7, NextSlice: 1048580, NextPlan: 3, Slices: []layout.Slice{
 					{ID: 1048577, Range: layout.Range{First: 0, Last: 1<<63 - 1}, Epoch: 1, Holders: []string{"s-01", "s-02"}},
 					{ID: 1048579, Range: layout.Range{First: 1 << 63, Last: 1<<64 - 1}, Epoch: 5, Holders: []string{"s-03"}},
 				}}},
 			},
-			Servers: map[string]catalog.Server{"s-5be2a07c": {Protocol: "search"}, "s-2": {Protocol: "plain"}},
+			Servers: map[string]searchconfig.Server{"s-5be2a07c": {Protocol: "search"}, "s-2": {Protocol: "plain"}},
 		},
 		Store: store.Config{ID: "a", Dir: "/var/lib/linkpass/store", Join: true, TimeScale: 1.5, Members: []store.Member{
 			{ID: "a", Raft: "127.0.0.1:9300", HTTP: "127.0.0.1:9200"}, {ID: "b", Raft: "127.0.0.1:9400", HTTP: "127.0.0.1:9401"}}},
@@ -157,7 +157,7 @@
 		Operator: Operator{Socket: "/run/linkpass/linkpass.sock", Listen: "127.0.0.1:9301", Keys: "/etc/linkpass/operator-keys.toml", Window: "31s"},
 		Log:      Log{Format: "json", Level: "debug", Levels: map[string]string{"peer": "warn"}},
 	}
-	if err := s.Catalog.Check(); err != nil { // it makes the layouts
+	if err := s.Config.Validate(); err != nil { // it makes the layouts
 		t.Fatal(err)
 	}
 	return s
@@ -180,7 +180,7 @@
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
-	if n := len(got.Indices["scores"].Layout.Slices); n != 4 {
+	if n := len(got.Indices["scores"].ShardMap.Slices); n != 4 {
 		t.Errorf("the index with a spread has %d slices", n)
 	}
 }
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -9,11 +9,11 @@
 	"slices"
 	"strings"
 
-	"linkpass/internal/catalog"
 	"linkpass/internal/control"
 	"linkpass/internal/control/seal"
 	"linkpass/internal/event"
 	"linkpass/internal/schema"
+	"linkpass/internal/searchconfig"
 )
 
 var errOver = errors.New("the program is about to end")
@@ -130,7 +130,7 @@
 // moving tells whether an index has a layout that can move.
 func moving(s *Search, name string) bool {
 	index := s.Indices[name]
-	return index.Layout != nil || index.Spread != nil
+	return index.ShardMap != nil || index.InitialSharding != nil
 }
 
 // pass hands on what has taken hold to those who work by it. The lock is held.
@@ -155,8 +155,8 @@
 		now.Log.levels()
 	}
 	if now.Store.ID == "" {
-		if c, err := merged(p.fixed.Load(), &next.Catalog); err == nil { // as above
-			now.Catalog = *c
+		if c, err := merged(p.fixed.Load(), &next.Config); err == nil { // as above
+			now.Config = *c
 			p.fixed.Store(c)
 			if p.layouts != nil && now.Listen != "" {
 				p.layouts.take(c)
@@ -166,9 +166,9 @@
 }
 
 // merged is a new catalog with the indices of the old one that can't be changed in service.
-func merged(old, next *catalog.Catalog) (*catalog.Catalog, error) {
-	c := catalog.Catalog{Search: next.Search, Servers: next.Servers, Indices: map[string]catalog.Index{}}
-	fixed := func(i catalog.Index) bool { return i.Layout != nil || i.Spread != nil }
+func merged(old, next *searchconfig.Config) (*searchconfig.Config, error) {
+	c := searchconfig.Config{Search: next.Search, Servers: next.Servers, Indices: map[string]searchconfig.Index{}}
+	fixed := func(i searchconfig.Index) bool { return i.ShardMap != nil || i.InitialSharding != nil }
 	for name, index := range next.Indices {
 		if !fixed(index) && !fixed(old.Indices[name]) {
 			c.Indices[name] = index
@@ -183,7 +183,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	return catalog.ParseAfter(data, old)
+	return searchconfig.ParseUpdate(data, old)
 }
 
 // levels lets the levels hold.
--- a/internal/daemon/reshape.go
+++ b/internal/daemon/reshape.go
@@ -5,13 +5,13 @@
 	"sync"
 	"time"
 
-	"linkpass/internal/catalog"
 	"linkpass/internal/coordinator"
 	"linkpass/internal/discovery"
 	"linkpass/internal/event"
 	"linkpass/internal/layout"
 	"linkpass/internal/layout/reshape"
 	"linkpass/internal/layout/steward"
+	"linkpass/internal/searchconfig"
 )
 
 // Reshape paces the changes of layouts, as an operator's file says.
@@ -47,13 +47,13 @@
 type layouts struct {
 	core *coordinator.Core
 	mu   sync.Mutex
-	last *catalog.Catalog
+	last *searchconfig.Config
 }
 
-func (l *layouts) take(c *catalog.Catalog) {
+func (l *layouts) take(c *searchconfig.Config) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	news := c.News(l.last)
+	news := c.ShardMapChanges(l.last)
 	l.last = c
 	if len(news) > 0 {
 		l.core.Reshape(news, discovery.ServerID)
@@ -101,7 +101,7 @@
 }
 
 // Settings is the document as this instance has it.
-func (s stored) Settings() *catalog.Catalog { return s.p.opened.Load().Settings() }
+func (s stored) Settings() *searchconfig.Config { return s.p.opened.Load().Settings() }
 
 // AdvanceShardMap takes a step of a layout.
 func (s stored) AdvanceShardMap(index string, c layout.Command) error {
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -17,7 +17,6 @@
 	"linkpass"
 	"linkpass/internal/bodies"
 	"linkpass/internal/bodies/tier"
-	"linkpass/internal/catalog"
 	"linkpass/internal/coordinator"
 	"linkpass/internal/counters"
 	"linkpass/internal/discovery"
@@ -32,6 +31,7 @@
 	"linkpass/internal/operator"
 	"linkpass/internal/parts"
 	"linkpass/internal/peer"
+	"linkpass/internal/searchconfig"
 	"linkpass/internal/store"
 )
 
@@ -75,9 +75,9 @@
 	leaving    chan struct{}  // closed once no more are
 	accepting  sync.WaitGroup // what lets clients in
 	dials      *peer.Places   // connections that all league servers may take
-	current    atomic.Pointer[func() *catalog.Catalog]
+	current    atomic.Pointer[func() *searchconfig.Config]
 
-	fixed       atomic.Pointer[catalog.Catalog] // the file's, where there is no store
+	fixed       atomic.Pointer[searchconfig.Config] // the file's, where there is no store
 	keys        keyring
 	controlAddr atomic.Value  // string: of the API over TCP
 	reloading   sync.Mutex    // one at a time
@@ -273,7 +273,7 @@
 	p := &Program{cfg: cfg, began: time.Now(), count: counters.New(), figures: counters.NewFigures(cfg.host.Classes),
 		dials: peer.NewPlaces(0), alone: make(chan struct{}, 1), welcome: make(chan struct{}), leaving: make(chan struct{}),
 		changed: make(chan struct{}, 1)}
-	p.fixed.Store(&cfg.Search.Catalog)
+	p.fixed.Store(&cfg.Search.Config)
 	p.settle(p.fixed.Load)
 	p.join()
 	var err error
@@ -383,8 +383,8 @@
 	}
 	return link.Protocols{
 		Makers: map[string]link.Make{
-			catalog.Plain:  maker(frame.Dialect{MaxStreams: p.cfg.host.MaxStreams, ReportNames: p.cfg.host.ReportNames}),
-			catalog.Search: maker(opensearch.Dialect{ReportNames: p.cfg.host.ReportNames}),
+			searchconfig.ProtocolPlain:  maker(frame.Dialect{MaxStreams: p.cfg.host.MaxStreams, ReportNames: p.cfg.host.ReportNames}),
+			searchconfig.ProtocolSearch: maker(opensearch.Dialect{ReportNames: p.cfg.host.ReportNames}),
 		},
 		Of: func(server string) string { return (*p.current.Load())().Protocol(server) },
 	}
--- a/internal/daemon/run_test.go
+++ b/internal/daemon/run_test.go
@@ -18,11 +18,11 @@
 	"time"
 
 	"linkpass"
-	"linkpass/internal/catalog"
 	"linkpass/internal/control"
 	"linkpass/internal/discovery"
 	"linkpass/internal/http1"
 	"linkpass/internal/operator"
+	"linkpass/internal/searchconfig"
 	"linkpass/internal/settings"
 	"linkpass/internal/store"
 )
@@ -65,8 +65,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.Search = Search{Listen: "127.0.0.1:0", Catalog: catalog.Catalog{Indices: map[string]catalog.Index{
-		"players": {Class: "whole", Slices: []int{0, 1, 2}}, "tables": {Class: "share", Slices: []int{0, 1}}, "lost": {Class: "whole", Slices: []int{0, 77}}}},
+	cfg.Search = Search{Listen: "127.0.0.1:0", Config: searchconfig.Config{Indices: map[string]searchconfig.Index{
+		"players": {Class: "whole", Shards: []int{0, 1, 2}}, "tables": {Class: "share", Shards: []int{0, 1}}, "lost": {Class: "whole", Shards: []int{0, 77}}}},
 		Store: store.Config{ID: "a", Dir: t.TempDir(), TimeScale: 0.2, Listener: raft,
 			Members: []store.Member{{ID: "a", Raft: raft.Addr().String(), HTTP: "here"}}}}
 	for _, change := range changes {
@@ -698,7 +698,7 @@
 	dir := t.TempDir()
 	b := newBench(t, 3, func(c *Config) {
 		c.Search.Bodies = Bodies{MemoryKiB: 64, LargestKiB: 8, FilesKiB: 4096, Dir: dir}
-		c.Search.Servers = map[string]catalog.Server{"s-0a": {Protocol: "search"}, "s-0b": {Protocol: "search"}}
+		c.Search.Servers = map[string]searchconfig.Server{"s-0a": {Protocol: "search"}, "s-0b": {Protocol: "search"}}
 	})
 	query := `{"terms":{"id":["` + strings.Repeat("x", 40_000) + `"]}}`
 	b.servers["s-0a"].set("error")
--- a/internal/daemon/schema.go
+++ b/internal/daemon/schema.go
@@ -106,7 +106,7 @@
 
 // contradictions tells what the keys say against each other, beyond what each may hold alone.
 func (c *Search) contradictions(note func(key string, err error)) {
-	if err := c.Catalog.Check(); err != nil {
+	if err := c.Config.Validate(); err != nil {
 		note("indices", err)
 	}
 	if err := c.Bodies.check(); err != nil {
--- a/internal/daemon/wire_golden_test.go
+++ b/internal/daemon/wire_golden_test.go
@@ -15,7 +15,6 @@
 	"testing"
 	"time"
 
-	"linkpass/internal/catalog"
 	"linkpass/internal/config"
 	"linkpass/internal/config/restriction"
 	"linkpass/internal/config/rollback"
@@ -28,6 +27,7 @@
 	"linkpass/internal/http1"
 	"linkpass/internal/layout"
 	"linkpass/internal/schema"
+	"linkpass/internal/searchconfig"
 	"linkpass/internal/store"
 )
 
@@ -119,7 +119,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	st, err := store.Open(store.Config{ID: "a", Dir: t.TempDir(), TimeScale: 0.2, Listener: ln, InitialSettings: &catalog.Catalog{},
+	st, err := store.Open(store.Config{ID: "a", Dir: t.TempDir(), TimeScale: 0.2, Listener: ln, InitialSettings: &searchconfig.Config{},
 		Members: append([]store.Member{{ID: "a", Raft: ln.Addr().String(), HTTP: "127.0.0.1:1"}}, members...)})
 	if err != nil {
 		t.Fatal(err)
@@ -236,12 +236,12 @@
 		return layout.Slice{ID: layout.FirstSlice + n, Range: layout.Range{First: first, Last: last}, Epoch: 1, Holders: []string{holder}}
 	}
 	want := Search{Listen: "127.0.0.1:9200",
-		Catalog: catalog.Catalog{Search: catalog.Defaults{Timeout: "1500ms", AllowPartial: &no, MaxResultWindow: 500},
-			Indices: map[string]catalog.Index{"fixed": {Class: "team-lookup", Slices: []int{0, 1}},
-				"spread": {Class: "team-lookup", Layout: &spread},
-				"movable": {Class: "league-table", Layout: &layout.Document{Version: 2, NextSlice: layout.FirstSlice + 2, NextPlan: 3,
+		Config: searchconfig.Config{Search: searchconfig.Defaults{Timeout: "1500ms", AllowPartial: &no, MaxResultWindow: 500},
+			Indices: map[string]searchconfig.Index{"fixed": {Class: "team-lookup", Shards: []int{0, 1}},
+				"spread": {Class: "team-lookup", ShardMap: &spread},
+				"movable": {Class: "league-table", ShardMap: &layout.Document{Version: 2, NextSlice: layout.FirstSlice + 2, NextPlan: 3,
 					Slices: []layout.Slice{slice(0, 0, 1<<63-1, "s-1"), slice(1, 1<<63, math.MaxUint64, "s-2")}}}},
-			Servers: map[string]catalog.Server{"s-1": {Protocol: "search"}}},
+			Servers: map[string]searchconfig.Server{"s-1": {Protocol: "search"}}},
 		Store: store.Config{ID: "a", Dir: "/var/lib/linkpass/store", Join: true, TimeScale: 0.5, Members: []store.Member{
 			{ID: "a", Raft: "127.0.0.1:9300", HTTP: "127.0.0.1:9200"}, {ID: "b", Raft: "127.0.0.1:9301", HTTP: "127.0.0.1:9201"}}},
 		Reshape: Reshape{Moves: 5, PerServer: 2, Poll: "2s", RetireAfter: "3s", Patience: "4m", Replan: &no},
@@ -253,7 +253,7 @@
 		name      string
 		got, want any
 	}{
-		{"listen", c.Listen, want.Listen}, {"search", c.Catalog.Search, want.Catalog.Search}, {"indices", c.Indices, want.Indices},
+		{"listen", c.Listen, want.Listen}, {"search", c.Config.Search, want.Config.Search}, {"indices", c.Indices, want.Indices},
 		{"servers", c.Servers, want.Servers}, {"store", c.Store, want.Store}, {"reshape", c.Reshape, want.Reshape},
 		{"bodies", c.Bodies, want.Bodies}, {"operator", c.Operator, want.Operator}, {"log", c.Log, want.Log},
 	} {
--- a/internal/endpoints/agree_test.go
+++ b/internal/endpoints/agree_test.go
@@ -11,12 +11,12 @@
 	"time"
 
 	"linkpass"
-	"linkpass/internal/catalog"
 	"linkpass/internal/config"
 	"linkpass/internal/config/restriction"
 	"linkpass/internal/coordinator"
 	"linkpass/internal/counters"
 	"linkpass/internal/event"
+	"linkpass/internal/searchconfig"
 )
 
 const instances = 3
@@ -131,7 +131,7 @@
 func newNetwork(seed uint64) *network {
 	n := &network{rng: rand.New(rand.NewPCG(seed, 3)), log: []config.Command{{Kind: config.ReplaceSettings, Payload: []byte("{}")}}}
 	for i := range instances {
-		n.states[i], _ = config.NewState(&catalog.Catalog{}).Apply(n.log[0])
+		n.states[i], _ = config.NewState(&searchconfig.Config{}).Apply(n.log[0])
 		n.lists[i] = map[string]linkpass.ServerState{}
 		spread := map[string]func(context.Context, []restriction.Request) error{}
 		for j := range instances {
--- a/internal/endpoints/wire_golden_test.go
+++ b/internal/endpoints/wire_golden_test.go
@@ -6,12 +6,12 @@
 	"reflect"
 	"testing"
 
-	"linkpass/internal/catalog"
 	"linkpass/internal/config"
 	"linkpass/internal/config/restriction"
 	"linkpass/internal/coordinator"
 	"linkpass/internal/counters"
 	"linkpass/internal/goldentest"
+	"linkpass/internal/searchconfig"
 )
 
 // followerLog is the log of an instance that does not lead, with settings agreed and nothing else.
@@ -23,7 +23,7 @@
 
 func openInstance(t *testing.T, name string, boot uint64) *Registry {
 	t.Helper()
-	state, r := config.NewState(&catalog.Catalog{}).Apply(config.Command{Kind: config.ReplaceSettings, Payload: []byte(`{"search":{}}`)})
+	state, r := config.NewState(&searchconfig.Config{}).Apply(config.Command{Kind: config.ReplaceSettings, Payload: []byte(`{"search":{}}`)})
 	if r.Reason != config.Applied {
 		t.Fatal(r)
 	}
--- a/internal/layout/steward/steward.go
+++ b/internal/layout/steward/steward.go
@@ -15,13 +15,13 @@
 	"time"
 
 	"linkpass"
-	"linkpass/internal/catalog"
 	"linkpass/internal/coordinator"
 	"linkpass/internal/counters"
 	"linkpass/internal/event"
 	"linkpass/internal/http1"
 	"linkpass/internal/layout"
 	"linkpass/internal/layout/reshape"
+	"linkpass/internal/searchconfig"
 	"linkpass/internal/store"
 )
 
@@ -46,7 +46,7 @@
 
 // Store is the replicated document.
 type Store interface {
-	Settings() *catalog.Catalog
+	Settings() *searchconfig.Config
 	IsLeader() bool
 	AdvanceShardMap(index string, c layout.Command) error
 }
@@ -174,7 +174,7 @@
 	c := s.cfg.Store.Settings()
 	layouts := map[string]*layout.Layout{}
 	for name := range c.Indices {
-		if l := c.Layout(name); l != nil {
+		if l := c.ShardMap(name); l != nil {
 			layouts[name] = l
 		}
 	}
--- a/internal/opensearch/front.go
+++ b/internal/opensearch/front.go
@@ -14,11 +14,11 @@
 	"time"
 
 	"linkpass/internal/bodies"
-	"linkpass/internal/catalog"
 	"linkpass/internal/coordinator"
 	"linkpass/internal/counters"
 	"linkpass/internal/event"
 	"linkpass/internal/http1"
+	"linkpass/internal/searchconfig"
 )
 
 // Core takes queries and tells the time.
@@ -39,7 +39,7 @@
 	Core     Core
 	Classes  []Class
 	Shards   int
-	Catalog  func() *catalog.Catalog
+	Catalog  func() *searchconfig.Config
 	Settings http1.Handler // of /_cluster/settings
 	Changes  Changes       // of layouts; nil: they are a file's
 	Bodies   *bodies.Store // of large searches; nil: they lie in memory
@@ -137,20 +137,20 @@
 }
 
 // place finds a search's slices or keys.
-func (f *Front) place(s *search, where catalog.Index, settings *catalog.Catalog) (bad *cause) {
+func (f *Front) place(s *search, where searchconfig.Index, settings *searchconfig.Config) (bad *cause) {
 	index := s.index
-	if l := settings.Layout(index); l != nil {
+	if l := settings.ShardMap(index); l != nil {
 		if s.wanted, bad = s.wantedKeys(l); bad != nil {
 			return bad
 		}
-	} else if s.slices = where.Slices; s.preferred != nil {
+	} else if s.slices = where.Shards; s.preferred != nil {
 		s.slices = s.preferred
 	}
 	if s.wanted == nil && (s.ranges != nil || s.routing != nil) {
 		return badRequest("illegal_argument_exception", fmt.Sprintf("index [%s] has a fixed layout: neither routing nor _ranges is known there", index))
 	}
 	for _, slice := range s.slices {
-		if !slices.Contains(where.Slices, slice) || slice >= f.Shards {
+		if !slices.Contains(where.Shards, slice) || slice >= f.Shards {
 			return &cause{Type: "shard_not_found_exception", Reason: fmt.Sprintf("no such shard [%d] in index [%s]", slice, index), Index: index, Status: 404}
 		}
 	}
@@ -281,7 +281,7 @@
 }
 
 // FixedSettings answers for settings that come from the file alone.
-func FixedSettings(current func() *catalog.Catalog) http1.Handler {
+func FixedSettings(current func() *searchconfig.Config) http1.Handler {
 	return http1.HandlerFunc(func(_ context.Context, _ time.Duration, req *http1.Request) *http1.Response {
 		if req.Method != "GET" {
 			return errorResponse(badRequest("illegal_argument_exception", "the store is off: settings come from the file and stay as they are"))
@@ -290,7 +290,7 @@
 	})
 }
 
-func settingsResponse(c *catalog.Catalog, changed bool) *http1.Response {
+func settingsResponse(c *searchconfig.Config, changed bool) *http1.Response {
 	out := map[string]any{"persistent": c, "transient": struct{}{}}
 	if changed {
 		out["acknowledged"] = true
--- a/internal/opensearch/large.go
+++ b/internal/opensearch/large.go
@@ -7,9 +7,9 @@
 	"io"
 
 	"linkpass/internal/bodies"
-	"linkpass/internal/catalog"
 	"linkpass/internal/coordinator"
 	"linkpass/internal/http1"
+	"linkpass/internal/searchconfig"
 )
 
 // Arriving is a large body on its way into the store, as the server's spool.
@@ -29,7 +29,7 @@
 
 // readLarge reads a search whose body has come into the store, and puts what the parts are to
 // send there in its place: the body's query, as it stands, with our own from and size.
-func (f *Front) readLarge(class int, req *http1.Request, settings *catalog.Catalog) (search, coordinator.Body, *cause) {
+func (f *Front) readLarge(class int, req *http1.Request, settings *searchconfig.Config) (search, coordinator.Body, *cause) {
 	arrived, ok := req.Spool.(*Arriving)
 	if !ok {
 		return search{}, nil, badRequest("illegal_state_exception", "a large body without a store")
--- a/internal/opensearch/layouts.go
+++ b/internal/opensearch/layouts.go
@@ -13,17 +13,17 @@
 	"strconv"
 	"strings"
 
-	"linkpass/internal/catalog"
 	"linkpass/internal/http1"
 	"linkpass/internal/layout"
 	"linkpass/internal/layout/coverage"
+	"linkpass/internal/searchconfig"
 	"linkpass/internal/store"
 )
 
 // Changes takes changes of the document, each a compare-and-set. The search front has
 // none where its settings are a file's.
 type Changes interface {
-	UpdateSettings(func(*catalog.Catalog) (*catalog.Catalog, error)) (*catalog.Catalog, error)
+	UpdateSettings(func(*searchconfig.Config) (*searchconfig.Config, error)) (*searchconfig.Config, error)
 }
 
 // maxCommands bounds one call of /_cluster/reroute.
@@ -118,11 +118,11 @@
 		if index != "" && index != name {
 			continue
 		}
-		if l := c.Layout(name); l != nil {
+		if l := c.ShardMap(name); l != nil {
 			all = append(all, rows(name, l)...)
 			continue
 		}
-		for _, s := range c.Indices[name].Slices { // who holds those is the module's to know
+		for _, s := range c.Indices[name].Shards { // who holds those is the module's to know
 			all = append(all, shardRow{Index: name, Shard: uint64(s), State: "STARTED", Node: "-", Primary: true})
 		}
 	}
@@ -163,7 +163,7 @@
 	if _, ok := c.Indices[index]; !ok {
 		return f.reject(noIndex(index))
 	}
-	l := c.Layout(index)
+	l := c.ShardMap(index)
 	if l == nil {
 		return f.reject(badRequest("illegal_argument_exception", fmt.Sprintf("index [%s] has a fixed layout: its shards' nodes are the list's", index)))
 	}
@@ -279,11 +279,11 @@
 		return f.reject(badRequest("illegal_state_exception", "layouts change in the replicated store only, and this instance has none"))
 	}
 	touched := map[string]bool{}
-	change := func(c *catalog.Catalog) (*catalog.Catalog, error) {
+	change := func(c *searchconfig.Config) (*searchconfig.Config, error) {
 		clear(touched)
 		return orderAll(c, body.Commands, touched)
 	}
-	var next *catalog.Catalog
+	var next *searchconfig.Config
 	if dry := params.Get("dry_run"); dry == "true" {
 		next, err = change(f.Catalog())
 	} else if dry == "" || dry == "false" {
@@ -296,7 +296,7 @@
 	}
 	plans, versions := map[string][]layout.Plan{}, map[string]uint64{}
 	for _, name := range slices.Sorted(maps.Keys(touched)) {
-		if l := next.Layout(name); l != nil {
+		if l := next.ShardMap(name); l != nil {
 			plans[name], versions[name] = l.Plans(), l.Version()
 		}
 	}
@@ -304,13 +304,13 @@
 }
 
 // orderAll is the document after all commands.
-func orderAll(c *catalog.Catalog, commands []map[string]rerouteCommand, touched map[string]bool) (*catalog.Catalog, error) {
+func orderAll(c *searchconfig.Config, commands []map[string]rerouteCommand, touched map[string]bool) (*searchconfig.Config, error) {
 	for i, one := range commands {
 		if len(one) != 1 {
 			return nil, fmt.Errorf("%w: command %d must be an object with one name", layout.ErrOrder, i)
 		}
 		for name, r := range one {
-			l := c.Layout(r.Index)
+			l := c.ShardMap(r.Index)
 			if l == nil {
 				return nil, fmt.Errorf("%w: command %d: index %.80q has no layout that can change", layout.ErrUnknown, i, r.Index)
 			}
@@ -321,7 +321,7 @@
 			if err != nil {
 				return nil, fmt.Errorf("command %d (%.40s): %w", i, name, err)
 			}
-			c, touched[r.Index] = c.WithLayout(r.Index, l), true
+			c, touched[r.Index] = c.WithShardMap(r.Index, l), true
 		}
 	}
 	return c, nil
@@ -330,7 +330,7 @@
 // rerouteError words why an order was not taken. One that is impossible names the invariant.
 func (f *Front) rerouteError(err error) *http1.Response {
 	for _, invariant := range []error{layout.ErrVersion, layout.ErrCover, layout.ErrHolder, layout.ErrOverlap, layout.ErrUnknown,
-		layout.ErrStep, layout.ErrOrder, layout.ErrCapacity, layout.ErrIdentity, catalog.ErrInvalid} {
+		layout.ErrStep, layout.ErrOrder, layout.ErrCapacity, layout.ErrIdentity, searchconfig.ErrInvalid} {
 		if errors.Is(err, invariant) {
 			return f.reject(badRequest("illegal_argument_exception", strings.TrimPrefix(err.Error(), "store: ")))
 		}
--- a/internal/opensearch/layouts_test.go
+++ b/internal/opensearch/layouts_test.go
@@ -9,17 +9,17 @@
 
 	"pgregory.net/rapid"
 
-	"linkpass/internal/catalog"
 	"linkpass/internal/coordinator"
 	"linkpass/internal/end"
 	"linkpass/internal/layout"
 	"linkpass/internal/peer"
+	"linkpass/internal/searchconfig"
 )
 
 // changes stands in for the store.
-type changes struct{ now *catalog.Catalog }
+type changes struct{ now *searchconfig.Config }
 
-func (c *changes) UpdateSettings(change func(*catalog.Catalog) (*catalog.Catalog, error)) (*catalog.Catalog, error) {
+func (c *changes) UpdateSettings(change func(*searchconfig.Config) (*searchconfig.Config, error)) (*searchconfig.Config, error) {
 	next, err := change(c.now)
 	if err == nil {
 		c.now = next
@@ -29,13 +29,13 @@
 
 // movable is a front with an index of four slices that can move.
 func movable(t *testing.T, k *core) (*Front, *changes) {
-	c, err := catalog.Parse([]byte(`{"search":{},"indices":{"players":{"class":"team-lookup","spread":{"slices":4,"sets":[["a","b"],["c","d"]]}},"fixed":{"class":"team-lookup","slices":[0]}}}`))
+	c, err := searchconfig.Parse([]byte(`{"search":{},"indices":{"players":{"class":"team-lookup","spread":{"slices":4,"sets":[["a","b"],["c","d"]]}},"fixed":{"class":"team-lookup","slices":[0]}}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	store := &changes{c}
 	f := front(k)
-	f.Catalog, f.Changes = func() *catalog.Catalog { return store.now }, store
+	f.Catalog, f.Changes = func() *searchconfig.Config { return store.now }, store
 	return f, store
 }
 
@@ -103,11 +103,11 @@
 		if status, body := order(c.params, c.commands); status != 400 || (!strings.Contains(body, c.says) && c.says != "dry_run") {
 			t.Errorf("%s: %d %s, want %q", c.commands, status, body, c.says)
 		}
-		if store.now.Layout("players").Version() != 1 {
+		if store.now.ShardMap("players").Version() != 1 {
 			t.Fatalf("%s left a trace", c.commands)
 		}
 	}
-	if status, body := order("?dry_run=true", split); status != 200 || !strings.Contains(body, `"step":"planned"`) || store.now.Layout("players").Version() != 1 {
+	if status, body := order("?dry_run=true", split); status != 200 || !strings.Contains(body, `"step":"planned"`) || store.now.ShardMap("players").Version() != 1 {
 		t.Errorf("dry run: %d %s", status, body)
 	}
 	if status, body := order("", split); status != 200 || !strings.Contains(body, `"versions":{"players":2}`) {
@@ -116,7 +116,7 @@
 	if status, _ := order("", `{"abandon":{"index":"players","plan":1}}`); status != 200 {
 		t.Errorf("abandon: %d", status)
 	}
-	if status, body := order("", `{"resume":{"index":"players","plan":1}}`); status != 200 || len(store.now.Layout("players").Plans()) != 1 {
+	if status, body := order("", `{"resume":{"index":"players","plan":1}}`); status != 200 || len(store.now.ShardMap("players").Plans()) != 1 {
 		t.Errorf("resume: %d %s", status, body)
 	}
 	res, _ := ask(f, "GET", "/_cat/shards/players?v", "")
--- a/internal/opensearch/opensearch_test.go
+++ b/internal/opensearch/opensearch_test.go
@@ -11,12 +11,12 @@
 
 	"pgregory.net/rapid"
 
-	"linkpass/internal/catalog"
 	"linkpass/internal/coordinator"
 	"linkpass/internal/counters"
 	"linkpass/internal/end"
 	"linkpass/internal/http1"
 	"linkpass/internal/peer"
+	"linkpass/internal/searchconfig"
 	_ "linkpass/internal/seeded"
 	"linkpass/internal/store"
 )
@@ -37,10 +37,10 @@
 	return func() {}
 }
 
-func settings() *catalog.Catalog {
-	return &catalog.Catalog{Search: catalog.Defaults{MaxResultWindow: 100}, Indices: map[string]catalog.Index{
-		"players": {Class: "team-lookup", Slices: []int{0, 1, 2}}, "broken": {Class: "team-lookup", Slices: []int{0, 99}},
-		"odd": {Class: "unheard", Slices: []int{0}}}}
+func settings() *searchconfig.Config {
+	return &searchconfig.Config{Search: searchconfig.Defaults{MaxResultWindow: 100}, Indices: map[string]searchconfig.Index{
+		"players": {Class: "team-lookup", Shards: []int{0, 1, 2}}, "broken": {Class: "team-lookup", Shards: []int{0, 99}},
+		"odd": {Class: "unheard", Shards: []int{0}}}}
 }
 
 func front(c *core) *Front {
@@ -256,13 +256,13 @@
 	patch string
 }
 
-func (r *replicated) ReadWith(how store.ReadOptions) (*catalog.Catalog, error) {
+func (r *replicated) ReadWith(how store.ReadOptions) (*searchconfig.Config, error) {
 	if how.Consistency == store.Local {
 		return settings(), nil
 	}
 	return settings(), r.err
 }
-func (r *replicated) PatchSettings(p []byte) (*catalog.Catalog, error) {
+func (r *replicated) PatchSettings(p []byte) (*searchconfig.Config, error) {
 	r.patch = string(p)
 	return settings(), r.err
 }
@@ -286,7 +286,7 @@
 		status int
 	}{
 		{&store.NotLeader{Leader: store.Member{ID: "b", HTTP: "127.0.0.1:9201"}}, 307},
-		{store.ErrNoLeader, 503}, {store.ErrNoQuorum, 503}, {catalog.ErrInvalid, 400}, {errors.New("odd"), 503},
+		{store.ErrNoLeader, 503}, {store.ErrNoQuorum, 503}, {searchconfig.ErrInvalid, 400}, {errors.New("odd"), 503},
 	} {
 		r.err = c.err
 		res, out := ask(f, "PUT", "/_cluster/settings", body)
--- a/internal/opensearch/query.go
+++ b/internal/opensearch/query.go
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
-	"linkpass/internal/catalog"
 	"linkpass/internal/layout"
+	"linkpass/internal/searchconfig"
 )
 
 // search is one search as its client asked for it.
@@ -39,7 +39,7 @@
 
 // parseSearch reads a search of an index; its slices and class are looked up
 // by the front.
-func parseSearch(params string, data []byte, settings *catalog.Catalog) (s search, err error) {
+func parseSearch(params string, data []byte, settings *searchconfig.Config) (s search, err error) {
 	s = search{query: json.RawMessage(`{"match_all":{}}`), size: defaultSize,
 		timeout: settings.Timeout(), allowPartial: settings.AllowPartial()}
 	if len(bytes.TrimSpace(data)) > 0 {
@@ -54,21 +54,21 @@
 }
 
 // checkWindow holds from and size to the limits.
-func (s *search) checkWindow(settings *catalog.Catalog) error {
+func (s *search) checkWindow(settings *searchconfig.Config) error {
 	switch {
 	case s.from < 0:
 		return badRequest("illegal_argument_exception", "[from] parameter cannot be negative")
 	case s.size < 0:
 		return badRequest("illegal_argument_exception", "[size] parameter cannot be negative")
-	case s.from > settings.Window() || s.size > settings.Window()-s.from:
+	case s.from > settings.MaxResultWindow() || s.size > settings.MaxResultWindow()-s.from:
 		return badRequest("illegal_argument_exception", fmt.Sprintf(
-			"Result window is too large, from + size must be less than or equal to: [%d]", settings.Window()))
+			"Result window is too large, from + size must be less than or equal to: [%d]", settings.MaxResultWindow()))
 	}
 	return nil
 }
 
 // readSearch is parseSearch with its error as a cause.
-func readSearch(params string, data []byte, settings *catalog.Catalog) (search, *cause) {
+func readSearch(params string, data []byte, settings *searchconfig.Config) (search, *cause) {
 	s, err := parseSearch(params, data, settings)
 	if c, ok := err.(*cause); ok {
 		return s, c
@@ -113,7 +113,7 @@
 }
 
 func (s *search) readTimeout(text string) error {
-	d, err := catalog.ParseTime(text)
+	d, err := searchconfig.ParseDuration(text)
 	if err != nil {
 		return badRequest("illegal_argument_exception", err.Error())
 	}
--- a/internal/opensearch/settings.go
+++ b/internal/opensearch/settings.go
@@ -8,16 +8,16 @@
 	"net/url"
 	"time"
 
-	"linkpass/internal/catalog"
 	"linkpass/internal/event"
 	"linkpass/internal/http1"
+	"linkpass/internal/searchconfig"
 	"linkpass/internal/store"
 )
 
 // Replicated is the settings' store.
 type Replicated interface {
-	ReadWith(store.ReadOptions) (*catalog.Catalog, error)
-	PatchSettings(patch []byte) (*catalog.Catalog, error)
+	ReadWith(store.ReadOptions) (*searchconfig.Config, error)
+	PatchSettings(patch []byte) (*searchconfig.Config, error)
 }
 
 // StoreSettings answers /_cluster/settings from a store: GET reads (with
@@ -81,7 +81,7 @@
 		res := errorResponse(&cause{Type: "not_cluster_manager_exception", Reason: err.Error(), Status: 307})
 		res.Header["Location"] = []string{"http://" + other.Leader.HTTP + path}
 		return res
-	case errors.Is(err, catalog.ErrInvalid):
+	case errors.Is(err, searchconfig.ErrInvalid):
 		return errorResponse(badRequest("illegal_argument_exception", err.Error()))
 	case errors.Is(err, store.ErrTooLarge):
 		return errorResponse(&cause{Type: "content_too_long_exception", Reason: err.Error(), Status: 413})
--- a/internal/opensearch/wire_golden_test.go
+++ b/internal/opensearch/wire_golden_test.go
@@ -11,13 +11,13 @@
 	"testing"
 	"time"
 
-	"linkpass/internal/catalog"
 	"linkpass/internal/coordinator"
 	"linkpass/internal/end"
 	"linkpass/internal/goldentest"
 	"linkpass/internal/http1"
 	"linkpass/internal/layout"
 	"linkpass/internal/peer"
+	"linkpass/internal/searchconfig"
 	"linkpass/internal/store"
 )
 
@@ -161,14 +161,14 @@
 }
 
 // goldenSettings are a fixed index and one of two slices, of which the first is being split and the second was moved.
-func goldenSettings(t *testing.T) func() *catalog.Catalog {
+func goldenSettings(t *testing.T) func() *searchconfig.Config {
 	t.Helper()
-	c, err := catalog.Parse([]byte(`{"search":{"max_result_window":100},"indices":{"players":{"class":"team-lookup","slices":[0,1,2]},
+	c, err := searchconfig.Parse([]byte(`{"search":{"max_result_window":100},"indices":{"players":{"class":"team-lookup","slices":[0,1,2]},
 		"movable":{"class":"team-lookup","spread":{"slices":2,"sets":[["s-1","s-2"],["s-3"]]}}},"servers":{"s-1":{"protocol":"search"}}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, l := layout.FirstSlice, c.Layout("movable")
+	first, l := layout.FirstSlice, c.ShardMap("movable")
 	for _, step := range []layout.Command{
 		{Order: &layout.Order{Kind: layout.Split, Slices: []layout.SliceID{first}, Into: 2, To: [][]string{{"s-4"}, {"s-5"}}}},
 		{Order: &layout.Order{Kind: layout.Move, Slices: []layout.SliceID{first + 1}, To: [][]string{{"s-6"}}}},
@@ -180,8 +180,8 @@
 			t.Fatal(err)
 		}
 	}
-	c = c.WithLayout("movable", l)
-	return func() *catalog.Catalog { return c }
+	c = c.WithShardMap("movable", l)
+	return func() *searchconfig.Config { return c }
 }
 
 func TestShardListsGolden(t *testing.T) {
@@ -278,7 +278,7 @@
 		kind   string
 	}{
 		{store.ErrNoLeader, 503, "cluster_manager_not_discovered_exception"}, {store.ErrNoQuorum, 503, "process_cluster_event_timeout_exception"},
-		{catalog.ErrInvalid, 400, "illegal_argument_exception"}, {store.ErrTooLarge, 413, "content_too_long_exception"},
+		{searchconfig.ErrInvalid, 400, "illegal_argument_exception"}, {store.ErrTooLarge, 413, "content_too_long_exception"},
 		{store.ErrBusy, 429, "circuit_breaking_exception"},
 	} {
 		t.Run(c.kind, func(t *testing.T) {
--- a/internal/catalog/catalog.go
+++ b/internal/searchconfig/catalog.go
@@ -1,7 +1,7 @@
-// Package catalog is the configuration of the search front: which index lies in
+// Package searchconfig is the configuration of the search front: which index lies in
 // which slices, which protocol each league server speaks, and the defaults of a
 // search. It is one JSON document, changed by merge patches.
-package catalog
+package searchconfig
 
 import (
 	"bytes"
@@ -20,24 +20,24 @@
 
 // The protocols that a league server may speak.
 const (
-	Plain  = "plain"
-	Search = "search"
+	ProtocolPlain  = "plain"
+	ProtocolSearch = "search"
 )
 
 // Index says where an index lies.
 type Index struct {
 	Class  string `json:"class" toml:"class"`
-	Slices []int  `json:"slices,omitempty" toml:"slices"`
-	// Layout takes the place of Slices where these can split, merge and move. Spread makes
+	Shards []int  `json:"slices,omitempty" toml:"slices"`
+	// ShardMap takes the place of Slices where these can split, merge and move. Spread makes
 	// its first version.
-	Layout *layout.Document `json:"layout,omitempty" toml:"layout"`
-	Spread *Spread          `json:"spread,omitempty" toml:"spread"`
+	ShardMap        *layout.Document `json:"layout,omitempty" toml:"layout"`
+	InitialSharding *InitialSharding `json:"spread,omitempty" toml:"spread"`
 }
 
-// Spread deals so many slices out to sets of servers, in turn.
-type Spread struct {
-	Slices int        `json:"slices" toml:"slices"`
-	Sets   [][]string `json:"sets" toml:"sets"`
+// InitialSharding deals so many slices out to sets of servers, in turn.
+type InitialSharding struct {
+	Shards      int        `json:"slices" toml:"slices"`
+	ReplicaSets [][]string `json:"sets" toml:"sets"`
 }
 
 // Server says how a league server is spoken to.
@@ -52,8 +52,8 @@
 	MaxResultWindow int    `json:"max_result_window,omitempty" toml:"max_result_window"`
 }
 
-// Catalog is the whole document. A published one is never changed.
-type Catalog struct {
+// Config is the whole document. A published one is never changed.
+type Config struct {
 	// Revision counts the changes of a replicated document: one more each.
 	Revision uint64 `json:"revision,omitempty" toml:"-"`
 
@@ -70,8 +70,8 @@
 // ErrInvalid marks a document or a patch that can't be used.
 var ErrInvalid = errors.New("invalid settings")
 
-// Window is the limit on from + size.
-func (c *Catalog) Window() int {
+// MaxResultWindow is the limit on from + size.
+func (c *Config) MaxResultWindow() int {
 	if c.Search.MaxResultWindow > 0 {
 		return c.Search.MaxResultWindow
 	}
@@ -79,11 +79,11 @@
 }
 
 // AllowPartial is the default of allow_partial_search_results.
-func (c *Catalog) AllowPartial() bool { return c.Search.AllowPartial == nil || *c.Search.AllowPartial }
+func (c *Config) AllowPartial() bool { return c.Search.AllowPartial == nil || *c.Search.AllowPartial }
 
 // Timeout is the default time of a search; 0: that of its class.
-func (c *Catalog) Timeout() time.Duration {
-	d, err := ParseTime(c.Search.Timeout)
+func (c *Config) Timeout() time.Duration {
+	d, err := ParseDuration(c.Search.Timeout)
 	if err != nil {
 		return 0
 	}
@@ -91,28 +91,28 @@
 }
 
 // Protocol is what a server speaks.
-func (c *Catalog) Protocol(server string) string {
+func (c *Config) Protocol(server string) string {
 	if s, ok := c.Servers[server]; ok {
 		return s.Protocol
 	}
-	return Plain
+	return ProtocolPlain
 }
 
-// Layout is an index's layout; nil: it has none, its slices are fixed.
-func (c *Catalog) Layout(index string) *layout.Layout { return c.layouts[index] }
+// ShardMap is an index's layout; nil: it has none, its slices are fixed.
+func (c *Config) ShardMap(index string) *layout.Layout { return c.layouts[index] }
 
-// WithLayout is the document with another layout of an index.
-func (c *Catalog) WithLayout(index string, l *layout.Layout) *Catalog {
+// WithShardMap is the document with another layout of an index.
+func (c *Config) WithShardMap(index string, l *layout.Layout) *Config {
 	out := *c
 	out.Indices, out.layouts = maps.Clone(c.Indices), maps.Clone(c.layouts)
 	d, i := l.Document(), out.Indices[index]
-	i.Layout = &d
+	i.ShardMap = &d
 	out.Indices[index], out.layouts[index] = i, l
 	return &out
 }
 
-// News tells what changed in the layouts since an earlier document, by name; nil: since there was none.
-func (c *Catalog) News(earlier *Catalog) (out []layout.News) {
+// ShardMapChanges tells what changed in the layouts since an earlier document, by name; nil: since there was none.
+func (c *Config) ShardMapChanges(earlier *Config) (out []layout.News) {
 	names := maps.Clone(c.layouts)
 	if earlier != nil {
 		for name, l := range earlier.layouts {
@@ -133,8 +133,8 @@
 	return out
 }
 
-// Follows tells whether a document may come after an earlier one: versions of a layout only grow.
-func (c *Catalog) Follows(earlier *Catalog) error {
+// ValidateTransition tells whether a document may come after an earlier one: versions of a layout only grow.
+func (c *Config) ValidateTransition(earlier *Config) error {
 	for name, l := range earlier.layouts {
 		if now := c.layouts[name]; now != nil && now.Version() < l.Version() {
 			return fmt.Errorf("%w: indices.%s.layout: version %d after %d", ErrInvalid, name, now.Version(), l.Version())
@@ -144,30 +144,30 @@
 }
 
 // layOut reads the layouts. What did not change since an earlier document is shared with it.
-func (c *Catalog) layOut(earlier *Catalog) error {
+func (c *Config) layOut(earlier *Config) error {
 	c.layouts = map[string]*layout.Layout{}
 	for _, name := range slices.Sorted(maps.Keys(c.Indices)) {
 		index := c.Indices[name]
-		if index.Spread != nil && index.Layout == nil {
-			first, err := layout.Even(index.Spread.Slices, index.Spread.Sets)
+		if index.InitialSharding != nil && index.ShardMap == nil {
+			first, err := layout.Even(index.InitialSharding.Shards, index.InitialSharding.ReplicaSets)
 			if err != nil {
 				return fmt.Errorf("%w: indices.%s.spread: %w", ErrInvalid, name, err)
 			}
 			d := first.Document()
-			index.Layout = &d
+			index.ShardMap = &d
 		}
-		index.Spread = nil
-		if index.Layout == nil {
+		index.InitialSharding = nil
+		if index.ShardMap == nil {
 			continue
 		}
 		var before *layout.Layout
 		if earlier != nil {
 			before = earlier.layouts[name]
 		}
-		if before != nil && before.Version() == index.Layout.Version && c.Revision > 0 {
+		if before != nil && before.Version() == index.ShardMap.Version && c.Revision > 0 {
 			c.layouts[name] = before // a version says all: it is never made twice
 		} else {
-			l, err := index.Layout.Layout(before)
+			l, err := index.ShardMap.Layout(before)
 			if err != nil {
 				return fmt.Errorf("%w: indices.%s.layout: %w", ErrInvalid, name, err)
 			}
@@ -178,18 +178,18 @@
 	return nil
 }
 
-// Check tells whether the document can be used. It looks at the document alone,
+// Validate tells whether the document can be used. It looks at the document alone,
 // so that every instance comes to the same result.
-func (c *Catalog) Check() error {
+func (c *Config) Validate() error {
 	if err := c.check(); err != nil {
 		return err
 	}
 	return c.layOut(nil)
 }
 
-func (c *Catalog) check() error {
+func (c *Config) check() error {
 	if c.Search.Timeout != "" {
-		if _, err := ParseTime(c.Search.Timeout); err != nil {
+		if _, err := ParseDuration(c.Search.Timeout); err != nil {
 			return fmt.Errorf("%w: search.default_search_timeout: %w", ErrInvalid, err)
 		}
 	}
@@ -202,7 +202,7 @@
 			return fmt.Errorf("%w: index name %q", ErrInvalid, name)
 		}
 		ways := 0
-		for _, some := range []bool{len(index.Slices) > 0, index.Layout != nil, index.Spread != nil} {
+		for _, some := range []bool{len(index.Shards) > 0, index.ShardMap != nil, index.InitialSharding != nil} {
 			if some {
 				ways++
 			}
@@ -210,16 +210,16 @@
 		if index.Class == "" || ways != 1 {
 			return fmt.Errorf("%w: index %q needs a class and one of slices, spread and layout", ErrInvalid, name)
 		}
-		if len(index.Slices) == 0 {
+		if len(index.Shards) == 0 {
 			continue
 		}
-		sorted := slices.Sorted(slices.Values(index.Slices))
-		if sorted[0] < 0 || len(slices.Compact(sorted)) != len(index.Slices) {
+		sorted := slices.Sorted(slices.Values(index.Shards))
+		if sorted[0] < 0 || len(slices.Compact(sorted)) != len(index.Shards) {
 			return fmt.Errorf("%w: index %q has a slice below 0 or one twice", ErrInvalid, name)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.Servers)) {
-		if p := c.Servers[name].Protocol; p != Plain && p != Search {
+		if p := c.Servers[name].Protocol; p != ProtocolPlain && p != ProtocolSearch {
 			return fmt.Errorf("%w: server %q: unknown protocol %q", ErrInvalid, name, p)
 		}
 	}
@@ -239,8 +239,8 @@
 }{{"nanos", time.Nanosecond}, {"micros", time.Microsecond}, {"ms", time.Millisecond},
 	{"s", time.Second}, {"m", time.Minute}, {"h", time.Hour}, {"d", 24 * time.Hour}}
 
-// ParseTime reads a time value such as 500ms; -1 and an empty one are 0, none.
-func ParseTime(s string) (time.Duration, error) {
+// ParseDuration reads a time value such as 500ms; -1 and an empty one are 0, none.
+func ParseDuration(s string) (time.Duration, error) {
 	if s == "" || s == "-1" {
 		return 0, nil
 	}
@@ -260,7 +260,7 @@
 
 // Patch is the document after a merge patch (RFC 7396); dotted keys at its top
 // stand for nested ones. The catalog itself stays as it is.
-func (c *Catalog) Patch(patch []byte) (*Catalog, error) {
+func (c *Config) Patch(patch []byte) (*Config, error) {
 	changes := map[string]any{}
 	if err := decode(patch, &changes, false); err != nil {
 		return nil, err
@@ -284,7 +284,7 @@
 	if data, err = json.Marshal(tree); err != nil {
 		return nil, fmt.Errorf("catalog: %w", err)
 	}
-	next, err := ParseAfter(data, c)
+	next, err := ParseUpdate(data, c)
 	if err != nil {
 		return nil, err
 	}
@@ -316,11 +316,11 @@
 }
 
 // Parse reads a document whole; what it does not know is refused.
-func Parse(data []byte) (*Catalog, error) { return ParseAfter(data, nil) }
+func Parse(data []byte) (*Config, error) { return ParseUpdate(data, nil) }
 
-// ParseAfter reads a document that follows an earlier one, and shares with it what did not change.
-func ParseAfter(data []byte, earlier *Catalog) (*Catalog, error) {
-	c := &Catalog{}
+// ParseUpdate reads a document that follows an earlier one, and shares with it what did not change.
+func ParseUpdate(data []byte, earlier *Config) (*Config, error) {
+	c := &Config{}
 	if err := decode(data, c, true); err != nil {
 		return nil, err
 	}
--- a/internal/catalog/catalog_test.go
+++ b/internal/searchconfig/catalog_test.go
@@ -1,4 +1,4 @@
-package catalog
+package searchconfig
 
 import (
 	"encoding/json"
@@ -17,16 +17,16 @@
 
 func TestPatches(t *testing.T) {
 	c, err := Parse([]byte(valid))
-	if err != nil || c.Timeout() != 500*time.Millisecond || c.Protocol("s-1") != Search || c.Protocol("s-2") != Plain ||
-		c.Window() != 10000 || !c.AllowPartial() {
+	if err != nil || c.Timeout() != 500*time.Millisecond || c.Protocol("s-1") != ProtocolSearch || c.Protocol("s-2") != ProtocolPlain ||
+		c.MaxResultWindow() != 10000 || !c.AllowPartial() {
 		t.Fatalf("%+v %v", c, err)
 	}
 	next, err := c.Patch([]byte(`{"servers":{"s-1":null},"indices.players.slices":[2],"search":{"default_allow_partial_results":false}}`))
-	if err != nil || next.Protocol("s-1") != Plain || next.Indices["players"].Slices[0] != 2 ||
+	if err != nil || next.Protocol("s-1") != ProtocolPlain || next.Indices["players"].Shards[0] != 2 ||
 		next.Indices["players"].Class != "team-lookup" || next.AllowPartial() || next.Timeout() != 500*time.Millisecond {
 		t.Errorf("%+v %v", next, err)
 	}
-	if c.Protocol("s-1") != Search || !c.AllowPartial() {
+	if c.Protocol("s-1") != ProtocolSearch || !c.AllowPartial() {
 		t.Error("the patch changed a published catalog")
 	}
 	for _, bad := range []string{`{"indices":{"Players":{"class":"a","slices":[1]}}}`, `{"indices.players.slices":[1,1]}`,
@@ -40,25 +40,25 @@
 
 func TestTimes(t *testing.T) {
 	for text, want := range map[string]time.Duration{"": 0, "-1": 0, "3micros": 3 * time.Microsecond, "2s": 2 * time.Second, "1m": time.Minute} {
-		if got, err := ParseTime(text); err != nil || got != want {
+		if got, err := ParseDuration(text); err != nil || got != want {
 			t.Errorf("%q: %v %v", text, got, err)
 		}
 	}
 	for _, bad := range []string{"5", "0s", "-2s", "1.5s", "s", "99999999999d"} {
-		if _, err := ParseTime(bad); err == nil {
+		if _, err := ParseDuration(bad); err == nil {
 			t.Errorf("took %q", bad)
 		}
 	}
 }
 
 func TestCatalogsFromAnything(t *testing.T) {
-	base := &Catalog{}
+	base := &Config{}
 	rapid.Check(t, func(t *rapid.T) {
 		if _, err := Parse([]byte(valid[:rapid.IntRange(0, len(valid)-1).Draw(t, "at")])); err == nil {
 			t.Fatal("took a cut document")
 		}
 		_, _ = base.Patch(rapid.SliceOf(rapid.Byte()).Draw(t, "garbage"))
-		_, _ = ParseTime(rapid.String().Draw(t, "time"))
+		_, _ = ParseDuration(rapid.String().Draw(t, "time"))
 	})
 }
 
@@ -69,31 +69,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if news := one.News(nil); len(news) != 2 || len(news[0].Came) != 3 {
+	if news := one.ShardMapChanges(nil); len(news) != 2 || len(news[0].Came) != 3 {
 		t.Errorf("at first: %+v", news)
 	}
-	next, err := one.Layout("a").Apply(layout.Command{Order: &layout.Order{Kind: layout.Split, Slices: []layout.SliceID{layout.FirstSlice}, Into: 2}})
+	next, err := one.ShardMap("a").Apply(layout.Command{Order: &layout.Order{Kind: layout.Split, Slices: []layout.SliceID{layout.FirstSlice}, Into: 2}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	two := one.WithLayout("a", next)
+	two := one.WithShardMap("a", next)
 	two.Revision = 1
 	data, err := json.Marshal(two)
 	if err != nil {
 		t.Fatal(err)
 	}
-	back, err := ParseAfter(data, one)
-	if err != nil || back.Layout("b") != one.Layout("b") || back.Layout("a").Version() != 2 || one.Layout("a").Version() != 1 {
+	back, err := ParseUpdate(data, one)
+	if err != nil || back.ShardMap("b") != one.ShardMap("b") || back.ShardMap("a").Version() != 2 || one.ShardMap("a").Version() != 1 {
 		t.Errorf("read back: %v", err)
 	}
-	if news := back.News(one); len(news) != 1 || news[0].Collection != "a" || len(news[0].Came)+len(news[0].Went) != 0 {
+	if news := back.ShardMapChanges(one); len(news) != 1 || news[0].Collection != "a" || len(news[0].Came)+len(news[0].Went) != 0 {
 		t.Errorf("a plan moves no slice yet: %+v", news)
 	}
 	gone, err := back.Patch([]byte(`{"indices":{"b":null}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if news := gone.News(back); len(news) != 1 || news[0].Layout != nil || len(news[0].Went) != 1 {
+	if news := gone.ShardMapChanges(back); len(news) != 1 || news[0].Layout != nil || len(news[0].Went) != 1 {
 		t.Errorf("an index that goes: %+v", news)
 	}
 	for _, bad := range []string{`{"indices":{"a":{"layout":{"version":9}}}}`, `{"indices":{"c":{"class":"x","spread":{"slices":0,"sets":[["s"]]}}}}`,
--- a/internal/catalog/wire_golden_test.go
+++ b/internal/searchconfig/wire_golden_test.go
@@ -1,4 +1,4 @@
-package catalog
+package searchconfig
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"linkpass/internal/layout"
 )
 
-func goldenCatalog(t *testing.T) Catalog {
+func goldenCatalog(t *testing.T) Config {
 	t.Helper()
 	l, err := layout.Even(2, [][]string{{"s-1", "s-2"}, {"s-3"}})
 	if err != nil {
@@ -23,8 +23,8 @@
 		t.Fatal(err)
 	}
 	partial, d := false, l.Document()
-	return Catalog{Revision: 7, Search: Defaults{Timeout: "1500ms", AllowPartial: &partial, MaxResultWindow: 500},
-		Indices: map[string]Index{"movable": {Class: "league-table", Layout: &d}, "fixed": {Class: "team-lookup", Slices: []int{0, 1}}},
+	return Config{Revision: 7, Search: Defaults{Timeout: "1500ms", AllowPartial: &partial, MaxResultWindow: 500},
+		Indices: map[string]Index{"movable": {Class: "league-table", ShardMap: &d}, "fixed": {Class: "team-lookup", Shards: []int{0, 1}}},
 		Servers: map[string]Server{"s-1": {Protocol: "search"}}}
 }
 
@@ -36,18 +36,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if l := got.Layout("movable"); l == nil || !reflect.DeepEqual(l.Document(), *want.Indices["movable"].Layout) {
+	if l := got.ShardMap("movable"); l == nil || !reflect.DeepEqual(l.Document(), *want.Indices["movable"].ShardMap) {
 		t.Errorf("layout %+v", l)
 	}
 	got.layouts = nil
 	if !reflect.DeepEqual(*got, want) {
 		t.Errorf("got %+v, want %+v", *got, want)
 	}
-	goldentest.Encodes(t, "document_empty.json", &Catalog{Indices: map[string]Index{"i": {}}, Servers: map[string]Server{"s": {}}})
+	goldentest.Encodes(t, "document_empty.json", &Config{Indices: map[string]Index{"i": {}}, Servers: map[string]Server{"s": {}}})
 }
 
 func TestSpreadGolden(t *testing.T) {
-	want := Index{Class: "team-lookup", Slices: []int{3}, Spread: &Spread{Slices: 4, Sets: [][]string{{"s-1"}, {"s-2", "s-3"}}}}
+	want := Index{Class: "team-lookup", Shards: []int{3}, InitialSharding: &InitialSharding{Shards: 4, ReplicaSets: [][]string{{"s-1"}, {"s-2", "s-3"}}}}
 	goldentest.Encodes(t, "index_spread.json", want)
 	goldentest.Decodes(t, "index_spread.json", want)
 }
@@ -55,13 +55,13 @@
 func TestSettingsTOMLGolden(t *testing.T) {
 	want := goldenCatalog(t)
 	want.Revision = 0 // counted by the store alone
-	want.Indices["spread"] = Index{Class: "team-lookup", Spread: &Spread{Slices: 4, Sets: [][]string{{"s-1"}, {"s-2", "s-3"}}}}
+	want.Indices["spread"] = Index{Class: "team-lookup", InitialSharding: &InitialSharding{Shards: 4, ReplicaSets: [][]string{{"s-1"}, {"s-2", "s-3"}}}}
 	var b bytes.Buffer
 	if err := toml.NewEncoder(&b).Encode(want); err != nil {
 		t.Fatal(err)
 	}
 	goldentest.Bytes(t, "document.toml", b.Bytes())
-	var got Catalog
+	var got Config
 	if meta, err := toml.Decode(string(goldentest.Read(t, "document.toml")), &got); err != nil || len(meta.Undecoded()) > 0 {
 		t.Fatal(err, meta.Undecoded())
 	}
--- a/internal/store/limits_test.go
+++ b/internal/store/limits_test.go
@@ -6,9 +6,9 @@
 	"fmt"
 	"testing"
 
-	"linkpass/internal/catalog"
 	"linkpass/internal/config"
 	"linkpass/internal/config/restriction"
+	"linkpass/internal/searchconfig"
 )
 
 // A change that is too large, or one too many, is refused and changes nothing; orders on servers go on.
@@ -23,7 +23,7 @@
 	for s.changes.Allow() {
 	}
 	_, change := s.PatchSettings([]byte(window(8)))
-	_, update := s.UpdateSettings(func(now *catalog.Catalog) (*catalog.Catalog, error) { return now.Patch([]byte(window(8))) })
+	_, update := s.UpdateSettings(func(now *searchconfig.Config) (*searchconfig.Config, error) { return now.Patch([]byte(window(8))) })
 	_, command := s.Propose(config.Command{Kind: config.SetServerWeight, Server: "s-1", Weight: 2})
 	for _, err := range []error{change, update, command} {
 		if !errors.Is(err, ErrBusy) {
@@ -34,7 +34,7 @@
 	if r, err := s.Propose(config.Command{Kind: config.RestrictServer, Restriction: &order}); err != nil || r.Reason != config.Applied {
 		t.Errorf("an order: %+v %v", r, err)
 	}
-	if w := s.Settings().Window(); w != 7 {
+	if w := s.Settings().MaxResultWindow(); w != 7 {
 		t.Errorf("window %d", w)
 	}
 }
--- a/internal/store/reads.go
+++ b/internal/store/reads.go
@@ -8,7 +8,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"linkpass/internal/catalog"
+	"linkpass/internal/searchconfig"
 )
 
 // ReadOptions is how sure a read is to be.
@@ -59,7 +59,7 @@
 }
 
 // ReadWith is the catalog, as sure as is asked for.
-func (s *Store) ReadWith(r ReadOptions) (*catalog.Catalog, error) {
+func (s *Store) ReadWith(r ReadOptions) (*searchconfig.Config, error) {
 	switch r.Consistency {
 	case Lease:
 		return s.readLease()
@@ -72,7 +72,7 @@
 }
 
 // readLease reads at the leader. What was committed before its term must have been applied: that is waited for once a term.
-func (s *Store) readLease() (*catalog.Catalog, error) {
+func (s *Store) readLease() (*searchconfig.Config, error) {
 	if err := s.leads(); err != nil {
 		return nil, err
 	}
@@ -87,7 +87,7 @@
 }
 
 // readStale reads here, if what is here is young enough.
-func (s *Store) readStale(maxAge time.Duration) (*catalog.Catalog, error) {
+func (s *Store) readStale(maxAge time.Duration) (*searchconfig.Config, error) {
 	if why := s.machine.halted.Load(); why != nil {
 		return nil, *why
 	}
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -11,9 +11,9 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 	"go.etcd.io/bbolt"
 
-	"linkpass/internal/catalog"
 	"linkpass/internal/config"
 	"linkpass/internal/event"
+	"linkpass/internal/searchconfig"
 )
 
 // ErrRecoveryRefused says that a recovery could lose or fork what others hold.
@@ -67,7 +67,7 @@
 		return r, fmt.Errorf("%w: %d of the other members %v answer: let them elect a leader, or stop them", ErrRecoveryRefused, n, r.Dropped)
 	}
 	m := &stateMachine{}
-	m.current.Store(config.NewState(&catalog.Catalog{}))
+	m.current.Store(config.NewState(&searchconfig.Config{}))
 	only := raft.Configuration{Servers: []raft.Server{{ID: raft.ServerID(c.ID), Address: raft.ServerAddress(me.Raft)}}}
 	if err := raft.RecoverCluster(rc, m, bolt, bolt, snaps, transport, only); err != nil {
 		return r, fmt.Errorf("store: recovery: %w", err)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -20,11 +20,11 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 	"golang.org/x/time/rate"
 
-	"linkpass/internal/catalog"
 	"linkpass/internal/config"
 	"linkpass/internal/config/rollback"
 	"linkpass/internal/event"
 	"linkpass/internal/layout"
+	"linkpass/internal/searchconfig"
 )
 
 // Member is one instance of the store.
@@ -43,12 +43,12 @@
 	// which only its own line counts.
 	Join bool `toml:"join"`
 
-	InitialSettings *catalog.Catalog `toml:"-"` // what holds until something is replicated; nil: nothing
+	InitialSettings *searchconfig.Config `toml:"-"` // what holds until something is replicated; nil: nothing
 	// TimeScale scales Raft's own time limits, 1 being the library's defaults.
 	TimeScale float64 `toml:"pace"`
 	// OnSettingsChanged is called with each document that takes hold, one after another; it
 	// should not wait for long.
-	OnSettingsChanged func(*catalog.Catalog) `toml:"-"`
+	OnSettingsChanged func(*searchconfig.Config) `toml:"-"`
 	// OnApplied is called after each entry and snapshot that this instance has taken; it should not wait for long.
 	OnApplied func() `toml:"-"`
 	// TrailingLogs is how many entries stay in the log past a snapshot; 0: the usual number.
@@ -119,7 +119,7 @@
 		changes: changesLimit()}
 	initial := c.InitialSettings
 	if initial == nil {
-		initial = &catalog.Catalog{}
+		initial = &searchconfig.Config{}
 	}
 	s.machine.current.Store(config.NewState(initial))
 	bolt, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(c.Dir, "raft.db")})
@@ -180,13 +180,13 @@
 }
 
 // Settings is the catalog as this instance has it.
-func (s *Store) Settings() *catalog.Catalog { return s.State().Settings() }
+func (s *Store) Settings() *searchconfig.Config { return s.State().Settings() }
 
 // State is all that is agreed, as this instance has it.
 func (s *Store) State() *config.State { return s.machine.current.Load() }
 
 // Read is the catalog as a majority confirms it; only the leader can tell.
-func (s *Store) Read() (*catalog.Catalog, error) {
+func (s *Store) Read() (*searchconfig.Config, error) {
 	if err := s.leads(); err != nil {
 		return nil, err
 	}
@@ -200,7 +200,7 @@
 }
 
 // PatchSettings applies a merge patch once a majority has it.
-func (s *Store) PatchSettings(patch []byte) (*catalog.Catalog, error) {
+func (s *Store) PatchSettings(patch []byte) (*searchconfig.Config, error) {
 	if err := s.admit(); err != nil {
 		return nil, err
 	}
@@ -227,7 +227,7 @@
 	if err != nil {
 		return err
 	}
-	l := now.Layout(index)
+	l := now.ShardMap(index)
 	if l == nil {
 		return fmt.Errorf("%w: index %q", layout.ErrUnknown, index)
 	}
@@ -241,7 +241,7 @@
 // UpdateSettings replicates what change makes of the document that holds. It is a compare-and-set:
 // a document that another one has come before is refused with ErrConflict. A change that
 // gives back the document it was given replicates nothing.
-func (s *Store) UpdateSettings(change func(*catalog.Catalog) (*catalog.Catalog, error)) (*catalog.Catalog, error) {
+func (s *Store) UpdateSettings(change func(*searchconfig.Config) (*searchconfig.Config, error)) (*searchconfig.Config, error) {
 	if err := s.admit(); err != nil {
 		return nil, err
 	}
@@ -263,7 +263,7 @@
 }
 
 // settle replicates a command upon the settings that hold here, and gives those that hold then. The lock is held.
-func (s *Store) settle(c config.Command) (*catalog.Catalog, error) {
+func (s *Store) settle(c config.Command) (*searchconfig.Config, error) {
 	if err := s.found(c); err != nil {
 		return nil, err
 	}
@@ -338,7 +338,7 @@
 	if r.Reason == config.Conflict {
 		return fmt.Errorf("%w: %s", ErrConflict, r.Detail)
 	}
-	return fmt.Errorf("%w: %s: %s", catalog.ErrInvalid, r.Reason, r.Detail)
+	return fmt.Errorf("%w: %s: %s", searchconfig.ErrInvalid, r.Reason, r.Detail)
 }
 
 // confirm waits until a majority has confirmed something.
@@ -401,7 +401,7 @@
 type stateMachine struct {
 	current atomic.Pointer[config.State]
 	halted  atomic.Pointer[error] // why it takes no more entries; nil: it does
-	changed func(*catalog.Catalog)
+	changed func(*searchconfig.Config)
 	applied func()
 }
 
@@ -450,7 +450,7 @@
 	if len(data) == 0 || data[0] != '{' {
 		return config.Decode(data)
 	}
-	doc, err := catalog.ParseAfter(data, now.Settings())
+	doc, err := searchconfig.ParseUpdate(data, now.Settings())
 	if err == nil && doc.Revision != 0 && doc.Revision != now.Settings().Revision+1 {
 		err = fmt.Errorf("%w: revision %d after %d", ErrConflict, doc.Revision, now.Settings().Revision)
 	}
@@ -474,9 +474,9 @@
 	}
 	var s *config.State
 	if len(data) > 0 && data[0] == '{' {
-		s, _ = config.NewState(&catalog.Catalog{}).Apply(config.Command{Kind: config.ReplaceSettings, Payload: data})
+		s, _ = config.NewState(&searchconfig.Config{}).Apply(config.Command{Kind: config.ReplaceSettings, Payload: data})
 		if !s.Initialized() {
-			err = catalog.ErrInvalid
+			err = searchconfig.ErrInvalid
 		}
 	} else {
 		s, err = config.Restore(data)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -13,9 +13,9 @@
 
 	"github.com/hashicorp/raft"
 
-	"linkpass/internal/catalog"
 	"linkpass/internal/config"
 	"linkpass/internal/config/restriction"
+	"linkpass/internal/searchconfig"
 )
 
 // cluster is three instances on the loopback.
@@ -61,7 +61,7 @@
 func (c *cluster) open(i int, ln net.Listener) {
 	c.t.Helper()
 	s, err := Open(Config{ID: c.members[i].ID, Dir: filepath.Join(c.dir, c.members[i].ID), Members: c.members, TimeScale: pace,
-		TrailingLogs: c.logKept, Listener: ln, InitialSettings: &catalog.Catalog{Search: catalog.Defaults{MaxResultWindow: 50}}})
+		TrailingLogs: c.logKept, Listener: ln, InitialSettings: &searchconfig.Config{Search: searchconfig.Defaults{MaxResultWindow: 50}}})
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -111,7 +111,7 @@
 	c.t.Helper()
 	c.until(fmt.Sprint("window ", window, " everywhere"), func() bool {
 		for _, s := range c.stores {
-			if s != nil && s.Settings().Window() != window {
+			if s != nil && s.Settings().MaxResultWindow() != window {
 				return false
 			}
 		}
@@ -139,7 +139,7 @@
 			t.Errorf("named %+v", other.Leader)
 		}
 	}
-	if _, err := c.stores[leader].PatchSettings([]byte(`{"servers.s-1.protocol":"telnet"}`)); !errors.Is(err, catalog.ErrInvalid) {
+	if _, err := c.stores[leader].PatchSettings([]byte(`{"servers.s-1.protocol":"telnet"}`)); !errors.Is(err, searchconfig.ErrInvalid) {
 		t.Errorf("an unusable change: %v", err)
 	}
 	c.stop(leader)
@@ -148,7 +148,7 @@
 	}
 	c.everywhere(7)
 	c.open(leader, nil) // comes back from its own disk and catches up
-	c.until("the change made while it was away", func() bool { return c.stores[leader].Settings().Protocol("s-1") == catalog.Search })
+	c.until("the change made while it was away", func() bool { return c.stores[leader].Settings().Protocol("s-1") == searchconfig.ProtocolSearch })
 }
 
 func TestAllRestartFromDisk(t *testing.T) {
@@ -170,7 +170,7 @@
 	c.everywhere(9)
 	c.until("the change from the log", func() bool {
 		for _, s := range c.stores {
-			if s.Settings().Protocol("s-1") != catalog.Search {
+			if s.Settings().Protocol("s-1") != searchconfig.ProtocolSearch {
 				return false
 			}
 		}
@@ -197,7 +197,7 @@
 		_, err := last.Read()
 		return errors.Is(err, ErrNoLeader)
 	})
-	if last.Settings().Window() != 9 {
+	if last.Settings().MaxResultWindow() != 9 {
 		t.Error("an unconfirmed change is in force")
 	}
 }
@@ -214,7 +214,7 @@
 // Two changes made on one document: the log holds both, and the second finds that another came first.
 func TestAChangeIsACompareAndSet(t *testing.T) {
 	m := &stateMachine{}
-	m.current.Store(config.NewState(&catalog.Catalog{}))
+	m.current.Store(config.NewState(&searchconfig.Config{}))
 	apply := func(text string) any { return m.Apply(&raft.Log{Data: []byte(text)}) }
 	if err, bad := apply(`{"revision":1,"search":{"max_result_window":5}}`).(error); bad {
 		t.Fatal(err)
@@ -228,7 +228,7 @@
 	if err, bad := apply(`{"search":{"max_result_window":7}}`).(error); bad { // of a program before revisions
 		t.Errorf("an old entry: %v", err)
 	}
-	if got := m.current.Load(); got.Settings().Window() != 7 {
+	if got := m.current.Load(); got.Settings().MaxResultWindow() != 7 {
 		t.Errorf("holds %+v", got)
 	}
 }
@@ -237,7 +237,7 @@
 // were whole, and what held before goes on holding. A newer program's snapshot or log brings it back.
 func TestAnEntryOfALaterProgram(t *testing.T) {
 	m := &stateMachine{}
-	m.current.Store(config.NewState(&catalog.Catalog{}))
+	m.current.Store(config.NewState(&searchconfig.Config{}))
 	apply := func(data []byte) any { return m.Apply(&raft.Log{Data: data}) }
 	patch, err := config.Encode(config.Command{Kind: config.ReplaceSettings, Payload: []byte(`{"search":{"max_result_window":5}}`)})
 	if err != nil {
@@ -259,8 +259,8 @@
 		t.Errorf("a snapshot of what is not held: %v", err)
 	}
 	s := &Store{machine: m}
-	if err := s.leads(); !errors.Is(err, config.ErrUnknownFormat) || s.Settings().Window() != 5 {
-		t.Errorf("%v, window %d", err, s.Settings().Window())
+	if err := s.leads(); !errors.Is(err, config.ErrUnknownFormat) || s.Settings().MaxResultWindow() != 5 {
+		t.Errorf("%v, window %d", err, s.Settings().MaxResultWindow())
 	}
 	if err := m.Restore(io.NopCloser(bytes.NewReader(sound))); err != nil {
 		t.Fatal(err)
@@ -342,8 +342,8 @@
 	kinds := func(s *Store, age time.Duration) (out []error) {
 		for _, kind := range []string{Linearizable, Lease, Stale, Local} {
 			doc, err := s.ReadWith(ReadOptions{kind, age})
-			if err == nil && doc.Window() != 7 {
-				err = fmt.Errorf("%s: window %d", kind, doc.Window())
+			if err == nil && doc.MaxResultWindow() != 7 {
+				err = fmt.Errorf("%s: window %d", kind, doc.MaxResultWindow())
 			}
 			out = append(out, err)
 		}
@@ -448,10 +448,10 @@
 		t.Errorf("the majority was given away: %v", err)
 	}
 	c.change(window(9)) // two of three still are one
-	if fourth.Settings().Window() == 9 {
+	if fourth.Settings().MaxResultWindow() == 9 {
 		return
 	}
-	c.until("the change at the fourth", func() bool { return fourth.Settings().Window() == 9 })
+	c.until("the change at the fourth", func() bool { return fourth.Settings().MaxResultWindow() == 9 })
 }
 
 // A majority that is lost for good: recovery is refused while the instance runs and while another member answers, and then
@@ -462,7 +462,7 @@
 	c.change(`{"servers":{"s-1":{"protocol":"search"}}}`)
 	c.everywhere(7)
 	left := (leader + 1) % 3
-	c.until("all of it at the one that is left", func() bool { return c.stores[left].Settings().Protocol("s-1") == catalog.Search })
+	c.until("all of it at the one that is left", func() bool { return c.stores[left].Settings().Protocol("s-1") == searchconfig.ProtocolSearch })
 	want, err := c.stores[left].State().Hash()
 	if err != nil {
 		t.Fatal(err)
@@ -483,7 +483,7 @@
 	}
 	c.open(left, nil)
 	c.change(window(9)) // it leads alone
-	if s := c.stores[left]; s.Settings().Window() != 9 || s.Settings().Protocol("s-1") != catalog.Search {
+	if s := c.stores[left]; s.Settings().MaxResultWindow() != 9 || s.Settings().Protocol("s-1") != searchconfig.ProtocolSearch {
 		t.Errorf("%+v", s.Settings())
 	}
 	if peers, err := c.stores[left].MemberStatuses(); err != nil || len(peers) != 1 {
--- a/internal/store/stored_crash_test.go
+++ b/internal/store/stored_crash_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"linkpass/internal/catalog"
+	"linkpass/internal/searchconfig"
 )
 
 // childVariable names the data directory that a child process opens in place of running tests: some damage ends the process,
@@ -33,7 +33,7 @@
 		return
 	}
 	s, err := Open(Config{ID: storedMember, Dir: dir, Members: []Member{{ID: storedMember, Raft: storedAddress, HTTP: "http-0"}}, TimeScale: pace,
-		Listener: ln, InitialSettings: &catalog.Catalog{Search: catalog.Defaults{MaxResultWindow: storedWindow}}})
+		Listener: ln, InitialSettings: &searchconfig.Config{Search: searchconfig.Defaults{MaxResultWindow: storedWindow}}})
 	if err != nil {
 		fmt.Println("error:", err)
 		return
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -19,11 +19,11 @@
 	"github.com/hashicorp/raft"
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 
-	"linkpass/internal/catalog"
 	"linkpass/internal/config"
 	"linkpass/internal/config/restriction"
 	"linkpass/internal/event"
 	"linkpass/internal/layout"
+	"linkpass/internal/searchconfig"
 )
 
 // writeStored adds data directories that are missing. One that exists is never written again: it stands for what earlier
@@ -71,7 +71,7 @@
 		t.Fatal(err)
 	}
 	s, err := Open(Config{ID: storedMember, Dir: dir, Members: []Member{{ID: storedMember, Raft: storedAddress, HTTP: "http-0"}}, TimeScale: pace,
-		TrailingLogs: logKept, Listener: ln, InitialSettings: &catalog.Catalog{Search: catalog.Defaults{MaxResultWindow: storedWindow}}})
+		TrailingLogs: logKept, Listener: ln, InitialSettings: &searchconfig.Config{Search: searchconfig.Defaults{MaxResultWindow: storedWindow}}})
 	if err != nil {
 		_ = ln.Close()
 	}
@@ -472,7 +472,7 @@
 func requireRestored(t *testing.T, data []byte) {
 	t.Helper()
 	m := &stateMachine{}
-	m.current.Store(config.NewState(&catalog.Catalog{}))
+	m.current.Store(config.NewState(&searchconfig.Config{}))
 	if err := m.Restore(io.NopCloser(bytes.NewReader(data))); err != nil {
 		t.Fatal(err)
 	}
@@ -500,7 +500,7 @@
 	Timeout   string                       `json:"timeout"`
 	Partial   bool                         `json:"allow_partial"`
 	Protocols map[string]string            `json:"protocols"`
-	Settings  *catalog.Catalog             `json:"settings"`
+	Settings  *searchconfig.Config         `json:"settings"`
 	Snapshot  string                       `json:"snapshot"`
 }
 
@@ -518,7 +518,7 @@
 	requireRestored(t, data)
 	c := now.Settings()
 	out := storedState{Version: now.Version(), Revised: now.SettingsVersion(), Hash: hash, Servers: map[string]config.Server{}, Agreed: map[string]string{},
-		Gone: now.RemovedIDs(), Withdrawn: now.RejectedRestrictions(), Peers: map[string]string{}, Window: c.Window(), Timeout: c.Timeout().String(),
+		Gone: now.RemovedIDs(), Withdrawn: now.RejectedRestrictions(), Peers: map[string]string{}, Window: c.MaxResultWindow(), Timeout: c.Timeout().String(),
 		Partial: c.AllowPartial(), Protocols: map[string]string{}, Settings: c, Snapshot: diagnose(t, data)}
 	for _, id := range now.ServerIDs() {
 		out.Servers[id], _ = now.Server(id)
--- a/internal/store/stored_truncated_test.go
+++ b/internal/store/stored_truncated_test.go
@@ -15,8 +15,8 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 	"go.etcd.io/bbolt"
 
-	"linkpass/internal/catalog"
 	"linkpass/internal/config"
+	"linkpass/internal/searchconfig"
 )
 
 // snapshotStates lists the states of a directory's snapshots, oldest first.
@@ -151,7 +151,7 @@
 	defer bolt.Close()
 	l := lastCommand(t, bolt)
 	m := &stateMachine{}
-	m.current.Store(config.NewState(&catalog.Catalog{Search: catalog.Defaults{MaxResultWindow: storedWindow}}))
+	m.current.Store(config.NewState(&searchconfig.Config{Search: searchconfig.Defaults{MaxResultWindow: storedWindow}}))
 	for i := uint64(1); i < l.Index; i++ {
 		var e raft.Log
 		if err := bolt.GetLog(i, &e); err != nil {
