--- a/internal/config/apply.go
+++ b/internal/config/apply.go
@@ -283,8 +283,8 @@
 		if l == nil {
 			continue
 		}
-		for _, slice := range l.Slices() {
-			if slices.Contains(slice.Holders, server) && !slices.ContainsFunc(slice.Holders, serves) {
+		for _, slice := range l.Shards() {
+			if slices.Contains(slice.Replicas, server) && !slices.ContainsFunc(slice.Replicas, serves) {
 				bare = append(bare, fmt.Sprintf("%s/%d", index, slice.ID))
 			}
 		}
--- a/internal/config/command.go
+++ b/internal/config/command.go
@@ -9,7 +9,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"linkpass/internal/config/restriction"
-	"linkpass/internal/layout"
+	"linkpass/internal/shardmap"
 )
 
 // CommandKind is what a command does.
@@ -53,7 +53,7 @@
 	WithdrawnIDs    []restriction.ID     `cbor:"9,keyasint,omitempty"` // of Undrain: orders in sight that it withdraws too
 	Payload         []byte               `cbor:"10,keyasint,omitempty"`
 	Index           string               `cbor:"11,keyasint,omitempty"`
-	ShardMapCommand *layout.Command      `cbor:"12,keyasint,omitempty"`
+	ShardMapCommand *shardmap.Command    `cbor:"12,keyasint,omitempty"`
 }
 
 // Reason says why a command did nothing; "": it did.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 
 	"linkpass/internal/config/restriction"
-	"linkpass/internal/layout"
 	"linkpass/internal/searchconfig"
 	_ "linkpass/internal/seeded"
+	"linkpass/internal/shardmap"
 )
 
 // settings have an index with two sets of holders, a+b and c.
@@ -63,7 +63,7 @@
 		c.Payload = []byte(rapid.SampledFrom([]string{`{"search":{"max_result_window":5}}`, `{"search":{"max_result_window":-5}}`, `{`}).Draw(t, "patch"))
 	case AdvanceShardMap:
 		c.Index = rapid.SampledFrom([]string{"players", "nobody"}).Draw(t, "index")
-		c.ShardMapCommand = &layout.Command{Order: &layout.Order{Kind: layout.Split, Slices: []layout.SliceID{layout.FirstSlice}, Into: 2}}
+		c.ShardMapCommand = &shardmap.Command{Request: &shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{shardmap.FirstDynamicID}, Pieces: 2}}
 	}
 	return c
 }
@@ -139,8 +139,8 @@
 	served := func(s *State, holders []string) bool {
 		return slices.ContainsFunc(holders, func(id string) bool { return s.Restriction(id) == restriction.None })
 	}
-	for _, slice := range after.Settings().ShardMap("players").Slices() {
-		if served(before, slice.Holders) && !served(after, slice.Holders) && (c.Restriction == nil || !c.Restriction.Force || len(r.UncoveredShards) == 0) {
+	for _, slice := range after.Settings().ShardMap("players").Shards() {
+		if served(before, slice.Replicas) && !served(after, slice.Replicas) && (c.Restriction == nil || !c.Restriction.Force || len(r.UncoveredShards) == 0) {
 			t.Fatalf("%+v left slice %d bare: %+v", c, slice.ID, r)
 		}
 	}
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -15,8 +15,8 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"linkpass/internal/config/restriction"
-	"linkpass/internal/layout"
 	"linkpass/internal/searchconfig"
+	"linkpass/internal/shardmap"
 )
 
 // writeStored adds fixtures that are missing. One that exists is never written again: it stands for the data that earlier
@@ -53,10 +53,10 @@
 	other := restriction.ID{Origin: restriction.Origin{Instance: "n2", Incarnation: 5}, Seq: 11}
 	order := &restriction.Request{ID: id, Server: "s-1", Level: restriction.Draining}
 	forced := &restriction.Request{ID: other, Server: "s-2", Level: restriction.Removed, Force: true}
-	step := func(c layout.Command) *layout.Command { return &c }
-	open := &layout.Order{Kind: layout.Split, Slices: []layout.SliceID{layout.FirstSlice, layout.FirstSlice + 1}, Into: 2, To: [][]string{{"s-1", "s-2"}, {"s-3"}}}
-	advance := &layout.Advance{Plan: 6, Step: layout.BothHold, Holding: map[layout.SliceID][]string{layout.FirstSlice + 2: {"s-1"}, layout.FirstSlice + 3: {"s-2", "s-3"}}}
-	abandon := &layout.Abandon{Plan: 7, Why: "the target is down"}
+	step := func(c shardmap.Command) *shardmap.Command { return &c }
+	open := &shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{shardmap.FirstDynamicID, shardmap.FirstDynamicID + 1}, Pieces: 2, ReplicaSets: [][]string{{"s-1", "s-2"}, {"s-3"}}}
+	advance := &shardmap.Advance{Plan: 6, Step: shardmap.Replicated, Replicas: map[shardmap.ShardID][]string{shardmap.FirstDynamicID + 2: {"s-1"}, shardmap.FirstDynamicID + 3: {"s-2", "s-3"}}}
+	abandon := &shardmap.Abandon{Plan: 7, Reason: "the target is down"}
 	return map[string]Command{
 		"add_server":     {Kind: AddServer, ClientID: "ops", Seq: 1, Server: "s-1", Spec: spec},
 		"change_server":  {Kind: UpdateServer, ExpectedVersion: 12, Server: "s-1", Spec: &ServerSpec{Addr: "10.0.0.2:9200"}},
@@ -66,48 +66,48 @@
 		"set_weight":     {Kind: SetServerWeight, Server: "s-1", Weight: 0.75},
 		"patch":          {Kind: PatchSettings, ExpectedVersion: 3, Payload: []byte(`{"search.max_result_window":5}`)},
 		"document":       {Kind: ReplaceSettings, Payload: []byte(storedDocument)},
-		"layout_order":   {Kind: AdvanceShardMap, Index: "players", ShardMapCommand: step(layout.Command{At: 8, Order: open})},
-		"layout_advance": {Kind: AdvanceShardMap, Index: "players", ShardMapCommand: step(layout.Command{Advance: advance})},
-		"layout_abandon": {Kind: AdvanceShardMap, Index: "players", ShardMapCommand: step(layout.Command{Abandon: abandon})},
+		"layout_order":   {Kind: AdvanceShardMap, Index: "players", ShardMapCommand: step(shardmap.Command{ExpectedVersion: 8, Request: open})},
+		"layout_advance": {Kind: AdvanceShardMap, Index: "players", ShardMapCommand: step(shardmap.Command{Advance: advance})},
+		"layout_abandon": {Kind: AdvanceShardMap, Index: "players", ShardMapCommand: step(shardmap.Command{Abandon: abandon})},
 		"set_peer":       {Kind: SetMemberAddress, Server: "n3", Payload: []byte("10.0.1.3:9300")},
 		"drop_peer":      {Kind: RemoveMemberAddress, Server: "n3"},
 		"zero_values": {Kind: AdvanceShardMap, Spec: &ServerSpec{}, Restriction: &restriction.Request{}, WithdrawnIDs: []restriction.ID{{}},
-			ShardMapCommand: step(layout.Command{Order: &layout.Order{}, Advance: &layout.Advance{}, Abandon: &layout.Abandon{}})},
+			ShardMapCommand: step(shardmap.Command{Request: &shardmap.PlanRequest{}, Advance: &shardmap.Advance{}, Abandon: &shardmap.Abandon{}})},
 		"every_field": {Kind: AdvanceShardMap, ClientID: "ops", Seq: 2, ExpectedVersion: 5, Server: "s-1", Spec: spec, Weight: 1.5, Restriction: forced, WithdrawnIDs: []restriction.ID{id},
-			Payload: []byte("text"), Index: "players", ShardMapCommand: step(layout.Command{At: 9, Order: open, Advance: advance, Abandon: abandon})},
+			Payload: []byte("text"), Index: "players", ShardMapCommand: step(shardmap.Command{ExpectedVersion: 9, Request: open, Advance: advance, Abandon: abandon})},
 	}
 }
 
 // storedCatalog is the settings of the snapshot fixture.
 func storedCatalog() *searchconfig.Config {
-	const first = layout.FirstSlice
+	const first = shardmap.FirstDynamicID
 	partial := false
-	whole := func(from, to uint64) layout.Range { return layout.Range{First: from, Last: to} }
+	whole := func(from, to uint64) shardmap.Range { return shardmap.Range{First: from, Last: to} }
 	low, mid, high := whole(0, 0x3fffffffffffffff), whole(0x4000000000000000, 0x7fffffffffffffff), whole(0x8000000000000000, 0xffffffffffffffff)
 	return &searchconfig.Config{
 		Revision: 7,
 		Search:   searchconfig.Defaults{Timeout: "1500ms", AllowPartial: &partial, MaxResultWindow: 250},
 		Indices: map[string]searchconfig.Index{
 			"fixed": {Class: "bulk", Shards: []int{0, 2, 5}},
-			"players": {Class: "lookup", ShardMap: &layout.Document{Version: 9, NextSlice: first + 10, NextPlan: 6,
-				Slices: []layout.Slice{{ID: first, Range: low, Epoch: 1, Holders: []string{"s-1", "s-2"}},
-					{ID: first + 4, Range: mid, Epoch: 8, Holders: []string{"s-3"}},
-					{ID: first + 2, Range: high, Epoch: 1, Holders: []string{"s-2"}}},
-				Plans: []layout.Plan{
-					{ID: 3, Kind: layout.Move, Step: layout.Switched, At: 8,
-						From: []layout.Slice{{ID: first + 1, Range: mid, Epoch: 1, Holders: []string{"s-1"}}},
-						To:   []layout.Slice{{ID: first + 4, Range: mid, Epoch: 8, Holders: []string{"s-3"}}}},
-					{ID: 5, Kind: layout.Split, Step: layout.Copying, At: 9,
-						From: []layout.Slice{{ID: first, Range: low, Epoch: 1, Holders: []string{"s-1", "s-2"}}},
-						To: []layout.Slice{{ID: first + 8, Range: whole(0, 0x1fffffffffffffff), Holders: []string{"s-4"}},
-							{ID: first + 9, Range: whole(0x2000000000000000, 0x3fffffffffffffff), Holders: []string{"s-5"}}}}},
-				Past: []layout.Plan{
-					{ID: 1, Kind: layout.Merge, Step: layout.Retired, At: 4,
-						From: []layout.Slice{{ID: first + 3, Range: low, Epoch: 1, Holders: []string{"s-9"}}},
-						To:   []layout.Slice{{ID: first, Range: low, Epoch: 1, Holders: []string{"s-1", "s-2"}}}},
-					{ID: 2, Kind: layout.Move, Step: layout.Abandoned, At: 6, Why: "the target is down",
-						From: []layout.Slice{{ID: first + 2, Range: high, Epoch: 1, Holders: []string{"s-2"}}},
-						To:   []layout.Slice{{ID: first + 6, Range: high, Holders: []string{"s-6"}}}}}}},
+			"players": {Class: "lookup", ShardMap: &shardmap.Document{Version: 9, NextShard: first + 10, NextPlan: 6,
+				Shards: []shardmap.Shard{{ID: first, Range: low, Epoch: 1, Replicas: []string{"s-1", "s-2"}},
+					{ID: first + 4, Range: mid, Epoch: 8, Replicas: []string{"s-3"}},
+					{ID: first + 2, Range: high, Epoch: 1, Replicas: []string{"s-2"}}},
+				Plans: []shardmap.Plan{
+					{ID: 3, Kind: shardmap.Move, Step: shardmap.Switched, Version: 8,
+						From: []shardmap.Shard{{ID: first + 1, Range: mid, Epoch: 1, Replicas: []string{"s-1"}}},
+						To:   []shardmap.Shard{{ID: first + 4, Range: mid, Epoch: 8, Replicas: []string{"s-3"}}}},
+					{ID: 5, Kind: shardmap.Split, Step: shardmap.Copying, Version: 9,
+						From: []shardmap.Shard{{ID: first, Range: low, Epoch: 1, Replicas: []string{"s-1", "s-2"}}},
+						To: []shardmap.Shard{{ID: first + 8, Range: whole(0, 0x1fffffffffffffff), Replicas: []string{"s-4"}},
+							{ID: first + 9, Range: whole(0x2000000000000000, 0x3fffffffffffffff), Replicas: []string{"s-5"}}}}},
+				History: []shardmap.Plan{
+					{ID: 1, Kind: shardmap.Merge, Step: shardmap.Retired, Version: 4,
+						From: []shardmap.Shard{{ID: first + 3, Range: low, Epoch: 1, Replicas: []string{"s-9"}}},
+						To:   []shardmap.Shard{{ID: first, Range: low, Epoch: 1, Replicas: []string{"s-1", "s-2"}}}},
+					{ID: 2, Kind: shardmap.Move, Step: shardmap.Abandoned, Version: 6, Reason: "the target is down",
+						From: []shardmap.Shard{{ID: first + 2, Range: high, Epoch: 1, Replicas: []string{"s-2"}}},
+						To:   []shardmap.Shard{{ID: first + 6, Range: high, Replicas: []string{"s-6"}}}}}}},
 		},
 		Servers: map[string]searchconfig.Server{"s-1": {Protocol: searchconfig.ProtocolSearch}, "s-2": {Protocol: searchconfig.ProtocolPlain}},
 	}
@@ -254,8 +254,8 @@
 	s := storedState(t)
 	full, zero := storedCommands()["every_field"], storedCommands()["zero_values"]
 	for name, records := range map[string][]any{
-		"records_full.json": {s.servers["s-1"], s.sessions["ops"].Result, s.rejected, full.Spec, full.Restriction, full.WithdrawnIDs, full.ShardMapCommand.Order},
-		"records_zero.json": {Server{}, Result{}, RejectedRestriction{}, zero.Spec, zero.Restriction, zero.WithdrawnIDs, zero.ShardMapCommand.Order},
+		"records_full.json": {s.servers["s-1"], s.sessions["ops"].Result, s.rejected, full.Spec, full.Restriction, full.WithdrawnIDs, full.ShardMapCommand.Request},
+		"records_zero.json": {Server{}, Result{}, RejectedRestriction{}, zero.Spec, zero.Restriction, zero.WithdrawnIDs, zero.ShardMapCommand.Request},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := json.MarshalIndent(records, "", "  ")
@@ -415,7 +415,7 @@
 		}
 	}
 	for _, v := range []any{Command{}, ServerSpec{}, Result{}, Server{}, RejectedRestriction{}, clientSession{}, stateDocument{}, restriction.Origin{}, restriction.ID{}, restriction.Request{}, restriction.Interval{},
-		layout.Command{}, layout.Order{}, layout.Advance{}, layout.Abandon{}, layout.Document{}, layout.Plan{}, layout.Slice{},
+		shardmap.Command{}, shardmap.PlanRequest{}, shardmap.Advance{}, shardmap.Abandon{}, shardmap.Document{}, shardmap.Plan{}, shardmap.Shard{},
 		searchconfig.Config{}, searchconfig.Defaults{}, searchconfig.Index{}, searchconfig.InitialSharding{}, searchconfig.Server{}} {
 		if set[reflect.TypeOf(v)] == nil {
 			t.Errorf("%T is in no fixture", v)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -16,8 +16,8 @@
 	"linkpass/internal/endpoints"
 	"linkpass/internal/event"
 	"linkpass/internal/http1"
-	"linkpass/internal/layout"
 	"linkpass/internal/searchconfig"
+	"linkpass/internal/shardmap"
 	"linkpass/internal/store"
 )
 
@@ -74,11 +74,11 @@
 
 // IndexLayout is the layout of an index, as far as it can be drawn.
 type IndexLayout struct {
-	Index   string         `json:"index"`
-	Version uint64         `json:"version"`
-	Total   int            `json:"total"`  // slices
-	Slices  []layout.Slice `json:"slices"` // the first MaxSlices of them, in the order of their keys
-	Plans   []layout.Plan  `json:"plans,omitempty"`
+	Index   string           `json:"index"`
+	Version uint64           `json:"version"`
+	Total   int              `json:"total"`  // slices
+	Slices  []shardmap.Shard `json:"slices"` // the first MaxSlices of them, in the order of their keys
+	Plans   []shardmap.Plan  `json:"plans,omitempty"`
 }
 
 // MaxSlices bounds the slices, and the open plans, that are told of an index.
--- a/internal/control/wire_golden_test.go
+++ b/internal/control/wire_golden_test.go
@@ -20,8 +20,8 @@
 	"linkpass/internal/endpoints"
 	"linkpass/internal/goldentest"
 	"linkpass/internal/http1"
-	"linkpass/internal/layout"
 	"linkpass/internal/searchconfig"
+	"linkpass/internal/shardmap"
 	"linkpass/internal/store"
 )
 
@@ -36,11 +36,11 @@
 		Fronts: []string{"127.0.0.1:8080"}, Operator: "127.0.0.1:8090", ResidentKB: 41}
 	goldenServers = []Server{{Name: "s-1", State: "draining", Avoided: "slow", Out: 2, MedianMS: 1.25,
 		Health: map[string]float64{"league-table": 0.5, "team-lookup": 1}, Cold: true, LostInRow: 3}}
-	goldenSlice  = layout.Slice{ID: layout.FirstSlice, Range: layout.Range{First: 1, Last: 0xff}, Epoch: 51, Holders: []string{"s-1", "s-2"}}
-	goldenLayout = []IndexLayout{{Index: "players", Version: 52, Total: 53, Slices: []layout.Slice{goldenSlice},
-		Plans: []layout.Plan{{ID: 54, Kind: layout.Split, Step: layout.Abandoned, From: []layout.Slice{goldenSlice},
-			To: []layout.Slice{{ID: layout.FirstSlice + 1, Range: layout.Range{First: 2, Last: 0x7f}, Epoch: 55, Holders: []string{"s-3"}}},
-			At: 56, Why: "ordered"}}}}
+	goldenSlice  = shardmap.Shard{ID: shardmap.FirstDynamicID, Range: shardmap.Range{First: 1, Last: 0xff}, Epoch: 51, Replicas: []string{"s-1", "s-2"}}
+	goldenLayout = []IndexLayout{{Index: "players", Version: 52, Total: 53, Slices: []shardmap.Shard{goldenSlice},
+		Plans: []shardmap.Plan{{ID: 54, Kind: shardmap.Split, Step: shardmap.Abandoned, From: []shardmap.Shard{goldenSlice},
+			To:      []shardmap.Shard{{ID: shardmap.FirstDynamicID + 1, Range: shardmap.Range{First: 2, Last: 0x7f}, Epoch: 55, Replicas: []string{"s-3"}}},
+			Version: 56, Reason: "ordered"}}}}
 	goldenOrder  = restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: "a", Incarnation: 61}, Seq: 62}, Server: "s-1", Level: restriction.Draining, Force: true}
 	goldenSpec   = config.ServerSpec{Addr: "127.0.0.1:7001", Zone: "z1", Kind: "large", Cell: 2}
 	goldenAgreed = Agreed{Version: 71, Hash: "c0ffee",
--- a/internal/coordinator/bench_test.go
+++ b/internal/coordinator/bench_test.go
@@ -9,7 +9,7 @@
 	"linkpass"
 	"linkpass/internal/counters"
 	"linkpass/internal/end"
-	"linkpass/internal/layout"
+	"linkpass/internal/shardmap"
 )
 
 // instant answers every attempt and probe as soon as it is asked.
@@ -79,16 +79,16 @@
 			q.Parts = append(q.Parts, Part{Shard: i, Weight: 1. / 8, Text: q.Text})
 		}
 	} else {
-		l, err := layout.Even(n, [][]string{{"a", "b", "c", "d"}})
+		l, err := shardmap.NewEven(n, [][]string{{"a", "b", "c", "d"}})
 		if err != nil {
 			b.Fatal(err)
 		}
-		news, _ := layout.Differ("i", nil, l)
-		core.Reshape([]layout.News{news}, func(s string) linkpass.ServerID { return numbers[s] })
+		news, _ := shardmap.Diff("i", nil, l)
+		core.Reshape([]shardmap.Change{news}, func(s string) linkpass.ServerID { return numbers[s] })
 		q.Collection = "i"
 		for i := range 8 {
-			k := layout.Key(fmt.Sprint(i))
-			q.Wanted = append(q.Wanted, layout.Range{First: k, Last: k})
+			k := shardmap.HashKey(fmt.Sprint(i))
+			q.Wanted = append(q.Wanted, shardmap.Range{First: k, Last: k})
 		}
 	}
 	answers := make(chan Answer, 1)
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -17,8 +17,8 @@
 	"linkpass/internal/deadline"
 	"linkpass/internal/end"
 	"linkpass/internal/event"
-	"linkpass/internal/layout"
-	"linkpass/internal/layout/coverage"
+	"linkpass/internal/shardmap"
+	"linkpass/internal/shardmap/coverage"
 )
 
 // Part is one part of a query, as its client named it.
@@ -33,9 +33,9 @@
 
 // Ask is what a part asks for where the layout can move.
 type Ask struct {
-	Slice   layout.SliceID
+	Slice   shardmap.ShardID
 	Version uint64 // of the layout that it was planned on
-	Range   layout.Range
+	Range   shardmap.Range
 	Piece   bool // less than the whole slice
 	round   int
 }
@@ -54,7 +54,7 @@
 	Parts      []Part
 	// Wanted are the keys that a query on a layout that can move asks for, in place
 	// of Parts: they are cut along the slices when it is taken.
-	Wanted []layout.Range
+	Wanted []shardmap.Range
 	Text   []byte // of each such part
 	// Body takes the place of every part's text where it is kept by somebody else. The core
 	// releases it with the answer.
@@ -191,9 +191,9 @@
 	Value  []byte
 	Score  float64
 	Hits   *Hits
-	Layout uint64        // the version that the server is at; 0: it says none
-	Covers *layout.Range // the keys that the value is about; nil: it does not say
-	At     time.Duration // by Core.Now: when it was known
+	Layout uint64          // the version that the server is at; 0: it says none
+	Covers *shardmap.Range // the keys that the value is about; nil: it does not say
+	At     time.Duration   // by Core.Now: when it was known
 }
 
 // Config sets up a Core.
@@ -253,7 +253,7 @@
 	lostAt time.Duration // when, for want of the body, a part was left that nothing can answer
 
 	ground *ground          // nil: the layout is fixed
-	layout *layout.Layout   // the version that it was planned on
+	layout *shardmap.Map    // the version that it was planned on
 	ledger *coverage.Ledger // what is in of what it wants
 	pieces []Value          // answers to pieces of parts that gave way
 }
--- a/internal/coordinator/moving.go
+++ b/internal/coordinator/moving.go
@@ -5,9 +5,9 @@
 
 	"linkpass"
 	"linkpass/internal/end"
-	"linkpass/internal/layout"
-	"linkpass/internal/layout/coverage"
-	"linkpass/internal/layout/replan"
+	"linkpass/internal/shardmap"
+	"linkpass/internal/shardmap/coverage"
+	"linkpass/internal/shardmap/replan"
 )
 
 // ground is one collection's layout, as the module knows it: its slices are shards
@@ -15,18 +15,18 @@
 type ground struct {
 	name   string
 	number int
-	now    *layout.Layout // nil: the collection has gone
-	open   int            // queries planned on it
+	now    *shardmap.Map // nil: the collection has gone
+	open   int           // queries planned on it
 	leaves []linkpass.Placed
 }
 
 // shard is the module's number of a slice. A ground is a new one when its collection
 // comes back after it had gone, so that numbers are never used twice.
-func (g *ground) shard(id layout.SliceID) int { return g.number<<32 + int(id) }
+func (g *ground) shard(id shardmap.ShardID) int { return g.number<<32 + int(id) }
 
 // Reshape takes news of layouts, which the caller has found out off the core's goroutine.
 // server is the module's number of a holder.
-func (c *Core) Reshape(list []layout.News, server func(string) linkpass.ServerID) {
+func (c *Core) Reshape(list []shardmap.Change, server func(string) linkpass.ServerID) {
 	c.post(func() {
 		for _, n := range list {
 			c.reshape(n, server)
@@ -34,10 +34,10 @@
 	})
 }
 
-func (c *Core) reshape(n layout.News, server func(string) linkpass.ServerID) {
+func (c *Core) reshape(n shardmap.Change, server func(string) linkpass.ServerID) {
 	g := c.layouts[n.Collection]
 	if g == nil {
-		if n.Layout == nil {
+		if n.Map == nil {
 			return
 		}
 		c.grounds++
@@ -45,27 +45,27 @@
 		c.layouts[n.Collection] = g
 	}
 	c.count.Add("layout_changes", 1)
-	g.now = n.Layout
-	for _, s := range n.Came {
-		ids := make([]linkpass.ServerID, len(s.Holders))
-		for i, name := range s.Holders {
+	g.now = n.Map
+	for _, s := range n.Added {
+		ids := make([]linkpass.ServerID, len(s.Replicas))
+		for i, name := range s.Replicas {
 			ids[i] = server(name)
 		}
 		c.events = append(c.events, linkpass.Placed{Shard: g.shard(s.ID), Servers: ids})
 	}
 	var leaves []linkpass.Placed
-	for _, s := range n.Went {
+	for _, s := range n.Removed {
 		leaves = append(leaves, linkpass.Placed{Shard: g.shard(s.ID)})
 	}
-	if n.Layout == nil { // open queries end on the version that they were planned on
+	if n.Map == nil { // open queries end on the version that they were planned on
 		delete(c.layouts, n.Collection)
 		if g.leaves = leaves; g.open == 0 {
 			c.clear(g)
 		}
 		return
 	}
-	went := map[layout.SliceID]bool{}
-	for _, s := range n.Went {
+	went := map[shardmap.ShardID]bool{}
+	for _, s := range n.Removed {
 		went[s.ID] = true
 	}
 	for _, at := range c.attempts {
@@ -86,7 +86,7 @@
 }
 
 // affected lists the parts, by age, that have nothing out and whose slice is held no more.
-func (c *Core) affected(g *ground, went map[layout.SliceID]bool) (ids []linkpass.RequestID) {
+func (c *Core) affected(g *ground, went map[shardmap.ShardID]bool) (ids []linkpass.RequestID) {
 	for id, p := range c.parts {
 		if p.query.ground == g && !p.in && !p.gave && p.out == 0 && went[p.Ask.Slice] {
 			ids = append(ids, id)
@@ -120,16 +120,16 @@
 }
 
 // parted words planned parts; their weights follow their ranges and add up to total.
-func (*Core) parted(q *query, l *layout.Layout, list []replan.Part, total float64) []Part {
+func (*Core) parted(q *query, l *shardmap.Map, list []replan.Part, total float64) []Part {
 	out := make([]Part, len(list))
 	asks := make([]Ask, len(list)) // one allocation
-	ranges := make([]layout.Range, len(list))
+	ranges := make([]shardmap.Range, len(list))
 	for i, p := range list {
 		ranges[i] = p.Range
 	}
 	weights := coverage.Weights(total, ranges)
 	for i, p := range list {
-		s, _ := l.Slice(p.Slice)
+		s, _ := l.Shard(p.Slice)
 		asks[i] = Ask{Slice: p.Slice, Version: l.Version(), Range: p.Range, Piece: s.Range != p.Range, round: p.Round}
 		out[i] = Part{Shard: q.ground.shard(p.Slice), Weight: weights[i], Text: q.Text, Ask: &asks[i]}
 	}
@@ -154,7 +154,7 @@
 	if p.out > 0 || p.query.ground.now == nil {
 		return r.End, nil
 	}
-	if _, held := p.query.ground.now.Held(p.Ask.Slice); !held { // another try there would come to nothing
+	if _, held := p.query.ground.now.Resolve(p.Ask.Slice); !held { // another try there would come to nothing
 		if replaced, why := c.replan(p, nil); why == replan.Done {
 			return r.End, []linkpass.Event{replaced}
 		}
@@ -172,7 +172,7 @@
 	case p.Ask.Piece:
 		return end.Unversioned, nil
 	}
-	if !p.Ask.Range.Holds(covers) || !p.query.ledger.Book(covers) {
+	if !p.Ask.Range.Covers(covers) || !p.query.ledger.Book(covers) {
 		return end.Doubled, nil
 	}
 	if covers == p.Ask.Range {
@@ -197,7 +197,7 @@
 }
 
 // replan puts others in the place of a part whose slice has gone, or for what is left of one.
-func (c *Core) replan(p *part, rest []layout.Range) (out linkpass.Replaced, why replan.Refusal) {
+func (c *Core) replan(p *part, rest []shardmap.Range) (out linkpass.Replaced, why replan.Refusal) {
 	q := p.query
 	if c.queries[q.id] == nil {
 		return out, replan.Answered
--- a/internal/coordinator/moving_test.go
+++ b/internal/coordinator/moving_test.go
@@ -9,15 +9,15 @@
 
 	"linkpass"
 	"linkpass/internal/end"
-	"linkpass/internal/layout"
-	"linkpass/internal/layout/coverage"
+	"linkpass/internal/shardmap"
+	"linkpass/internal/shardmap/coverage"
 )
 
 // mover is a core whose index moves, with the test as its servers.
 type mover struct {
 	t    *testing.T
 	l    *links
-	now  *layout.Layout
+	now  *shardmap.Map
 	next int // of the calls, not yet looked at
 }
 
@@ -26,7 +26,7 @@
 // moving runs a core on an index of n slices, held by a and b, and c and d, in turn.
 func moving(t *testing.T, n int, f func(*mover)) {
 	bench(t, func(l *links, _ func(time.Duration, ...Part) (*[]Answer, func())) {
-		first, err := layout.Even(n, [][]string{{"a", "b"}, {"c", "d"}})
+		first, err := shardmap.NewEven(n, [][]string{{"a", "b"}, {"c", "d"}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -37,27 +37,27 @@
 }
 
 // publish tells the core of a version; nil: the index has gone.
-func (m *mover) publish(l *layout.Layout) {
-	if n, changed := layout.Differ("i", m.now, l); changed {
-		m.l.core.Reshape([]layout.News{n}, func(s string) linkpass.ServerID { return numbers[s] })
+func (m *mover) publish(l *shardmap.Map) {
+	if n, changed := shardmap.Diff("i", m.now, l); changed {
+		m.l.core.Reshape([]shardmap.Change{n}, func(s string) linkpass.ServerID { return numbers[s] })
 	}
 	m.now = l
 	settle(10 * time.Millisecond)
 }
 
 // order carries a change through to a step, all new holders having it.
-func (m *mover) order(o layout.Order, until layout.Step) {
-	l, err := m.now.Apply(layout.Command{Order: &o})
+func (m *mover) order(o shardmap.PlanRequest, until shardmap.PlanStep) {
+	l, err := m.now.Apply(shardmap.Command{Request: &o})
 	if err != nil {
 		m.t.Fatal(err)
 	}
 	p := l.Plans()[len(l.Plans())-1]
-	for _, step := range []layout.Step{layout.Copying, layout.BothHold, layout.Switched, layout.Retired} {
-		a := layout.Advance{Plan: p.ID, Step: step, Holding: map[layout.SliceID][]string{}}
+	for _, step := range []shardmap.PlanStep{shardmap.Copying, shardmap.Replicated, shardmap.Switched, shardmap.Retired} {
+		a := shardmap.Advance{Plan: p.ID, Step: step, Replicas: map[shardmap.ShardID][]string{}}
 		for _, s := range p.To {
-			a.Holding[s.ID] = s.Holders
+			a.Replicas[s.ID] = s.Replicas
 		}
-		if l, err = l.Apply(layout.Command{Advance: &a}); err != nil {
+		if l, err = l.Apply(shardmap.Command{Advance: &a}); err != nil {
 			m.t.Fatal(err)
 		}
 		if step == until {
@@ -67,7 +67,7 @@
 	m.publish(l)
 }
 
-func (m *mover) ask(wanted ...layout.Range) (*[]Answer, func()) {
+func (m *mover) ask(wanted ...shardmap.Range) (*[]Answer, func()) {
 	answers := new([]Answer)
 	leave := m.l.core.Submit(Query{Name: "q", Collection: "i", Began: m.l.core.Now(), Timeout: 2 * time.Second, Wanted: wanted,
 		Text: []byte("x"), Reply: func(a Answer) { *answers = append(*answers, a) }})
@@ -96,7 +96,7 @@
 }
 
 // exact holds an answer to what it says: whole means every wanted key once, by what was answered.
-func exact(t *testing.T, a Answer, wanted ...layout.Range) {
+func exact(t *testing.T, a Answer, wanted ...shardmap.Range) {
 	t.Helper()
 	ledger := coverage.NewLedger(wanted...)
 	for _, v := range a.Values {
@@ -119,9 +119,9 @@
 // A part is sent to the old holder just as a move completes: it says moved, and the new one answers.
 func TestAPartReachesTheOldHolderAsAMoveCompletes(t *testing.T) {
 	moving(t, 1, func(m *mover) {
-		answers, _ := m.ask(layout.All)
+		answers, _ := m.ask(shardmap.FullRange)
 		old := m.sent()
-		m.order(layout.Order{Kind: layout.Move, Slices: []layout.SliceID{layout.FirstSlice}, To: [][]string{{"d"}}}, layout.Retired)
+		m.order(shardmap.PlanRequest{Kind: shardmap.Move, Shards: []shardmap.ShardID{shardmap.FirstDynamicID}, ReplicaSets: [][]string{{"d"}}}, shardmap.Retired)
 		if !old[0].Gone() {
 			t.Error("what is not yet written may still go to a server that has the slice no more")
 		}
@@ -131,7 +131,7 @@
 			t.Fatalf("sent %+v to %v", again, m.l.servers)
 		}
 		m.serve(again...)
-		exact(t, one(t, answers, Answered), layout.All)
+		exact(t, one(t, answers, Answered), shardmap.FullRange)
 	})
 }
 
@@ -139,15 +139,15 @@
 // one is told that its slice has moved.
 func TestASplitInTheMiddleOfAQuery(t *testing.T) {
 	moving(t, 4, func(m *mover) {
-		half := layout.All.Cut(2)[0]
+		half := shardmap.FullRange.Split(2)[0]
 		answers, _ := m.ask(half)
 		list := m.sent()
 		m.serve(list[0])
-		m.order(layout.Order{Kind: layout.Split, Slices: []layout.SliceID{list[1].Ask.Slice}, Into: 2}, layout.Retired)
-		m.order(layout.Order{Kind: layout.Split, Slices: []layout.SliceID{list[0].Ask.Slice}, Into: 2}, layout.Retired)
+		m.order(shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{list[1].Ask.Slice}, Pieces: 2}, shardmap.Retired)
+		m.order(shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{list[0].Ask.Slice}, Pieces: 2}, shardmap.Retired)
 		m.end(list[1], Result{End: end.Moved, Layout: m.now.Version()})
 		children := m.sent()
-		if len(children) != 2 || children[0].Ask.Piece || !list[1].Ask.Range.Holds(children[0].Ask.Range) {
+		if len(children) != 2 || children[0].Ask.Piece || !list[1].Ask.Range.Covers(children[0].Ask.Range) {
 			t.Fatalf("children %+v", children)
 		}
 		m.serve(children...)
@@ -163,14 +163,14 @@
 func TestAMergeHalfAnswered(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		moving(t, 2, func(m *mover) {
-			answers, _ := m.ask(layout.All)
+			answers, _ := m.ask(shardmap.FullRange)
 			list := m.sent()
 			if answered {
 				m.serve(list[0])
 			} else {
 				m.end(list[0], Result{End: end.ServerError}) // tried again at once: out
 			}
-			m.order(layout.Order{Kind: layout.Merge, Slices: []layout.SliceID{list[0].Ask.Slice, list[1].Ask.Slice}}, layout.Retired)
+			m.order(shardmap.PlanRequest{Kind: shardmap.Merge, Shards: []shardmap.ShardID{list[0].Ask.Slice, list[1].Ask.Slice}}, shardmap.Retired)
 			if !answered {
 				m.end(m.sent()[0], Result{End: end.Moved, Layout: m.now.Version()})
 				first := m.sent()
@@ -185,7 +185,7 @@
 				t.Fatalf("asked for %+v", rest)
 			}
 			m.serve(rest...)
-			exact(t, one(t, answers, Answered), layout.All)
+			exact(t, one(t, answers, Answered), shardmap.FullRange)
 		})
 	}
 }
@@ -193,7 +193,7 @@
 // A server that claims a version that does not exist is left alone for another holder.
 func TestAClaimOfAVersionThatDoesNotExist(t *testing.T) {
 	moving(t, 1, func(m *mover) {
-		answers, _ := m.ask(layout.All)
+		answers, _ := m.ask(shardmap.FullRange)
 		list := m.sent()
 		m.end(list[0], Result{End: end.Moved, Layout: 999})
 		again := m.sent()
@@ -201,18 +201,18 @@
 			t.Fatalf("sent %+v to %v", again, m.l.servers)
 		}
 		m.serve(again...)
-		exact(t, one(t, answers, Answered), layout.All)
+		exact(t, one(t, answers, Answered), shardmap.FullRange)
 	})
 }
 
 // A query that two changes have passed by is planned anew once, on what holds now.
 func TestAQueryOlderThanTwoChanges(t *testing.T) {
 	moving(t, 1, func(m *mover) {
-		answers, _ := m.ask(layout.All)
+		answers, _ := m.ask(shardmap.FullRange)
 		old := m.sent()
 		for range 2 {
-			all := m.now.Slices()
-			m.order(layout.Order{Kind: layout.Split, Slices: []layout.SliceID{all[len(all)-1].ID}, Into: 2}, layout.Retired)
+			all := m.now.Shards()
+			m.order(shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{all[len(all)-1].ID}, Pieces: 2}, shardmap.Retired)
 		}
 		m.end(old[0], Result{End: end.Moved, Layout: m.now.Version()})
 		list := m.sent()
@@ -221,7 +221,7 @@
 		}
 		m.serve(list...)
 		a := one(t, answers, Answered)
-		if exact(t, a, layout.All); a.Layout != 1 || m.l.core.count.Get("replans") != 1 {
+		if exact(t, a, shardmap.FullRange); a.Layout != 1 || m.l.core.count.Get("replans") != 1 {
 			t.Errorf("planned on %d, %d times anew", a.Layout, m.l.core.count.Get("replans"))
 		}
 	})
@@ -231,11 +231,11 @@
 // the version it was planned on, and never with what the new one holds.
 func TestAnIndexThatGoesWithQueriesOpen(t *testing.T) {
 	moving(t, 2, func(m *mover) {
-		answers, _ := m.ask(layout.All)
+		answers, _ := m.ask(shardmap.FullRange)
 		list := m.sent()
 		m.serve(list[0])
 		m.publish(nil)
-		another, _ := layout.Even(1, [][]string{{"d"}})
+		another, _ := shardmap.NewEven(1, [][]string{{"d"}})
 		m.publish(another)
 		m.end(list[1], Result{End: end.ServerError})
 		again := m.sent()
@@ -243,14 +243,14 @@
 			t.Fatalf("sent %+v", again)
 		}
 		m.serve(again...)
-		exact(t, one(t, answers, Answered), layout.All)
-		fresh, _ := m.ask(layout.All)
+		exact(t, one(t, answers, Answered), shardmap.FullRange)
+		fresh, _ := m.ask(shardmap.FullRange)
 		if list := m.sent(); len(list) != 1 || m.l.servers[len(m.l.servers)-1] != numbers["d"] {
 			t.Errorf("the new index is asked %+v at %v", list, m.l.servers)
 		} else {
 			m.serve(list...)
 		}
-		exact(t, one(t, fresh, Answered), layout.All)
+		exact(t, one(t, fresh, Answered), shardmap.FullRange)
 	})
 }
 
@@ -258,9 +258,9 @@
 // not say what it covers never counts for a piece.
 func TestPiecesAndAnswersThatDoNotSay(t *testing.T) {
 	moving(t, 1, func(m *mover) {
-		answers, _ := m.ask(layout.All)
-		cut := layout.All.Cut(4)
-		first := layout.Range{First: cut[0].First, Last: cut[2].Last}
+		answers, _ := m.ask(shardmap.FullRange)
+		cut := shardmap.FullRange.Split(4)
+		first := shardmap.Range{First: cut[0].First, Last: cut[2].Last}
 		m.end(m.sent()[0], Result{End: end.Served, Covers: &first, Value: []byte("v")})
 		rest := m.sent()
 		if len(rest) != 1 || rest[0].Ask.Range != cut[3] || !rest[0].Ask.Piece {
@@ -271,13 +271,13 @@
 			t.Errorf("%d unversioned", n)
 		}
 		again := m.sent()
-		m.end(again[0], Result{End: end.Served, Covers: &layout.All, Value: []byte("v")}) // more than was asked for
+		m.end(again[0], Result{End: end.Served, Covers: &shardmap.FullRange, Value: []byte("v")}) // more than was asked for
 		if n := m.l.core.count.Get("attempts_doubled"); n != 1 {
 			t.Errorf("%d doubled", n)
 		}
 		again = m.sent()
 		m.end(again[0], Result{End: end.Served, Covers: &cut[3], Value: []byte("v")})
-		exact(t, one(t, answers, Answered), layout.All)
+		exact(t, one(t, answers, Answered), shardmap.FullRange)
 	})
 }
 
@@ -285,10 +285,10 @@
 // yet; and a single key beside half of all is waited for.
 func TestMoreThanWasAskedAndASingleKey(t *testing.T) {
 	moving(t, 2, func(m *mover) {
-		half, key := layout.All.Cut(2)[0], layout.Range{First: layout.All.Last, Last: layout.All.Last}
+		half, key := shardmap.FullRange.Split(2)[0], shardmap.Range{First: shardmap.FullRange.Last, Last: shardmap.FullRange.Last}
 		answers, _ := m.ask(half, key)
 		list := m.sent()
-		m.end(list[0], Result{End: end.Served, Covers: &layout.All, Value: []byte("v")})
+		m.end(list[0], Result{End: end.Served, Covers: &shardmap.FullRange, Value: []byte("v")})
 		if n := m.l.core.count.Get("attempts_doubled"); n != 1 {
 			t.Errorf("%d doubled", n)
 		}
@@ -308,7 +308,7 @@
 	for seed := range uint64(60) {
 		moving(t, 4, func(m *mover) {
 			rng := rand.New(rand.NewPCG(seed, 3))
-			cut := layout.All.Cut(5)
+			cut := shardmap.FullRange.Split(5)
 			wanted := cut[:1+rng.IntN(5)]
 			answers, _ := m.ask(wanted...)
 			for m.l.core.Held() > 0 { // asked of the core, so that reading the answer is ordered after it
@@ -318,7 +318,7 @@
 					if rng.IntN(3) == 0 {
 						m.randomChange(rng)
 					}
-					_, held := m.now.Held(a.Ask.Slice)
+					_, held := m.now.Resolve(a.Ask.Slice)
 					switch roll := rng.IntN(10); {
 					case !held && roll < 8:
 						m.end(a, Result{End: end.Moved, Layout: m.now.Version()})
@@ -327,7 +327,7 @@
 					case roll == 1:
 						m.end(a, Result{End: end.Moved, Layout: m.now.Version() + uint64(rng.IntN(2))})
 					case roll == 2:
-						if pieces := a.Ask.Range.Cut(2); pieces != nil {
+						if pieces := a.Ask.Range.Split(2); pieces != nil {
 							m.end(a, Result{End: end.Served, Covers: &pieces[rng.IntN(2)], Value: []byte("v")})
 						}
 					case roll == 3: // silent
@@ -358,20 +358,20 @@
 }
 
 func (m *mover) randomChange(rng *rand.Rand) {
-	all := m.now.Slices()
+	all := m.now.Shards()
 	i := rng.IntN(len(all))
-	o := layout.Order{Kind: layout.Split, Slices: []layout.SliceID{all[i].ID}, Into: 2}
+	o := shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{all[i].ID}, Pieces: 2}
 	switch rng.IntN(3) {
 	case 0:
 		if i+1 < len(all) {
-			o = layout.Order{Kind: layout.Merge, Slices: []layout.SliceID{all[i].ID, all[i+1].ID}}
+			o = shardmap.PlanRequest{Kind: shardmap.Merge, Shards: []shardmap.ShardID{all[i].ID, all[i+1].ID}}
 		}
 	case 1:
 		sets := [][]string{{"a"}, {"b", "c"}, {"d"}}
-		o = layout.Order{Kind: layout.Move, Slices: []layout.SliceID{all[i].ID}, To: [][]string{sets[rng.IntN(3)]}}
+		o = shardmap.PlanRequest{Kind: shardmap.Move, Shards: []shardmap.ShardID{all[i].ID}, ReplicaSets: [][]string{sets[rng.IntN(3)]}}
 	}
-	if slices.ContainsFunc(m.now.Plans(), func(layout.Plan) bool { return true }) {
+	if slices.ContainsFunc(m.now.Plans(), func(shardmap.Plan) bool { return true }) {
 		return // one that has only switched may touch the same keys
 	}
-	m.order(o, []layout.Step{layout.Switched, layout.Retired, layout.Retired}[rng.IntN(3)])
+	m.order(o, []shardmap.PlanStep{shardmap.Switched, shardmap.Retired, shardmap.Retired}[rng.IntN(3)])
 }
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -19,8 +19,8 @@
 	"linkpass/internal/coordinator"
 	"linkpass/internal/discovery"
 	"linkpass/internal/http1"
-	"linkpass/internal/layout"
 	"linkpass/internal/parts"
+	"linkpass/internal/shardmap"
 	"linkpass/internal/store"
 )
 
@@ -284,7 +284,7 @@
 			continue
 		}
 		in := control.IndexLayout{Index: name, Version: l.Version(), Total: l.Len(), Plans: l.Plans()}
-		l.Each(layout.All, func(s layout.Slice) bool {
+		l.ForEach(shardmap.FullRange, func(s shardmap.Shard) bool {
 			in.Slices = append(in.Slices, s)
 			return len(in.Slices) < control.MaxSlices
 		})
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -18,9 +18,9 @@
 
 	"linkpass"
 	"linkpass/internal/discovery"
-	"linkpass/internal/layout"
 	"linkpass/internal/searchconfig"
 	"linkpass/internal/settings"
+	"linkpass/internal/shardmap"
 	"linkpass/internal/store"
 )
 
@@ -142,9 +142,9 @@
 			Indices: map[string]searchconfig.Index{
 				"players": {Class: "team-lookup", Shards: []int{0, 2, 5}},
 				"scores":  {Class: "league-table", InitialSharding: &searchconfig.InitialSharding{Shards: 4, ReplicaSets: [][]string{{"s-01", "s-02"}, {"s-03", "s-04"}}}},
-				"moves": {Class: "trade", ShardMap: &layout.Document{Version: 7, NextSlice: 1048580, NextPlan: 3, Slices: []layout.Slice{
-					{ID: 1048577, Range: layout.Range{First: 0, Last: 1<<63 - 1}, Epoch: 1, Holders: []string{"s-01", "s-02"}},
-					{ID: 1048579, Range: layout.Range{First: 1 << 63, Last: 1<<64 - 1}, Epoch: 5, Holders: []string{"s-03"}},
+				"moves": {Class: "trade", ShardMap: &shardmap.Document{Version: 7, NextShard: 1048580, NextPlan: 3, Shards: []shardmap.Shard{
+					{ID: 1048577, Range: shardmap.Range{First: 0, Last: 1<<63 - 1}, Epoch: 1, Replicas: []string{"s-01", "s-02"}},
+					{ID: 1048579, Range: shardmap.Range{First: 1 << 63, Last: 1<<64 - 1}, Epoch: 5, Replicas: []string{"s-03"}},
 				}}},
 			},
 			Servers: map[string]searchconfig.Server{"s-5be2a07c": {Protocol: "search"}, "s-2": {Protocol: "plain"}},
@@ -180,7 +180,7 @@
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
-	if n := len(got.Indices["scores"].ShardMap.Slices); n != 4 {
+	if n := len(got.Indices["scores"].ShardMap.Shards); n != 4 {
 		t.Errorf("the index with a spread has %d slices", n)
 	}
 }
--- a/internal/daemon/reshape.go
+++ b/internal/daemon/reshape.go
@@ -8,10 +8,10 @@
 	"linkpass/internal/coordinator"
 	"linkpass/internal/discovery"
 	"linkpass/internal/event"
-	"linkpass/internal/layout"
-	"linkpass/internal/layout/reshape"
-	"linkpass/internal/layout/steward"
+	"linkpass/internal/reshardexec"
 	"linkpass/internal/searchconfig"
+	"linkpass/internal/shardmap"
+	"linkpass/internal/shardmap/resharding"
 )
 
 // Reshape paces the changes of layouts, as an operator's file says.
@@ -25,9 +25,9 @@
 }
 
 // pace reads the settings, with their defaults; longest is the longest deadline of a query.
-func (r Reshape) pace(longest time.Duration) (limits reshape.Limits, poll time.Duration) {
+func (r Reshape) pace(longest time.Duration) (limits resharding.Limits, poll time.Duration) {
 	poll = Keys.Time("reshape.poll", r.Poll)
-	limits = reshape.Limits{Moves: int(Keys.Int("reshape.moves", int64(r.Moves))), PerServer: int(Keys.Int("reshape.per_server", int64(r.PerServer))),
+	limits = resharding.Limits{Moves: int(Keys.Int("reshape.moves", int64(r.Moves))), PerServer: int(Keys.Int("reshape.per_server", int64(r.PerServer))),
 		Fresh: 3 * poll, Linger: Keys.Time("reshape.retire_after", r.RetireAfter), Patience: Keys.Time("reshape.patience", r.Patience)}
 	if limits.Linger == 0 {
 		limits.Linger = longest + time.Second
@@ -59,10 +59,10 @@
 		l.core.Reshape(news, discovery.ServerID)
 		for _, n := range news {
 			version := uint64(0)
-			if n.Layout != nil {
-				version = n.Layout.Version()
+			if n.Map != nil {
+				version = n.Map.Version()
 			}
-			event.LayoutChanged.Log(n.Collection, version, len(n.Came), len(n.Went))
+			event.LayoutChanged.Log(n.Collection, version, len(n.Added), len(n.Removed))
 		}
 	}
 }
@@ -80,7 +80,7 @@
 		return nil
 	}
 	limits, poll := p.cfg.Search.Reshape.pace(p.longest())
-	p.steward = steward.New(steward.Config{Store: stored{p}, Limits: limits, Poll: poll, Timeout: max(poll, time.Second),
+	p.steward = reshardexec.New(reshardexec.Config{Store: stored{p}, Limits: limits, Poll: poll, Timeout: max(poll, time.Second),
 		Now: p.core.Now, Counters: p.count, Ended: func() (ended, refused int64) {
 			for i := range p.figures.Classes {
 				r := p.figures.Refused[i].Load()
@@ -104,6 +104,6 @@
 func (s stored) Settings() *searchconfig.Config { return s.p.opened.Load().Settings() }
 
 // AdvanceShardMap takes a step of a layout.
-func (s stored) AdvanceShardMap(index string, c layout.Command) error {
+func (s stored) AdvanceShardMap(index string, c shardmap.Command) error {
 	return s.p.opened.Load().AdvanceShardMap(index, c)
 }
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -25,12 +25,12 @@
 	"linkpass/internal/frame"
 	"linkpass/internal/handover"
 	"linkpass/internal/http1"
-	"linkpass/internal/layout/steward"
 	"linkpass/internal/link"
 	"linkpass/internal/opensearch"
 	"linkpass/internal/operator"
 	"linkpass/internal/parts"
 	"linkpass/internal/peer"
+	"linkpass/internal/reshardexec"
 	"linkpass/internal/searchconfig"
 	"linkpass/internal/store"
 )
@@ -60,8 +60,8 @@
 	store      *store.Store // nil: off
 	opened     atomic.Pointer[store.Store]
 	layouts    *layouts
-	steward    *steward.Steward    // of the layouts; nil: no store
-	agreement  *endpoints.Registry // on servers; nil: no store
+	steward    *reshardexec.Steward // of the layouts; nil: no store
+	agreement  *endpoints.Registry  // on servers; nil: no store
 	bodies     *bodies.Store
 	roster     roster
 	began      time.Time
--- a/internal/daemon/wire_golden_test.go
+++ b/internal/daemon/wire_golden_test.go
@@ -25,9 +25,9 @@
 	"linkpass/internal/endpoints"
 	"linkpass/internal/goldentest"
 	"linkpass/internal/http1"
-	"linkpass/internal/layout"
 	"linkpass/internal/schema"
 	"linkpass/internal/searchconfig"
+	"linkpass/internal/shardmap"
 	"linkpass/internal/store"
 )
 
@@ -227,20 +227,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	even, err := layout.Even(4, [][]string{{"s-1"}, {"s-2", "s-3"}}) // what the spread stands for
+	even, err := shardmap.NewEven(4, [][]string{{"s-1"}, {"s-2", "s-3"}}) // what the spread stands for
 	if err != nil {
 		t.Fatal(err)
 	}
 	no, spread := false, even.Document()
-	slice := func(n layout.SliceID, first, last uint64, holder string) layout.Slice {
-		return layout.Slice{ID: layout.FirstSlice + n, Range: layout.Range{First: first, Last: last}, Epoch: 1, Holders: []string{holder}}
+	slice := func(n shardmap.ShardID, first, last uint64, holder string) shardmap.Shard {
+		return shardmap.Shard{ID: shardmap.FirstDynamicID + n, Range: shardmap.Range{First: first, Last: last}, Epoch: 1, Replicas: []string{holder}}
 	}
 	want := Search{Listen: "127.0.0.1:9200",
 		Config: searchconfig.Config{Search: searchconfig.Defaults{Timeout: "1500ms", AllowPartial: &no, MaxResultWindow: 500},
 			Indices: map[string]searchconfig.Index{"fixed": {Class: "team-lookup", Shards: []int{0, 1}},
 				"spread": {Class: "team-lookup", ShardMap: &spread},
-				"movable": {Class: "league-table", ShardMap: &layout.Document{Version: 2, NextSlice: layout.FirstSlice + 2, NextPlan: 3,
-					Slices: []layout.Slice{slice(0, 0, 1<<63-1, "s-1"), slice(1, 1<<63, math.MaxUint64, "s-2")}}}},
+				"movable": {Class: "league-table", ShardMap: &shardmap.Document{Version: 2, NextShard: shardmap.FirstDynamicID + 2, NextPlan: 3,
+					Shards: []shardmap.Shard{slice(0, 0, 1<<63-1, "s-1"), slice(1, 1<<63, math.MaxUint64, "s-2")}}}},
 			Servers: map[string]searchconfig.Server{"s-1": {Protocol: "search"}}},
 		Store: store.Config{ID: "a", Dir: "/var/lib/linkpass/store", Join: true, TimeScale: 0.5, Members: []store.Member{
 			{ID: "a", Raft: "127.0.0.1:9300", HTTP: "127.0.0.1:9200"}, {ID: "b", Raft: "127.0.0.1:9301", HTTP: "127.0.0.1:9201"}}},
--- a/internal/lab/chaos.go
+++ b/internal/lab/chaos.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"linkpass/internal/layout"
+	"linkpass/internal/shardmap"
 	"linkpass/internal/standin"
 )
 
@@ -175,12 +175,12 @@
 	for _, c := range classes {
 		type slice struct {
 			id   uint64
-			rng  layout.Range
+			rng  shardmap.Range
 			busy bool
 		}
 		var list []slice
 		for _, r := range rows {
-			span, err := layout.ParseRange(r.Range)
+			span, err := shardmap.ParseRange(r.Range)
 			if r.Index == c.index && r.State != "INITIALIZING" && r.State != "RETIRING" && err == nil &&
 				!slices.ContainsFunc(list, func(s slice) bool { return s.id == r.Shard }) {
 				list = append(list, slice{r.Shard, span, r.Plan > 0})
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"linkpass/internal/control"
-	"linkpass/internal/layout"
 	"linkpass/internal/page"
+	"linkpass/internal/shardmap"
 	"linkpass/internal/standin"
 )
 
@@ -82,7 +82,7 @@
       a server dies (and comes back cold after 5 s): it is avoided, and searches stay whole
 
 Ctrl-C ends it.
-`, time.Since(began).Milliseconds(), d.Search, d.Socket, uint64(layout.FirstSlice), os.Getpid(), ln.Addr())
+`, time.Since(began).Milliseconds(), d.Search, d.Socket, uint64(shardmap.FirstDynamicID), os.Getpid(), ln.Addr())
 	kills := make(chan os.Signal, 1)
 	signal.Notify(kills, syscall.SIGUSR1)
 	for next := 0; ; next++ {
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"linkpass/internal/layout"
+	"linkpass/internal/shardmap"
 	"linkpass/internal/standin"
 )
 
@@ -32,7 +32,7 @@
 	}
 	defer f.Close()
 	sets := f.Sets(2)
-	first, err := layout.Even(c.Slices, sets)
+	first, err := shardmap.NewEven(c.Slices, sets)
 	if err != nil {
 		return err
 	}
@@ -44,7 +44,7 @@
 	fmt.Printf("  ROUTER_CONFIG=%s bin/linkpass -opensearch %s\n", filepath.Join(c.Dir, "config.json"), filepath.Join(c.Dir, "search.toml"))
 	fmt.Printf("  curl -s '%s/_cat/shards?v'\n", c.Search)
 	fmt.Printf("  curl -s '%s/players/_search?size=3'\n", c.Search)
-	fmt.Printf("  curl -s -X POST -d '{\"commands\":[{\"split\":{\"index\":\"players\",\"shard\":%d,\"into\":2}}]}' '%s/_cluster/reroute'\n", layout.FirstSlice, c.Search)
+	fmt.Printf("  curl -s -X POST -d '{\"commands\":[{\"split\":{\"index\":\"players\",\"shard\":%d,\"into\":2}}]}' '%s/_cluster/reroute'\n", shardmap.FirstDynamicID, c.Search)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	<-ctx.Done()
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -12,7 +12,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"linkpass/internal/layout"
+	"linkpass/internal/shardmap"
 	"linkpass/internal/standin"
 )
 
@@ -21,7 +21,7 @@
 	at     time.Duration
 	class  int
 	params string
-	wanted []layout.Range
+	wanted []shardmap.Range
 	body   string // "": every record
 }
 
@@ -36,7 +36,7 @@
 		q := query{at: at}
 		if rng.Float64() < 0.16 {
 			q.class = 1
-			pieces := layout.All.Cut(16) // half of the keys, from anywhere
+			pieces := shardmap.FullRange.Split(16) // half of the keys, from anywhere
 			var names []string
 			from := rng.IntN(16)
 			for i := range 8 {
@@ -49,7 +49,7 @@
 			for range 4 {
 				r := truth[rng.IntN(len(truth))]
 				ids = append(ids, r.ID)
-				q.wanted = append(q.wanted, layout.Range{First: r.Key, Last: r.Key})
+				q.wanted = append(q.wanted, shardmap.Range{First: r.Key, Last: r.Key})
 			}
 			q.params = "routing=" + strings.Join(ids, ",")
 		}
@@ -176,7 +176,7 @@
 func (w *world) unexplained(q query, ids []string, a answer) bool {
 	told := q.wanted[:0:0]
 	for _, f := range a.Shards.Failures {
-		if r, err := layout.ParseRange(f.Range); err == nil {
+		if r, err := shardmap.ParseRange(f.Range); err == nil {
 			told = append(told, r)
 		}
 	}
@@ -186,12 +186,12 @@
 	}
 	for _, want := range q.wanted {
 		for _, rec := range w.fleet.Truth {
-			if !want.Has(rec.Key) || in[rec.ID] {
+			if !want.Contains(rec.Key) || in[rec.ID] {
 				continue
 			}
 			explained := false
 			for _, r := range told {
-				explained = explained || r.Has(rec.Key)
+				explained = explained || r.Contains(rec.Key)
 			}
 			if !explained {
 				return true
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -19,7 +19,7 @@
 	"time"
 
 	"linkpass/internal/daemon"
-	"linkpass/internal/layout"
+	"linkpass/internal/shardmap"
 	"linkpass/internal/standin"
 )
 
@@ -126,7 +126,7 @@
 	if w.fleet, err = standin.NewFleet(sh.servers, sh.records, sh.work, sh.seed); err != nil {
 		return w, err
 	}
-	first, err := layout.Even(sh.slices, w.fleet.Sets(sh.each))
+	first, err := shardmap.NewEven(sh.slices, w.fleet.Sets(sh.each))
 	if err != nil {
 		return w, err
 	}
--- a/internal/opensearch/dialect.go
+++ b/internal/opensearch/dialect.go
@@ -14,9 +14,9 @@
 	"linkpass/internal/coordinator"
 	"linkpass/internal/end"
 	"linkpass/internal/http1"
-	"linkpass/internal/layout"
 	"linkpass/internal/peer"
 	"linkpass/internal/report"
+	"linkpass/internal/shardmap"
 )
 
 // Dialect speaks searches to a league server: each part is a search of one
@@ -150,7 +150,7 @@
 		}
 	}
 	if text := res.Header.Get(HeaderCovers); text != "" {
-		r, err := layout.ParseRange(text)
+		r, err := shardmap.ParseRange(text)
 		if err != nil {
 			return m, end.Garbled, fmt.Errorf("opensearch: %s: %w", HeaderCovers, err)
 		}
--- a/internal/opensearch/layouts.go
+++ b/internal/opensearch/layouts.go
@@ -14,9 +14,9 @@
 	"strings"
 
 	"linkpass/internal/http1"
-	"linkpass/internal/layout"
-	"linkpass/internal/layout/coverage"
 	"linkpass/internal/searchconfig"
+	"linkpass/internal/shardmap"
+	"linkpass/internal/shardmap/coverage"
 	"linkpass/internal/store"
 )
 
@@ -31,15 +31,15 @@
 
 // wantedKeys are the keys that a search on a layout asks for: by routing values, ranges or
 // slices, or all.
-func (s *search) wantedKeys(l *layout.Layout) ([]layout.Range, *cause) {
-	var out []layout.Range
+func (s *search) wantedKeys(l *shardmap.Map) ([]shardmap.Range, *cause) {
+	var out []shardmap.Range
 	for _, value := range s.routing {
-		key := layout.Key(value)
-		out = append(out, layout.Range{First: key, Last: key})
+		key := shardmap.HashKey(value)
+		out = append(out, shardmap.Range{First: key, Last: key})
 	}
 	out = append(out, s.ranges...)
 	for _, id := range s.preferred {
-		found, ok := l.Slice(layout.SliceID(id))
+		found, ok := l.Shard(shardmap.ShardID(id))
 		if !ok {
 			return nil, &cause{Type: "shard_not_found_exception", Index: s.index, Status: 404,
 				Reason: fmt.Sprintf("no such shard [%d] in index [%s] at layout version [%d]", id, s.index, l.Version())}
@@ -47,7 +47,7 @@
 		out = append(out, found.Range)
 	}
 	if len(out) == 0 {
-		out = []layout.Range{layout.All}
+		out = []shardmap.Range{shardmap.FullRange}
 	}
 	return coverage.Of(out...).Ranges(), nil
 }
@@ -68,24 +68,24 @@
 }
 
 // rows lists the copies of an index's slices: those that serve, then those of open plans.
-func rows(index string, l *layout.Layout) (out []shardRow) {
-	planned := map[layout.SliceID]layout.Plan{}
+func rows(index string, l *shardmap.Map) (out []shardRow) {
+	planned := map[shardmap.ShardID]shardmap.Plan{}
 	for _, p := range l.Plans() {
 		for _, s := range append(slices.Clone(p.From), p.To...) {
 			planned[s.ID] = p
 		}
 	}
-	add := func(s layout.Slice, state string) {
-		for i, node := range s.Holders {
+	add := func(s shardmap.Shard, state string) {
+		for i, node := range s.Replicas {
 			row := shardRow{Index: index, Shard: uint64(s.ID), State: state, Range: s.Range.String(), Epoch: s.Epoch,
-				Node: node, Version: l.Version(), Primary: i == 0, Share: s.Range.Size() / layout.All.Size()}
+				Node: node, Version: l.Version(), Primary: i == 0, Share: s.Range.Size() / shardmap.FullRange.Size()}
 			if p, ok := planned[s.ID]; ok {
 				row.Plan, row.Step = uint64(p.ID), string(p.Step)
 			}
 			out = append(out, row)
 		}
 	}
-	for _, s := range l.Slices() {
+	for _, s := range l.Shards() {
 		state := "STARTED"
 		if _, moving := planned[s.ID]; moving && s.Epoch < l.Version() {
 			state = "RELOCATING"
@@ -93,7 +93,7 @@
 		add(s, state)
 	}
 	for _, p := range l.Plans() {
-		if p.Step == layout.Switched {
+		if p.Step == shardmap.Switched {
 			for _, s := range p.From {
 				add(s, "RETIRING")
 			}
@@ -178,12 +178,12 @@
 	}
 	nodes, groups := map[string]struct{}{}, [][]shardRow{}
 	for _, r := range wanted {
-		l.Each(r, func(s layout.Slice) bool {
+		l.ForEach(r, func(s shardmap.Shard) bool {
 			var group []shardRow
-			for i, node := range s.Holders {
+			for i, node := range s.Replicas {
 				nodes[node] = struct{}{}
 				group = append(group, shardRow{Index: index, Shard: uint64(s.ID), State: "STARTED", Range: s.Range.String(),
-					Epoch: s.Epoch, Node: node, Version: l.Version(), Primary: i == 0, Share: s.Range.Size() / layout.All.Size()})
+					Epoch: s.Epoch, Node: node, Version: l.Version(), Primary: i == 0, Share: s.Range.Size() / shardmap.FullRange.Size()})
 			}
 			if n := len(groups); n == 0 || groups[n-1][0].Shard != group[0].Shard {
 				groups = append(groups, group)
@@ -207,55 +207,55 @@
 }
 
 // command is the layout's command for it, on a version.
-func (r rerouteCommand) command(name string, l *layout.Layout) (layout.Command, error) {
-	ids := []layout.SliceID{layout.SliceID(r.Shard)}
+func (r rerouteCommand) command(name string, l *shardmap.Map) (shardmap.Command, error) {
+	ids := []shardmap.ShardID{shardmap.ShardID(r.Shard)}
 	switch name {
 	case "move":
 		to := r.Nodes
 		if len(to) == 0 {
-			s, ok := l.Slice(ids[0])
+			s, ok := l.Shard(ids[0])
 			if !ok {
-				return layout.Command{}, fmt.Errorf("%w: slice %d", layout.ErrUnknown, r.Shard)
+				return shardmap.Command{}, fmt.Errorf("%w: slice %d", shardmap.ErrNotFound, r.Shard)
 			}
-			i := slices.Index(s.Holders, r.From)
+			i := slices.Index(s.Replicas, r.From)
 			if i < 0 || r.To == "" {
-				return layout.Command{}, fmt.Errorf("%w: slice %d is not on node %.80q, or no to_node", layout.ErrOrder, r.Shard, r.From)
+				return shardmap.Command{}, fmt.Errorf("%w: slice %d is not on node %.80q, or no to_node", shardmap.ErrInvalidRequest, r.Shard, r.From)
 			}
-			set := slices.Clone(s.Holders)
+			set := slices.Clone(s.Replicas)
 			set[i] = r.To
 			to = [][]string{set}
 		}
-		return layout.Command{Order: &layout.Order{Kind: layout.Move, Slices: ids, To: to}}, nil
+		return shardmap.Command{Request: &shardmap.PlanRequest{Kind: shardmap.Move, Shards: ids, ReplicaSets: to}}, nil
 	case "split":
-		return layout.Command{Order: &layout.Order{Kind: layout.Split, Slices: ids, Into: max(2, r.Into), To: r.Nodes}}, nil
+		return shardmap.Command{Request: &shardmap.PlanRequest{Kind: shardmap.Split, Shards: ids, Pieces: max(2, r.Into), ReplicaSets: r.Nodes}}, nil
 	case "merge":
 		ids = ids[:0]
 		for _, s := range r.Shards {
-			ids = append(ids, layout.SliceID(s))
+			ids = append(ids, shardmap.ShardID(s))
 		}
-		return layout.Command{Order: &layout.Order{Kind: layout.Merge, Slices: ids, To: r.Nodes}}, nil
+		return shardmap.Command{Request: &shardmap.PlanRequest{Kind: shardmap.Merge, Shards: ids, ReplicaSets: r.Nodes}}, nil
 	case "abandon":
-		return layout.Command{Abandon: &layout.Abandon{Plan: layout.PlanID(r.Plan), Why: "ordered"}}, nil
+		return shardmap.Command{Abandon: &shardmap.Abandon{Plan: shardmap.PlanID(r.Plan), Reason: "ordered"}}, nil
 	case "resume":
-		return resume(l, layout.PlanID(r.Plan))
+		return resume(l, shardmap.PlanID(r.Plan))
 	}
-	return layout.Command{}, fmt.Errorf("%w: command %.40q; known are move, split, merge, abandon, resume", layout.ErrOrder, name)
+	return shardmap.Command{}, fmt.Errorf("%w: command %.40q; known are move, split, merge, abandon, resume", shardmap.ErrInvalidRequest, name)
 }
 
 // resume orders once more what an abandoned plan was to do.
-func resume(l *layout.Layout, id layout.PlanID) (layout.Command, error) {
+func resume(l *shardmap.Map, id shardmap.PlanID) (shardmap.Command, error) {
 	p, ok := l.Plan(id)
-	if !ok || p.Step != layout.Abandoned {
-		return layout.Command{}, fmt.Errorf("%w: plan %d was not abandoned, or too long ago", layout.ErrUnknown, id)
+	if !ok || p.Step != shardmap.Abandoned {
+		return shardmap.Command{}, fmt.Errorf("%w: plan %d was not abandoned, or too long ago", shardmap.ErrNotFound, id)
 	}
-	o := layout.Order{Kind: p.Kind, Into: len(p.To)}
+	o := shardmap.PlanRequest{Kind: p.Kind, Pieces: len(p.To)}
 	for _, s := range p.From {
-		o.Slices = append(o.Slices, s.ID)
+		o.Shards = append(o.Shards, s.ID)
 	}
 	for _, s := range p.To {
-		o.To = append(o.To, s.Holders)
+		o.ReplicaSets = append(o.ReplicaSets, s.Replicas)
 	}
-	return layout.Command{Order: &o}, nil
+	return shardmap.Command{Request: &o}, nil
 }
 
 // reroute answers POST /_cluster/reroute: all commands or none.
@@ -294,7 +294,7 @@
 	if err != nil {
 		return f.rerouteError(err)
 	}
-	plans, versions := map[string][]layout.Plan{}, map[string]uint64{}
+	plans, versions := map[string][]shardmap.Plan{}, map[string]uint64{}
 	for _, name := range slices.Sorted(maps.Keys(touched)) {
 		if l := next.ShardMap(name); l != nil {
 			plans[name], versions[name] = l.Plans(), l.Version()
@@ -307,12 +307,12 @@
 func orderAll(c *searchconfig.Config, commands []map[string]rerouteCommand, touched map[string]bool) (*searchconfig.Config, error) {
 	for i, one := range commands {
 		if len(one) != 1 {
-			return nil, fmt.Errorf("%w: command %d must be an object with one name", layout.ErrOrder, i)
+			return nil, fmt.Errorf("%w: command %d must be an object with one name", shardmap.ErrInvalidRequest, i)
 		}
 		for name, r := range one {
 			l := c.ShardMap(r.Index)
 			if l == nil {
-				return nil, fmt.Errorf("%w: command %d: index %.80q has no layout that can change", layout.ErrUnknown, i, r.Index)
+				return nil, fmt.Errorf("%w: command %d: index %.80q has no layout that can change", shardmap.ErrNotFound, i, r.Index)
 			}
 			cmd, err := r.command(name, l)
 			if err == nil {
@@ -329,8 +329,8 @@
 
 // rerouteError words why an order was not taken. One that is impossible names the invariant.
 func (f *Front) rerouteError(err error) *http1.Response {
-	for _, invariant := range []error{layout.ErrVersion, layout.ErrCover, layout.ErrHolder, layout.ErrOverlap, layout.ErrUnknown,
-		layout.ErrStep, layout.ErrOrder, layout.ErrCapacity, layout.ErrIdentity, searchconfig.ErrInvalid} {
+	for _, invariant := range []error{shardmap.ErrVersionConflict, shardmap.ErrIncompleteCoverage, shardmap.ErrNoReplica, shardmap.ErrPlanOverlap, shardmap.ErrNotFound,
+		shardmap.ErrInvalidTransition, shardmap.ErrInvalidRequest, shardmap.ErrLimitExceeded, shardmap.ErrDuplicateID, searchconfig.ErrInvalid} {
 		if errors.Is(err, invariant) {
 			return f.reject(badRequest("illegal_argument_exception", strings.TrimPrefix(err.Error(), "store: ")))
 		}
--- a/internal/opensearch/layouts_test.go
+++ b/internal/opensearch/layouts_test.go
@@ -11,9 +11,9 @@
 
 	"linkpass/internal/coordinator"
 	"linkpass/internal/end"
-	"linkpass/internal/layout"
 	"linkpass/internal/peer"
 	"linkpass/internal/searchconfig"
+	"linkpass/internal/shardmap"
 )
 
 // changes stands in for the store.
@@ -39,15 +39,15 @@
 	return f, store
 }
 
-const first = uint64(layout.FirstSlice)
+const first = uint64(shardmap.FirstDynamicID)
 
 // A search is handed on as the keys that it wants, whatever slices they lie in now; what is missing
 // is told by its ranges.
 func TestASearchOfALayoutWantsKeys(t *testing.T) {
-	halves := layout.All.Cut(2)
-	key := layout.Key("li")
-	for target, want := range map[string][]layout.Range{
-		"/players/_search":            {layout.All},
+	halves := shardmap.FullRange.Split(2)
+	key := shardmap.HashKey("li")
+	for target, want := range map[string][]shardmap.Range{
+		"/players/_search":            {shardmap.FullRange},
 		"/players/_search?routing=li": {{First: key, Last: key}},
 		"/players/_search?preference=_ranges:" + halves[0].String():              {halves[0]},
 		fmt.Sprintf("/players/_search?preference=_shards:%d,%d", first+1, first): {halves[0]},
@@ -88,13 +88,13 @@
 		return res.Status, string(res.Body)
 	}
 	for _, c := range []struct{ params, commands, says string }{
-		{"", split + "," + split, layout.ErrOverlap.Error()},
-		{"", fmt.Sprintf(`{"merge":{"index":"players","shards":[%d,%d]}}`, first, first+2), layout.ErrCover.Error()},
-		{"", fmt.Sprintf(`{"move":{"index":"players","shard":%d,"to_nodes":[[]]}}`, first), layout.ErrHolder.Error()},
+		{"", split + "," + split, shardmap.ErrPlanOverlap.Error()},
+		{"", fmt.Sprintf(`{"merge":{"index":"players","shards":[%d,%d]}}`, first, first+2), shardmap.ErrIncompleteCoverage.Error()},
+		{"", fmt.Sprintf(`{"move":{"index":"players","shard":%d,"to_nodes":[[]]}}`, first), shardmap.ErrNoReplica.Error()},
 		{"", fmt.Sprintf(`{"move":{"index":"players","shard":%d,"from_node":"z","to_node":"c"}}`, first), "not on node"},
-		{"", `{"split":{"index":"players","shard":3}}`, layout.ErrUnknown.Error()},
+		{"", `{"split":{"index":"players","shard":3}}`, shardmap.ErrNotFound.Error()},
 		{"", `{"split":{"index":"fixed","shard":0}}`, "no layout that can change"},
-		{"", `{"abandon":{"index":"players","plan":5}}`, layout.ErrUnknown.Error()},
+		{"", `{"abandon":{"index":"players","plan":5}}`, shardmap.ErrNotFound.Error()},
 		{"", `{"explode":{"index":"players"}}`, "known are move"},
 		{"", `{"split":{"index":"players"},"merge":{}}`, "one name"},
 		{"", `{"split":{"indices":"players"}}`, "unknown field"},
@@ -145,7 +145,7 @@
 	if m, _, err := reply("409", "", ""); err != nil || m.End != end.ServerError {
 		t.Errorf("a conflict without a version: %+v %v", m, err)
 	}
-	if m, _, err := reply("200", "X-Layout-Covers: 0-ff\r\n", hits); err != nil || m.End != end.Served || *m.Covers != (layout.Range{First: 0, Last: 255}) {
+	if m, _, err := reply("200", "X-Layout-Covers: 0-ff\r\n", hits); err != nil || m.End != end.Served || *m.Covers != (shardmap.Range{First: 0, Last: 255}) {
 		t.Errorf("%+v %v", m, err)
 	}
 	rapid.Check(t, func(t *rapid.T) {
@@ -156,7 +156,7 @@
 			t.Fatalf("%q: %+v %v %v", value, m, e, err)
 		}
 	})
-	ask := &coordinator.Ask{Slice: 1 << 20, Version: 3, Range: layout.Range{First: 1, Last: 2}}
+	ask := &coordinator.Ask{Slice: 1 << 20, Version: 3, Range: shardmap.Range{First: 1, Last: 2}}
 	wire := string(Dialect{}.Call([]peer.Part{{Name: "q.1", Collection: "players", Shard: 1 << 33, Wait: time.Second, Ask: ask}}))
 	for _, s := range []string{"/players/_search?preference=_shards:1048576&", "X-Layout-Version: 3\r\n", "X-Layout-Range: 0000000000000001-0000000000000002\r\n"} {
 		if !strings.Contains(wire, s) {
--- a/internal/opensearch/query.go
+++ b/internal/opensearch/query.go
@@ -11,19 +11,19 @@
 	"strings"
 	"time"
 
-	"linkpass/internal/layout"
 	"linkpass/internal/searchconfig"
+	"linkpass/internal/shardmap"
 )
 
 // search is one search as its client asked for it.
 type search struct {
 	index        string
 	class        int
-	slices       []int          // of a fixed layout
-	wanted       []layout.Range // keys of a layout that can move
+	slices       []int            // of a fixed layout
+	wanted       []shardmap.Range // keys of a layout that can move
 	preferred    []int
 	routing      []string
-	ranges       []layout.Range
+	ranges       []shardmap.Range
 	query        json.RawMessage
 	from, size   int
 	timeout      time.Duration // 0: that of the class
@@ -180,7 +180,7 @@
 	}
 	for _, item := range items {
 		if kind == "_ranges" {
-			r, err := layout.ParseRange(item)
+			r, err := shardmap.ParseRange(item)
 			if err != nil {
 				return badRequest("illegal_argument_exception", err.Error())
 			}
--- a/internal/opensearch/wire_golden_test.go
+++ b/internal/opensearch/wire_golden_test.go
@@ -15,9 +15,9 @@
 	"linkpass/internal/end"
 	"linkpass/internal/goldentest"
 	"linkpass/internal/http1"
-	"linkpass/internal/layout"
 	"linkpass/internal/peer"
 	"linkpass/internal/searchconfig"
+	"linkpass/internal/shardmap"
 	"linkpass/internal/store"
 )
 
@@ -44,7 +44,7 @@
 }
 
 func goldenAsk() *coordinator.Ask {
-	return &coordinator.Ask{Slice: layout.FirstSlice + 4, Version: 7, Range: layout.Range{First: 1, Last: 0xff}}
+	return &coordinator.Ask{Slice: shardmap.FirstDynamicID + 4, Version: 7, Range: shardmap.Range{First: 1, Last: 0xff}}
 }
 
 // What a league server is sent for a part, for a probe and for a body that follows in pieces.
@@ -74,7 +74,7 @@
 
 // What league servers answer, read in full.
 func TestServerResponsesGolden(t *testing.T) {
-	covers := layout.Range{First: 1, Last: 0xff}
+	covers := shardmap.Range{First: 1, Last: 0xff}
 	body := func(file string) []byte {
 		_, b, _ := bytes.Cut(goldentest.Read(t, file), []byte("\r\n\r\n"))
 		return b
@@ -168,13 +168,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, l := layout.FirstSlice, c.ShardMap("movable")
-	for _, step := range []layout.Command{
-		{Order: &layout.Order{Kind: layout.Split, Slices: []layout.SliceID{first}, Into: 2, To: [][]string{{"s-4"}, {"s-5"}}}},
-		{Order: &layout.Order{Kind: layout.Move, Slices: []layout.SliceID{first + 1}, To: [][]string{{"s-6"}}}},
-		{Advance: &layout.Advance{Plan: 2, Step: layout.Copying}},
-		{Advance: &layout.Advance{Plan: 2, Step: layout.BothHold, Holding: map[layout.SliceID][]string{first + 4: {"s-6"}}}},
-		{Advance: &layout.Advance{Plan: 2, Step: layout.Switched, Holding: map[layout.SliceID][]string{first + 4: {"s-6"}}}},
+	first, l := shardmap.FirstDynamicID, c.ShardMap("movable")
+	for _, step := range []shardmap.Command{
+		{Request: &shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{first}, Pieces: 2, ReplicaSets: [][]string{{"s-4"}, {"s-5"}}}},
+		{Request: &shardmap.PlanRequest{Kind: shardmap.Move, Shards: []shardmap.ShardID{first + 1}, ReplicaSets: [][]string{{"s-6"}}}},
+		{Advance: &shardmap.Advance{Plan: 2, Step: shardmap.Copying}},
+		{Advance: &shardmap.Advance{Plan: 2, Step: shardmap.Replicated, Replicas: map[shardmap.ShardID][]string{first + 4: {"s-6"}}}},
+		{Advance: &shardmap.Advance{Plan: 2, Step: shardmap.Switched, Replicas: map[shardmap.ShardID][]string{first + 4: {"s-6"}}}},
 	} {
 		if l, err = l.Apply(step); err != nil {
 			t.Fatal(err)
--- a/internal/page/page.go
+++ b/internal/page/page.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"linkpass/internal/control"
-	"linkpass/internal/layout"
+	"linkpass/internal/shardmap"
 )
 
 // Source is what the page draws; control.Client is one.
@@ -87,11 +87,11 @@
 
 type plan struct {
 	Index, Kind, Step, Range string
-	ID                       layout.PlanID
+	ID                       shardmap.PlanID
 	Done                     int // of 4 steps
 }
 
-var steps = []layout.Step{layout.Planned, layout.Copying, layout.BothHold, layout.Switched, layout.Retired}
+var steps = []shardmap.PlanStep{shardmap.Planned, shardmap.Copying, shardmap.Replicated, shardmap.Switched, shardmap.Retired}
 
 // ServeHTTP answers with the page as things stand.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, req *http.Request) {
@@ -211,8 +211,8 @@
 }
 
 // drawSlice gives slices of one set of holders one colour.
-func drawSlice(s layout.Slice) slice {
-	holders := strings.Join(s.Holders, ", ")
+func drawSlice(s shardmap.Shard) slice {
+	holders := strings.Join(s.Replicas, ", ")
 	h := fnv.New32a()
 	h.Write([]byte(holders))
 	const whole = float64(math.MaxUint64)
--- a/internal/page/page_test.go
+++ b/internal/page/page_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"linkpass/internal/control"
-	"linkpass/internal/layout"
+	"linkpass/internal/shardmap"
 )
 
 type fake struct {
@@ -31,14 +31,14 @@
 
 // Layouts has an index with an open plan.
 func (fake) Layouts() ([]control.IndexLayout, error) {
-	l, err := layout.Even(4, [][]string{{"a", "<script>"}, {"c"}})
+	l, err := shardmap.NewEven(4, [][]string{{"a", "<script>"}, {"c"}})
 	if err == nil {
-		l, err = l.Apply(layout.Command{Order: &layout.Order{Kind: layout.Split, Slices: []layout.SliceID{layout.FirstSlice}, Into: 2}})
+		l, err = l.Apply(shardmap.Command{Request: &shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{shardmap.FirstDynamicID}, Pieces: 2}})
 	}
 	if err != nil {
 		return nil, err
 	}
-	return []control.IndexLayout{{Index: "players", Version: l.Version(), Total: l.Len(), Slices: l.Slices(), Plans: l.Plans()}}, nil
+	return []control.IndexLayout{{Index: "players", Version: l.Version(), Total: l.Len(), Slices: l.Shards(), Plans: l.Plans()}}, nil
 }
 
 // What is served is a rate between two samples, over the window alone, and what is older does not stay in memory.
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -17,7 +17,7 @@
 	"linkpass/internal/counters"
 	"linkpass/internal/end"
 	"linkpass/internal/event"
-	"linkpass/internal/layout"
+	"linkpass/internal/shardmap"
 )
 
 // Sink takes the ends of attempts and probes, and keeps the deadlines.
@@ -49,9 +49,9 @@
 	Value  []byte
 	Score  float64
 	Hits   *coordinator.Hits
-	Layout uint64        // the version that the server is at; 0: it says none
-	Covers *layout.Range // the keys that the value is about; nil: it does not say
-	Last   bool          // the server closes the connection after it
+	Layout uint64          // the version that the server is at; 0: it says none
+	Covers *shardmap.Range // the keys that the value is about; nil: it does not say
+	Last   bool            // the server closes the connection after it
 }
 
 // Room says how much a dialect can have out.
--- a/internal/layout/steward/steward.go
+++ b/internal/reshardexec/steward.go
@@ -1,7 +1,7 @@
-// Package steward is the shell of the layouts' controller: it tells servers their duties
+// Package reshardexec is the shell of the layouts' controller: it tells servers their duties
 // and hears what they hold, over HTTP, and carries the controller's steps into the store.
 // It decides nothing, and works only where its instance leads the store.
-package steward
+package reshardexec
 
 import (
 	"context"
@@ -19,9 +19,9 @@
 	"linkpass/internal/counters"
 	"linkpass/internal/event"
 	"linkpass/internal/http1"
-	"linkpass/internal/layout"
-	"linkpass/internal/layout/reshape"
 	"linkpass/internal/searchconfig"
+	"linkpass/internal/shardmap"
+	"linkpass/internal/shardmap/resharding"
 	"linkpass/internal/store"
 )
 
@@ -30,7 +30,7 @@
 
 // Call is the body of a call to a server; Reply is its answer. Both may be repeated freely.
 type Call struct {
-	Duties []reshape.Duty `json:"duties"`
+	Duties []resharding.Duty `json:"duties"`
 }
 
 // Reply is what a server holds, by index.
@@ -40,21 +40,21 @@
 
 // Held is what a server holds of one index, and the version it knows.
 type Held struct {
-	Version  uint64            `json:"version"`
-	Holdings []reshape.Holding `json:"holdings"`
+	Version  uint64               `json:"version"`
+	Holdings []resharding.Holding `json:"holdings"`
 }
 
 // Store is the replicated document.
 type Store interface {
 	Settings() *searchconfig.Config
 	IsLeader() bool
-	AdvanceShardMap(index string, c layout.Command) error
+	AdvanceShardMap(index string, c shardmap.Command) error
 }
 
 // Config sets up a steward.
 type Config struct {
 	Store    Store
-	Limits   reshape.Limits
+	Limits   resharding.Limits
 	Poll     time.Duration // between two rounds of calls
 	Timeout  time.Duration // of one call
 	Now      func() time.Duration
@@ -79,9 +79,9 @@
 	paced   bool // the pace has changed and Run has not seen it
 
 	// Owned by Run.
-	controller *reshape.Controller
-	pressure   reshape.Pressure
-	reports    map[string]map[string]reshape.Report
+	controller *resharding.Controller
+	pressure   resharding.Pressure
+	reports    map[string]map[string]resharding.Report
 	failed     map[string]time.Duration // when a server's last call failed; absent: it did not
 	lines      map[string]*line
 	problems   event.Lines
@@ -97,7 +97,7 @@
 // New makes a steward.
 func New(c Config) *Steward {
 	return &Steward{cfg: c, members: map[string]coordinator.Endpoint{}, lines: map[string]*line{},
-		pressure: reshape.Pressure{Share: pressedFrom, Quiet: quietFor * c.Poll, Least: tellFrom}}
+		pressure: resharding.Pressure{Share: pressedFrom, Quiet: quietFor * c.Poll, Least: tellFrom}}
 }
 
 // UpdateEndpoints follows the list of servers.
@@ -117,14 +117,14 @@
 }
 
 // Pace changes the limits and the time between two rounds while it works; it holds from the next round on.
-func (s *Steward) Pace(limits reshape.Limits, poll time.Duration) {
+func (s *Steward) Pace(limits resharding.Limits, poll time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cfg.Limits, s.cfg.Poll, s.paced = limits, poll, true
 }
 
 // pace tells the limits and the time between two rounds, and whether they are news.
-func (s *Steward) pace() (limits reshape.Limits, poll time.Duration, news bool) {
+func (s *Steward) pace() (limits resharding.Limits, poll time.Duration, news bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	news, s.paced = s.paced, false
@@ -153,8 +153,8 @@
 		}
 		if s.controller == nil {
 			event.ReshapeLeads.Log()
-			s.controller = reshape.New(limits)
-			s.reports, s.failed = map[string]map[string]reshape.Report{}, map[string]time.Duration{}
+			s.controller = resharding.New(limits)
+			s.reports, s.failed = map[string]map[string]resharding.Report{}, map[string]time.Duration{}
 		}
 		s.round(ctx)
 	}
@@ -172,7 +172,7 @@
 // round calls every server once, then takes the steps that the controller wants.
 func (s *Steward) round(ctx context.Context) {
 	c := s.cfg.Store.Settings()
-	layouts := map[string]*layout.Layout{}
+	layouts := map[string]*shardmap.Map{}
 	for name := range c.Indices {
 		if l := c.ShardMap(name); l != nil {
 			layouts[name] = l
@@ -185,7 +185,7 @@
 	members := maps.Clone(s.members)
 	s.mu.Unlock()
 	s.callAll(ctx, members, duties(layouts))
-	in := reshape.Input{Now: s.cfg.Now(), Layouts: layouts, Reports: s.reports, Sound: map[string]bool{}}
+	in := resharding.Input{Now: s.cfg.Now(), Layouts: layouts, Reports: s.reports, Sound: map[string]bool{}}
 	for name, m := range members {
 		_, failed := s.failed[name]
 		in.Sound[name] = m.State == linkpass.Ready && !failed
@@ -198,10 +198,10 @@
 }
 
 // duties are what each server is to hold of all indices.
-func duties(layouts map[string]*layout.Layout) map[string][]reshape.Duty {
-	out := map[string][]reshape.Duty{}
+func duties(layouts map[string]*shardmap.Map) map[string][]resharding.Duty {
+	out := map[string][]resharding.Duty{}
 	for _, index := range slices.Sorted(maps.Keys(layouts)) {
-		for name, d := range reshape.Duties(index, layouts[index]) {
+		for name, d := range resharding.Duties(index, layouts[index]) {
 			out[name] = append(out[name], d)
 		}
 	}
@@ -209,7 +209,7 @@
 }
 
 // callAll tells every listed server its duties; one that holds nothing is told so too.
-func (s *Steward) callAll(ctx context.Context, members map[string]coordinator.Endpoint, duties map[string][]reshape.Duty) {
+func (s *Steward) callAll(ctx context.Context, members map[string]coordinator.Endpoint, duties map[string][]resharding.Duty) {
 	type heard struct {
 		name  string
 		reply Reply
@@ -253,9 +253,9 @@
 			continue
 		}
 		delete(s.failed, h.name)
-		reports := map[string]reshape.Report{}
+		reports := map[string]resharding.Report{}
 		for index, held := range h.reply.Indices {
-			reports[index] = reshape.Report{At: s.cfg.Now(), Version: held.Version, Holdings: held.Holdings}
+			reports[index] = resharding.Report{At: s.cfg.Now(), Version: held.Version, Holdings: held.Holdings}
 		}
 		s.reports[h.name] = reports
 	}
@@ -306,19 +306,19 @@
 
 // take carries one step into the store. One that came too late is dropped: the next round
 // looks at what holds then.
-func (s *Steward) take(step reshape.Step) {
+func (s *Steward) take(step resharding.Step) {
 	err := s.cfg.Store.AdvanceShardMap(step.Index, step.Command)
-	what, plan := "", layout.PlanID(0)
+	what, plan := "", shardmap.PlanID(0)
 	if a := step.Command.Advance; a != nil {
 		what, plan = string(a.Step), a.Plan
 	} else if a := step.Command.Abandon; a != nil {
-		what, plan = string(layout.Abandoned), a.Plan
+		what, plan = string(shardmap.Abandoned), a.Plan
 	}
 	switch {
 	case err == nil:
 		s.cfg.Counters.Add("reshape_"+what, 1)
 		event.ReshapeStep.Log(step.Index, plan, what, step.Why)
-	case errors.Is(err, layout.ErrVersion), errors.Is(err, store.ErrConflict):
+	case errors.Is(err, shardmap.ErrVersionConflict), errors.Is(err, store.ErrConflict):
 		s.cfg.Counters.Add("reshape_conflicts", 1)
 	default:
 		s.cfg.Counters.Add("reshape_steps_failed", 1)
--- a/internal/layout/steward/wire_golden_test.go
+++ b/internal/reshardexec/wire_golden_test.go
@@ -1,4 +1,4 @@
-package steward
+package reshardexec
 
 import (
 	"context"
@@ -10,15 +10,15 @@
 
 	"linkpass/internal/goldentest"
 	"linkpass/internal/http1"
-	"linkpass/internal/layout"
-	"linkpass/internal/layout/reshape"
+	"linkpass/internal/shardmap"
+	"linkpass/internal/shardmap/resharding"
 )
 
 var (
-	goldenCall = Call{Duties: []reshape.Duty{{Index: "players", Version: 3, Tasks: []reshape.Task{{Slice: layout.FirstSlice + 4,
-		Range: layout.Range{First: 1, Last: 0xff}, Sources: []reshape.Source{{Range: layout.Range{First: 2, Last: 0x7f}, Servers: []string{"s-1"}, Slice: layout.FirstSlice}}}}}}}
+	goldenCall = Call{Duties: []resharding.Duty{{Index: "players", Version: 3, Tasks: []resharding.Task{{Slice: shardmap.FirstDynamicID + 4,
+		Range: shardmap.Range{First: 1, Last: 0xff}, Sources: []resharding.Source{{Range: shardmap.Range{First: 2, Last: 0x7f}, Servers: []string{"s-1"}, Slice: shardmap.FirstDynamicID}}}}}}}
 	goldenReply = Reply{Indices: map[string]Held{"players": {Version: 3,
-		Holdings: []reshape.Holding{{Slice: layout.FirstSlice + 4, Complete: true, Records: 9}, {Slice: layout.FirstSlice, Records: 10}}}}}
+		Holdings: []resharding.Holding{{Slice: shardmap.FirstDynamicID + 4, Complete: true, Records: 9}, {Slice: shardmap.FirstDynamicID, Records: 10}}}}}
 )
 
 func TestStatusBodiesGolden(t *testing.T) {
--- a/internal/searchconfig/catalog.go
+++ b/internal/searchconfig/catalog.go
@@ -15,7 +15,7 @@
 	"strings"
 	"time"
 
-	"linkpass/internal/layout"
+	"linkpass/internal/shardmap"
 )
 
 // The protocols that a league server may speak.
@@ -30,8 +30,8 @@
 	Shards []int  `json:"slices,omitempty" toml:"slices"`
 	// ShardMap takes the place of Slices where these can split, merge and move. Spread makes
 	// its first version.
-	ShardMap        *layout.Document `json:"layout,omitempty" toml:"layout"`
-	InitialSharding *InitialSharding `json:"spread,omitempty" toml:"spread"`
+	ShardMap        *shardmap.Document `json:"layout,omitempty" toml:"layout"`
+	InitialSharding *InitialSharding   `json:"spread,omitempty" toml:"spread"`
 }
 
 // InitialSharding deals so many slices out to sets of servers, in turn.
@@ -61,7 +61,7 @@
 	Indices map[string]Index  `json:"indices,omitempty" toml:"indices"`
 	Servers map[string]Server `json:"servers,omitempty" toml:"servers"`
 
-	layouts map[string]*layout.Layout // of the indices that have one, as checked
+	layouts map[string]*shardmap.Map // of the indices that have one, as checked
 }
 
 // defaultWindow is OpenSearch's own limit on from + size.
@@ -99,10 +99,10 @@
 }
 
 // ShardMap is an index's layout; nil: it has none, its slices are fixed.
-func (c *Config) ShardMap(index string) *layout.Layout { return c.layouts[index] }
+func (c *Config) ShardMap(index string) *shardmap.Map { return c.layouts[index] }
 
 // WithShardMap is the document with another layout of an index.
-func (c *Config) WithShardMap(index string, l *layout.Layout) *Config {
+func (c *Config) WithShardMap(index string, l *shardmap.Map) *Config {
 	out := *c
 	out.Indices, out.layouts = maps.Clone(c.Indices), maps.Clone(c.layouts)
 	d, i := l.Document(), out.Indices[index]
@@ -112,7 +112,7 @@
 }
 
 // ShardMapChanges tells what changed in the layouts since an earlier document, by name; nil: since there was none.
-func (c *Config) ShardMapChanges(earlier *Config) (out []layout.News) {
+func (c *Config) ShardMapChanges(earlier *Config) (out []shardmap.Change) {
 	names := maps.Clone(c.layouts)
 	if earlier != nil {
 		for name, l := range earlier.layouts {
@@ -122,11 +122,11 @@
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		var old *layout.Layout
+		var old *shardmap.Map
 		if earlier != nil {
 			old = earlier.layouts[name]
 		}
-		if n, changed := layout.Differ(name, old, c.layouts[name]); changed {
+		if n, changed := shardmap.Diff(name, old, c.layouts[name]); changed {
 			out = append(out, n)
 		}
 	}
@@ -145,11 +145,11 @@
 
 // layOut reads the layouts. What did not change since an earlier document is shared with it.
 func (c *Config) layOut(earlier *Config) error {
-	c.layouts = map[string]*layout.Layout{}
+	c.layouts = map[string]*shardmap.Map{}
 	for _, name := range slices.Sorted(maps.Keys(c.Indices)) {
 		index := c.Indices[name]
 		if index.InitialSharding != nil && index.ShardMap == nil {
-			first, err := layout.Even(index.InitialSharding.Shards, index.InitialSharding.ReplicaSets)
+			first, err := shardmap.NewEven(index.InitialSharding.Shards, index.InitialSharding.ReplicaSets)
 			if err != nil {
 				return fmt.Errorf("%w: indices.%s.spread: %w", ErrInvalid, name, err)
 			}
@@ -160,14 +160,14 @@
 		if index.ShardMap == nil {
 			continue
 		}
-		var before *layout.Layout
+		var before *shardmap.Map
 		if earlier != nil {
 			before = earlier.layouts[name]
 		}
 		if before != nil && before.Version() == index.ShardMap.Version && c.Revision > 0 {
 			c.layouts[name] = before // a version says all: it is never made twice
 		} else {
-			l, err := index.ShardMap.Layout(before)
+			l, err := index.ShardMap.Map(before)
 			if err != nil {
 				return fmt.Errorf("%w: indices.%s.layout: %w", ErrInvalid, name, err)
 			}
--- a/internal/searchconfig/catalog_test.go
+++ b/internal/searchconfig/catalog_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"linkpass/internal/layout"
+	"linkpass/internal/shardmap"
 
 	_ "linkpass/internal/seeded"
 )
@@ -69,10 +69,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if news := one.ShardMapChanges(nil); len(news) != 2 || len(news[0].Came) != 3 {
+	if news := one.ShardMapChanges(nil); len(news) != 2 || len(news[0].Added) != 3 {
 		t.Errorf("at first: %+v", news)
 	}
-	next, err := one.ShardMap("a").Apply(layout.Command{Order: &layout.Order{Kind: layout.Split, Slices: []layout.SliceID{layout.FirstSlice}, Into: 2}})
+	next, err := one.ShardMap("a").Apply(shardmap.Command{Request: &shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{shardmap.FirstDynamicID}, Pieces: 2}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,14 +86,14 @@
 	if err != nil || back.ShardMap("b") != one.ShardMap("b") || back.ShardMap("a").Version() != 2 || one.ShardMap("a").Version() != 1 {
 		t.Errorf("read back: %v", err)
 	}
-	if news := back.ShardMapChanges(one); len(news) != 1 || news[0].Collection != "a" || len(news[0].Came)+len(news[0].Went) != 0 {
+	if news := back.ShardMapChanges(one); len(news) != 1 || news[0].Collection != "a" || len(news[0].Added)+len(news[0].Removed) != 0 {
 		t.Errorf("a plan moves no slice yet: %+v", news)
 	}
 	gone, err := back.Patch([]byte(`{"indices":{"b":null}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if news := gone.ShardMapChanges(back); len(news) != 1 || news[0].Layout != nil || len(news[0].Went) != 1 {
+	if news := gone.ShardMapChanges(back); len(news) != 1 || news[0].Map != nil || len(news[0].Removed) != 1 {
 		t.Errorf("an index that goes: %+v", news)
 	}
 	for _, bad := range []string{`{"indices":{"a":{"layout":{"version":9}}}}`, `{"indices":{"c":{"class":"x","spread":{"slices":0,"sets":[["s"]]}}}}`,
--- a/internal/searchconfig/wire_golden_test.go
+++ b/internal/searchconfig/wire_golden_test.go
@@ -9,16 +9,16 @@
 	"github.com/BurntSushi/toml"
 
 	"linkpass/internal/goldentest"
-	"linkpass/internal/layout"
+	"linkpass/internal/shardmap"
 )
 
 func goldenCatalog(t *testing.T) Config {
 	t.Helper()
-	l, err := layout.Even(2, [][]string{{"s-1", "s-2"}, {"s-3"}})
+	l, err := shardmap.NewEven(2, [][]string{{"s-1", "s-2"}, {"s-3"}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err = l.Apply(layout.Command{Order: &layout.Order{Kind: layout.Split, Slices: []layout.SliceID{layout.FirstSlice}, Into: 2}})
+	l, err = l.Apply(shardmap.Command{Request: &shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{shardmap.FirstDynamicID}, Pieces: 2}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/layout/coverage/coverage.go
+++ b/internal/shardmap/coverage/coverage.go
@@ -6,17 +6,17 @@
 	"cmp"
 	"slices"
 
-	"linkpass/internal/layout"
+	"linkpass/internal/shardmap"
 )
 
 // Set is a set of keys: ranges in order, apart from each other. The zero value
 // is empty. Adding takes a search and a shift.
-type Set struct{ spans []layout.Range }
+type Set struct{ spans []shardmap.Range }
 
 // Of is the union of ranges.
-func Of(ranges ...layout.Range) Set {
+func Of(ranges ...shardmap.Range) Set {
 	sorted := slices.Clone(ranges)
-	slices.SortFunc(sorted, func(a, b layout.Range) int { return cmp.Compare(a.First, b.First) })
+	slices.SortFunc(sorted, func(a, b shardmap.Range) int { return cmp.Compare(a.First, b.First) })
 	s := Set{spans: sorted[:0]} // what is written has been read
 	for _, r := range sorted {
 		if n := len(s.spans); n > 0 && (s.spans[n-1].Last >= r.First || s.spans[n-1].Last+1 == r.First) {
@@ -30,7 +30,7 @@
 
 // Add takes a range in, unless it shares a key with what is in: then nothing
 // changes and it is false.
-func (s *Set) Add(r layout.Range) bool {
+func (s *Set) Add(r shardmap.Range) bool {
 	i, found := s.search(r.First)
 	if !r.Valid() || found || i > 0 && s.spans[i-1].Last >= r.First || i < len(s.spans) && s.spans[i].First <= r.Last {
 		return false
@@ -53,16 +53,16 @@
 
 // search finds the first span that begins at a key or after it.
 func (s *Set) search(first uint64) (i int, found bool) {
-	return slices.BinarySearchFunc(s.spans, first, func(a layout.Range, k uint64) int { return cmp.Compare(a.First, k) })
+	return slices.BinarySearchFunc(s.spans, first, func(a shardmap.Range, k uint64) int { return cmp.Compare(a.First, k) })
 }
 
 // Holds tells whether every key of a range is in.
-func (s *Set) Holds(r layout.Range) bool {
+func (s *Set) Holds(r shardmap.Range) bool {
 	i, found := s.search(r.First)
 	if !found {
 		i--
 	}
-	return i >= 0 && s.spans[i].Holds(r)
+	return i >= 0 && s.spans[i].Covers(r)
 }
 
 // Equal tells whether two sets have the same keys.
@@ -73,12 +73,12 @@
 	for _, r := range s.spans {
 		left := true
 		for _, hole := range o.spans {
-			both, some := r.Overlap(hole)
+			both, some := r.Intersect(hole)
 			if !some {
 				continue
 			}
 			if both.First > r.First {
-				out.spans = append(out.spans, layout.Range{First: r.First, Last: both.First - 1})
+				out.spans = append(out.spans, shardmap.Range{First: r.First, Last: both.First - 1})
 			}
 			if both.Last == r.Last {
 				left = false
@@ -94,7 +94,7 @@
 }
 
 // Ranges lists the set in order.
-func (s Set) Ranges() []layout.Range { return slices.Clone(s.spans) }
+func (s Set) Ranges() []shardmap.Range { return slices.Clone(s.spans) }
 
 // Empty tells whether no key is in.
 func (s Set) Empty() bool { return len(s.spans) == 0 }
@@ -114,18 +114,18 @@
 }
 
 // NewLedger begins a query that wants the union of the ranges.
-func NewLedger(wanted ...layout.Range) *Ledger {
+func NewLedger(wanted ...shardmap.Range) *Ledger {
 	l := &Ledger{wanted: Of(wanted...)}
-	l.in.spans = make([]layout.Range, 0, len(l.wanted.spans)+1)
+	l.in.spans = make([]shardmap.Range, 0, len(l.wanted.spans)+1)
 	return l
 }
 
 // Wanted lists what the query wants, in order. The list must not be changed.
-func (l *Ledger) Wanted() []layout.Range { return l.wanted.spans }
+func (l *Ledger) Wanted() []shardmap.Range { return l.wanted.spans }
 
 // Book takes an answer for a range in. It is false, and the answer must not be
 // used, where a key of it is in already or was never wanted.
-func (l *Ledger) Book(r layout.Range) bool {
+func (l *Ledger) Book(r shardmap.Range) bool {
 	if !r.Valid() || !l.wanted.Holds(r) || !l.in.Add(r) {
 		l.doubled = true
 		return false
@@ -140,7 +140,7 @@
 func (l *Ledger) Doubled() bool { return l.doubled }
 
 // Missing lists the ranges that are wanted and not in.
-func (l *Ledger) Missing() []layout.Range { return l.wanted.Less(l.in).Ranges() }
+func (l *Ledger) Missing() []shardmap.Range { return l.wanted.Less(l.in).Ranges() }
 
 // leastShare is what a range weighs at the least, beside others: a single key must not
 // vanish in the rounding of sums beside half of all keys.
@@ -148,7 +148,7 @@
 
 // Weights shares a weight out over ranges by their sizes, none under leastShare of it
 // before they are made to add up.
-func Weights(total float64, ranges []layout.Range) []float64 {
+func Weights(total float64, ranges []shardmap.Range) []float64 {
 	size, sum := 0.0, 0.0
 	for _, r := range ranges {
 		size += r.Size()
--- a/internal/layout/coverage/coverage_test.go
+++ b/internal/shardmap/coverage/coverage_test.go
@@ -5,15 +5,15 @@
 
 	"pgregory.net/rapid"
 
-	"linkpass/internal/layout"
 	_ "linkpass/internal/seeded"
+	"linkpass/internal/shardmap"
 )
 
 // place maps a small model's key onto the ends and the middle of the key space, so that its
 // first and last keys are met.
-func place(i int) layout.Range {
+func place(i int) shardmap.Range {
 	const n = 24
-	return layout.All.Cut(n)[i]
+	return shardmap.FullRange.Split(n)[i]
 }
 
 func span(t *rapid.T) (from, to int) {
@@ -21,8 +21,8 @@
 	return from, min(23, from+rapid.IntRange(0, 8).Draw(t, "n"))
 }
 
-func over(from, to int) layout.Range {
-	return layout.Range{First: place(from).First, Last: place(to).Last}
+func over(from, to int) shardmap.Range {
+	return shardmap.Range{First: place(from).First, Last: place(to).Last}
 }
 
 // The ledger agrees with a model that counts each key by itself.
@@ -30,7 +30,7 @@
 	wholes := 0
 	rapid.Check(t, func(t *rapid.T) {
 		var wanted, in [24]bool
-		var ranges []layout.Range
+		var ranges []shardmap.Range
 		for range rapid.IntRange(1, 3).Draw(t, "wanted") {
 			from, to := span(t)
 			ranges = append(ranges, over(from, to))
@@ -72,7 +72,7 @@
 			wholes++
 		}
 		size := 0.0
-		weights := Weights(0.5, append(l.wanted.Ranges(), layout.Range{First: 7, Last: 7}))
+		weights := Weights(0.5, append(l.wanted.Ranges(), shardmap.Range{First: 7, Last: 7}))
 		for _, w := range weights {
 			size += w
 			if w < 0.5*leastShare/2 {
--- a/internal/layout/layout_test.go
+++ b/internal/shardmap/layout_test.go
@@ -1,4 +1,4 @@
-package layout
+package shardmap
 
 import (
 	"encoding/json"
@@ -17,29 +17,29 @@
 }
 
 // draw makes any command: sensible ones, repeated ones and nonsense.
-func draw(t *rapid.T, l *Layout) Command {
-	pick := func() SliceID {
-		all := l.Slices()
-		return rapid.SampledFrom(all).Draw(t, "slice").ID + SliceID(rapid.SampledFrom([]int{0, 0, 0, 0, 1}).Draw(t, "off"))
+func draw(t *rapid.T, l *Map) Command {
+	pick := func() ShardID {
+		all := l.Shards()
+		return rapid.SampledFrom(all).Draw(t, "slice").ID + ShardID(rapid.SampledFrom([]int{0, 0, 0, 0, 1}).Draw(t, "off"))
 	}
 	switch rapid.IntRange(0, 9).Draw(t, "command") {
 	case 0:
-		return Command{Order: &Order{Kind: Split, Slices: []SliceID{pick()}, Into: rapid.IntRange(1, 4).Draw(t, "into")}}
+		return Command{Request: &PlanRequest{Kind: Split, Shards: []ShardID{pick()}, Pieces: rapid.IntRange(1, 4).Draw(t, "into")}}
 	case 1:
-		all := l.Slices()
+		all := l.Shards()
 		i := rapid.IntRange(0, len(all)-1).Draw(t, "i")
-		var ids []SliceID
+		var ids []ShardID
 		for _, s := range all[i:min(len(all), i+rapid.IntRange(1, 3).Draw(t, "n"))] {
 			ids = append(ids, s.ID)
 		}
-		return Command{Order: &Order{Kind: Merge, Slices: ids, To: [][]string{set(t)}}}
+		return Command{Request: &PlanRequest{Kind: Merge, Shards: ids, ReplicaSets: [][]string{set(t)}}}
 	case 2:
-		return Command{Order: &Order{Kind: Move, Slices: []SliceID{pick()}, To: [][]string{set(t)}}}
+		return Command{Request: &PlanRequest{Kind: Move, Shards: []ShardID{pick()}, ReplicaSets: [][]string{set(t)}}}
 	case 3:
-		return Command{Abandon: &Abandon{Plan: PlanID(rapid.IntRange(1, int(l.nextPlan)).Draw(t, "plan")), Why: "test"}}
+		return Command{Abandon: &Abandon{Plan: PlanID(rapid.IntRange(1, int(l.nextPlan)).Draw(t, "plan")), Reason: "test"}}
 	}
 	a := Advance{Plan: PlanID(rapid.IntRange(1, int(l.nextPlan)).Draw(t, "plan")), Step: rapid.SampledFrom(order).Draw(t, "step"),
-		Holding: map[SliceID][]string{}}
+		Replicas: map[ShardID][]string{}}
 	if rapid.IntRange(0, 3).Draw(t, "open") > 0 && len(l.plans) > 0 {
 		a.Plan = rapid.SampledFrom(l.plans).Draw(t, "of").ID
 	}
@@ -48,9 +48,9 @@
 			a.Step = order[min(i+1, len(order)-1)]
 		}
 		for _, s := range p.To {
-			a.Holding[s.ID] = s.Holders[rapid.IntRange(0, 1).Draw(t, "lost")%len(s.Holders):]
+			a.Replicas[s.ID] = s.Replicas[rapid.IntRange(0, 1).Draw(t, "lost")%len(s.Replicas):]
 			if rapid.IntRange(0, 9).Draw(t, "none") == 0 {
-				delete(a.Holding, s.ID)
+				delete(a.Replicas, s.ID)
 			}
 		}
 	}
@@ -60,26 +60,26 @@
 // Any sequence of commands keeps every invariant; versions grow; old ones stay as they
 // were; repeating a command that holds changes nothing; what is written down reads back.
 func TestAnySequenceKeepsTheInvariants(t *testing.T) {
-	steps := map[Step]int{}
+	steps := map[PlanStep]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		l, err := Even(rapid.IntRange(1, 6).Draw(t, "n"), [][]string{{"a", "b"}, {"c"}})
+		l, err := NewEven(rapid.IntRange(1, 6).Draw(t, "n"), [][]string{{"a", "b"}, {"c"}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		type kept struct {
-			l    *Layout
+			l    *Map
 			text string
 		}
 		var old []kept
-		used := map[SliceID]Range{}
-		text := func(l *Layout) string { b, _ := json.Marshal(l.Document()); return string(b) }
+		used := map[ShardID]Range{}
+		text := func(l *Map) string { b, _ := json.Marshal(l.Document()); return string(b) }
 		for range rapid.IntRange(5, 40).Draw(t, "commands") {
 			c := draw(t, l)
 			next, err := l.Apply(c)
 			if err != nil {
 				continue
 			}
-			if err := next.Check(); err != nil {
+			if err := next.Validate(); err != nil {
 				t.Fatalf("%+v: %v", c, err)
 			}
 			if next != l && next.version != l.version+1 {
@@ -91,7 +91,7 @@
 				}
 				steps[c.Advance.Step]++
 			}
-			for _, s := range next.Slices() {
+			for _, s := range next.Shards() {
 				if r, ok := used[s.ID]; ok && r != s.Range {
 					t.Fatalf("slice %d was %s and is %s", s.ID, r, s.Range)
 				}
@@ -109,8 +109,8 @@
 		if err := json.Unmarshal([]byte(text(l)), &d); err != nil {
 			t.Fatal(err)
 		}
-		for _, from := range []*Layout{nil, old0(old, l, func(k kept) *Layout { return k.l })} {
-			if back, err := d.Layout(from); err != nil || text(back) != text(l) {
+		for _, from := range []*Map{nil, old0(old, l, func(k kept) *Map { return k.l })} {
+			if back, err := d.Map(from); err != nil || text(back) != text(l) {
 				t.Fatalf("read back: %v", err)
 			}
 		}
@@ -122,14 +122,14 @@
 	}
 }
 
-func old0[K any](old []K, otherwise *Layout, of func(K) *Layout) *Layout {
+func old0[K any](old []K, otherwise *Map, of func(K) *Map) *Map {
 	if len(old) == 0 {
 		return otherwise
 	}
 	return of(old[0])
 }
 
-func must(t *testing.T, l *Layout, c Command) *Layout {
+func must(t *testing.T, l *Map, c Command) *Map {
 	t.Helper()
 	next, err := l.Apply(c)
 	if err != nil {
@@ -141,54 +141,54 @@
 // Two changes ordered at once: the second is refused while the first is open, and the same
 // order on the version that both read is refused whatever it touches.
 func TestTwoChangesAtOnce(t *testing.T) {
-	l, _ := Even(4, [][]string{{"a"}, {"b"}})
-	one := Command{At: l.Version(), Order: &Order{Kind: Split, Slices: []SliceID{FirstSlice}, Into: 2}}
+	l, _ := NewEven(4, [][]string{{"a"}, {"b"}})
+	one := Command{ExpectedVersion: l.Version(), Request: &PlanRequest{Kind: Split, Shards: []ShardID{FirstDynamicID}, Pieces: 2}}
 	next := must(t, l, one)
-	if _, err := next.Apply(one); !errors.Is(err, ErrVersion) {
+	if _, err := next.Apply(one); !errors.Is(err, ErrVersionConflict) {
 		t.Errorf("the same version twice: %v", err)
 	}
-	two := Command{Order: &Order{Kind: Merge, Slices: []SliceID{FirstSlice, FirstSlice + 1}}}
-	if _, err := next.Apply(two); !errors.Is(err, ErrOverlap) {
+	two := Command{Request: &PlanRequest{Kind: Merge, Shards: []ShardID{FirstDynamicID, FirstDynamicID + 1}}}
+	if _, err := next.Apply(two); !errors.Is(err, ErrPlanOverlap) {
 		t.Errorf("overlapping plans: %v", err)
 	}
 	ended := must(t, next, Command{Abandon: &Abandon{Plan: 1}})
 	if _, err := ended.Apply(two); err != nil {
 		t.Errorf("after the first was abandoned: %v", err)
 	}
-	if _, err := ended.Apply(Command{Advance: &Advance{Plan: 1, Step: Copying}}); !errors.Is(err, ErrStep) {
+	if _, err := ended.Apply(Command{Advance: &Advance{Plan: 1, Step: Copying}}); !errors.Is(err, ErrInvalidTransition) {
 		t.Errorf("an abandoned plan went on: %v", err)
 	}
 }
 
 // A holder that dies between copy and switch is left out; with no other the switch is refused.
 func TestNoRangeWithoutAHolder(t *testing.T) {
-	l, _ := Even(2, [][]string{{"a"}})
-	l = must(t, l, Command{Order: &Order{Kind: Move, Slices: []SliceID{FirstSlice}, To: [][]string{{"b", "c"}}}})
+	l, _ := NewEven(2, [][]string{{"a"}})
+	l = must(t, l, Command{Request: &PlanRequest{Kind: Move, Shards: []ShardID{FirstDynamicID}, ReplicaSets: [][]string{{"b", "c"}}}})
 	l = must(t, l, Command{Advance: &Advance{Plan: 1, Step: Copying}})
 	to := l.Plans()[0].To[0].ID
-	l = must(t, l, Command{Advance: &Advance{Plan: 1, Step: BothHold, Holding: map[SliceID][]string{to: {"b", "c"}}}})
-	if _, err := l.Apply(Command{Advance: &Advance{Plan: 1, Step: Switched, Holding: map[SliceID][]string{to: {"x"}}}}); !errors.Is(err, ErrHolder) {
+	l = must(t, l, Command{Advance: &Advance{Plan: 1, Step: Replicated, Replicas: map[ShardID][]string{to: {"b", "c"}}}})
+	if _, err := l.Apply(Command{Advance: &Advance{Plan: 1, Step: Switched, Replicas: map[ShardID][]string{to: {"x"}}}}); !errors.Is(err, ErrNoReplica) {
 		t.Errorf("switched to nobody: %v", err)
 	}
-	after := must(t, l, Command{Advance: &Advance{Plan: 1, Step: Switched, Holding: map[SliceID][]string{to: {"c"}}}})
-	if s, ok := after.Find(1); !ok || s.ID != to || !slices.Equal(s.Holders, []string{"c"}) || s.Epoch != after.Version() {
+	after := must(t, l, Command{Advance: &Advance{Plan: 1, Step: Switched, Replicas: map[ShardID][]string{to: {"c"}}}})
+	if s, ok := after.Find(1); !ok || s.ID != to || !slices.Equal(s.Replicas, []string{"c"}) || s.Epoch != after.Version() {
 		t.Errorf("serves %+v", s)
 	}
-	if _, ok := after.Held(FirstSlice); !ok {
+	if _, ok := after.Resolve(FirstDynamicID); !ok {
 		t.Error("the old holder's data is given up before the plan is retired")
 	}
-	if _, err := after.Apply(Command{Abandon: &Abandon{Plan: 1}}); !errors.Is(err, ErrStep) {
+	if _, err := after.Apply(Command{Abandon: &Abandon{Plan: 1}}); !errors.Is(err, ErrInvalidTransition) {
 		t.Errorf("abandoned after the switch: %v", err)
 	}
 	done := must(t, after, Command{Advance: &Advance{Plan: 1, Step: Retired}})
-	if _, ok := done.Held(FirstSlice); ok {
+	if _, ok := done.Resolve(FirstDynamicID); ok {
 		t.Error("held after the plan was retired")
 	}
 }
 
 func BenchmarkFind(b *testing.B) {
 	for _, n := range []int{10, 1000, 100_000} {
-		l, err := Even(n, [][]string{{"a", "b"}, {"c", "d"}})
+		l, err := NewEven(n, [][]string{{"a", "b"}, {"c", "d"}})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -208,14 +208,14 @@
 // A step's cost grows with the depth of the tree, not with the slices: versions share the rest.
 func BenchmarkStep(b *testing.B) {
 	for _, n := range []int{10, 1000, 100_000} {
-		l, err := Even(n, [][]string{{"a", "b"}, {"c", "d"}})
+		l, err := NewEven(n, [][]string{{"a", "b"}, {"c", "d"}})
 		if err != nil {
 			b.Fatal(err)
 		}
 		b.Run(fmt.Sprintf("slices=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := l.Apply(Command{Order: &Order{Kind: Split, Slices: []SliceID{FirstSlice}, Into: 2}}); err != nil {
+				if _, err := l.Apply(Command{Request: &PlanRequest{Kind: Split, Shards: []ShardID{FirstDynamicID}, Pieces: 2}}); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/layout/range.go
+++ b/internal/shardmap/range.go
@@ -1,7 +1,7 @@
-// Package layout is the layout of an index as versioned data: which slice owns
+// Package shardmap is the layout of an index as versioned data: which slice owns
 // which range of the key space, who holds it, and the plans that change that.
 // It is pure: state and a command in, a new state out; no I/O, clock or goroutine.
-package layout
+package shardmap
 
 import (
 	"errors"
@@ -13,26 +13,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Key is the place of a record in the key space: the 64-bit xxHash of its id.
-func Key(id string) uint64 { return xxhash.Sum64String(id) }
+// HashKey is the place of a record in the key space: the 64-bit xxHash of its id.
+func HashKey(id string) uint64 { return xxhash.Sum64String(id) }
 
 // Range is the keys from First to Last, both included.
 type Range struct{ First, Last uint64 }
 
-// All is the whole key space.
-var All = Range{0, math.MaxUint64}
+// FullRange is the whole key space.
+var FullRange = Range{0, math.MaxUint64}
 
 // Valid tells whether a range holds a key.
 func (r Range) Valid() bool { return r.First <= r.Last }
 
-// Has tells whether a key lies in the range.
-func (r Range) Has(key uint64) bool { return r.First <= key && key <= r.Last }
+// Contains tells whether a key lies in the range.
+func (r Range) Contains(key uint64) bool { return r.First <= key && key <= r.Last }
 
-// Holds tells whether all of o lies in r.
-func (r Range) Holds(o Range) bool { return r.First <= o.First && o.Last <= r.Last }
+// Covers tells whether all of o lies in r.
+func (r Range) Covers(o Range) bool { return r.First <= o.First && o.Last <= r.Last }
 
-// Overlap is what two ranges share.
-func (r Range) Overlap(o Range) (Range, bool) {
+// Intersect is what two ranges share.
+func (r Range) Intersect(o Range) (Range, bool) {
 	both := Range{max(r.First, o.First), min(r.Last, o.Last)}
 	return both, both.Valid()
 }
@@ -40,8 +40,8 @@
 // Size is the number of keys, rounded.
 func (r Range) Size() float64 { return float64(r.Last-r.First) + 1 }
 
-// Cut divides a range into n alike.
-func (r Range) Cut(n int) []Range {
+// Split divides a range into n alike.
+func (r Range) Split(n int) []Range {
 	if n < 1 || uint64(n)-1 > r.Last-r.First {
 		return nil
 	}
@@ -60,8 +60,8 @@
 // String is the range as two hexadecimal numbers.
 func (r Range) String() string { return fmt.Sprintf("%016x-%016x", r.First, r.Last) }
 
-// ErrRange marks a text that is no range.
-var ErrRange = errors.New("not a range such as 0000000000000000-7fffffffffffffff")
+// ErrInvalidRange marks a text that is no range.
+var ErrInvalidRange = errors.New("not a range such as 0000000000000000-7fffffffffffffff")
 
 // ParseRange reads what String writes; shorter numbers are taken too.
 func ParseRange(text string) (Range, error) {
@@ -70,7 +70,7 @@
 	b, err2 := strconv.ParseUint(last, 16, 64)
 	r := Range{a, b}
 	if !ok || err != nil || err2 != nil || !r.Valid() {
-		return Range{}, fmt.Errorf("%w: %.40q", ErrRange, text)
+		return Range{}, fmt.Errorf("%w: %.40q", ErrInvalidRange, text)
 	}
 	return r, nil
 }
--- a/internal/layout/replan/replan.go
+++ b/internal/shardmap/replan/replan.go
@@ -5,7 +5,7 @@
 import (
 	"time"
 
-	"linkpass/internal/layout"
+	"linkpass/internal/shardmap"
 )
 
 // MaxRounds is how often what a part asks for may be planned anew.
@@ -23,24 +23,24 @@
 
 // Part is one part of a query, as it was planned.
 type Part struct {
-	Slice    layout.SliceID
-	Range    layout.Range // what it asks for: of the slice, or of all that is left of it
+	Slice    shardmap.ShardID
+	Range    shardmap.Range // what it asks for: of the slice, or of all that is left of it
 	Round    int
 	Standing Standing
 }
 
 // Plan cuts the wanted ranges, which share no key, along the slices of a version: a part each.
-func Plan(l *layout.Layout, wanted []layout.Range) []Part {
+func Plan(l *shardmap.Map, wanted []shardmap.Range) []Part {
 	out := make([]Part, 0, len(wanted))
-	var r layout.Range
-	take := func(s layout.Slice) bool {
-		if both, some := s.Range.Overlap(r); some {
+	var r shardmap.Range
+	take := func(s shardmap.Shard) bool {
+		if both, some := s.Range.Intersect(r); some {
 			out = append(out, Part{Slice: s.ID, Range: both})
 		}
 		return true
 	}
 	for _, r = range wanted {
-		l.Each(r, take)
+		l.ForEach(r, take)
 	}
 	return out
 }
@@ -72,14 +72,14 @@
 // can ask for it. A waiting sibling whose own slice is gone too joins a neighbour that goes
 // to the same slice: one attempt in place of two. A sibling that is in or out is kept,
 // since asking for its keys again costs an attempt and keeping it costs none.
-func Replan(now *layout.Layout, parts []Part, i int, left, need time.Duration) (Change, Refusal) {
+func Replan(now *shardmap.Map, parts []Part, i int, left, need time.Duration) (Change, Refusal) {
 	p := parts[i]
 	if now != nil {
-		if s, ok := now.Slice(p.Slice); ok && s.Range.Holds(p.Range) {
+		if s, ok := now.Shard(p.Slice); ok && s.Range.Covers(p.Range) {
 			return Change{}, Unknown
 		}
 	}
-	c, why := Rest(now, parts, i, []layout.Range{p.Range}, left, need)
+	c, why := Rest(now, parts, i, []shardmap.Range{p.Range}, left, need)
 	if why != Done {
 		return Change{}, why
 	}
@@ -93,7 +93,7 @@
 
 // Rest plans anew what is left of part i once a piece of it is answered, or all of it: its
 // slice may serve still, and another holder may have the rest.
-func Rest(now *layout.Layout, parts []Part, i int, rest []layout.Range, left, need time.Duration) (Change, Refusal) {
+func Rest(now *shardmap.Map, parts []Part, i int, rest []shardmap.Range, left, need time.Duration) (Change, Refusal) {
 	p := parts[i]
 	switch {
 	case p.Standing == In:
@@ -118,7 +118,7 @@
 }
 
 // exact tells whether parts, in order of keys, ask for all of a range.
-func exact(parts []Part, r layout.Range) bool {
+func exact(parts []Part, r shardmap.Range) bool {
 	next := r.First
 	for _, p := range parts {
 		if p.Range.First != next {
@@ -133,10 +133,10 @@
 }
 
 // join takes a waiting sibling along, if all of it lies beside a new part in one slice.
-func (c *Change) join(now *layout.Layout, k int, sibling Part) {
+func (c *Change) join(now *shardmap.Map, k int, sibling Part) {
 	for a := range c.Add {
-		target, ok := now.Slice(c.Add[a].Slice)
-		if !ok || !target.Range.Holds(sibling.Range) {
+		target, ok := now.Shard(c.Add[a].Slice)
+		if !ok || !target.Range.Covers(sibling.Range) {
 			continue
 		}
 		r := &c.Add[a].Range
--- a/internal/layout/replan/replan_test.go
+++ b/internal/shardmap/replan/replan_test.go
@@ -7,36 +7,36 @@
 
 	"pgregory.net/rapid"
 
-	"linkpass/internal/layout"
-	"linkpass/internal/layout/coverage"
 	_ "linkpass/internal/seeded"
+	"linkpass/internal/shardmap"
+	"linkpass/internal/shardmap/coverage"
 )
 
 // reshape carries one change through to its switch.
-func reshape(t *rapid.T, l *layout.Layout) *layout.Layout {
-	all := l.Slices()
+func reshape(t *rapid.T, l *shardmap.Map) *shardmap.Map {
+	all := l.Shards()
 	i := rapid.IntRange(0, len(all)-1).Draw(t, "slice")
-	o := layout.Order{Kind: layout.Split, Slices: []layout.SliceID{all[i].ID}, Into: rapid.IntRange(2, 3).Draw(t, "into")}
+	o := shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{all[i].ID}, Pieces: rapid.IntRange(2, 3).Draw(t, "into")}
 	switch rapid.IntRange(0, 2).Draw(t, "kind") {
 	case 0:
 		if i+1 < len(all) {
-			o = layout.Order{Kind: layout.Merge, Slices: []layout.SliceID{all[i].ID, all[i+1].ID}}
+			o = shardmap.PlanRequest{Kind: shardmap.Merge, Shards: []shardmap.ShardID{all[i].ID, all[i+1].ID}}
 		}
 	case 1:
-		o = layout.Order{Kind: layout.Move, Slices: []layout.SliceID{all[i].ID}, To: [][]string{{"z"}}}
+		o = shardmap.PlanRequest{Kind: shardmap.Move, Shards: []shardmap.ShardID{all[i].ID}, ReplicaSets: [][]string{{"z"}}}
 	}
-	l, err := l.Apply(layout.Command{Order: &o})
+	l, err := l.Apply(shardmap.Command{Request: &o})
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := l.Plans()[len(l.Plans())-1]
-	a := layout.Advance{Plan: p.ID, Holding: map[layout.SliceID][]string{}}
+	a := shardmap.Advance{Plan: p.ID, Replicas: map[shardmap.ShardID][]string{}}
 	for _, s := range p.To {
-		a.Holding[s.ID] = s.Holders
+		a.Replicas[s.ID] = s.Replicas
 	}
-	for _, step := range []layout.Step{layout.Copying, layout.BothHold, layout.Switched, layout.Retired} {
+	for _, step := range []shardmap.PlanStep{shardmap.Copying, shardmap.Replicated, shardmap.Switched, shardmap.Retired} {
 		a.Step = step
-		if l, err = l.Apply(layout.Command{Advance: &a}); err != nil {
+		if l, err = l.Apply(shardmap.Command{Advance: &a}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -49,20 +49,20 @@
 func TestReplanningKeepsEveryKeyOnceAndEnds(t *testing.T) {
 	joined := 0
 	rapid.Check(t, func(t *rapid.T) {
-		l, err := layout.Even(rapid.IntRange(1, 6).Draw(t, "n"), [][]string{{"a"}, {"b"}})
+		l, err := shardmap.NewEven(rapid.IntRange(1, 6).Draw(t, "n"), [][]string{{"a"}, {"b"}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		wanted := layout.All.Cut(7)[rapid.IntRange(0, 3).Draw(t, "from"):]
-		whole := layout.Range{First: wanted[0].First, Last: wanted[len(wanted)-1].Last}
-		parts := Plan(l, []layout.Range{whole})
+		wanted := shardmap.FullRange.Split(7)[rapid.IntRange(0, 3).Draw(t, "from"):]
+		whole := shardmap.Range{First: wanted[0].First, Last: wanted[len(wanted)-1].Last}
+		parts := Plan(l, []shardmap.Range{whole})
 		rounds := 0
 		for range rapid.IntRange(1, 8).Draw(t, "changes") {
 			l = reshape(t, l)
 			for told := true; told; {
 				told = false
 				for i, p := range parts {
-					if s, ok := l.Slice(p.Slice); ok && s.Range.Holds(p.Range) || p.Standing == In {
+					if s, ok := l.Shard(p.Slice); ok && s.Range.Covers(p.Range) || p.Standing == In {
 						continue
 					}
 					c, why := Replan(l, parts, i, time.Second, time.Millisecond)
@@ -73,7 +73,7 @@
 						t.Fatalf("part %+v: %s", p, why)
 					}
 					serving := 0
-					l.Each(p.Range, func(layout.Slice) bool { serving++; return true })
+					l.ForEach(p.Range, func(shardmap.Shard) bool { serving++; return true })
 					if len(c.Add) != serving {
 						t.Fatalf("%d parts for %d slices", len(c.Add), serving)
 					}
@@ -112,7 +112,7 @@
 	return append(out, c.Add...)
 }
 
-func check(t *rapid.T, parts []Part, whole layout.Range) {
+func check(t *rapid.T, parts []Part, whole shardmap.Range) {
 	ledger := coverage.NewLedger(whole)
 	for _, p := range parts {
 		if !ledger.Book(p.Range) {
@@ -125,8 +125,8 @@
 }
 
 func TestRefusals(t *testing.T) {
-	l, _ := layout.Even(2, [][]string{{"a"}})
-	gone := []Part{{Slice: 1, Range: layout.All}}
+	l, _ := shardmap.NewEven(2, [][]string{{"a"}})
+	gone := []Part{{Slice: 1, Range: shardmap.FullRange}}
 	for want, got := range map[Refusal]func() (Change, Refusal){
 		Unknown:  func() (Change, Refusal) { return Replan(nil, gone, 0, time.Second, 0) },
 		NoTime:   func() (Change, Refusal) { return Replan(l, gone, 0, time.Millisecond, time.Millisecond) },
@@ -137,7 +137,7 @@
 			t.Errorf("refused as %q, want %q", why, want)
 		}
 	}
-	serving := Plan(l, []layout.Range{layout.All})
+	serving := Plan(l, []shardmap.Range{shardmap.FullRange})
 	if _, why := Replan(l, serving, 0, time.Second, 0); why != Unknown {
 		t.Errorf("a slice that serves was replaced (%q): a server may claim a version that does not exist", why)
 	}
@@ -145,14 +145,14 @@
 
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range []int{10, 1000, 100_000} {
-		l, err := layout.Even(n, [][]string{{"a", "b"}, {"c", "d"}})
+		l, err := shardmap.NewEven(n, [][]string{{"a", "b"}, {"c", "d"}})
 		if err != nil {
 			b.Fatal(err)
 		}
-		var wanted []layout.Range // eight keys, as a search with routing asks for
+		var wanted []shardmap.Range // eight keys, as a search with routing asks for
 		for i := range 8 {
-			k := layout.Key(fmt.Sprint(i))
-			wanted = append(wanted, layout.Range{First: k, Last: k})
+			k := shardmap.HashKey(fmt.Sprint(i))
+			wanted = append(wanted, shardmap.Range{First: k, Last: k})
 		}
 		b.Run(fmt.Sprintf("slices=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
--- a/internal/layout/reshape/pressure.go
+++ b/internal/shardmap/resharding/pressure.go
@@ -1,4 +1,4 @@
-package reshape
+package resharding
 
 import "time"
 
--- a/internal/layout/reshape/reshape.go
+++ b/internal/shardmap/resharding/reshape.go
@@ -1,8 +1,8 @@
-// Package reshape is the controller of layouts: which step each plan takes next, and
+// Package resharding is the controller of layouts: which step each plan takes next, and
 // what each server is to hold. It is pure: what holders report goes in, commands and
 // duties come out. All that must outlive it stands in the layouts; one that takes over in
 // the middle of any step goes on from there.
-package reshape
+package resharding
 
 import (
 	"cmp"
@@ -11,7 +11,7 @@
 	"slices"
 	"time"
 
-	"linkpass/internal/layout"
+	"linkpass/internal/shardmap"
 )
 
 // Limits pace the changes.
@@ -25,9 +25,9 @@
 
 // Holding is what a server has of a slice.
 type Holding struct {
-	Slice    layout.SliceID `json:"slice"`
-	Complete bool           `json:"complete"`
-	Records  int64          `json:"records"` // so far
+	Slice    shardmap.ShardID `json:"slice"`
+	Complete bool             `json:"complete"`
+	Records  int64            `json:"records"` // so far
 }
 
 // Report is what a server says of one index.
@@ -40,7 +40,7 @@
 // Input is all that is known at a moment.
 type Input struct {
 	Now     time.Duration
-	Layouts map[string]*layout.Layout    // by index
+	Layouts map[string]*shardmap.Map     // by index
 	Reports map[string]map[string]Report // by server, by index
 	Sound   map[string]bool              // servers on the list that take new work
 	Pressed bool                         // queries are refused for want of room
@@ -49,22 +49,22 @@
 // Step is a command that the controller wants carried out, on the version it was made on.
 type Step struct {
 	Index   string
-	Command layout.Command
+	Command shardmap.Command
 	Why     string
 }
 
 // Source is where a server may copy some keys from.
 type Source struct {
-	Range   layout.Range   `json:"range"`
-	Servers []string       `json:"servers"`
-	Slice   layout.SliceID `json:"slice"`
+	Range   shardmap.Range   `json:"range"`
+	Servers []string         `json:"servers"`
+	Slice   shardmap.ShardID `json:"slice"`
 }
 
 // Task is one slice that a server is to hold.
 type Task struct {
-	Slice   layout.SliceID `json:"slice"`
-	Range   layout.Range   `json:"range"`
-	Sources []Source       `json:"sources,omitempty"`
+	Slice   shardmap.ShardID `json:"slice"`
+	Range   shardmap.Range   `json:"range"`
+	Sources []Source         `json:"sources,omitempty"`
 }
 
 // Duty is all that a server is to hold of one index. What is not in it may be dropped.
@@ -82,11 +82,11 @@
 
 type mark struct {
 	index string
-	plan  layout.PlanID
+	plan  shardmap.PlanID
 }
 
 type progress struct {
-	step    layout.Step
+	step    shardmap.PlanStep
 	records int64
 	since   time.Duration
 }
@@ -103,7 +103,7 @@
 		l := in.Layouts[index]
 		for _, p := range l.Plans() {
 			if s, ok := c.step(in, index, p, busy, &all); ok {
-				s.Index, s.Command.At = index, l.Version()
+				s.Index, s.Command.ExpectedVersion = index, l.Version()
 				out = append(out, s)
 				break
 			}
@@ -116,7 +116,7 @@
 func (c *Controller) forget(in Input) {
 	maps.DeleteFunc(c.seen, func(m mark, _ progress) bool {
 		l := in.Layouts[m.index]
-		return l == nil || !slices.ContainsFunc(l.Plans(), func(p layout.Plan) bool { return p.ID == m.plan })
+		return l == nil || !slices.ContainsFunc(l.Plans(), func(p shardmap.Plan) bool { return p.ID == m.plan })
 	})
 }
 
@@ -125,7 +125,7 @@
 	by = map[string]int{}
 	for _, l := range in.Layouts {
 		for _, p := range l.Plans() {
-			if p.Step != layout.Copying && p.Step != layout.BothHold {
+			if p.Step != shardmap.Copying && p.Step != shardmap.Replicated {
 				continue
 			}
 			all++
@@ -138,10 +138,10 @@
 }
 
 // touched are the servers that a plan makes copy.
-func touched(p layout.Plan) map[string]bool {
+func touched(p shardmap.Plan) map[string]bool {
 	out := map[string]bool{}
 	for _, s := range append(slices.Clone(p.From), p.To...) {
-		for _, name := range s.Holders {
+		for _, name := range s.Replicas {
 			out[name] = true
 		}
 	}
@@ -149,17 +149,17 @@
 }
 
 // step is what a plan does next, if anything.
-func (c *Controller) step(in Input, index string, p layout.Plan, busy map[string]int, all *int) (Step, bool) {
-	advance := func(to layout.Step, holding map[layout.SliceID][]string, why string) (Step, bool) {
-		return Step{Command: layout.Command{Advance: &layout.Advance{Plan: p.ID, Step: to, Holding: holding}}, Why: why}, true
+func (c *Controller) step(in Input, index string, p shardmap.Plan, busy map[string]int, all *int) (Step, bool) {
+	advance := func(to shardmap.PlanStep, holding map[shardmap.ShardID][]string, why string) (Step, bool) {
+		return Step{Command: shardmap.Command{Advance: &shardmap.Advance{Plan: p.ID, Step: to, Replicas: holding}}, Why: why}, true
 	}
 	abandon := func(format string, args ...any) (Step, bool) {
 		why := fmt.Sprintf(format, args...)
-		return Step{Command: layout.Command{Abandon: &layout.Abandon{Plan: p.ID, Why: why}}, Why: why}, true
+		return Step{Command: shardmap.Command{Abandon: &shardmap.Abandon{Plan: p.ID, Reason: why}}, Why: why}, true
 	}
 	age := c.stuck(in, index, p)
 	switch p.Step {
-	case layout.Planned:
+	case shardmap.Planned:
 		if s, ok := unsound(in, p); ok {
 			return abandon("no sound server is to hold slice %d", s)
 		}
@@ -175,8 +175,8 @@
 		for name := range touched(p) {
 			busy[name]++
 		}
-		return advance(layout.Copying, nil, "there is room for it")
-	case layout.Copying, layout.BothHold:
+		return advance(shardmap.Copying, nil, "there is room for it")
+	case shardmap.Copying, shardmap.Replicated:
 		holding, ready := c.holding(in, index, p)
 		if s, ok := unsound(in, p); ok && age >= c.limits.Patience/patienceUnsound {
 			return abandon("no sound server is left to hold slice %d", s)
@@ -187,13 +187,13 @@
 		if !ready || in.Pressed {
 			return Step{}, false
 		}
-		if p.Step == layout.Copying {
-			return advance(layout.BothHold, holding, "the new holders have it whole")
+		if p.Step == shardmap.Copying {
+			return advance(shardmap.Replicated, holding, "the new holders have it whole")
 		}
-		return advance(layout.Switched, holding, "the new holders have it whole still")
-	case layout.Switched:
+		return advance(shardmap.Switched, holding, "the new holders have it whole still")
+	case shardmap.Switched:
 		if age >= c.limits.Linger {
-			return advance(layout.Retired, nil, "queries planned before the switch are over")
+			return advance(shardmap.Retired, nil, "queries planned before the switch are over")
 		}
 	}
 	return Step{}, false
@@ -204,10 +204,10 @@
 
 // stuck is for how long a plan has been at its step without progress, as far as is known:
 // a controller that has just taken over begins anew.
-func (c *Controller) stuck(in Input, index string, p layout.Plan) time.Duration {
+func (c *Controller) stuck(in Input, index string, p shardmap.Plan) time.Duration {
 	var records int64
 	for _, s := range p.To {
-		for _, name := range s.Holders {
+		for _, name := range s.Replicas {
 			for _, h := range in.Reports[name][index].Holdings {
 				if h.Slice == s.ID {
 					records += h.Records
@@ -217,7 +217,7 @@
 	}
 	m := mark{index, p.ID}
 	was, known := c.seen[m]
-	if !known || was.step != p.Step || records > was.records && p.Step != layout.Switched {
+	if !known || was.step != p.Step || records > was.records && p.Step != shardmap.Switched {
 		c.seen[m] = progress{p.Step, records, in.Now}
 		return 0
 	}
@@ -225,9 +225,9 @@
 }
 
 // unsound finds a new slice that no server which takes work is to hold.
-func unsound(in Input, p layout.Plan) (layout.SliceID, bool) {
+func unsound(in Input, p shardmap.Plan) (shardmap.ShardID, bool) {
 	for _, s := range p.To {
-		if !slices.ContainsFunc(s.Holders, func(name string) bool { return in.Sound[name] }) {
+		if !slices.ContainsFunc(s.Replicas, func(name string) bool { return in.Sound[name] }) {
 			return s.ID, true
 		}
 	}
@@ -236,10 +236,10 @@
 
 // holding lists the sound servers that hold each new slice whole by a fresh report. It is
 // ready once every sound server that is to hold one does, and each slice has one.
-func (c *Controller) holding(in Input, index string, p layout.Plan) (out map[layout.SliceID][]string, ready bool) {
-	out, ready = map[layout.SliceID][]string{}, true
+func (c *Controller) holding(in Input, index string, p shardmap.Plan) (out map[shardmap.ShardID][]string, ready bool) {
+	out, ready = map[shardmap.ShardID][]string{}, true
 	for _, s := range p.To {
-		for _, name := range s.Holders {
+		for _, name := range s.Replicas {
 			if !in.Sound[name] {
 				continue
 			}
@@ -259,35 +259,35 @@
 
 // Duties are what each server is to hold of an index, by name: the slices that serve, those
 // that gave way and are not yet retired, and those that plans under way are to bring.
-func Duties(index string, l *layout.Layout) map[string]Duty {
+func Duties(index string, l *shardmap.Map) map[string]Duty {
 	out := map[string]Duty{}
-	add := func(s layout.Slice, sources func(name string) []Source) {
-		for _, name := range s.Holders {
+	add := func(s shardmap.Shard, sources func(name string) []Source) {
+		for _, name := range s.Replicas {
 			d := out[name]
 			d.Index, d.Version = index, l.Version()
 			d.Tasks = append(d.Tasks, Task{Slice: s.ID, Range: s.Range, Sources: sources(name)})
 			out[name] = d
 		}
 	}
-	twins := func(s layout.Slice) func(string) []Source {
+	twins := func(s shardmap.Shard) func(string) []Source {
 		return func(name string) []Source {
-			others := slices.DeleteFunc(slices.Clone(s.Holders), func(o string) bool { return o == name })
+			others := slices.DeleteFunc(slices.Clone(s.Replicas), func(o string) bool { return o == name })
 			if len(others) == 0 {
 				return nil
 			}
 			return []Source{{Range: s.Range, Servers: others, Slice: s.ID}}
 		}
 	}
-	for _, s := range l.Slices() {
+	for _, s := range l.Shards() {
 		add(s, twins(s))
 	}
 	for _, p := range l.Plans() {
 		switch p.Step {
-		case layout.Copying, layout.BothHold:
+		case shardmap.Copying, shardmap.Replicated:
 			for _, s := range p.To {
 				add(s, func(string) []Source { return sources(s, p.From) })
 			}
-		case layout.Switched:
+		case shardmap.Switched:
 			for _, s := range p.From {
 				add(s, twins(s))
 			}
@@ -300,10 +300,10 @@
 }
 
 // sources cut what a new slice needs along the slices that hold it now.
-func sources(s layout.Slice, from []layout.Slice) (out []Source) {
+func sources(s shardmap.Shard, from []shardmap.Shard) (out []Source) {
 	for _, old := range from {
-		if both, some := old.Range.Overlap(s.Range); some {
-			out = append(out, Source{Range: both, Servers: old.Holders, Slice: old.ID})
+		if both, some := old.Range.Intersect(s.Range); some {
+			out = append(out, Source{Range: both, Servers: old.Replicas, Slice: old.ID})
 		}
 	}
 	return out
--- a/internal/layout/reshape/reshape_test.go
+++ b/internal/shardmap/resharding/reshape_test.go
@@ -1,4 +1,4 @@
-package reshape
+package resharding
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 
 	"pgregory.net/rapid"
 
-	"linkpass/internal/layout"
 	_ "linkpass/internal/seeded"
+	"linkpass/internal/shardmap"
 )
 
 var limits = Limits{Moves: 2, PerServer: 1, Linger: 3 * time.Second, Patience: 40 * time.Second, Fresh: 3 * time.Second}
@@ -17,26 +17,26 @@
 // world is a fleet that does its duty at some pace; it holds what it is told, copies from
 // those that have it, and forgets all when it dies.
 type world struct {
-	l     *layout.Layout
+	l     *shardmap.Map
 	c     *Controller
 	now   time.Duration
-	has   map[string]map[layout.SliceID]int // 3: complete
+	has   map[string]map[shardmap.ShardID]int // 3: complete
 	sound map[string]bool
-	retry map[layout.Step]bool // steps at which the controller has died
+	retry map[shardmap.PlanStep]bool // steps at which the controller has died
 	press bool
 }
 
 func newWorld(n int) *world {
-	l, err := layout.Even(n, [][]string{{"a", "b"}, {"c", "d"}})
+	l, err := shardmap.NewEven(n, [][]string{{"a", "b"}, {"c", "d"}})
 	if err != nil {
 		panic(err)
 	}
-	w := &world{l: l, c: New(limits), has: map[string]map[layout.SliceID]int{}, sound: map[string]bool{}, retry: map[layout.Step]bool{}}
+	w := &world{l: l, c: New(limits), has: map[string]map[shardmap.ShardID]int{}, sound: map[string]bool{}, retry: map[shardmap.PlanStep]bool{}}
 	for _, name := range []string{"a", "b", "c", "d", "e", "f"} {
-		w.has[name], w.sound[name] = map[layout.SliceID]int{}, true
+		w.has[name], w.sound[name] = map[shardmap.ShardID]int{}, true
 	}
-	for _, s := range l.Slices() {
-		for _, name := range s.Holders {
+	for _, s := range l.Shards() {
+		for _, name := range s.Replicas {
 			w.has[name][s.ID] = 3
 		}
 	}
@@ -44,7 +44,7 @@
 }
 
 func (w *world) input() Input {
-	in := Input{Now: w.now, Layouts: map[string]*layout.Layout{"i": w.l}, Sound: w.sound, Pressed: w.press, Reports: map[string]map[string]Report{}}
+	in := Input{Now: w.now, Layouts: map[string]*shardmap.Map{"i": w.l}, Sound: w.sound, Pressed: w.press, Reports: map[string]map[string]Report{}}
 	for name, has := range w.has {
 		if !w.sound[name] {
 			continue
@@ -93,22 +93,22 @@
 // Every plan ends, whatever dies and however often the controller is replaced, and as long as
 // one sound server of each range lives no range is left without one that has the data.
 func TestEveryPlanEndsAndNoRangeIsLost(t *testing.T) {
-	ends := map[layout.Step]int{}
+	ends := map[shardmap.PlanStep]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(4)
 		orders := 0
 		for range 120 {
-			all := w.l.Slices()
+			all := w.l.Shards()
 			i := rapid.IntRange(0, len(all)-1).Draw(t, "slice")
-			var o layout.Order
+			var o shardmap.PlanRequest
 			switch rapid.IntRange(0, 11).Draw(t, "event") {
 			case 0:
-				o = layout.Order{Kind: layout.Split, Slices: []layout.SliceID{all[i].ID}, Into: 2}
+				o = shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{all[i].ID}, Pieces: 2}
 			case 1:
-				o = layout.Order{Kind: layout.Merge, Slices: []layout.SliceID{all[i].ID, all[(i+1)%len(all)].ID}}
+				o = shardmap.PlanRequest{Kind: shardmap.Merge, Shards: []shardmap.ShardID{all[i].ID, all[(i+1)%len(all)].ID}}
 			case 2:
 				to := rapid.SampledFrom([][]string{{"e", "f"}, {"a", "e"}, {"c", "d"}, {"f"}}).Draw(t, "to")
-				o = layout.Order{Kind: layout.Move, Slices: []layout.SliceID{all[i].ID}, To: [][]string{to}}
+				o = shardmap.PlanRequest{Kind: shardmap.Move, Shards: []shardmap.ShardID{all[i].ID}, ReplicaSets: [][]string{to}}
 			case 3:
 				w.c = New(limits) // the controller dies; another takes over
 			case 4:
@@ -116,20 +116,20 @@
 			case 5: // one of e and f, which are sources of nothing that others have not, dies or comes back empty
 				name := rapid.SampledFrom([]string{"e", "f"}).Draw(t, "name")
 				if w.sound[name] && !needed(w, name) {
-					w.sound[name], w.has[name] = false, map[layout.SliceID]int{}
+					w.sound[name], w.has[name] = false, map[shardmap.ShardID]int{}
 				} else {
 					w.sound[name] = true
 				}
 			}
 			if o.Kind != "" {
-				if next, err := w.l.Apply(layout.Command{Order: &o}); err == nil {
+				if next, err := w.l.Apply(shardmap.Command{Request: &o}); err == nil {
 					w.l, orders = next, orders+1
 				}
 			}
 			w.second(t)
-			for _, s := range w.l.Slices() {
-				if !slices.ContainsFunc(s.Holders, func(n string) bool { return w.sound[n] && w.has[n][s.ID] >= 3 }) {
-					t.Fatalf("version %d: nobody has slice %d, %v", w.l.Version(), s.ID, s.Holders)
+			for _, s := range w.l.Shards() {
+				if !slices.ContainsFunc(s.Replicas, func(n string) bool { return w.sound[n] && w.has[n][s.ID] >= 3 }) {
+					t.Fatalf("version %d: nobody has slice %d, %v", w.l.Version(), s.ID, s.Replicas)
 				}
 			}
 			if b, n := w.c.busy(w.input()); n > limits.Moves || slices.Max(append([]int{0}, values(b)...)) > limits.PerServer {
@@ -143,19 +143,19 @@
 		if open := w.l.Plans(); len(open) > 0 {
 			t.Fatalf("still open after five minutes: %+v", open)
 		}
-		for _, p := range w.l.Past() {
+		for _, p := range w.l.History() {
 			ends[p.Step]++
 		}
 	})
-	if ends[layout.Retired] == 0 || ends[layout.Abandoned] == 0 {
+	if ends[shardmap.Retired] == 0 || ends[shardmap.Abandoned] == 0 {
 		t.Errorf("plans ended as %v", ends)
 	}
 }
 
 // needed tells whether a server is the last that has a serving slice.
 func needed(w *world, name string) bool {
-	for _, s := range w.l.Slices() {
-		if slices.Contains(s.Holders, name) && !slices.ContainsFunc(s.Holders, func(n string) bool {
+	for _, s := range w.l.Shards() {
+		if slices.Contains(s.Replicas, name) && !slices.ContainsFunc(s.Replicas, func(n string) bool {
 			return n != name && w.sound[n] && w.has[n][s.ID] >= 3
 		}) {
 			return true
@@ -174,13 +174,13 @@
 // The controller is killed after each step of a plan in turn; another finishes it.
 func TestAControllerKilledAfterEachStep(t *testing.T) {
 	w := newWorld(2)
-	next, err := w.l.Apply(layout.Command{Order: &layout.Order{Kind: layout.Move, Slices: []layout.SliceID{layout.FirstSlice}, To: [][]string{{"e", "f"}}}})
+	next, err := w.l.Apply(shardmap.Command{Request: &shardmap.PlanRequest{Kind: shardmap.Move, Shards: []shardmap.ShardID{shardmap.FirstDynamicID}, ReplicaSets: [][]string{{"e", "f"}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.l = next
 	var steps []string
-	last := layout.Step("")
+	last := shardmap.PlanStep("")
 	for range 30 {
 		w.second(t)
 		if p, ok := w.l.Plan(1); ok && p.Step != last {
@@ -191,7 +191,7 @@
 	if want := "[copying both_hold switched retired]"; fmt.Sprint(steps) != want {
 		t.Errorf("went through %v, want %s", steps, want)
 	}
-	if s, _ := w.l.Find(0); !slices.Equal(s.Holders, []string{"e", "f"}) {
+	if s, _ := w.l.Find(0); !slices.Equal(s.Replicas, []string{"e", "f"}) {
 		t.Errorf("serves %+v", s)
 	}
 }
@@ -201,8 +201,8 @@
 func TestADrainInTheMiddleOfAMove(t *testing.T) {
 	for _, both := range []bool{false, true} {
 		w := newWorld(2)
-		w.l, _ = w.l.Apply(layout.Command{Order: &layout.Order{Kind: layout.Move, Slices: []layout.SliceID{layout.FirstSlice}, To: [][]string{{"e", "f"}}}})
-		for p, _ := w.l.Plan(1); p.Step != layout.BothHold; p, _ = w.l.Plan(1) {
+		w.l, _ = w.l.Apply(shardmap.Command{Request: &shardmap.PlanRequest{Kind: shardmap.Move, Shards: []shardmap.ShardID{shardmap.FirstDynamicID}, ReplicaSets: [][]string{{"e", "f"}}}})
+		for p, _ := w.l.Plan(1); p.Step != shardmap.Replicated; p, _ = w.l.Plan(1) {
 			w.second(t)
 		}
 		w.sound["e"], w.sound["f"] = false, !both
@@ -211,11 +211,11 @@
 		}
 		p, _ := w.l.Plan(1)
 		s, _ := w.l.Find(0)
-		if both && (p.Step != layout.Abandoned || !slices.Equal(s.Holders, []string{"a", "b"})) {
-			t.Errorf("with nobody left: %s, served by %v", p.Step, s.Holders)
+		if both && (p.Step != shardmap.Abandoned || !slices.Equal(s.Replicas, []string{"a", "b"})) {
+			t.Errorf("with nobody left: %s, served by %v", p.Step, s.Replicas)
 		}
-		if !both && (p.Step != layout.Retired || !slices.Equal(s.Holders, []string{"f"})) {
-			t.Errorf("with one left: %s, served by %v", p.Step, s.Holders)
+		if !both && (p.Step != shardmap.Retired || !slices.Equal(s.Replicas, []string{"f"})) {
+			t.Errorf("with one left: %s, served by %v", p.Step, s.Replicas)
 		}
 	}
 }
--- /dev/null
+++ b/internal/shardmap/resharding/wire_golden_test.go
@@ -0,0 +1,36 @@
+package resharding
+
+import (
+	"testing"
+
+	"linkpass/internal/goldentest"
+	"linkpass/internal/shardmap"
+)
+
+func TestDutyGolden(t *testing.T) {
+	goldentest.JSON(t, "duty.json", Duty{Index: "players", Version: 3, Tasks: []Task{{Slice: shardmap.FirstDynamicID + 4, Range: shardmap.Range{First: 1, Last: 0xff},
+		Sources: []Source{{Range: shardmap.Range{First: 2, Last: 0x7f}, Servers: []string{"s-1", "s-2"}, Slice: shardmap.FirstDynamicID}}}}})
+	goldentest.Encodes(t, "duty_empty.json", Duty{Index: "players", Tasks: []Task{{}}})
+}
+
+func TestHoldingGolden(t *testing.T) {
+	goldentest.JSON(t, "holding.json", Holding{Slice: shardmap.FirstDynamicID, Complete: true, Records: 12345678901})
+	goldentest.Encodes(t, "holding_empty.json", Holding{})
+}
+
+// The duties of a layout in the middle of a move, as a server is told them.
+func TestDutiesOfPlanGolden(t *testing.T) {
+	l, err := shardmap.NewEven(2, [][]string{{"s-1"}, {"s-2"}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []shardmap.Command{
+		{Request: &shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{shardmap.FirstDynamicID}, Pieces: 2, ReplicaSets: [][]string{{"s-3"}, {"s-4"}}}},
+		{Advance: &shardmap.Advance{Plan: 1, Step: shardmap.Copying}},
+	} {
+		if l, err = l.Apply(c); err != nil {
+			t.Fatal(err)
+		}
+	}
+	goldentest.Encodes(t, "duties_by_server.json", Duties("players", l))
+}
--- /dev/null
+++ b/internal/shardmap/wire_golden_test.go
@@ -0,0 +1,102 @@
+package shardmap_test
+
+import (
+	"bytes"
+	"reflect"
+	"testing"
+
+	"github.com/BurntSushi/toml"
+
+	"linkpass/internal/config"
+	"linkpass/internal/goldentest"
+	"linkpass/internal/shardmap"
+)
+
+// planned is a layout that has an open plan of each kind and one that was abandoned.
+func planned(t *testing.T) *shardmap.Map {
+	t.Helper()
+	l, err := shardmap.NewEven(4, [][]string{{"s-1", "s-2"}, {"s-3", "s-4"}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	first := shardmap.FirstDynamicID
+	for _, c := range []shardmap.Command{
+		{ExpectedVersion: 1, Request: &shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{first}, Pieces: 2, ReplicaSets: [][]string{{"s-5"}, {"s-6", "s-7"}}}},
+		{Advance: &shardmap.Advance{Plan: 1, Step: shardmap.Copying}},
+		{Abandon: &shardmap.Abandon{Plan: 1, Reason: "ordered"}},
+		{Request: &shardmap.PlanRequest{Kind: shardmap.Merge, Shards: []shardmap.ShardID{first, first + 1}}},
+		{Request: &shardmap.PlanRequest{Kind: shardmap.Move, Shards: []shardmap.ShardID{first + 2}, ReplicaSets: [][]string{{"s-8"}}}},
+		{Advance: &shardmap.Advance{Plan: 3, Step: shardmap.Copying}},
+		{Advance: &shardmap.Advance{Plan: 3, Step: shardmap.Replicated, Replicas: map[shardmap.ShardID][]string{first + 7: {"s-8"}}}},
+		{Advance: &shardmap.Advance{Plan: 3, Step: shardmap.Switched, Replicas: map[shardmap.ShardID][]string{first + 7: {"s-8"}}}},
+		{Request: &shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{first + 3}, Pieces: 3}},
+	} {
+		if l, err = l.Apply(c); err != nil {
+			t.Fatalf("%+v: %v", c, err)
+		}
+	}
+	return l
+}
+
+func TestLayoutDocumentGolden(t *testing.T) {
+	want := planned(t)
+	goldentest.Encodes(t, "layout.json", want.Document())
+	goldentest.Decodes(t, "layout.json", want.Document())
+	t.Run("TOML", func(t *testing.T) {
+		var b bytes.Buffer
+		if err := toml.NewEncoder(&b).Encode(want.Document()); err != nil {
+			t.Fatal(err)
+		}
+		goldentest.Bytes(t, "layout.toml", b.Bytes())
+		var got shardmap.Document
+		if meta, err := toml.Decode(string(goldentest.Read(t, "layout.toml")), &got); err != nil || len(meta.Undecoded()) > 0 {
+			t.Fatal(err, meta.Undecoded())
+		}
+		if !reflect.DeepEqual(got, want.Document()) {
+			t.Errorf("got %+v, want %+v", got, want.Document())
+		}
+		l, err := got.Map(nil)
+		if err != nil || !reflect.DeepEqual(l.Document(), want.Document()) {
+			t.Errorf("the layout of it is %+v, %v", l, err)
+		}
+	})
+}
+
+func TestPlanOrderGolden(t *testing.T) {
+	goldentest.JSON(t, "order.json", shardmap.PlanRequest{Kind: shardmap.Merge, Shards: []shardmap.ShardID{shardmap.FirstDynamicID, shardmap.FirstDynamicID + 1},
+		Pieces: 3, ReplicaSets: [][]string{{"s-1", "s-2"}, {"s-3"}}})
+}
+
+// A layout's commands are replicated in CBOR under the names of their Go fields: of Command, Advance and Abandon, which have
+// no tags, and of Order by its JSON tags.
+func TestLayoutCommandsGolden(t *testing.T) {
+	for file, c := range map[string]shardmap.Command{
+		"command_order.cbor": {ExpectedVersion: 5, Request: &shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{shardmap.FirstDynamicID}, Pieces: 2, ReplicaSets: [][]string{{"s-1"}, {"s-2"}}}},
+		"command_advance.cbor": {ExpectedVersion: 6, Advance: &shardmap.Advance{Plan: 7, Step: shardmap.Replicated,
+			Replicas: map[shardmap.ShardID][]string{shardmap.FirstDynamicID: {"s-1", "s-2"}}}},
+		"command_abandon.cbor": {ExpectedVersion: 8, Abandon: &shardmap.Abandon{Plan: 9, Reason: "ordered"}},
+	} {
+		t.Run(file, func(t *testing.T) {
+			want := config.Command{Kind: config.AdvanceShardMap, Index: "players", ShardMapCommand: &c}
+			data, err := config.Encode(want)
+			if err != nil {
+				t.Fatal(err)
+			}
+			goldentest.Bytes(t, file, data)
+			got, err := config.Decode(goldentest.Read(t, file))
+			if err != nil || !reflect.DeepEqual(got, want) {
+				t.Errorf("got %+v, %v; want %+v", got, err, want)
+			}
+		})
+	}
+}
+
+// The words of kinds and steps, as documents, commands and _cat/shards carry them.
+func TestKindAndStepWords(t *testing.T) {
+	got := []string{string(shardmap.Split), string(shardmap.Merge), string(shardmap.Move), string(shardmap.Planned), string(shardmap.Copying),
+		string(shardmap.Replicated), string(shardmap.Switched), string(shardmap.Retired), string(shardmap.Abandoned)}
+	want := []string{"split", "merge", "move", "planned", "copying", "both_hold", "switched", "retired", "abandoned"}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("got %q, want %q", got, want)
+	}
+}
--- a/internal/standin/copy.go
+++ b/internal/standin/copy.go
@@ -11,9 +11,9 @@
 	"strconv"
 	"time"
 
-	"linkpass/internal/layout"
-	"linkpass/internal/layout/reshape"
-	"linkpass/internal/layout/steward"
+	"linkpass/internal/reshardexec"
+	"linkpass/internal/shardmap"
+	"linkpass/internal/shardmap/resharding"
 )
 
 const copyPage = 50 // records a call
@@ -21,18 +21,18 @@
 // duty takes what the server is to hold and says what it holds. What is no duty any more is
 // dropped at once; what is missing is copied.
 func (s *Server) duty(w http.ResponseWriter, r *http.Request) {
-	var call steward.Call
+	var call reshardexec.Call
 	if err := json.NewDecoder(io.LimitReader(r.Body, 64<<20)).Decode(&call); err != nil {
 		http.Error(w, "duties", http.StatusBadRequest)
 		return
 	}
-	reply := steward.Reply{Indices: map[string]steward.Held{}}
+	reply := reshardexec.Reply{Indices: map[string]reshardexec.Held{}}
 	s.mu.Lock()
 	for _, d := range call.Duties {
 		reply.Indices[d.Index] = s.take(d)
 	}
 	for index, h := range s.held { // no duty of an index: nothing of it is to be held
-		if !slices.ContainsFunc(call.Duties, func(d reshape.Duty) bool { return d.Index == index }) {
+		if !slices.ContainsFunc(call.Duties, func(d resharding.Duty) bool { return d.Index == index }) {
 			clear(h.slices)
 		}
 	}
@@ -41,16 +41,16 @@
 }
 
 // take follows one duty. An older one than was heard already changes nothing.
-func (s *Server) take(d reshape.Duty) (out steward.Held) {
+func (s *Server) take(d resharding.Duty) (out reshardexec.Held) {
 	h := s.held[d.Index]
 	if h == nil {
-		h = &indexHeld{slices: map[layout.SliceID]*sliceHeld{}}
+		h = &indexHeld{slices: map[shardmap.ShardID]*sliceHeld{}}
 		s.held[d.Index] = h
 	}
 	if d.Version >= h.version {
 		h.version = d.Version
 		for id := range h.slices {
-			if !slices.ContainsFunc(d.Tasks, func(t reshape.Task) bool { return t.Slice == id }) {
+			if !slices.ContainsFunc(d.Tasks, func(t resharding.Task) bool { return t.Slice == id }) {
 				delete(h.slices, id)
 			}
 		}
@@ -68,15 +68,15 @@
 	}
 	out.Version = h.version
 	for id, sl := range h.slices {
-		out.Holdings = append(out.Holdings, reshape.Holding{Slice: id, Complete: sl.complete, Records: int64(len(sl.records))})
+		out.Holdings = append(out.Holdings, resharding.Holding{Slice: id, Complete: sl.complete, Records: int64(len(sl.records))})
 	}
-	slices.SortFunc(out.Holdings, func(a, b reshape.Holding) int { return int(int64(a.Slice) - int64(b.Slice)) })
+	slices.SortFunc(out.Holdings, func(a, b resharding.Holding) int { return int(int64(a.Slice) - int64(b.Slice)) })
 	return out
 }
 
 // copy fetches a slice's records from those that hold them, at the server's rate. Cut short,
 // it is begun again by the next duty.
-func (s *Server) copy(run context.Context, index string, sl *sliceHeld, t reshape.Task) {
+func (s *Server) copy(run context.Context, index string, sl *sliceHeld, t resharding.Task) {
 	var got []Record
 	ok := true
 	for _, src := range t.Sources {
@@ -108,7 +108,7 @@
 
 // fetchAny copies a source's range from the first of its servers that gives it whole. What
 // lies here already is not fetched.
-func (s *Server) fetchAny(run context.Context, index string, src reshape.Source, progress func(int)) (out []Record, err error) {
+func (s *Server) fetchAny(run context.Context, index string, src resharding.Source, progress func(int)) (out []Record, err error) {
 	if list, _, _, ready := s.lookUp(index, src.Slice, src.Range); ready {
 		return list, nil
 	}
@@ -129,7 +129,7 @@
 	Next int      `json:"next"` // 0: that was all
 }
 
-func (s *Server) fetch(run context.Context, name, index string, src reshape.Source, progress func(int)) (out []Record, err error) {
+func (s *Server) fetch(run context.Context, name, index string, src resharding.Source, progress func(int)) (out []Record, err error) {
 	for from := 0; ; {
 		q := url.Values{"index": {index}, "slice": {strconv.FormatUint(uint64(src.Slice), 10)}, "range": {src.Range.String()}, "from": {strconv.Itoa(from)}}
 		ctx, cancel := context.WithTimeout(run, 2*time.Second)
@@ -153,7 +153,7 @@
 			return nil, fmt.Errorf("copy from %s: %w", name, err)
 		}
 		for _, id := range p.IDs {
-			out = append(out, Record{layout.Key(id), id})
+			out = append(out, Record{shardmap.HashKey(id), id})
 		}
 		progress(len(out))
 		if s.work.CopyRate > 0 {
@@ -172,13 +172,13 @@
 func (s *Server) give(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	id, _ := strconv.ParseUint(q.Get("slice"), 10, 64)
-	asked, err := layout.ParseRange(q.Get("range"))
+	asked, err := shardmap.ParseRange(q.Get("range"))
 	from, err2 := strconv.Atoi(q.Get("from"))
 	if err != nil || err2 != nil || from < 0 {
 		http.Error(w, "which records", http.StatusBadRequest)
 		return
 	}
-	found, _, _, ready := s.lookUp(q.Get("index"), layout.SliceID(id), asked)
+	found, _, _, ready := s.lookUp(q.Get("index"), shardmap.ShardID(id), asked)
 	if !ready || from > len(found) {
 		http.Error(w, "not held", http.StatusConflict)
 		return
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"linkpass/internal/discovery"
-	"linkpass/internal/layout"
+	"linkpass/internal/shardmap"
 )
 
 // Fleet is servers and the discovery that lists them.
@@ -86,7 +86,7 @@
 }
 
 // Give lets every server hold what a layout gives it.
-func (f *Fleet) Give(index string, l *layout.Layout) {
+func (f *Fleet) Give(index string, l *shardmap.Map) {
 	for _, s := range f.Servers {
 		s.Give(index, l)
 	}
--- a/internal/standin/records.go
+++ b/internal/standin/records.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"slices"
 
-	"linkpass/internal/layout"
+	"linkpass/internal/shardmap"
 )
 
 // Record is one record. Its id tells it from every other, so that an answer can be checked.
@@ -21,7 +21,7 @@
 	out := make([]Record, n)
 	for i := range out {
 		id := fmt.Sprintf("player-%06d", i)
-		out[i] = Record{layout.Key(id), id}
+		out[i] = Record{shardmap.HashKey(id), id}
 	}
 	slices.SortFunc(out, func(a, b Record) int {
 		if a.Key < b.Key {
@@ -33,7 +33,7 @@
 }
 
 // within lists the records of a range.
-func within(sorted []Record, r layout.Range) []Record {
+func within(sorted []Record, r shardmap.Range) []Record {
 	at := func(key uint64) int {
 		i, _ := slices.BinarySearchFunc(sorted, key, func(a Record, k uint64) int {
 			if a.Key < k {
@@ -47,7 +47,7 @@
 		return i
 	}
 	from, to := at(r.First), len(sorted)
-	if r.Last != layout.All.Last {
+	if r.Last != shardmap.FullRange.Last {
 		to = at(r.Last + 1)
 	}
 	return sorted[from:to]
@@ -63,7 +63,7 @@
 }
 
 // Judge compares an answer with what was asked for.
-func Judge(truth []Record, wanted []layout.Range, ids []string, claimed bool) Verdict {
+func Judge(truth []Record, wanted []shardmap.Range, ids []string, claimed bool) Verdict {
 	v := Verdict{Claimed: claimed}
 	due := map[string]bool{}
 	for _, r := range wanted {
--- a/internal/standin/search.go
+++ b/internal/standin/search.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"linkpass/internal/frame"
-	"linkpass/internal/layout"
+	"linkpass/internal/shardmap"
 )
 
 // The headers of a layout's version and ranges, as docs/slices.md gives them.
@@ -65,7 +65,7 @@
 
 // lookUp finds the records of a slice's range. Where the slice is not held whole it says so:
 // moved with the version that it knows, or, while it copies, unready.
-func (s *Server) lookUp(index string, id layout.SliceID, asked layout.Range) (found []Record, version uint64, moved, ready bool) {
+func (s *Server) lookUp(index string, id shardmap.ShardID, asked shardmap.Range) (found []Record, version uint64, moved, ready bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lie > 0 {
@@ -86,7 +86,7 @@
 }
 
 // piece finds the largest part of a range that lies whole in one slice held here.
-func (s *Server) piece(index string, asked layout.Range) (covers layout.Range, found []Record, some bool) {
+func (s *Server) piece(index string, asked shardmap.Range) (covers shardmap.Range, found []Record, some bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := s.held[index]
@@ -94,7 +94,7 @@
 		return covers, nil, false
 	}
 	for _, sl := range h.slices {
-		if both, ok := sl.rng.Overlap(asked); ok && sl.complete && (!some || both.Size() > covers.Size()) {
+		if both, ok := sl.rng.Intersect(asked); ok && sl.complete && (!some || both.Size() > covers.Size()) {
 			covers, found, some = both, within(sl.records, both), true
 		}
 	}
@@ -107,7 +107,7 @@
 	_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, 64<<20))
 	w.Header().Set(headerLoad, s.report())
 	id, err := strconv.ParseUint(strings.TrimPrefix(r.URL.Query().Get("preference"), "_shards:"), 10, 64)
-	asked, err2 := layout.ParseRange(r.Header.Get(headerRange))
+	asked, err2 := shardmap.ParseRange(r.Header.Get(headerRange))
 	if err != nil || err2 != nil {
 		http.Error(w, `{"error":"a part needs a slice and a range"}`, http.StatusBadRequest)
 		return
@@ -119,7 +119,7 @@
 	}
 	defer release()
 	// It looks when it comes to the part, not when that came: it may have waited a while.
-	found, version, moved, ready := s.lookUp(r.PathValue("index"), layout.SliceID(id), asked)
+	found, version, moved, ready := s.lookUp(r.PathValue("index"), shardmap.ShardID(id), asked)
 	if version > 0 {
 		w.Header().Set(headerVersion, strconv.FormatUint(version, 10))
 	}
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"linkpass/internal/layout"
+	"linkpass/internal/shardmap"
 )
 
 // Work is what a server of the fleet can do.
@@ -64,11 +64,11 @@
 // indexHeld is what a server has of an index.
 type indexHeld struct {
 	version uint64
-	slices  map[layout.SliceID]*sliceHeld
+	slices  map[shardmap.ShardID]*sliceHeld
 }
 
 type sliceHeld struct {
-	rng      layout.Range
+	rng      shardmap.Range
 	records  []Record
 	complete bool
 	copying  bool
@@ -76,17 +76,17 @@
 
 // NewServer makes a server; Start brings it up.
 func NewServer(name string, w Work, data []Record, seed uint64, sources func(string) string) *Server {
-	return &Server{Name: name, work: w, data: data, rng: rand.New(rand.NewPCG(seed, layout.Key(name))), sources: sources,
+	return &Server{Name: name, work: w, data: data, rng: rand.New(rand.NewPCG(seed, shardmap.HashKey(name))), sources: sources,
 		held: map[string]*indexHeld{}, slow: 1}
 }
 
 // Give lets a server hold slices from the start, as if copied long ago.
-func (s *Server) Give(index string, l *layout.Layout) {
+func (s *Server) Give(index string, l *shardmap.Map) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := &indexHeld{version: l.Version(), slices: map[layout.SliceID]*sliceHeld{}}
-	for _, sl := range l.Slices() {
-		for _, name := range sl.Holders {
+	h := &indexHeld{version: l.Version(), slices: map[shardmap.ShardID]*sliceHeld{}}
+	for _, sl := range l.Shards() {
+		for _, name := range sl.Replicas {
 			if name == s.Name {
 				h.slices[sl.ID] = &sliceHeld{rng: sl.Range, records: within(s.data, sl.Range), complete: true}
 			}
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -3,19 +3,19 @@
 import (
 	"testing"
 
-	"linkpass/internal/layout"
+	"linkpass/internal/shardmap"
 )
 
 // The judge sees what it is there for: holes, doubles and strangers.
 func TestTheJudgeSeesWhatIsWrong(t *testing.T) {
 	truth := Records(40)
-	half := layout.All.Cut(2)[0]
+	half := shardmap.FullRange.Split(2)[0]
 	due := within(truth, half)
 	ids := make([]string, len(due))
 	for i, r := range due {
 		ids[i] = r.ID
 	}
-	wanted := []layout.Range{half}
+	wanted := []shardmap.Range{half}
 	if v := Judge(truth, wanted, ids, true); !v.Whole {
 		t.Errorf("all of it: %+v", v)
 	}
@@ -25,7 +25,7 @@
 	if v := Judge(truth, wanted, append(ids, ids[0]), true); v.Whole || v.Doubles != 1 {
 		t.Errorf("one twice: %+v", v)
 	}
-	if v := Judge(truth, wanted, append(ids, within(truth, layout.All.Cut(2)[1])[0].ID), true); v.Whole || v.Strangers != 1 {
+	if v := Judge(truth, wanted, append(ids, within(truth, shardmap.FullRange.Split(2)[1])[0].ID), true); v.Whole || v.Strangers != 1 {
 		t.Errorf("one that was not asked for: %+v", v)
 	}
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -23,8 +23,8 @@
 	"linkpass/internal/config"
 	"linkpass/internal/config/rollback"
 	"linkpass/internal/event"
-	"linkpass/internal/layout"
 	"linkpass/internal/searchconfig"
+	"linkpass/internal/shardmap"
 )
 
 // Member is one instance of the store.
@@ -220,7 +220,7 @@
 
 // AdvanceShardMap takes a step of an index's layout once a majority has it. A step that changes nothing is not replicated; one that
 // cannot be taken is the layout's error.
-func (s *Store) AdvanceShardMap(index string, c layout.Command) error {
+func (s *Store) AdvanceShardMap(index string, c shardmap.Command) error {
 	s.changing.Lock()
 	defer s.changing.Unlock()
 	now, err := s.Read()
@@ -229,7 +229,7 @@
 	}
 	l := now.ShardMap(index)
 	if l == nil {
-		return fmt.Errorf("%w: index %q", layout.ErrUnknown, index)
+		return fmt.Errorf("%w: index %q", shardmap.ErrNotFound, index)
 	}
 	if next, err := l.Apply(c); err != nil || next == l {
 		return err
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -22,8 +22,8 @@
 	"linkpass/internal/config"
 	"linkpass/internal/config/restriction"
 	"linkpass/internal/event"
-	"linkpass/internal/layout"
 	"linkpass/internal/searchconfig"
+	"linkpass/internal/shardmap"
 )
 
 // writeStored adds data directories that are missing. One that exists is never written again: it stands for what earlier
@@ -214,10 +214,10 @@
 		return &restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: storedMember, Incarnation: 1}, Seq: seq}, Server: server, Level: kind, Force: force}
 	}
 	spec := &config.ServerSpec{Addr: "10.0.0.1:9200", Zone: "zone-a", Kind: "large", Cell: 3}
-	split := &layout.Order{Kind: layout.Split, Slices: []layout.SliceID{layout.FirstSlice}, Into: 2, To: [][]string{{"s-4"}, {"s-5"}}}
-	move := &layout.Order{Kind: layout.Move, Slices: []layout.SliceID{layout.FirstSlice + 1}, To: [][]string{{"s-6", "s-7"}}}
-	both := map[layout.SliceID][]string{layout.FirstSlice + 2: {"s-4"}, layout.FirstSlice + 3: {"s-5"}}
-	step := func(c layout.Command) config.Command {
+	split := &shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{shardmap.FirstDynamicID}, Pieces: 2, ReplicaSets: [][]string{{"s-4"}, {"s-5"}}}
+	move := &shardmap.PlanRequest{Kind: shardmap.Move, Shards: []shardmap.ShardID{shardmap.FirstDynamicID + 1}, ReplicaSets: [][]string{{"s-6", "s-7"}}}
+	both := map[shardmap.ShardID][]string{shardmap.FirstDynamicID + 2: {"s-4"}, shardmap.FirstDynamicID + 3: {"s-5"}}
+	step := func(c shardmap.Command) config.Command {
 		return config.Command{Kind: config.AdvanceShardMap, Index: "players", ShardMapCommand: &c}
 	}
 	for _, c := range []struct {
@@ -236,13 +236,13 @@
 		{config.Command{Kind: config.RestrictServer, Restriction: order(5, "s-1", restriction.Draining, true)}, config.Applied},
 		{config.Command{Kind: config.UndrainServer, Server: "s-2", WithdrawnIDs: []restriction.ID{order(7, "", 0, false).ID}}, config.Applied},
 		{config.Command{Kind: config.PatchSettings, Payload: []byte(`{"search.max_result_window":250,"servers":{"s-2":null,"s-3":{"protocol":"search"}}}`)}, config.Applied},
-		{step(layout.Command{At: 1, Order: split}), config.Applied},
-		{step(layout.Command{Order: move}), config.Applied},
-		{step(layout.Command{Advance: &layout.Advance{Plan: 1, Step: layout.Copying}}), config.Applied},
-		{step(layout.Command{Advance: &layout.Advance{Plan: 1, Step: layout.BothHold, Holding: both}}), config.Applied},
-		{step(layout.Command{Advance: &layout.Advance{Plan: 1, Step: layout.Switched, Holding: both}}), config.Applied},
-		{step(layout.Command{Abandon: &layout.Abandon{Plan: 2, Why: "the target is down"}}), config.Applied},
-		{step(layout.Command{Order: &layout.Order{Kind: layout.Merge, Slices: []layout.SliceID{layout.FirstSlice + 2, layout.FirstSlice + 3}, To: [][]string{{"s-4"}}}}), config.Conflict},
+		{step(shardmap.Command{ExpectedVersion: 1, Request: split}), config.Applied},
+		{step(shardmap.Command{Request: move}), config.Applied},
+		{step(shardmap.Command{Advance: &shardmap.Advance{Plan: 1, Step: shardmap.Copying}}), config.Applied},
+		{step(shardmap.Command{Advance: &shardmap.Advance{Plan: 1, Step: shardmap.Replicated, Replicas: both}}), config.Applied},
+		{step(shardmap.Command{Advance: &shardmap.Advance{Plan: 1, Step: shardmap.Switched, Replicas: both}}), config.Applied},
+		{step(shardmap.Command{Abandon: &shardmap.Abandon{Plan: 2, Reason: "the target is down"}}), config.Applied},
+		{step(shardmap.Command{Request: &shardmap.PlanRequest{Kind: shardmap.Merge, Shards: []shardmap.ShardID{shardmap.FirstDynamicID + 2, shardmap.FirstDynamicID + 3}, ReplicaSets: [][]string{{"s-4"}}}}), config.Conflict},
 		{config.Command{Kind: config.SetMemberAddress, Server: "n2", Payload: []byte("10.0.1.2:9300")}, config.Applied},
 		{config.Command{Kind: config.SetMemberAddress, Server: "n3", Payload: []byte("10.0.1.3:9300")}, config.Applied},
 		{config.Command{Kind: config.RemoveMemberAddress, Server: "n2"}, config.Applied},
