--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -252,10 +252,10 @@
 	bare   bool          // its body is gone
 	lostAt time.Duration // when, for want of the body, a part was left that nothing can answer
 
-	ground *ground          // nil: the layout is fixed
-	layout *shardmap.Map    // the version that it was planned on
-	ledger *coverage.Ledger // what is in of what it wants
-	pieces []Value          // answers to pieces of parts that gave way
+	ground *ground           // nil: the layout is fixed
+	layout *shardmap.Map     // the version that it was planned on
+	ledger *coverage.Tracker // what is in of what it wants
+	pieces []Value           // answers to pieces of parts that gave way
 }
 
 type part struct {
--- a/internal/coordinator/moving.go
+++ b/internal/coordinator/moving.go
@@ -75,7 +75,7 @@
 	}
 	for _, id := range c.affected(g, went) {
 		if p := c.parts[id]; p != nil && !p.gave { // it may have joined another meanwhile
-			if replaced, why := c.replan(p, nil); why == replan.Done {
+			if replaced, why := c.replan(p, nil); why == replan.Replanned {
 				c.events = append(c.events, replaced)
 			}
 		}
@@ -115,8 +115,8 @@
 		return nil
 	}
 	g.open++
-	q.ground, q.layout, q.ledger = g, g.now, coverage.NewLedger(q.Wanted...)
-	return c.parted(q, g.now, replan.Plan(g.now, q.ledger.Wanted()), 1)
+	q.ground, q.layout, q.ledger = g, g.now, coverage.NewTracker(q.Wanted...)
+	return c.parted(q, g.now, replan.Plan(g.now, q.ledger.Requested()), 1)
 }
 
 // parted words planned parts; their weights follow their ranges and add up to total.
@@ -127,11 +127,11 @@
 	for i, p := range list {
 		ranges[i] = p.Range
 	}
-	weights := coverage.Weights(total, ranges)
+	weights := coverage.SplitWeight(total, ranges)
 	for i, p := range list {
-		s, _ := l.Shard(p.Slice)
-		asks[i] = Ask{Slice: p.Slice, Version: l.Version(), Range: p.Range, Piece: s.Range != p.Range, round: p.Round}
-		out[i] = Part{Shard: q.ground.shard(p.Slice), Weight: weights[i], Text: q.Text, Ask: &asks[i]}
+		s, _ := l.Shard(p.Shard)
+		asks[i] = Ask{Slice: p.Shard, Version: l.Version(), Range: p.Range, Piece: s.Range != p.Range, round: p.Round}
+		out[i] = Part{Shard: q.ground.shard(p.Shard), Weight: weights[i], Text: q.Text, Ask: &asks[i]}
 	}
 	return out
 }
@@ -145,7 +145,7 @@
 		return c.cover(p, r)
 	case end.Moved:
 		replaced, why := c.replan(p, nil)
-		if why == replan.Done {
+		if why == replan.Replanned {
 			return r.End, []linkpass.Event{replaced}
 		}
 		c.count.Add("replans_refused_"+string(why), 1)
@@ -155,7 +155,7 @@
 		return r.End, nil
 	}
 	if _, held := p.query.ground.now.Resolve(p.Ask.Slice); !held { // another try there would come to nothing
-		if replaced, why := c.replan(p, nil); why == replan.Done {
+		if replaced, why := c.replan(p, nil); why == replan.Replanned {
 			return r.End, []linkpass.Event{replaced}
 		}
 	}
@@ -172,7 +172,7 @@
 	case p.Ask.Piece:
 		return end.Unversioned, nil
 	}
-	if !p.Ask.Range.Covers(covers) || !p.query.ledger.Book(covers) {
+	if !p.Ask.Range.Covers(covers) || !p.query.ledger.Record(covers) {
 		return end.Doubled, nil
 	}
 	if covers == p.Ask.Range {
@@ -183,8 +183,8 @@
 	in := p.Weight * covers.Size() / p.Ask.Range.Size()
 	p.Weight -= in // what the rest is shared out of
 	p.query.pieces = append(p.query.pieces, Value{Shard: p.Shard, Ask: &ask, Data: r.Value, Score: r.Score, Hits: r.Hits})
-	replaced, why := c.replan(p, coverage.Of(p.Ask.Range).Less(coverage.Of(covers)).Ranges())
-	if why != replan.Done { // the rest is lost; the module hears that no part asks for it
+	replaced, why := c.replan(p, coverage.NewRangeSet(p.Ask.Range).Subtract(coverage.NewRangeSet(covers)).Ranges())
+	if why != replan.Replanned { // the rest is lost; the module hears that no part asks for it
 		c.count.Add("replans_refused_"+string(why), 1)
 		p.gave = true
 		c.unsent(p, false)
@@ -197,35 +197,35 @@
 }
 
 // replan puts others in the place of a part whose slice has gone, or for what is left of one.
-func (c *Core) replan(p *part, rest []shardmap.Range) (out linkpass.Replaced, why replan.Refusal) {
+func (c *Core) replan(p *part, rest []shardmap.Range) (out linkpass.Replaced, why replan.Reason) {
 	q := p.query
 	if c.queries[q.id] == nil {
-		return out, replan.Answered
+		return out, replan.AlreadyAnswered
 	}
 	if c.keep {
-		return out, replan.Unknown
+		return out, replan.NoNewerMap
 	}
 	left := q.ends - c.Now()
 	standing := make([]replan.Part, len(q.parts))
 	at := 0
 	for i, o := range q.parts {
-		standing[i] = replan.Part{Slice: o.Ask.Slice, Range: o.Ask.Range, Round: o.Ask.round}
+		standing[i] = replan.Part{Shard: o.Ask.Slice, Range: o.Ask.Range, Round: o.Ask.round}
 		switch {
 		case o == p:
 			at = i
 		case o.in:
-			standing[i].Standing = replan.In
+			standing[i].State = replan.Answered
 		case o.out > 0:
-			standing[i].Standing = replan.Out
+			standing[i].State = replan.InFlight
 		}
 	}
 	var change replan.Change
 	if rest == nil {
 		change, why = replan.Replan(q.ground.now, standing, at, left, replanTicks*c.set.Tick)
 	} else {
-		change, why = replan.Rest(q.ground.now, standing, at, rest, left, replanTicks*c.set.Tick)
+		change, why = replan.ReplanRest(q.ground.now, standing, at, rest, left, replanTicks*c.set.Tick)
 	}
-	if why != replan.Done {
+	if why != replan.Replanned {
 		return out, why
 	}
 	c.count.Add("replans", 1)
@@ -245,7 +245,7 @@
 	for _, part := range c.parted(q, q.ground.now, change.Add, weight) {
 		out.Parts = append(out.Parts, c.join(q, part, max(0, left)))
 	}
-	return out, replan.Done
+	return out, replan.Replanned
 }
 
 const replanTicks = 2 // an attempt that had less time than so many turns would come to nothing
@@ -256,12 +256,12 @@
 	a.Layout = q.layout.Version()
 	if a.Verdict == Answered {
 		a.Values = append(a.Values, q.pieces...)
-		if a.Whole && !q.ledger.Whole() {
+		if a.Whole && !q.ledger.Complete() {
 			c.count.Add("answers_not_whole", 1)
 			a.Whole = false
 		}
 	}
-	if !q.ledger.Whole() {
+	if !q.ledger.Complete() {
 		a.Missing = c.lost(q, a.Missing)
 	}
 	q.ground.open--
@@ -272,11 +272,11 @@
 
 // lost adds the wanted keys that no part asks for any more to what is missing.
 func (*Core) lost(q *query, missing []Miss) []Miss {
-	told := coverage.Set{}
+	told := coverage.RangeSet{}
 	for _, m := range missing {
 		told.Add(m.Ask.Range)
 	}
-	for _, r := range coverage.Of(q.ledger.Missing()...).Less(told).Ranges() {
+	for _, r := range coverage.NewRangeSet(q.ledger.Missing()...).Subtract(told).Ranges() {
 		missing = append(missing, Miss{Last: end.Moved, Tried: true, Ask: &Ask{Range: r, Version: q.layout.Version(), Piece: true}})
 	}
 	return missing
--- a/internal/coordinator/moving_test.go
+++ b/internal/coordinator/moving_test.go
@@ -98,20 +98,20 @@
 // exact holds an answer to what it says: whole means every wanted key once, by what was answered.
 func exact(t *testing.T, a Answer, wanted ...shardmap.Range) {
 	t.Helper()
-	ledger := coverage.NewLedger(wanted...)
+	ledger := coverage.NewTracker(wanted...)
 	for _, v := range a.Values {
-		if !ledger.Book(v.Ask.Range) {
+		if !ledger.Record(v.Ask.Range) {
 			t.Fatalf("%s is in twice: %+v", v.Ask.Range, a.Values)
 		}
 	}
-	if a.Whole != ledger.Whole() {
+	if a.Whole != ledger.Complete() {
 		t.Fatalf("marked whole: %v; missing %v", a.Whole, ledger.Missing())
 	}
-	missing := coverage.Set{}
+	missing := coverage.RangeSet{}
 	for _, miss := range a.Missing {
 		missing.Add(miss.Ask.Range)
 	}
-	if a.Verdict == Answered && len(coverage.Of(ledger.Missing()...).Less(missing).Ranges()) > 0 {
+	if a.Verdict == Answered && len(coverage.NewRangeSet(ledger.Missing()...).Subtract(missing).Ranges()) > 0 {
 		t.Fatalf("missing %v, told %v", ledger.Missing(), missing.Ranges())
 	}
 }
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -141,7 +141,7 @@
 	now.Reshape.Replan = replan
 	if p.steward != nil {
 		limits, poll := now.Reshape.pace(p.longest())
-		p.steward.Pace(limits, poll)
+		p.steward.SetLimits(limits, poll)
 	}
 	now.Bodies.MemoryKiB = next.Bodies.MemoryKiB
 	if !now.mustWait(next)("bodies.files_kib") {
--- a/internal/daemon/reshape.go
+++ b/internal/daemon/reshape.go
@@ -27,10 +27,10 @@
 // pace reads the settings, with their defaults; longest is the longest deadline of a query.
 func (r Reshape) pace(longest time.Duration) (limits resharding.Limits, poll time.Duration) {
 	poll = Keys.Time("reshape.poll", r.Poll)
-	limits = resharding.Limits{Moves: int(Keys.Int("reshape.moves", int64(r.Moves))), PerServer: int(Keys.Int("reshape.per_server", int64(r.PerServer))),
-		Fresh: 3 * poll, Linger: Keys.Time("reshape.retire_after", r.RetireAfter), Patience: Keys.Time("reshape.patience", r.Patience)}
-	if limits.Linger == 0 {
-		limits.Linger = longest + time.Second
+	limits = resharding.Limits{MaxMigrations: int(Keys.Int("reshape.moves", int64(r.Moves))), MaxPerServer: int(Keys.Int("reshape.per_server", int64(r.PerServer))),
+		ReportTTL: 3 * poll, RetireDelay: Keys.Time("reshape.retire_after", r.RetireAfter), StallTimeout: Keys.Time("reshape.patience", r.Patience)}
+	if limits.RetireDelay == 0 {
+		limits.RetireDelay = longest + time.Second
 	}
 	return limits, poll
 }
@@ -80,8 +80,8 @@
 		return nil
 	}
 	limits, poll := p.cfg.Search.Reshape.pace(p.longest())
-	p.steward = reshardexec.New(reshardexec.Config{Store: stored{p}, Limits: limits, Poll: poll, Timeout: max(poll, time.Second),
-		Now: p.core.Now, Counters: p.count, Ended: func() (ended, refused int64) {
+	p.steward = reshardexec.New(reshardexec.Config{Store: stored{p}, Limits: limits, PollInterval: poll, Timeout: max(poll, time.Second),
+		Now: p.core.Now, Counters: p.count, QueryTotals: func() (ended, refused int64) {
 			for i := range p.figures.Classes {
 				r := p.figures.Refused[i].Load()
 				ended, refused = ended+r+p.figures.Served[i].Load()+p.figures.Failed[i].Load(), refused+r
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -60,8 +60,8 @@
 	store      *store.Store // nil: off
 	opened     atomic.Pointer[store.Store]
 	layouts    *layouts
-	steward    *reshardexec.Steward // of the layouts; nil: no store
-	agreement  *endpoints.Registry  // on servers; nil: no store
+	steward    *reshardexec.Executor // of the layouts; nil: no store
+	agreement  *endpoints.Registry   // on servers; nil: no store
 	bodies     *bodies.Store
 	roster     roster
 	began      time.Time
--- a/internal/opensearch/layouts.go
+++ b/internal/opensearch/layouts.go
@@ -49,7 +49,7 @@
 	if len(out) == 0 {
 		out = []shardmap.Range{shardmap.FullRange}
 	}
-	return coverage.Of(out...).Ranges(), nil
+	return coverage.NewRangeSet(out...).Ranges(), nil
 }
 
 // shardRow is one copy of a slice, in the terms of /_cat/shards and /_search_shards.
--- a/internal/reshardexec/steward.go
+++ b/internal/reshardexec/steward.go
@@ -25,23 +25,23 @@
 	"linkpass/internal/store"
 )
 
-// Path is where a league server takes its duties and says what it holds.
-const Path = "/_layout"
+// AssignmentsPath is where a league server takes its duties and says what it holds.
+const AssignmentsPath = "/_layout"
 
-// Call is the body of a call to a server; Reply is its answer. Both may be repeated freely.
-type Call struct {
-	Duties []resharding.Duty `json:"duties"`
+// AssignmentRequest is the body of a call to a server; Reply is its answer. Both may be repeated freely.
+type AssignmentRequest struct {
+	Assignments []resharding.Assignment `json:"duties"`
 }
 
-// Reply is what a server holds, by index.
-type Reply struct {
-	Indices map[string]Held `json:"indices"`
+// AssignmentResponse is what a server holds, by index.
+type AssignmentResponse struct {
+	Indices map[string]IndexStatus `json:"indices"`
 }
 
-// Held is what a server holds of one index, and the version it knows.
-type Held struct {
-	Version  uint64               `json:"version"`
-	Holdings []resharding.Holding `json:"holdings"`
+// IndexStatus is what a server holds of one index, and the version it knows.
+type IndexStatus struct {
+	Version uint64                   `json:"version"`
+	Shards  []resharding.ShardStatus `json:"holdings"`
 }
 
 // Store is the replicated document.
@@ -53,13 +53,13 @@
 
 // Config sets up a steward.
 type Config struct {
-	Store    Store
-	Limits   resharding.Limits
-	Poll     time.Duration // between two rounds of calls
-	Timeout  time.Duration // of one call
-	Now      func() time.Duration
-	Ended    func() (ended, refused int64) // queries so far
-	Counters *counters.Set
+	Store        Store
+	Limits       resharding.Limits
+	PollInterval time.Duration // between two rounds of calls
+	Timeout      time.Duration // of one call
+	Now          func() time.Duration
+	QueryTotals  func() (ended, refused int64) // queries so far
+	Counters     *counters.Set
 }
 
 const (
@@ -70,8 +70,8 @@
 	tellFrom    = 20       // queries ended
 )
 
-// Steward is the shell. Its List may be called from anywhere.
-type Steward struct {
+// Executor is the shell. Its List may be called from anywhere.
+type Executor struct {
 	cfg Config
 
 	mu      sync.Mutex
@@ -80,7 +80,7 @@
 
 	// Owned by Run.
 	controller *resharding.Controller
-	pressure   resharding.Pressure
+	pressure   resharding.OverloadDetector
 	reports    map[string]map[string]resharding.Report
 	failed     map[string]time.Duration // when a server's last call failed; absent: it did not
 	lines      map[string]*line
@@ -95,13 +95,13 @@
 }
 
 // New makes a steward.
-func New(c Config) *Steward {
-	return &Steward{cfg: c, members: map[string]coordinator.Endpoint{}, lines: map[string]*line{},
-		pressure: resharding.Pressure{Share: pressedFrom, Quiet: quietFor * c.Poll, Least: tellFrom}}
+func New(c Config) *Executor {
+	return &Executor{cfg: c, members: map[string]coordinator.Endpoint{}, lines: map[string]*line{},
+		pressure: resharding.OverloadDetector{RejectionRatio: pressedFrom, RecoveryPeriod: quietFor * c.PollInterval, MinSamples: tellFrom}}
 }
 
 // UpdateEndpoints follows the list of servers.
-func (s *Steward) UpdateEndpoints(l coordinator.EndpointUpdate) {
+func (s *Executor) UpdateEndpoints(l coordinator.EndpointUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if l.Mode != linkpass.ListDelta {
@@ -116,23 +116,23 @@
 	}
 }
 
-// Pace changes the limits and the time between two rounds while it works; it holds from the next round on.
-func (s *Steward) Pace(limits resharding.Limits, poll time.Duration) {
+// SetLimits changes the limits and the time between two rounds while it works; it holds from the next round on.
+func (s *Executor) SetLimits(limits resharding.Limits, poll time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cfg.Limits, s.cfg.Poll, s.paced = limits, poll, true
+	s.cfg.Limits, s.cfg.PollInterval, s.paced = limits, poll, true
 }
 
 // pace tells the limits and the time between two rounds, and whether they are news.
-func (s *Steward) pace() (limits resharding.Limits, poll time.Duration, news bool) {
+func (s *Executor) pace() (limits resharding.Limits, poll time.Duration, news bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	news, s.paced = s.paced, false
-	return s.cfg.Limits, s.cfg.Poll, news
+	return s.cfg.Limits, s.cfg.PollInterval, news
 }
 
 // Run works until the context ends.
-func (s *Steward) Run(ctx context.Context) {
+func (s *Executor) Run(ctx context.Context) {
 	limits, poll, _ := s.pace()
 	tick := time.NewTicker(poll)
 	defer tick.Stop()
@@ -161,7 +161,7 @@
 }
 
 // rest gives up what only a leader needs.
-func (s *Steward) rest() {
+func (s *Executor) rest() {
 	for _, l := range s.lines {
 		l.close()
 	}
@@ -170,7 +170,7 @@
 }
 
 // round calls every server once, then takes the steps that the controller wants.
-func (s *Steward) round(ctx context.Context) {
+func (s *Executor) round(ctx context.Context) {
 	c := s.cfg.Store.Settings()
 	layouts := map[string]*shardmap.Map{}
 	for name := range c.Indices {
@@ -185,23 +185,23 @@
 	members := maps.Clone(s.members)
 	s.mu.Unlock()
 	s.callAll(ctx, members, duties(layouts))
-	in := resharding.Input{Now: s.cfg.Now(), Layouts: layouts, Reports: s.reports, Sound: map[string]bool{}}
+	in := resharding.Input{Now: s.cfg.Now(), Maps: layouts, Reports: s.reports, Healthy: map[string]bool{}}
 	for name, m := range members {
 		_, failed := s.failed[name]
-		in.Sound[name] = m.State == linkpass.Ready && !failed
+		in.Healthy[name] = m.State == linkpass.Ready && !failed
 	}
-	ended, refused := s.cfg.Ended()
-	in.Pressed = s.pressure.Look(in.Now, ended, refused)
-	for _, step := range s.controller.Steps(in) {
+	ended, refused := s.cfg.QueryTotals()
+	in.Overloaded = s.pressure.Observe(in.Now, ended, refused)
+	for _, step := range s.controller.NextActions(in) {
 		s.take(step)
 	}
 }
 
 // duties are what each server is to hold of all indices.
-func duties(layouts map[string]*shardmap.Map) map[string][]resharding.Duty {
-	out := map[string][]resharding.Duty{}
+func duties(layouts map[string]*shardmap.Map) map[string][]resharding.Assignment {
+	out := map[string][]resharding.Assignment{}
 	for _, index := range slices.Sorted(maps.Keys(layouts)) {
-		for name, d := range resharding.Duties(index, layouts[index]) {
+		for name, d := range resharding.Assignments(index, layouts[index]) {
 			out[name] = append(out[name], d)
 		}
 	}
@@ -209,10 +209,10 @@
 }
 
 // callAll tells every listed server its duties; one that holds nothing is told so too.
-func (s *Steward) callAll(ctx context.Context, members map[string]coordinator.Endpoint, duties map[string][]resharding.Duty) {
+func (s *Executor) callAll(ctx context.Context, members map[string]coordinator.Endpoint, duties map[string][]resharding.Assignment) {
 	type heard struct {
 		name  string
-		reply Reply
+		reply AssignmentResponse
 		line  *line
 		err   error
 	}
@@ -235,7 +235,7 @@
 		go func() { // ends within the call's time
 			places <- struct{}{}
 			defer func() { <-places }()
-			l, reply, err := s.call(ctx, old, m.Addr, Call{Duties: duties[name]})
+			l, reply, err := s.call(ctx, old, m.Addr, AssignmentRequest{Assignments: duties[name]})
 			results <- heard{name, reply, l, err}
 		}()
 	}
@@ -255,15 +255,15 @@
 		delete(s.failed, h.name)
 		reports := map[string]resharding.Report{}
 		for index, held := range h.reply.Indices {
-			reports[index] = resharding.Report{At: s.cfg.Now(), Version: held.Version, Holdings: held.Holdings}
+			reports[index] = resharding.Report{ReceivedAt: s.cfg.Now(), Version: held.Version, Shards: held.Shards}
 		}
 		s.reports[h.name] = reports
 	}
 }
 
 // call makes one call on a server's connection, or on a new one.
-func (s *Steward) call(ctx context.Context, l *line, addr string, c Call) (*line, Reply, error) {
-	var reply Reply
+func (s *Executor) call(ctx context.Context, l *line, addr string, c AssignmentRequest) (*line, AssignmentResponse, error) {
+	var reply AssignmentResponse
 	body, err := json.Marshal(c)
 	if err != nil {
 		return l, reply, fmt.Errorf("steward: %w", err)
@@ -279,7 +279,7 @@
 	// The deadline is the connection's own: a call of the background must not stand among the queries'.
 	err = l.nc.SetDeadline(time.Now().Add(s.cfg.Timeout))
 	if err == nil {
-		err = http1.WriteRequest(l.nc, "PUT", Path, "league-server", nil, body)
+		err = http1.WriteRequest(l.nc, "PUT", AssignmentsPath, "league-server", nil, body)
 	}
 	var res *http1.Response
 	if err == nil {
@@ -293,7 +293,7 @@
 	}
 	if err != nil {
 		l.close()
-		return nil, reply, fmt.Errorf("steward: PUT %s: %w", Path, err)
+		return nil, reply, fmt.Errorf("steward: PUT %s: %w", AssignmentsPath, err)
 	}
 	return l, reply, nil
 }
@@ -306,7 +306,7 @@
 
 // take carries one step into the store. One that came too late is dropped: the next round
 // looks at what holds then.
-func (s *Steward) take(step resharding.Step) {
+func (s *Executor) take(step resharding.Action) {
 	err := s.cfg.Store.AdvanceShardMap(step.Index, step.Command)
 	what, plan := "", shardmap.PlanID(0)
 	if a := step.Command.Advance; a != nil {
@@ -317,7 +317,7 @@
 	switch {
 	case err == nil:
 		s.cfg.Counters.Add("reshape_"+what, 1)
-		event.ReshapeStep.Log(step.Index, plan, what, step.Why)
+		event.ReshapeStep.Log(step.Index, plan, what, step.Reason)
 	case errors.Is(err, shardmap.ErrVersionConflict), errors.Is(err, store.ErrConflict):
 		s.cfg.Counters.Add("reshape_conflicts", 1)
 	default:
--- a/internal/reshardexec/wire_golden_test.go
+++ b/internal/reshardexec/wire_golden_test.go
@@ -15,16 +15,16 @@
 )
 
 var (
-	goldenCall = Call{Duties: []resharding.Duty{{Index: "players", Version: 3, Tasks: []resharding.Task{{Slice: shardmap.FirstDynamicID + 4,
-		Range: shardmap.Range{First: 1, Last: 0xff}, Sources: []resharding.Source{{Range: shardmap.Range{First: 2, Last: 0x7f}, Servers: []string{"s-1"}, Slice: shardmap.FirstDynamicID}}}}}}}
-	goldenReply = Reply{Indices: map[string]Held{"players": {Version: 3,
-		Holdings: []resharding.Holding{{Slice: shardmap.FirstDynamicID + 4, Complete: true, Records: 9}, {Slice: shardmap.FirstDynamicID, Records: 10}}}}}
+	goldenCall = AssignmentRequest{Assignments: []resharding.Assignment{{Index: "players", Version: 3, Tasks: []resharding.Task{{Shard: shardmap.FirstDynamicID + 4,
+		Range: shardmap.Range{First: 1, Last: 0xff}, Sources: []resharding.Source{{Range: shardmap.Range{First: 2, Last: 0x7f}, Servers: []string{"s-1"}, Shard: shardmap.FirstDynamicID}}}}}}}
+	goldenReply = AssignmentResponse{Indices: map[string]IndexStatus{"players": {Version: 3,
+		Shards: []resharding.ShardStatus{{Shard: shardmap.FirstDynamicID + 4, Complete: true, Records: 9}, {Shard: shardmap.FirstDynamicID, Records: 10}}}}}
 )
 
 func TestStatusBodiesGolden(t *testing.T) {
 	t.Run("call", func(t *testing.T) { goldentest.JSON(t, "call.json", goldenCall) })
 	t.Run("reply", func(t *testing.T) { goldentest.JSON(t, "reply.json", goldenReply) })
-	t.Run("call without duties", func(t *testing.T) { goldentest.Encodes(t, "call_empty.json", Call{}) })
+	t.Run("call without duties", func(t *testing.T) { goldentest.Encodes(t, "call_empty.json", AssignmentRequest{}) })
 }
 
 // One call at a server: the request's bytes, and the reply as it is read.
--- a/internal/shardmap/coverage/coverage_test.go
+++ b/internal/shardmap/coverage/coverage_test.go
@@ -38,7 +38,7 @@
 				wanted[i] = true
 			}
 		}
-		l := NewLedger(ranges...)
+		l := NewTracker(ranges...)
 		for range rapid.IntRange(0, 12).Draw(t, "answers") {
 			from, to := span(t)
 			if holes := l.Missing(); len(holes) > 0 && rapid.Bool().Draw(t, "fill") {
@@ -51,28 +51,28 @@
 			for i := from; i <= to; i++ {
 				fits = fits && wanted[i] && !in[i]
 			}
-			if got := l.Book(over(from, to)); got != fits {
+			if got := l.Record(over(from, to)); got != fits {
 				t.Fatalf("booked %d to %d: %v, want %v", from, to, got, fits)
 			}
 			for i := from; i <= to && fits; i++ {
 				in[i] = true
 			}
 		}
-		missing := Of(l.Missing()...)
+		missing := NewRangeSet(l.Missing()...)
 		for i := range wanted {
 			hole := wanted[i] && !in[i]
-			if got := Of(place(i)).Less(missing).Empty(); got != hole {
+			if got := NewRangeSet(place(i)).Subtract(missing).Empty(); got != hole {
 				t.Fatalf("key %d missing: %v, want %v", i, got, hole)
 			}
 		}
-		if l.Whole() != (wanted == in) {
-			t.Fatalf("whole: %v, wanted %v, in %v", l.Whole(), wanted, in)
+		if l.Complete() != (wanted == in) {
+			t.Fatalf("whole: %v, wanted %v, in %v", l.Complete(), wanted, in)
 		}
-		if l.Whole() {
+		if l.Complete() {
 			wholes++
 		}
 		size := 0.0
-		weights := Weights(0.5, append(l.wanted.Ranges(), shardmap.Range{First: 7, Last: 7}))
+		weights := SplitWeight(0.5, append(l.requested.Ranges(), shardmap.Range{First: 7, Last: 7}))
 		for _, w := range weights {
 			size += w
 			if w < 0.5*leastShare/2 {
--- a/internal/shardmap/replan/replan.go
+++ b/internal/shardmap/replan/replan.go
@@ -11,22 +11,22 @@
 // MaxRounds is how often what a part asks for may be planned anew.
 const MaxRounds = 4
 
-// Standing is where a part stands.
-type Standing uint8
+// PartState is where a part stands.
+type PartState uint8
 
 // The standings.
 const (
-	Waiting Standing = iota // nothing of it is out, and it is not in
-	Out                     // an attempt is out that may still answer
-	In                      // it is answered
+	Pending  PartState = iota // nothing of it is out, and it is not in
+	InFlight                  // an attempt is out that may still answer
+	Answered                  // it is answered
 )
 
 // Part is one part of a query, as it was planned.
 type Part struct {
-	Slice    shardmap.ShardID
-	Range    shardmap.Range // what it asks for: of the slice, or of all that is left of it
-	Round    int
-	Standing Standing
+	Shard shardmap.ShardID
+	Range shardmap.Range // what it asks for: of the slice, or of all that is left of it
+	Round int
+	State PartState
 }
 
 // Plan cuts the wanted ranges, which share no key, along the slices of a version: a part each.
@@ -35,7 +35,7 @@
 	var r shardmap.Range
 	take := func(s shardmap.Shard) bool {
 		if both, some := s.Range.Intersect(r); some {
-			out = append(out, Part{Slice: s.ID, Range: both})
+			out = append(out, Part{Shard: s.ID, Range: both})
 		}
 		return true
 	}
@@ -52,17 +52,17 @@
 	Add  []Part
 }
 
-// Refusal is why a part stays as it is.
-type Refusal string
+// Reason is why a part stays as it is.
+type Reason string
 
 // The refusals.
 const (
-	Done       Refusal = ""
-	Answered   Refusal = "answered"   // nothing to plan
-	Unknown    Refusal = "unknown"    // the layout is no newer than what the part was planned on, or is gone
-	Spent      Refusal = "spent"      // it has had its rounds
-	NoTime     Refusal = "no_time"    // a new attempt could not end in time
-	Incoherent Refusal = "incoherent" // the layout does not serve the range
+	Replanned        Reason = ""
+	AlreadyAnswered  Reason = "answered"   // nothing to plan
+	NoNewerMap       Reason = "unknown"    // the layout is no newer than what the part was planned on, or is gone
+	RoundsExhausted  Reason = "spent"      // it has had its rounds
+	DeadlineTooClose Reason = "no_time"    // a new attempt could not end in time
+	RangeNotServed   Reason = "incoherent" // the layout does not serve the range
 )
 
 // Replan plans part i anew on a version in which its slice no longer serves. left is
@@ -72,53 +72,53 @@
 // can ask for it. A waiting sibling whose own slice is gone too joins a neighbour that goes
 // to the same slice: one attempt in place of two. A sibling that is in or out is kept,
 // since asking for its keys again costs an attempt and keeping it costs none.
-func Replan(now *shardmap.Map, parts []Part, i int, left, need time.Duration) (Change, Refusal) {
+func Replan(now *shardmap.Map, parts []Part, i int, left, need time.Duration) (Change, Reason) {
 	p := parts[i]
 	if now != nil {
-		if s, ok := now.Shard(p.Slice); ok && s.Range.Covers(p.Range) {
-			return Change{}, Unknown
+		if s, ok := now.Shard(p.Shard); ok && s.Range.Covers(p.Range) {
+			return Change{}, NoNewerMap
 		}
 	}
-	c, why := Rest(now, parts, i, []shardmap.Range{p.Range}, left, need)
-	if why != Done {
+	c, why := ReplanRest(now, parts, i, []shardmap.Range{p.Range}, left, need)
+	if why != Replanned {
 		return Change{}, why
 	}
 	for k, sibling := range parts {
-		if k != i && sibling.Standing == Waiting && sibling.Round < MaxRounds {
+		if k != i && sibling.State == Pending && sibling.Round < MaxRounds {
 			c.join(now, k, sibling)
 		}
 	}
-	return c, Done
+	return c, Replanned
 }
 
-// Rest plans anew what is left of part i once a piece of it is answered, or all of it: its
+// ReplanRest plans anew what is left of part i once a piece of it is answered, or all of it: its
 // slice may serve still, and another holder may have the rest.
-func Rest(now *shardmap.Map, parts []Part, i int, rest []shardmap.Range, left, need time.Duration) (Change, Refusal) {
+func ReplanRest(now *shardmap.Map, parts []Part, i int, rest []shardmap.Range, left, need time.Duration) (Change, Reason) {
 	p := parts[i]
 	switch {
-	case p.Standing == In:
-		return Change{}, Answered
+	case p.State == Answered:
+		return Change{}, AlreadyAnswered
 	case now == nil:
-		return Change{}, Unknown
+		return Change{}, NoNewerMap
 	case p.Round >= MaxRounds:
-		return Change{}, Spent
+		return Change{}, RoundsExhausted
 	case left <= need:
-		return Change{}, NoTime
+		return Change{}, DeadlineTooClose
 	}
 	c := Change{Drop: []int{i}, Add: Plan(now, rest)}
 	for k := range c.Add {
 		c.Add[k].Round = p.Round + 1
 	}
 	for _, r := range rest {
-		if !exact(c.Add, r) {
-			return Change{}, Incoherent
+		if !covers(c.Add, r) {
+			return Change{}, RangeNotServed
 		}
 	}
-	return c, Done
+	return c, Replanned
 }
 
-// exact tells whether parts, in order of keys, ask for all of a range.
-func exact(parts []Part, r shardmap.Range) bool {
+// covers tells whether parts, in order of keys, ask for all of a range.
+func covers(parts []Part, r shardmap.Range) bool {
 	next := r.First
 	for _, p := range parts {
 		if p.Range.First != next {
@@ -135,7 +135,7 @@
 // join takes a waiting sibling along, if all of it lies beside a new part in one slice.
 func (c *Change) join(now *shardmap.Map, k int, sibling Part) {
 	for a := range c.Add {
-		target, ok := now.Shard(c.Add[a].Slice)
+		target, ok := now.Shard(c.Add[a].Shard)
 		if !ok || !target.Range.Covers(sibling.Range) {
 			continue
 		}
--- a/internal/shardmap/replan/replan_test.go
+++ b/internal/shardmap/replan/replan_test.go
@@ -62,14 +62,14 @@
 			for told := true; told; {
 				told = false
 				for i, p := range parts {
-					if s, ok := l.Shard(p.Slice); ok && s.Range.Covers(p.Range) || p.Standing == In {
+					if s, ok := l.Shard(p.Shard); ok && s.Range.Covers(p.Range) || p.State == Answered {
 						continue
 					}
 					c, why := Replan(l, parts, i, time.Second, time.Millisecond)
-					if why == Spent && p.Round >= MaxRounds {
+					if why == RoundsExhausted && p.Round >= MaxRounds {
 						continue
 					}
-					if why != Done {
+					if why != Replanned {
 						t.Fatalf("part %+v: %s", p, why)
 					}
 					serving := 0
@@ -85,8 +85,8 @@
 				check(t, parts, whole)
 			}
 			for i := range parts {
-				if parts[i].Standing == Waiting {
-					parts[i].Standing = Standing(rapid.IntRange(0, 2).Draw(t, "standing"))
+				if parts[i].State == Pending {
+					parts[i].State = PartState(rapid.IntRange(0, 2).Draw(t, "standing"))
 				}
 			}
 		}
@@ -113,32 +113,32 @@
 }
 
 func check(t *rapid.T, parts []Part, whole shardmap.Range) {
-	ledger := coverage.NewLedger(whole)
+	ledger := coverage.NewTracker(whole)
 	for _, p := range parts {
-		if !ledger.Book(p.Range) {
+		if !ledger.Record(p.Range) {
 			t.Fatalf("%s is asked for twice", p.Range)
 		}
 	}
-	if !ledger.Whole() {
+	if !ledger.Complete() {
 		t.Fatalf("nobody asks for %v", ledger.Missing())
 	}
 }
 
 func TestRefusals(t *testing.T) {
 	l, _ := shardmap.NewEven(2, [][]string{{"a"}})
-	gone := []Part{{Slice: 1, Range: shardmap.FullRange}}
-	for want, got := range map[Refusal]func() (Change, Refusal){
-		Unknown:  func() (Change, Refusal) { return Replan(nil, gone, 0, time.Second, 0) },
-		NoTime:   func() (Change, Refusal) { return Replan(l, gone, 0, time.Millisecond, time.Millisecond) },
-		Spent:    func() (Change, Refusal) { return Replan(l, []Part{{Round: MaxRounds}}, 0, time.Second, 0) },
-		Answered: func() (Change, Refusal) { return Replan(l, []Part{{Standing: In}}, 0, time.Second, 0) },
+	gone := []Part{{Shard: 1, Range: shardmap.FullRange}}
+	for want, got := range map[Reason]func() (Change, Reason){
+		NoNewerMap:       func() (Change, Reason) { return Replan(nil, gone, 0, time.Second, 0) },
+		DeadlineTooClose: func() (Change, Reason) { return Replan(l, gone, 0, time.Millisecond, time.Millisecond) },
+		RoundsExhausted:  func() (Change, Reason) { return Replan(l, []Part{{Round: MaxRounds}}, 0, time.Second, 0) },
+		AlreadyAnswered:  func() (Change, Reason) { return Replan(l, []Part{{State: Answered}}, 0, time.Second, 0) },
 	} {
 		if _, why := got(); why != want {
 			t.Errorf("refused as %q, want %q", why, want)
 		}
 	}
 	serving := Plan(l, []shardmap.Range{shardmap.FullRange})
-	if _, why := Replan(l, serving, 0, time.Second, 0); why != Unknown {
+	if _, why := Replan(l, serving, 0, time.Second, 0); why != NoNewerMap {
 		t.Errorf("a slice that serves was replaced (%q): a server may claim a version that does not exist", why)
 	}
 }
--- a/internal/shardmap/resharding/pressure.go
+++ b/internal/shardmap/resharding/pressure.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Pressure tells whether the fleet is pressed, by the share of queries that were refused of
+// OverloadDetector tells whether the fleet is pressed, by the share of queries that were refused of
 // those that ended. It turns on at once and off only after a quiet time, so that copies do
 // not start and stop with every second.
-type Pressure struct {
-	Share float64       // refused of ended in a look, from which on the fleet is pressed
-	Quiet time.Duration // so long under it before it is not
-	Least int64         // ended queries that a look must be about to tell
+type OverloadDetector struct {
+	RejectionRatio float64       // refused of ended in a look, from which on the fleet is pressed
+	RecoveryPeriod time.Duration // so long under it before it is not
+	MinSamples     int64         // ended queries that a look must be about to tell
 
 	ended, refused int64
 	until          time.Duration
 }
 
-// Look takes the counts since the start, and tells.
-func (p *Pressure) Look(now time.Duration, ended, refused int64) bool {
+// Observe takes the counts since the start, and tells.
+func (p *OverloadDetector) Observe(now time.Duration, ended, refused int64) bool {
 	de, dr := ended-p.ended, refused-p.refused
-	if de >= p.Least {
+	if de >= p.MinSamples {
 		p.ended, p.refused = ended, refused
-		if float64(dr) >= p.Share*float64(de) && dr > 0 {
-			p.until = now + p.Quiet
+		if float64(dr) >= p.RejectionRatio*float64(de) && dr > 0 {
+			p.until = now + p.RecoveryPeriod
 		}
 	}
 	return now < p.until
--- a/internal/shardmap/resharding/reshape.go
+++ b/internal/shardmap/resharding/reshape.go
@@ -16,59 +16,59 @@
 
 // Limits pace the changes.
 type Limits struct {
-	Moves     int           // plans that copy or wait for the switch at a time, in all
-	PerServer int           // the same that touch one server
-	Linger    time.Duration // from the switch until old holders may drop their data: the longest query, and what news takes
-	Patience  time.Duration // a plan whose copies make no progress for so long is abandoned
-	Fresh     time.Duration // a report older than this says nothing
+	MaxMigrations int           // plans that copy or wait for the switch at a time, in all
+	MaxPerServer  int           // the same that touch one server
+	RetireDelay   time.Duration // from the switch until old holders may drop their data: the longest query, and what news takes
+	StallTimeout  time.Duration // a plan whose copies make no progress for so long is abandoned
+	ReportTTL     time.Duration // a report older than this says nothing
 }
 
-// Holding is what a server has of a slice.
-type Holding struct {
-	Slice    shardmap.ShardID `json:"slice"`
+// ShardStatus is what a server has of a slice.
+type ShardStatus struct {
+	Shard    shardmap.ShardID `json:"slice"`
 	Complete bool             `json:"complete"`
 	Records  int64            `json:"records"` // so far
 }
 
 // Report is what a server says of one index.
 type Report struct {
-	At       time.Duration // when it came
-	Version  uint64
-	Holdings []Holding
+	ReceivedAt time.Duration // when it came
+	Version    uint64
+	Shards     []ShardStatus
 }
 
 // Input is all that is known at a moment.
 type Input struct {
-	Now     time.Duration
-	Layouts map[string]*shardmap.Map     // by index
-	Reports map[string]map[string]Report // by server, by index
-	Sound   map[string]bool              // servers on the list that take new work
-	Pressed bool                         // queries are refused for want of room
+	Now        time.Duration
+	Maps       map[string]*shardmap.Map     // by index
+	Reports    map[string]map[string]Report // by server, by index
+	Healthy    map[string]bool              // servers on the list that take new work
+	Overloaded bool                         // queries are refused for want of room
 }
 
-// Step is a command that the controller wants carried out, on the version it was made on.
-type Step struct {
+// Action is a command that the controller wants carried out, on the version it was made on.
+type Action struct {
 	Index   string
 	Command shardmap.Command
-	Why     string
+	Reason  string
 }
 
 // Source is where a server may copy some keys from.
 type Source struct {
 	Range   shardmap.Range   `json:"range"`
 	Servers []string         `json:"servers"`
-	Slice   shardmap.ShardID `json:"slice"`
+	Shard   shardmap.ShardID `json:"slice"`
 }
 
 // Task is one slice that a server is to hold.
 type Task struct {
-	Slice   shardmap.ShardID `json:"slice"`
+	Shard   shardmap.ShardID `json:"slice"`
 	Range   shardmap.Range   `json:"range"`
 	Sources []Source         `json:"sources,omitempty"`
 }
 
-// Duty is all that a server is to hold of one index. What is not in it may be dropped.
-type Duty struct {
+// Assignment is all that a server is to hold of one index. What is not in it may be dropped.
+type Assignment struct {
 	Index   string `json:"index"`
 	Version uint64 `json:"version"`
 	Tasks   []Task `json:"tasks"`
@@ -94,13 +94,13 @@
 // New makes a controller.
 func New(l Limits) *Controller { return &Controller{limits: l, seen: map[mark]progress{}} }
 
-// Steps are the commands to carry out now, at most one for each index: each is made on
+// NextActions are the commands to carry out now, at most one for each index: each is made on
 // the version that it names, and the next look is at what came of it.
-func (c *Controller) Steps(in Input) (out []Step) {
+func (c *Controller) NextActions(in Input) (out []Action) {
 	c.forget(in)
 	busy, all := c.busy(in)
-	for _, index := range slices.Sorted(maps.Keys(in.Layouts)) {
-		l := in.Layouts[index]
+	for _, index := range slices.Sorted(maps.Keys(in.Maps)) {
+		l := in.Maps[index]
 		for _, p := range l.Plans() {
 			if s, ok := c.step(in, index, p, busy, &all); ok {
 				s.Index, s.Command.ExpectedVersion = index, l.Version()
@@ -115,7 +115,7 @@
 // forget drops what is remembered of plans that are open no more.
 func (c *Controller) forget(in Input) {
 	maps.DeleteFunc(c.seen, func(m mark, _ progress) bool {
-		l := in.Layouts[m.index]
+		l := in.Maps[m.index]
 		return l == nil || !slices.ContainsFunc(l.Plans(), func(p shardmap.Plan) bool { return p.ID == m.plan })
 	})
 }
@@ -123,7 +123,7 @@
 // busy counts the plans under way, in all and by server.
 func (*Controller) busy(in Input) (by map[string]int, all int) {
 	by = map[string]int{}
-	for _, l := range in.Layouts {
+	for _, l := range in.Maps {
 		for _, p := range l.Plans() {
 			if p.Step != shardmap.Copying && p.Step != shardmap.Replicated {
 				continue
@@ -149,13 +149,13 @@
 }
 
 // step is what a plan does next, if anything.
-func (c *Controller) step(in Input, index string, p shardmap.Plan, busy map[string]int, all *int) (Step, bool) {
-	advance := func(to shardmap.PlanStep, holding map[shardmap.ShardID][]string, why string) (Step, bool) {
-		return Step{Command: shardmap.Command{Advance: &shardmap.Advance{Plan: p.ID, Step: to, Replicas: holding}}, Why: why}, true
+func (c *Controller) step(in Input, index string, p shardmap.Plan, busy map[string]int, all *int) (Action, bool) {
+	advance := func(to shardmap.PlanStep, holding map[shardmap.ShardID][]string, why string) (Action, bool) {
+		return Action{Command: shardmap.Command{Advance: &shardmap.Advance{Plan: p.ID, Step: to, Replicas: holding}}, Reason: why}, true
 	}
-	abandon := func(format string, args ...any) (Step, bool) {
+	abandon := func(format string, args ...any) (Action, bool) {
 		why := fmt.Sprintf(format, args...)
-		return Step{Command: shardmap.Command{Abandon: &shardmap.Abandon{Plan: p.ID, Reason: why}}, Why: why}, true
+		return Action{Command: shardmap.Command{Abandon: &shardmap.Abandon{Plan: p.ID, Reason: why}}, Reason: why}, true
 	}
 	age := c.stuck(in, index, p)
 	switch p.Step {
@@ -163,12 +163,12 @@
 		if s, ok := unsound(in, p); ok {
 			return abandon("no sound server is to hold slice %d", s)
 		}
-		if in.Pressed || *all >= c.limits.Moves {
-			return Step{}, false
+		if in.Overloaded || *all >= c.limits.MaxMigrations {
+			return Action{}, false
 		}
 		for name := range touched(p) {
-			if busy[name] >= c.limits.PerServer {
-				return Step{}, false
+			if busy[name] >= c.limits.MaxPerServer {
+				return Action{}, false
 			}
 		}
 		*all++
@@ -178,25 +178,25 @@
 		return advance(shardmap.Copying, nil, "there is room for it")
 	case shardmap.Copying, shardmap.Replicated:
 		holding, ready := c.holding(in, index, p)
-		if s, ok := unsound(in, p); ok && age >= c.limits.Patience/patienceUnsound {
+		if s, ok := unsound(in, p); ok && age >= c.limits.StallTimeout/patienceUnsound {
 			return abandon("no sound server is left to hold slice %d", s)
 		}
-		if age >= c.limits.Patience {
+		if age >= c.limits.StallTimeout {
 			return abandon("no progress for %s", age.Round(time.Second))
 		}
-		if !ready || in.Pressed {
-			return Step{}, false
+		if !ready || in.Overloaded {
+			return Action{}, false
 		}
 		if p.Step == shardmap.Copying {
 			return advance(shardmap.Replicated, holding, "the new holders have it whole")
 		}
 		return advance(shardmap.Switched, holding, "the new holders have it whole still")
 	case shardmap.Switched:
-		if age >= c.limits.Linger {
+		if age >= c.limits.RetireDelay {
 			return advance(shardmap.Retired, nil, "queries planned before the switch are over")
 		}
 	}
-	return Step{}, false
+	return Action{}, false
 }
 
 // patienceUnsound: a plan with nobody sound to hold a slice waits so much less for one.
@@ -208,8 +208,8 @@
 	var records int64
 	for _, s := range p.To {
 		for _, name := range s.Replicas {
-			for _, h := range in.Reports[name][index].Holdings {
-				if h.Slice == s.ID {
+			for _, h := range in.Reports[name][index].Shards {
+				if h.Shard == s.ID {
 					records += h.Records
 				}
 			}
@@ -227,7 +227,7 @@
 // unsound finds a new slice that no server which takes work is to hold.
 func unsound(in Input, p shardmap.Plan) (shardmap.ShardID, bool) {
 	for _, s := range p.To {
-		if !slices.ContainsFunc(s.Replicas, func(name string) bool { return in.Sound[name] }) {
+		if !slices.ContainsFunc(s.Replicas, func(name string) bool { return in.Healthy[name] }) {
 			return s.ID, true
 		}
 	}
@@ -240,12 +240,12 @@
 	out, ready = map[shardmap.ShardID][]string{}, true
 	for _, s := range p.To {
 		for _, name := range s.Replicas {
-			if !in.Sound[name] {
+			if !in.Healthy[name] {
 				continue
 			}
 			r, told := in.Reports[name][index]
-			whole := told && in.Now-r.At <= c.limits.Fresh && slices.ContainsFunc(r.Holdings, func(h Holding) bool {
-				return h.Slice == s.ID && h.Complete
+			whole := told && in.Now-r.ReceivedAt <= c.limits.ReportTTL && slices.ContainsFunc(r.Shards, func(h ShardStatus) bool {
+				return h.Shard == s.ID && h.Complete
 			})
 			if whole {
 				out[s.ID] = append(out[s.ID], name)
@@ -257,15 +257,15 @@
 	return out, ready
 }
 
-// Duties are what each server is to hold of an index, by name: the slices that serve, those
+// Assignments are what each server is to hold of an index, by name: the slices that serve, those
 // that gave way and are not yet retired, and those that plans under way are to bring.
-func Duties(index string, l *shardmap.Map) map[string]Duty {
-	out := map[string]Duty{}
+func Assignments(index string, l *shardmap.Map) map[string]Assignment {
+	out := map[string]Assignment{}
 	add := func(s shardmap.Shard, sources func(name string) []Source) {
 		for _, name := range s.Replicas {
 			d := out[name]
 			d.Index, d.Version = index, l.Version()
-			d.Tasks = append(d.Tasks, Task{Slice: s.ID, Range: s.Range, Sources: sources(name)})
+			d.Tasks = append(d.Tasks, Task{Shard: s.ID, Range: s.Range, Sources: sources(name)})
 			out[name] = d
 		}
 	}
@@ -275,7 +275,7 @@
 			if len(others) == 0 {
 				return nil
 			}
-			return []Source{{Range: s.Range, Servers: others, Slice: s.ID}}
+			return []Source{{Range: s.Range, Servers: others, Shard: s.ID}}
 		}
 	}
 	for _, s := range l.Shards() {
@@ -294,7 +294,7 @@
 		}
 	}
 	for _, d := range out {
-		slices.SortFunc(d.Tasks, func(a, b Task) int { return cmp.Compare(a.Slice, b.Slice) })
+		slices.SortFunc(d.Tasks, func(a, b Task) int { return cmp.Compare(a.Shard, b.Shard) })
 	}
 	return out
 }
@@ -303,7 +303,7 @@
 func sources(s shardmap.Shard, from []shardmap.Shard) (out []Source) {
 	for _, old := range from {
 		if both, some := old.Range.Intersect(s.Range); some {
-			out = append(out, Source{Range: both, Servers: old.Replicas, Slice: old.ID})
+			out = append(out, Source{Range: both, Servers: old.Replicas, Shard: old.ID})
 		}
 	}
 	return out
--- a/internal/shardmap/resharding/reshape_test.go
+++ b/internal/shardmap/resharding/reshape_test.go
@@ -12,7 +12,7 @@
 	"linkpass/internal/shardmap"
 )
 
-var limits = Limits{Moves: 2, PerServer: 1, Linger: 3 * time.Second, Patience: 40 * time.Second, Fresh: 3 * time.Second}
+var limits = Limits{MaxMigrations: 2, MaxPerServer: 1, RetireDelay: 3 * time.Second, StallTimeout: 40 * time.Second, ReportTTL: 3 * time.Second}
 
 // world is a fleet that does its duty at some pace; it holds what it is told, copies from
 // those that have it, and forgets all when it dies.
@@ -44,14 +44,14 @@
 }
 
 func (w *world) input() Input {
-	in := Input{Now: w.now, Layouts: map[string]*shardmap.Map{"i": w.l}, Sound: w.sound, Pressed: w.press, Reports: map[string]map[string]Report{}}
+	in := Input{Now: w.now, Maps: map[string]*shardmap.Map{"i": w.l}, Healthy: w.sound, Overloaded: w.press, Reports: map[string]map[string]Report{}}
 	for name, has := range w.has {
 		if !w.sound[name] {
 			continue
 		}
-		r := Report{At: w.now}
+		r := Report{ReceivedAt: w.now}
 		for id, n := range has {
-			r.Holdings = append(r.Holdings, Holding{Slice: id, Complete: n >= 3, Records: int64(n)})
+			r.Shards = append(r.Shards, ShardStatus{Shard: id, Complete: n >= 3, Records: int64(n)})
 		}
 		in.Reports[name] = map[string]Report{"i": r}
 	}
@@ -61,27 +61,27 @@
 // second lets a second pass: servers do their duty, the controller decides.
 func (w *world) second(t interface{ Fatalf(string, ...any) }) {
 	w.now += time.Second
-	duties := Duties("i", w.l)
+	duties := Assignments("i", w.l)
 	for name, has := range w.has {
 		if !w.sound[name] {
 			continue
 		}
 		for id := range has {
-			if !slices.ContainsFunc(duties[name].Tasks, func(t Task) bool { return t.Slice == id }) {
+			if !slices.ContainsFunc(duties[name].Tasks, func(t Task) bool { return t.Shard == id }) {
 				delete(has, id)
 			}
 		}
 		for _, task := range duties[name].Tasks {
-			fed := has[task.Slice] < 3
+			fed := has[task.Shard] < 3
 			for _, src := range task.Sources { // somebody must have each piece
-				fed = fed && slices.ContainsFunc(src.Servers, func(s string) bool { return w.sound[s] && w.has[s][src.Slice] >= 3 })
+				fed = fed && slices.ContainsFunc(src.Servers, func(s string) bool { return w.sound[s] && w.has[s][src.Shard] >= 3 })
 			}
 			if fed && len(task.Sources) > 0 {
-				has[task.Slice]++
+				has[task.Shard]++
 			}
 		}
 	}
-	for _, s := range w.c.Steps(w.input()) {
+	for _, s := range w.c.NextActions(w.input()) {
 		next, err := w.l.Apply(s.Command)
 		if err != nil {
 			t.Fatalf("%+v: %v", s, err)
@@ -132,7 +132,7 @@
 					t.Fatalf("version %d: nobody has slice %d, %v", w.l.Version(), s.ID, s.Replicas)
 				}
 			}
-			if b, n := w.c.busy(w.input()); n > limits.Moves || slices.Max(append([]int{0}, values(b)...)) > limits.PerServer {
+			if b, n := w.c.busy(w.input()); n > limits.MaxMigrations || slices.Max(append([]int{0}, values(b)...)) > limits.MaxPerServer {
 				t.Fatalf("%d plans under way, %v", n, b)
 			}
 		}
@@ -221,12 +221,12 @@
 }
 
 func TestPressureHoldsForAWhile(t *testing.T) {
-	p := Pressure{Share: 0.05, Quiet: 5 * time.Second, Least: 10}
+	p := OverloadDetector{RejectionRatio: 0.05, RecoveryPeriod: 5 * time.Second, MinSamples: 10}
 	for i, look := range []struct {
 		ended, refused int64
 		want           bool
 	}{{100, 0, false}, {200, 4, false}, {300, 20, true}, {305, 20, true}, {400, 20, true}, {900, 20, false}} {
-		if got := p.Look(time.Duration(2*i)*time.Second, look.ended, look.refused); got != look.want {
+		if got := p.Observe(time.Duration(2*i)*time.Second, look.ended, look.refused); got != look.want {
 			t.Errorf("look %d: %v", i, got)
 		}
 	}
--- a/internal/shardmap/resharding/wire_golden_test.go
+++ b/internal/shardmap/resharding/wire_golden_test.go
@@ -8,14 +8,14 @@
 )
 
 func TestDutyGolden(t *testing.T) {
-	goldentest.JSON(t, "duty.json", Duty{Index: "players", Version: 3, Tasks: []Task{{Slice: shardmap.FirstDynamicID + 4, Range: shardmap.Range{First: 1, Last: 0xff},
-		Sources: []Source{{Range: shardmap.Range{First: 2, Last: 0x7f}, Servers: []string{"s-1", "s-2"}, Slice: shardmap.FirstDynamicID}}}}})
-	goldentest.Encodes(t, "duty_empty.json", Duty{Index: "players", Tasks: []Task{{}}})
+	goldentest.JSON(t, "duty.json", Assignment{Index: "players", Version: 3, Tasks: []Task{{Shard: shardmap.FirstDynamicID + 4, Range: shardmap.Range{First: 1, Last: 0xff},
+		Sources: []Source{{Range: shardmap.Range{First: 2, Last: 0x7f}, Servers: []string{"s-1", "s-2"}, Shard: shardmap.FirstDynamicID}}}}})
+	goldentest.Encodes(t, "duty_empty.json", Assignment{Index: "players", Tasks: []Task{{}}})
 }
 
 func TestHoldingGolden(t *testing.T) {
-	goldentest.JSON(t, "holding.json", Holding{Slice: shardmap.FirstDynamicID, Complete: true, Records: 12345678901})
-	goldentest.Encodes(t, "holding_empty.json", Holding{})
+	goldentest.JSON(t, "holding.json", ShardStatus{Shard: shardmap.FirstDynamicID, Complete: true, Records: 12345678901})
+	goldentest.Encodes(t, "holding_empty.json", ShardStatus{})
 }
 
 // The duties of a layout in the middle of a move, as a server is told them.
@@ -32,5 +32,5 @@
 			t.Fatal(err)
 		}
 	}
-	goldentest.Encodes(t, "duties_by_server.json", Duties("players", l))
+	goldentest.Encodes(t, "duties_by_server.json", Assignments("players", l))
 }
--- a/internal/standin/copy.go
+++ b/internal/standin/copy.go
@@ -21,18 +21,18 @@
 // duty takes what the server is to hold and says what it holds. What is no duty any more is
 // dropped at once; what is missing is copied.
 func (s *Server) duty(w http.ResponseWriter, r *http.Request) {
-	var call reshardexec.Call
+	var call reshardexec.AssignmentRequest
 	if err := json.NewDecoder(io.LimitReader(r.Body, 64<<20)).Decode(&call); err != nil {
 		http.Error(w, "duties", http.StatusBadRequest)
 		return
 	}
-	reply := reshardexec.Reply{Indices: map[string]reshardexec.Held{}}
+	reply := reshardexec.AssignmentResponse{Indices: map[string]reshardexec.IndexStatus{}}
 	s.mu.Lock()
-	for _, d := range call.Duties {
+	for _, d := range call.Assignments {
 		reply.Indices[d.Index] = s.take(d)
 	}
 	for index, h := range s.held { // no duty of an index: nothing of it is to be held
-		if !slices.ContainsFunc(call.Duties, func(d resharding.Duty) bool { return d.Index == index }) {
+		if !slices.ContainsFunc(call.Assignments, func(d resharding.Assignment) bool { return d.Index == index }) {
 			clear(h.slices)
 		}
 	}
@@ -41,7 +41,7 @@
 }
 
 // take follows one duty. An older one than was heard already changes nothing.
-func (s *Server) take(d resharding.Duty) (out reshardexec.Held) {
+func (s *Server) take(d resharding.Assignment) (out reshardexec.IndexStatus) {
 	h := s.held[d.Index]
 	if h == nil {
 		h = &indexHeld{slices: map[shardmap.ShardID]*sliceHeld{}}
@@ -50,15 +50,15 @@
 	if d.Version >= h.version {
 		h.version = d.Version
 		for id := range h.slices {
-			if !slices.ContainsFunc(d.Tasks, func(t resharding.Task) bool { return t.Slice == id }) {
+			if !slices.ContainsFunc(d.Tasks, func(t resharding.Task) bool { return t.Shard == id }) {
 				delete(h.slices, id)
 			}
 		}
 		for _, t := range d.Tasks {
-			sl := h.slices[t.Slice]
+			sl := h.slices[t.Shard]
 			if sl == nil {
 				sl = &sliceHeld{rng: t.Range}
-				h.slices[t.Slice] = sl
+				h.slices[t.Shard] = sl
 			}
 			if !sl.complete && !sl.copying && len(t.Sources) > 0 {
 				sl.copying = true
@@ -68,9 +68,9 @@
 	}
 	out.Version = h.version
 	for id, sl := range h.slices {
-		out.Holdings = append(out.Holdings, resharding.Holding{Slice: id, Complete: sl.complete, Records: int64(len(sl.records))})
+		out.Shards = append(out.Shards, resharding.ShardStatus{Shard: id, Complete: sl.complete, Records: int64(len(sl.records))})
 	}
-	slices.SortFunc(out.Holdings, func(a, b resharding.Holding) int { return int(int64(a.Slice) - int64(b.Slice)) })
+	slices.SortFunc(out.Shards, func(a, b resharding.ShardStatus) int { return int(int64(a.Shard) - int64(b.Shard)) })
 	return out
 }
 
@@ -109,7 +109,7 @@
 // fetchAny copies a source's range from the first of its servers that gives it whole. What
 // lies here already is not fetched.
 func (s *Server) fetchAny(run context.Context, index string, src resharding.Source, progress func(int)) (out []Record, err error) {
-	if list, _, _, ready := s.lookUp(index, src.Slice, src.Range); ready {
+	if list, _, _, ready := s.lookUp(index, src.Shard, src.Range); ready {
 		return list, nil
 	}
 	err = fmt.Errorf("no server to copy %s from", src.Range)
@@ -131,7 +131,7 @@
 
 func (s *Server) fetch(run context.Context, name, index string, src resharding.Source, progress func(int)) (out []Record, err error) {
 	for from := 0; ; {
-		q := url.Values{"index": {index}, "slice": {strconv.FormatUint(uint64(src.Slice), 10)}, "range": {src.Range.String()}, "from": {strconv.Itoa(from)}}
+		q := url.Values{"index": {index}, "slice": {strconv.FormatUint(uint64(src.Shard), 10)}, "range": {src.Range.String()}, "from": {strconv.Itoa(from)}}
 		ctx, cancel := context.WithTimeout(run, 2*time.Second)
 		req, err := http.NewRequestWithContext(ctx, "GET", "http://"+s.sources(name)+"/_layout/records?"+q.Encode(), nil)
 		if err != nil {
