--- a/Makefile
+++ b/Makefile
@@ -3,7 +3,7 @@
 POLICY_LINES = 940
 
 # Packages that decide and touch no I/O, clock or goroutine; lint holds them to it.
-PURE = . internal/bodies/tier internal/config internal/config/restriction internal/config/rollback internal/config/endpointmerge internal/control/seal internal/shardmap internal/shardmap/coverage internal/shardmap/replan internal/shardmap/resharding internal/schema
+PURE = . internal/bodies/tier internal/config internal/config/restriction internal/config/rollback internal/config/endpointmerge internal/adminapi/signature internal/shardmap internal/shardmap/coverage internal/shardmap/replan internal/shardmap/resharding internal/schema
 # Packages that hold state and do I/O.
 STATE = internal/endpoints internal/bodies internal/searchconfig internal/coordinator internal/reshardexec internal/parts internal/store
 
--- a/internal/operator/door.go
+++ b/internal/admin/door.go
@@ -1,4 +1,4 @@
-package operator
+package admin
 
 import (
 	"context"
@@ -13,32 +13,32 @@
 // Limits of the door. Its callers have descriptors set aside for them, so that no
 // number of clients keeps staff out; those who say nothing make room for the next.
 const (
-	MaxCallers = 8
-	Form       = "text/plain; charset=utf-8"
+	MaxConns    = 8
+	ContentType = "text/plain; charset=utf-8"
 )
 
-// Door answers the operators' calls, one on a connection. It reads the gate and the
+// Handler answers the operators' calls, one on a connection. It reads the gate and the
 // figures and waits for nobody.
-type Door struct {
-	Gate    *Gate
-	Figures *counters.Figures
+type Handler struct {
+	Readiness *Readiness
+	Totals    *counters.Figures
 }
 
 // Serve answers one call.
-func (d *Door) Serve(_ context.Context, _ time.Duration, req *http1.Request) *http1.Response {
+func (d *Handler) Serve(_ context.Context, _ time.Duration, req *http1.Request) *http1.Response {
 	calls := map[string]struct {
 		method string
 		answer func() (status int, body []byte)
 	}{
-		"/v1/readyz":  {"GET", func() (int, []byte) { return said(d.Gate.State(), Serving) }},
-		"/v1/metrics": {"GET", func() (int, []byte) { return 200, metrics(d.Figures) }},
+		"/v1/readyz":  {"GET", func() (int, []byte) { return stateResponse(d.Readiness.State(), Serving) }},
+		"/v1/metrics": {"GET", func() (int, []byte) { return 200, formatTotals(d.Totals) }},
 		"/v1/coordinator/drain": {"PUT", func() (int, []byte) {
-			status, body := said(d.Gate.Drain(), Drained, Ending) // an ending process empties itself too
+			status, body := stateResponse(d.Readiness.Drain(), Drained, ShuttingDown) // an ending process empties itself too
 			return status, body
 		}},
-		"/v1/coordinator/activate": {"PUT", func() (int, []byte) { return said(d.Gate.Activate(), Serving, Starting) }},
+		"/v1/coordinator/activate": {"PUT", func() (int, []byte) { return stateResponse(d.Readiness.Activate(), Serving, Starting) }},
 	}
-	res := &http1.Response{Close: true, Header: textproto.MIMEHeader{"Content-Type": {Form}}}
+	res := &http1.Response{Close: true, Header: textproto.MIMEHeader{"Content-Type": {ContentType}}}
 	switch call, known := calls[req.Path]; {
 	case !known:
 		res.Status, res.Body = 404, []byte("no such call\n")
@@ -51,8 +51,8 @@
 	return res
 }
 
-// said words a state: yes if it is one of those asked for.
-func said(state State, yes ...State) (status int, body []byte) {
+// stateResponse words a state: yes if it is one of those asked for.
+func stateResponse(state State, yes ...State) (status int, body []byte) {
 	status = 503
 	for _, s := range yes {
 		if s == state {
@@ -62,8 +62,8 @@
 	return status, []byte(state.String() + "\n")
 }
 
-// metrics words the figures, one on a line.
-func metrics(f *counters.Figures) (b []byte) {
+// formatTotals words the figures, one on a line.
+func formatTotals(f *counters.Figures) (b []byte) {
 	for i, class := range f.Classes {
 		b = fmt.Appendf(b, "app.served.%s=%d\napp.refused.%s=%d\napp.failed.%s=%d\n", class, f.Served[i].Load(),
 			class, f.Refused[i].Load(), class, f.Failed[i].Load())
--- a/internal/operator/gate.go
+++ b/internal/admin/gate.go
@@ -1,7 +1,7 @@
-// Package operator is the operators' side of the coordinator: the one state
+// Package admin is the operators' side of the coordinator: the one state
 // machine that says whether clients are wanted, and the door at which staff and
 // the platform ask for it, change it and read the figures.
-package operator
+package admin
 
 import (
 	"sync"
@@ -16,29 +16,29 @@
 const (
 	Starting State = iota // no usable list yet
 	Serving
-	Drained // emptied on request
-	Ending  // SIGTERM came
+	Drained      // emptied on request
+	ShuttingDown // SIGTERM came
 )
 
 func (s State) String() string {
-	return [...]string{Starting: "starting", Serving: "serving", Drained: "drained", Ending: "ending"}[s]
+	return [...]string{Starting: "starting", Serving: "serving", Drained: "drained", ShuttingDown: "ending"}[s]
 }
 
-// Fronts are what follows the gate.
-type Fronts interface {
+// Drainer are what follows the gate.
+type Drainer interface {
 	Drain()  // every answer is the last of its connection; idle ones are closed a little later
 	Resume() // connections are kept again
 }
 
-// Gate is the state machine of whether clients are wanted.
-type Gate struct {
+// Readiness is the state machine of whether clients are wanted.
+type Readiness struct {
 	mu                    sync.Mutex
-	fronts                []Fronts
+	fronts                []Drainer
 	usable, drain, ending bool
 }
 
-// Follow adds a front; it takes the gate's orders from then on.
-func (g *Gate) Follow(f Fronts) {
+// AddFront adds a front; it takes the gate's orders from then on.
+func (g *Readiness) AddFront(f Drainer) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.fronts = append(g.fronts, f)
@@ -48,16 +48,16 @@
 }
 
 // State tells where the coordinator stands.
-func (g *Gate) State() State {
+func (g *Readiness) State() State {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.state()
 }
 
-func (g *Gate) state() State {
+func (g *Readiness) state() State {
 	switch {
 	case g.ending:
-		return Ending
+		return ShuttingDown
 	case g.drain:
 		return Drained
 	case !g.usable:
@@ -67,21 +67,21 @@
 }
 
 // Ready tells whether clients are wanted.
-func (g *Gate) Ready() bool { return g.State() == Serving }
+func (g *Readiness) Ready() bool { return g.State() == Serving }
 
-// Open says that the coordinator can serve: its list is usable.
-func (g *Gate) Open() { g.change(func() { g.usable = true }) }
+// MarkUsable says that the coordinator can serve: its list is usable.
+func (g *Readiness) MarkUsable() { g.change(func() { g.usable = true }) }
 
 // Drain empties the coordinator until Activate. Twice is as once.
-func (g *Gate) Drain() State { return g.change(func() { g.drain = true }) }
+func (g *Readiness) Drain() State { return g.change(func() { g.drain = true }) }
 
 // Activate takes clients again. Twice is as once; nothing leads back from the end.
-func (g *Gate) Activate() State { return g.change(func() { g.drain = false }) }
+func (g *Readiness) Activate() State { return g.change(func() { g.drain = false }) }
 
-// End says that the process is to end.
-func (g *Gate) End() { g.change(func() { g.ending = true }) }
+// Shutdown says that the process is to end.
+func (g *Readiness) Shutdown() { g.change(func() { g.ending = true }) }
 
-func (g *Gate) change(apply func()) State {
+func (g *Readiness) change(apply func()) State {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	before, shut := g.state(), g.drain || g.ending
--- a/internal/operator/operator_test.go
+++ b/internal/admin/operator_test.go
@@ -1,4 +1,4 @@
-package operator
+package admin
 
 import (
 	"testing"
@@ -14,10 +14,10 @@
 
 // Door, readiness and SIGTERM go through one state machine, whatever their order.
 func TestDoorAndGate(t *testing.T) {
-	var g Gate
+	var g Readiness
 	var f front
-	g.Follow(&f)
-	d := &Door{Gate: &g, Figures: counters.NewFigures([]string{"a", "b"})}
+	g.AddFront(&f)
+	d := &Handler{Readiness: &g, Totals: counters.NewFigures([]string{"a", "b"})}
 	ask := func(method, path string, status int, drained, orders int) {
 		t.Helper()
 		res := d.Serve(t.Context(), 0, &http1.Request{Method: method, Path: path})
@@ -30,7 +30,7 @@
 	}
 	ask("GET", "/v1/readyz", 503, 0, 0)
 	ask("PUT", "/v1/coordinator/activate", 200, 0, 0)
-	g.Open()
+	g.MarkUsable()
 	ask("GET", "/v1/readyz", 200, 0, 0)
 	ask("GET", "/v1/metrics", 200, 0, 0)
 	ask("PUT", "/v1/metrics", 405, 0, 0)
@@ -42,12 +42,12 @@
 	ask("PUT", "/v1/coordinator/activate", 200, 0, 2)
 	ask("PUT", "/v1/coordinator/activate", 200, 0, 2)
 	ask("GET", "/v1/readyz", 200, 0, 2)
-	g.End()
+	g.Shutdown()
 	ask("GET", "/v1/readyz", 503, 1, 3)
 	ask("PUT", "/v1/coordinator/drain", 200, 1, 3)
 	ask("PUT", "/v1/coordinator/activate", 503, 1, 3) // nothing leads back from the end
 	var late front
-	if g.Follow(&late); late.drained != 1 {
+	if g.AddFront(&late); late.drained != 1 {
 		t.Error("a front that follows an ended gate takes clients")
 	}
 }
--- a/internal/control/client.go
+++ b/internal/adminapi/client.go
@@ -1,4 +1,4 @@
-package control
+package adminapi
 
 import (
 	"crypto/rand"
@@ -13,7 +13,7 @@
 
 	"lukechampine.com/blake3"
 
-	"linkpass/internal/control/seal"
+	"linkpass/internal/adminapi/signature"
 	"linkpass/internal/http1"
 )
 
@@ -53,22 +53,22 @@
 	if c.Now != nil {
 		now = c.Now
 	}
-	return textproto.MIMEHeader{"Authorization": {seal.Sign(c.KeyID, c.Key, seal.Call{Method: method, Target: target, Body: body},
+	return textproto.MIMEHeader{"Authorization": {signature.Sign(c.KeyID, c.Key, signature.Call{Method: method, Target: target, Body: body},
 		now(), hex.EncodeToString(once[:]))}}, nil
 }
 
-// ErrNobody says that no coordinator answers at the socket.
-var ErrNobody = errors.New("no coordinator answers")
+// ErrUnreachable says that no coordinator answers at the socket.
+var ErrUnreachable = errors.New("no coordinator answers")
 
-// Refused is an answer that says no.
-type Refused struct {
+// ResponseError is an answer that says no.
+type ResponseError struct {
 	Status  int
 	Reason  string
 	unheard bool // before the call was read
 }
 
 // Error is the reason.
-func (r *Refused) Error() string { return r.Reason }
+func (r *ResponseError) Error() string { return r.Reason }
 
 const maxAnswer = 64 << 20
 
@@ -96,8 +96,8 @@
 	return list, err
 }
 
-// Layouts asks for the layouts that can move.
-func (c *Client) Layouts() (list []IndexLayout, err error) {
+// ShardMaps asks for the layouts that can move.
+func (c *Client) ShardMaps() (list []IndexShardMap, err error) {
 	err = c.Call("GET", "/layouts", nil, &list)
 	return list, err
 }
@@ -111,7 +111,7 @@
 func (c *Client) Raw(method, path string, body []byte) ([]byte, error) {
 	for end := time.Now().Add(c.Limit); ; time.Sleep(crowdedPause) {
 		data, err := c.once(method, path, body)
-		var no *Refused
+		var no *ResponseError
 		unheard := errors.As(err, &no) && no.unheard
 		// A connection that was closed before its call came is made again where asking twice does no harm.
 		unheard = unheard || method == "GET" && (errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET))
@@ -129,25 +129,25 @@
 	network, addr := c.where()
 	nc, err := net.DialTimeout(network, addr, c.Limit)
 	if err != nil {
-		return nil, fmt.Errorf("%w at %s: %w", ErrNobody, addr, err)
+		return nil, fmt.Errorf("%w at %s: %w", ErrUnreachable, addr, err)
 	}
 	defer nc.Close()
 	if err := nc.SetDeadline(time.Now().Add(c.Limit)); err != nil {
 		return nil, fmt.Errorf("%s: %w", addr, err)
 	}
 	if err := http1.WriteRequest(nc, method, Version+path, "linkpass", header, body); err != nil {
-		return nil, fmt.Errorf("%w at %s: %w", ErrNobody, addr, err)
+		return nil, fmt.Errorf("%w at %s: %w", ErrUnreachable, addr, err)
 	}
 	res, err := http1.NewReader(nc, maxAnswer).Response()
 	if err != nil {
-		return nil, fmt.Errorf("%w at %s within %s: %w", ErrNobody, addr, c.Limit, err)
+		return nil, fmt.Errorf("%w at %s within %s: %w", ErrUnreachable, addr, c.Limit, err)
 	}
 	if res.Status/100 != 2 {
 		crowded := res.Status == 503 && len(res.Body) == 0 // the API's own answers say why
 		if crowded {
-			return nil, &Refused{res.Status, "every place of the operators' API is taken", true}
+			return nil, &ResponseError{res.Status, "every place of the operators' API is taken", true}
 		}
-		return nil, &Refused{Status: res.Status, Reason: reasonOf(res)}
+		return nil, &ResponseError{Status: res.Status, Reason: reasonOf(res)}
 	}
 	return res.Body, nil
 }
--- a/internal/control/control.go
+++ b/internal/adminapi/control.go
@@ -1,6 +1,6 @@
-// Package control is the operators' API of a running coordinator: its types, the handler that
+// Package adminapi is the operators' API of a running coordinator: its types, the handler that
 // serves it and the client that asks it. It decides nothing.
-package control
+package adminapi
 
 import (
 	"bytes"
@@ -26,36 +26,36 @@
 
 // Status is how a coordinator stands. Fields are only ever added.
 type Status struct {
-	Name       string        `json:"name"`
-	Program    string        `json:"program"` // its version
-	PID        int           `json:"pid"`
-	State      string        `json:"state"` // starting, serving, drained, ending
-	UptimeS    float64       `json:"uptime_s"`
-	Core       string        `json:"core"` // ok, or busy: it did not answer in time
-	InFlight   int64         `json:"in_flight"`
-	Attempts   int64         `json:"attempts"`
-	Known      int64         `json:"servers_known"`
-	Avoided    int64         `json:"servers_avoided"`
-	Classes    []ClassStatus `json:"classes"`
-	Bodies     *BodyStatus   `json:"bodies,omitempty"`
-	Layouts    []Layout      `json:"layouts,omitempty"`
-	Store      *StoreStatus  `json:"store,omitempty"`
-	Fronts     []string      `json:"fronts"`                    // addresses
-	Operator   string        `json:"operator_listen,omitempty"` // address of this API over TCP
-	ResidentKB int64         `json:"resident_kb,omitempty"`
+	Name            string            `json:"name"`
+	Program         string            `json:"program"` // its version
+	PID             int               `json:"pid"`
+	State           string            `json:"state"` // starting, serving, drained, ending
+	UptimeS         float64           `json:"uptime_s"`
+	Core            string            `json:"core"` // ok, or busy: it did not answer in time
+	InFlight        int64             `json:"in_flight"`
+	Attempts        int64             `json:"attempts"`
+	ServersKnown    int64             `json:"servers_known"`
+	ServersExcluded int64             `json:"servers_avoided"`
+	Classes         []ClassStatus     `json:"classes"`
+	Bodies          *BodyStatus       `json:"bodies,omitempty"`
+	ShardMaps       []ShardMapSummary `json:"layouts,omitempty"`
+	Store           *StoreStatus      `json:"store,omitempty"`
+	Fronts          []string          `json:"fronts"`                    // addresses
+	AdminListen     string            `json:"operator_listen,omitempty"` // address of this API over TCP
+	ResidentKB      int64             `json:"resident_kb,omitempty"`
 }
 
 // ClassStatus counts a class's final answers.
 type ClassStatus struct {
-	Name    string `json:"name"`
-	Served  int64  `json:"served"`
-	Refused int64  `json:"refused"`
-	Failed  int64  `json:"failed"`
+	Name     string `json:"name"`
+	Served   int64  `json:"served"`
+	Rejected int64  `json:"refused"`
+	Failed   int64  `json:"failed"`
 }
 
 // BodyStatus is what the store of bodies holds, in bodies and bytes.
 type BodyStatus struct {
-	Held     int   `json:"held"`
+	Stored   int   `json:"held"`
 	Shared   int   `json:"shared"`
 	Arriving int   `json:"arriving"`
 	Waiting  int   `json:"waiting"`
@@ -64,25 +64,25 @@
 	Disk     int64 `json:"disk"`
 }
 
-// Layout is an index whose slices can move.
-type Layout struct {
+// ShardMapSummary is an index whose slices can move.
+type ShardMapSummary struct {
 	Index   string `json:"index"`
 	Version uint64 `json:"version"`
-	Slices  int    `json:"slices"`
+	Shards  int    `json:"slices"`
 	Plans   int    `json:"plans"`
 }
 
-// IndexLayout is the layout of an index, as far as it can be drawn.
-type IndexLayout struct {
+// IndexShardMap is the layout of an index, as far as it can be drawn.
+type IndexShardMap struct {
 	Index   string           `json:"index"`
 	Version uint64           `json:"version"`
 	Total   int              `json:"total"`  // slices
-	Slices  []shardmap.Shard `json:"slices"` // the first MaxSlices of them, in the order of their keys
+	Shards  []shardmap.Shard `json:"slices"` // the first MaxSlices of them, in the order of their keys
 	Plans   []shardmap.Plan  `json:"plans,omitempty"`
 }
 
-// MaxSlices bounds the slices, and the open plans, that are told of an index.
-const MaxSlices = 500
+// MaxShards bounds the slices, and the open plans, that are told of an index.
+const MaxShards = 500
 
 // StoreStatus is how the replicated store stands here.
 type StoreStatus struct {
@@ -102,14 +102,14 @@
 
 // Server is what the module believes of a league server.
 type Server struct {
-	Name      string             `json:"name"`
-	State     string             `json:"state"` // in_service, draining
-	Avoided   string             `json:"avoided,omitempty"`
-	Out       int                `json:"out"` // parts of this coordinator
-	MedianMS  float64            `json:"median_ms"`
-	Health    map[string]float64 `json:"health"` // by class, 1: sound
-	Cold      bool               `json:"cold,omitempty"`
-	LostInRow int                `json:"probes_lost,omitempty"`
+	Name                   string             `json:"name"`
+	State                  string             `json:"state"` // in_service, draining
+	Excluded               string             `json:"avoided,omitempty"`
+	InFlight               int                `json:"out"` // parts of this coordinator
+	MedianMS               float64            `json:"median_ms"`
+	Health                 map[string]float64 `json:"health"` // by class, 1: sound
+	WarmingUp              bool               `json:"cold,omitempty"`
+	ConsecutiveProbeLosses int                `json:"probes_lost,omitempty"`
 }
 
 // Setting is one key as it holds, and where it came from.
@@ -119,11 +119,11 @@
 	Source string `json:"source"`
 }
 
-// Reloaded is what a reload came to: keys of the operators' file that differ from what runs.
-type Reloaded struct {
-	Held       []string `json:"held,omitempty"`       // they hold now
-	Waiting    []string `json:"waiting,omitempty"`    // they wait for a start
-	Replicated []string `json:"replicated,omitempty"` // the store says what holds: they are only its first document
+// ReloadResult is what a reload came to: keys of the operators' file that differ from what runs.
+type ReloadResult struct {
+	Applied      []string `json:"held,omitempty"`       // they hold now
+	NeedsRestart []string `json:"waiting,omitempty"`    // they wait for a start
+	Replicated   []string `json:"replicated,omitempty"` // the store says what holds: they are only its first document
 }
 
 // Backup is a document of the store as it is kept outside of it.
@@ -142,17 +142,17 @@
 	Drain() string
 	Activate() string
 	Settings() []Setting
-	Layouts() []IndexLayout
-	Agreed() (Agreed, error)
-	MemberOrder(MemberOrder) error
-	ServerOrder(ServerOrder) (Ordered, error)
-	Reload() (Reloaded, error)
+	ShardMaps() []IndexShardMap
+	ReplicatedState() (ReplicatedState, error)
+	ChangeMember(MemberRequest) error
+	ChangeServer(ServerRequest) (ServerResponse, error)
+	Reload() (ReloadResult, error)
 	Store() *store.Store   // nil: there is none
 	Search() http1.Handler // nil: there is none
 }
 
-// ErrBusy says that the core did not answer in time.
-var ErrBusy = errors.New("the core did not answer in time")
+// ErrCoreBusy says that the core did not answer in time.
+var ErrCoreBusy = errors.New("the core did not answer in time")
 
 // Handler serves the API.
 type Handler struct{ Coordinator }
@@ -180,7 +180,7 @@
 		}
 		return reply(list)
 	case "GET servers/agreed":
-		told, err := h.Agreed()
+		told, err := h.ReplicatedState()
 		if err != nil {
 			return storeFail(err)
 		}
@@ -190,7 +190,7 @@
 	case "PUT store/members":
 		return h.member(req)
 	case "GET layouts":
-		return reply(h.Layouts())
+		return reply(h.ShardMaps())
 	case "PUT drain":
 		return reply(map[string]string{"state": h.Drain()})
 	case "PUT activate":
@@ -262,7 +262,7 @@
 
 // restore replaces the document by a backup's, or only tells whether it could.
 func restore(s *store.Store, req *http1.Request) *http1.Response {
-	doc, err := OpenBackup(req.Body)
+	doc, err := ReadBackup(req.Body)
 	if err != nil {
 		return fail(400, err)
 	}
@@ -285,8 +285,8 @@
 	return reply(map[string]any{"ok": true, "revision": now.Revision, "layouts_kept": kept})
 }
 
-// OpenBackup reads a backup and checks that it is whole and can be used.
-func OpenBackup(data []byte) (*searchconfig.Config, error) {
+// ReadBackup reads a backup and checks that it is whole and can be used.
+func ReadBackup(data []byte) (*searchconfig.Config, error) {
 	var b Backup
 	if err := json.Unmarshal(data, &b); err != nil {
 		return nil, fmt.Errorf("backup: %w", err)
--- a/internal/control/sealed.go
+++ b/internal/adminapi/sealed.go
@@ -1,38 +1,38 @@
-package control
+package adminapi
 
 import (
 	"context"
 	"errors"
 	"time"
 
-	"linkpass/internal/control/seal"
+	"linkpass/internal/adminapi/signature"
 	"linkpass/internal/counters"
 	"linkpass/internal/event"
 	"linkpass/internal/http1"
 )
 
-// Sealed serves the API to signed calls alone.
-type Sealed struct {
+// SignedHandler serves the API to signed calls alone.
+type SignedHandler struct {
 	Handler  http1.Handler
-	Check    func(header string, c seal.Call) error
+	Check    func(header string, c signature.Call) error
 	Counters *counters.Set
 
 	lines event.Lines
 }
 
 // Serve answers one call, after a look at its signature.
-func (s *Sealed) Serve(ctx context.Context, began time.Duration, req *http1.Request) *http1.Response {
+func (s *SignedHandler) Serve(ctx context.Context, began time.Duration, req *http1.Request) *http1.Response {
 	target := req.Path
 	if req.Query != "" {
 		target += "?" + req.Query
 	}
-	err := s.Check(req.Header.Get("Authorization"), seal.Call{Method: req.Method, Target: target, Body: req.Body})
+	err := s.Check(req.Header.Get("Authorization"), signature.Call{Method: req.Method, Target: target, Body: req.Body})
 	if err == nil {
 		return s.Handler.Serve(ctx, began, req)
 	}
 	s.Counters.Add("control_unsigned", 1)
 	s.lines.Log(event.CallRefused, err)
-	if errors.Is(err, seal.ErrCrowded) {
+	if errors.Is(err, signature.ErrCrowded) {
 		return fail(429, err)
 	}
 	return fail(401, err)
--- a/internal/control/seal/seal.go
+++ b/internal/adminapi/signature/seal.go
@@ -1,6 +1,6 @@
-// Package seal signs calls of the operators' API and checks the signatures: a keyed MAC over method, target, body,
+// Package signature signs calls of the operators' API and checks the signatures: a keyed MAC over method, target, body,
 // time and a number used once. It touches no clock and no file, and decides alone whether a call is let in.
-package seal
+package signature
 
 import (
 	"crypto/hmac"
--- a/internal/control/seal/wire_golden_test.go
+++ b/internal/adminapi/signature/wire_golden_test.go
@@ -1,4 +1,4 @@
-package seal
+package signature
 
 import (
 	"errors"
--- a/internal/control/wire_golden_test.go
+++ b/internal/adminapi/wire_golden_test.go
@@ -1,4 +1,4 @@
-package control
+package adminapi
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
+	"linkpass/internal/adminapi/signature"
 	"linkpass/internal/config"
 	"linkpass/internal/config/restriction"
-	"linkpass/internal/control/seal"
 	"linkpass/internal/counters"
 	"linkpass/internal/endpoints"
 	"linkpass/internal/goldentest"
@@ -28,30 +28,30 @@
 // The values of the API with every field set, each of its own value.
 var (
 	goldenStatus = Status{Name: "n1", Program: "v1.2.3", PID: 4711, State: "serving", UptimeS: 12.5, Core: "ok", InFlight: 3,
-		Attempts: 4, Known: 80, Avoided: 2, Classes: []ClassStatus{{Name: "team-lookup", Served: 100, Refused: 5, Failed: 6}},
-		Bodies:  &BodyStatus{Held: 11, Shared: 12, Arriving: 13, Waiting: 14, Memory: 15, Files: 16, Disk: 17},
-		Layouts: []Layout{{Index: "players", Version: 21, Slices: 22, Plans: 23}},
+		Attempts: 4, ServersKnown: 80, ServersExcluded: 2, Classes: []ClassStatus{{Name: "team-lookup", Served: 100, Rejected: 5, Failed: 6}},
+		Bodies:    &BodyStatus{Stored: 11, Shared: 12, Arriving: 13, Waiting: 14, Memory: 15, Files: 16, Disk: 17},
+		ShardMaps: []ShardMapSummary{{Index: "players", Version: 21, Shards: 22, Plans: 23}},
 		Store: &StoreStatus{ID: "a", Leader: "b", Revision: 31,
 			Members: []StoreMember{{ID: "b", Raft: "127.0.0.1:9300", HTTP: "127.0.0.1:9200", Leader: true}}},
-		Fronts: []string{"127.0.0.1:8080"}, Operator: "127.0.0.1:8090", ResidentKB: 41}
-	goldenServers = []Server{{Name: "s-1", State: "draining", Avoided: "slow", Out: 2, MedianMS: 1.25,
-		Health: map[string]float64{"league-table": 0.5, "team-lookup": 1}, Cold: true, LostInRow: 3}}
+		Fronts: []string{"127.0.0.1:8080"}, AdminListen: "127.0.0.1:8090", ResidentKB: 41}
+	goldenServers = []Server{{Name: "s-1", State: "draining", Excluded: "slow", InFlight: 2, MedianMS: 1.25,
+		Health: map[string]float64{"league-table": 0.5, "team-lookup": 1}, WarmingUp: true, ConsecutiveProbeLosses: 3}}
 	goldenSlice  = shardmap.Shard{ID: shardmap.FirstDynamicID, Range: shardmap.Range{First: 1, Last: 0xff}, Epoch: 51, Replicas: []string{"s-1", "s-2"}}
-	goldenLayout = []IndexLayout{{Index: "players", Version: 52, Total: 53, Slices: []shardmap.Shard{goldenSlice},
+	goldenLayout = []IndexShardMap{{Index: "players", Version: 52, Total: 53, Shards: []shardmap.Shard{goldenSlice},
 		Plans: []shardmap.Plan{{ID: 54, Kind: shardmap.Split, Step: shardmap.Abandoned, From: []shardmap.Shard{goldenSlice},
 			To:      []shardmap.Shard{{ID: shardmap.FirstDynamicID + 1, Range: shardmap.Range{First: 2, Last: 0x7f}, Epoch: 55, Replicas: []string{"s-3"}}},
 			Version: 56, Reason: "ordered"}}}}
 	goldenOrder  = restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: "a", Incarnation: 61}, Seq: 62}, Server: "s-1", Level: restriction.Draining, Force: true}
 	goldenSpec   = config.ServerSpec{Addr: "127.0.0.1:7001", Zone: "z1", Kind: "large", Cell: 2}
-	goldenAgreed = Agreed{Version: 71, Hash: "c0ffee",
+	goldenAgreed = ReplicatedState{Version: 71, Hash: "c0ffee",
 		Servers: map[string]config.Server{"s-1": {Version: 72, Spec: &goldenSpec, Weight: 0.75, Restriction: restriction.Draining}},
-		Removed: []string{"s-9"}, Unsettled: []restriction.Request{goldenOrder},
-		Withdrawn: []config.RejectedRestriction{{Request: goldenOrder, Reason: config.NoReplicaLeft, Version: 73}}}
-	goldenServerOrder = ServerOrder{Server: "s-1", Verb: "add", Force: true, Weight: 0.75, Spec: &goldenSpec, If: 81, Client: "cli-1", Seq: 82}
-	goldenOrdered     = Ordered{Holds: "everywhere", Order: "a.61.62", Version: 83, Bare: []string{"slice 3"}}
-	goldenMemberOrder = MemberOrder{Verb: "join", ID: "c", Raft: "127.0.0.1:9302", HTTP: "127.0.0.1:9202"}
+		Removed: []string{"s-9"}, Pending: []restriction.Request{goldenOrder},
+		Rejected: []config.RejectedRestriction{{Request: goldenOrder, Reason: config.NoReplicaLeft, Version: 73}}}
+	goldenServerOrder = ServerRequest{Server: "s-1", Action: "add", Force: true, Weight: 0.75, Spec: &goldenSpec, ExpectedVersion: 81, ClientID: "cli-1", Seq: 82}
+	goldenOrdered     = ServerResponse{Scope: "everywhere", RestrictionID: "a.61.62", Version: 83, UncoveredShards: []string{"slice 3"}}
+	goldenMemberOrder = MemberRequest{Action: "join", ID: "c", Raft: "127.0.0.1:9302", HTTP: "127.0.0.1:9202"}
 	goldenSettings    = []Setting{{Key: "reshape.moves", Value: "4", Source: "default"}}
-	goldenReloaded    = Reloaded{Held: []string{"reshape.moves"}, Waiting: []string{"listen"}, Replicated: []string{"indices.players.class"}}
+	goldenReloaded    = ReloadResult{Applied: []string{"reshape.moves"}, NeedsRestart: []string{"listen"}, Replicated: []string{"indices.players.class"}}
 	goldenDocument    = `{"revision":9,"search":{"max_result_window":50},"indices":{"players":{"class":"team-lookup","slices":[0,1]}}}`
 	goldenBackup      = Backup{Format: 1, Taken: time.Date(2026, 12, 2, 5, 0, 0, 123, time.UTC), Revision: 9,
 		Sum: sum([]byte(goldenDocument)), Document: json.RawMessage(goldenDocument)}
@@ -74,9 +74,9 @@
 // The optional fields are left out where they have no value, and the others are not.
 func TestAdminBodiesWithoutOptionalFieldsGolden(t *testing.T) {
 	for file, value := range map[string]any{
-		"empty_status.json": Status{}, "empty_server.json": Server{}, "empty_layout.json": IndexLayout{}, "empty_agreed.json": Agreed{},
-		"empty_server_order.json": ServerOrder{}, "empty_ordered.json": Ordered{}, "empty_member_order.json": MemberOrder{},
-		"empty_setting.json": Setting{}, "empty_reloaded.json": Reloaded{}, "empty_store_status.json": StoreStatus{},
+		"empty_status.json": Status{}, "empty_server.json": Server{}, "empty_layout.json": IndexShardMap{}, "empty_agreed.json": ReplicatedState{},
+		"empty_server_order.json": ServerRequest{}, "empty_ordered.json": ServerResponse{}, "empty_member_order.json": MemberRequest{},
+		"empty_setting.json": Setting{}, "empty_reloaded.json": ReloadResult{}, "empty_store_status.json": StoreStatus{},
 	} {
 		t.Run(file, func(t *testing.T) { goldentest.Encodes(t, file, value) })
 	}
@@ -85,32 +85,32 @@
 // fixedCoordinator answers with the golden values and keeps the orders that it was given.
 type fixedCoordinator struct {
 	err    error
-	server ServerOrder
-	member MemberOrder
+	server ServerRequest
+	member MemberRequest
 	store  *store.Store
 }
 
-func (*fixedCoordinator) Status() Status               { return goldenStatus }
-func (c *fixedCoordinator) Servers() ([]Server, error) { return goldenServers, c.err }
-func (*fixedCoordinator) Drain() string                { return "drained" }
-func (*fixedCoordinator) Activate() string             { return "serving" }
-func (*fixedCoordinator) Settings() []Setting          { return goldenSettings }
-func (*fixedCoordinator) Layouts() []IndexLayout       { return goldenLayout }
-func (c *fixedCoordinator) Agreed() (Agreed, error)    { return goldenAgreed, c.err }
-func (c *fixedCoordinator) Reload() (Reloaded, error)  { return goldenReloaded, c.err }
-func (c *fixedCoordinator) Store() *store.Store        { return c.store }
+func (*fixedCoordinator) Status() Status                              { return goldenStatus }
+func (c *fixedCoordinator) Servers() ([]Server, error)                { return goldenServers, c.err }
+func (*fixedCoordinator) Drain() string                               { return "drained" }
+func (*fixedCoordinator) Activate() string                            { return "serving" }
+func (*fixedCoordinator) Settings() []Setting                         { return goldenSettings }
+func (*fixedCoordinator) ShardMaps() []IndexShardMap                  { return goldenLayout }
+func (c *fixedCoordinator) ReplicatedState() (ReplicatedState, error) { return goldenAgreed, c.err }
+func (c *fixedCoordinator) Reload() (ReloadResult, error)             { return goldenReloaded, c.err }
+func (c *fixedCoordinator) Store() *store.Store                       { return c.store }
 func (*fixedCoordinator) Search() http1.Handler {
 	return http1.HandlerFunc(func(_ context.Context, _ time.Duration, req *http1.Request) *http1.Response {
 		return &http1.Response{Status: 200, Body: []byte(req.Method + " " + req.Path + "?" + req.Query + " " + string(req.Body))}
 	})
 }
 
-func (c *fixedCoordinator) MemberOrder(o MemberOrder) error {
+func (c *fixedCoordinator) ChangeMember(o MemberRequest) error {
 	c.member = o
 	return c.err
 }
 
-func (c *fixedCoordinator) ServerOrder(o ServerOrder) (Ordered, error) {
+func (c *fixedCoordinator) ChangeServer(o ServerRequest) (ServerResponse, error) {
 	c.server = o
 	return goldenOrdered, c.err
 }
@@ -223,7 +223,7 @@
 	}{
 		{"GET", "/v2/status", "", nil, 404}, {"GET", "/v1/none", "", nil, 404}, {"POST", "/v1/status", "", nil, 404},
 		{"PUT", "/v1/servers/order", "[", nil, 400}, {"PUT", "/v1/store/members", "[", nil, 400},
-		{"GET", "/v1/servers", "", ErrBusy, 503}, {"PUT", "/v1/config/reload", "", ErrNoStore, 409},
+		{"GET", "/v1/servers", "", ErrCoreBusy, 503}, {"PUT", "/v1/config/reload", "", ErrNoStore, 409},
 		{"GET", "/v1/store/document", "", nil, 409}, {"GET", "/v1/store/backup", "", nil, 409}, {"PUT", "/v1/store/document", "{}", nil, 409},
 	} {
 		t.Run(fmt.Sprint(c.method, " ", c.target, " ", c.status), func(t *testing.T) {
@@ -288,7 +288,7 @@
 		t.Errorf("restore: status %d", res.Status)
 	}
 	goldentest.Bytes(t, "restore_response.json", res.Body)
-	doc, err := OpenBackup(goldentest.Read(t, "backup.json"))
+	doc, err := ReadBackup(goldentest.Read(t, "backup.json"))
 	if err != nil || !reflect.DeepEqual(doc, initial) {
 		t.Errorf("the golden backup is %+v, %v; want %+v", doc, err, initial)
 	}
@@ -342,13 +342,13 @@
 	}{
 		{"status", "client_status.http", "status_response.json", func(c *Client) (any, error) { return c.Status() }, goldenStatus},
 		{"servers", "client_servers.http", "servers_response.json", func(c *Client) (any, error) { return c.Servers() }, goldenServers},
-		{"layouts", "client_layouts.http", "layouts_response.json", func(c *Client) (any, error) { return c.Layouts() }, goldenLayout},
+		{"layouts", "client_layouts.http", "layouts_response.json", func(c *Client) (any, error) { return c.ShardMaps() }, goldenLayout},
 		{"server order", "client_server_order.http", "server_order_response.json", func(c *Client) (any, error) {
 			body, err := json.Marshal(goldenServerOrder)
 			if err != nil {
 				return nil, err
 			}
-			var out Ordered
+			var out ServerResponse
 			return &out, c.Call("PUT", "/servers/order", body, &out)
 		}, &goldenOrdered},
 	} {
@@ -380,7 +380,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := exchange(t, &c.res, func(client *Client) error { return client.Call("GET", "/status", nil, nil) })
-			var refused *Refused
+			var refused *ResponseError
 			if !errors.As(err, &refused) || refused.Status != c.res.Status || refused.Reason != c.reason {
 				t.Errorf("got %#v", err)
 			}
@@ -396,9 +396,9 @@
 	if err != nil || len(header) != 1 {
 		t.Fatalf("%v, %v", header, err)
 	}
-	v := seal.NewVerifier(seal.Ring{"ops-1": key}, time.Minute, at)
-	sealed := &Sealed{Handler: Handler{&fixedCoordinator{store: &store.Store{}}}, Counters: counters.New(),
-		Check: func(header string, c seal.Call) error { _, err := v.Check(at, header, c); return err }}
+	v := signature.NewVerifier(signature.Ring{"ops-1": key}, time.Minute, at)
+	sealed := &SignedHandler{Handler: Handler{&fixedCoordinator{store: &store.Store{}}}, Counters: counters.New(),
+		Check: func(header string, c signature.Call) error { _, err := v.Check(at, header, c); return err }}
 	req := &http1.Request{Method: "PUT", Path: "/v1/store/document", Query: "check=true", Header: header, Body: []byte("body")}
 	if res := sealed.Serve(context.Background(), 0, req); res.Status != 400 { // let in: the body is no backup
 		t.Errorf("status %d %s", res.Status, res.Body)
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -13,8 +13,8 @@
 
 	"github.com/alecthomas/kong"
 
-	"linkpass/internal/control"
-	"linkpass/internal/control/seal"
+	"linkpass/internal/adminapi"
+	"linkpass/internal/adminapi/signature"
 	"linkpass/internal/daemon"
 	"linkpass/internal/launch"
 )
@@ -81,7 +81,7 @@
 
 // Run lets the running coordinator read its files again.
 func (configReload) Run(e *env) error {
-	var told control.Reloaded
+	var told adminapi.ReloadResult
 	if err := e.client.Call("PUT", "/config/reload", nil, &told); err != nil {
 		return err
 	}
@@ -92,8 +92,8 @@
 				fmt.Fprintf(w, "%s\t%s\n", k, how)
 			}
 		}
-		list("now", told.Held)
-		list("with the next start", told.Waiting)
+		list("now", told.Applied)
+		list("with the next start", told.NeedsRestart)
 		list("never: the store says", told.Replicated)
 	})
 }
@@ -108,7 +108,7 @@
 	if _, err := rand.Read(key); err != nil {
 		return fmt.Errorf("a fresh key: %w", err)
 	}
-	if err := (seal.Ring{c.ID: key}).Check(); err != nil {
+	if err := (signature.Ring{c.ID: key}).Check(); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintf(e.out, "%q = %q\n", c.ID, hex.EncodeToString(key))
@@ -147,7 +147,7 @@
 
 // Run shows the settings of the running coordinator.
 func (c configShow) Run(e *env) error {
-	var all, list []control.Setting
+	var all, list []adminapi.Setting
 	if err := e.client.Call("GET", "/config", nil, &all); err != nil {
 		return err
 	}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -13,7 +13,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"linkpass/internal/control"
+	"linkpass/internal/adminapi"
 	"linkpass/internal/daemon"
 	"linkpass/internal/launch"
 )
@@ -76,7 +76,7 @@
 	out    *output
 	err    io.Writer
 	cli    *commands
-	client *control.Client
+	client *adminapi.Client
 	app    *kong.Kong
 }
 
@@ -110,8 +110,8 @@
 }
 
 // client is who asks the coordinator that the command line names.
-func (c *commands) client() (*control.Client, error) {
-	client := &control.Client{Socket: c.Socket, Address: c.Address, Limit: c.Timeout}
+func (c *commands) client() (*adminapi.Client, error) {
+	client := &adminapi.Client{Socket: c.Socket, Address: c.Address, Limit: c.Timeout}
 	if c.Address == "" {
 		return client, nil
 	}
@@ -135,7 +135,7 @@
 	switch {
 	case err == nil, e.out.closed: // whoever read has read enough
 		return Done
-	case errors.Is(err, control.ErrNobody):
+	case errors.Is(err, adminapi.ErrUnreachable):
 		fmt.Fprintln(e.err, "linkpass:", err)
 		return Nobody
 	case errors.Is(err, errTimedOut):
@@ -188,7 +188,7 @@
 
 // Run prints the version.
 func (versionCommand) Run(e *env) error {
-	return e.show(map[string]string{"program": daemon.ProgramVersion(), "api": control.Version}, func(w io.Writer) {
-		fmt.Fprintf(w, "linkpass %s, operators' API %s\n", daemon.ProgramVersion(), control.Version)
+	return e.show(map[string]string{"program": daemon.ProgramVersion(), "api": adminapi.Version}, func(w io.Writer) {
+		fmt.Fprintf(w, "linkpass %s, operators' API %s\n", daemon.ProgramVersion(), adminapi.Version)
 	})
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -15,8 +15,8 @@
 
 	"github.com/rogpeppe/go-internal/testscript"
 
-	"linkpass/internal/control"
-	"linkpass/internal/control/seal"
+	"linkpass/internal/adminapi"
+	"linkpass/internal/adminapi/signature"
 	"linkpass/internal/daemon"
 	"linkpass/internal/event"
 	"linkpass/internal/http1"
@@ -103,7 +103,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	clients := []*control.Client{{Socket: d.Socket, Limit: 5 * time.Second}, {Address: d.Operator, KeyID: "demo", Key: ring["demo"], Limit: 5 * time.Second}}
+	clients := []*adminapi.Client{{Socket: d.Socket, Limit: 5 * time.Second}, {Address: d.Operator, KeyID: "demo", Key: ring["demo"], Limit: 5 * time.Second}}
 	var wg sync.WaitGroup
 	for i, c := range clients {
 		wg.Go(func() {
@@ -125,7 +125,7 @@
 			t.Fatal(err)
 		}
 	}
-	var s control.Status
+	var s adminapi.Status
 	if err := clients[0].Call("GET", "/status", nil, &s); err != nil || s.State != "serving" {
 		t.Errorf("%v %v", s.State, err)
 	}
@@ -138,15 +138,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &control.Client{Address: d.Operator, KeyID: "demo", Key: ring["demo"], Limit: 5 * time.Second}
+	c := &adminapi.Client{Address: d.Operator, KeyID: "demo", Key: ring["demo"], Limit: 5 * time.Second}
 	for _, off := range []time.Duration{time.Minute, -time.Minute} {
 		c.Now = func() time.Time { return time.Now().Add(off) }
-		var no *control.Refused
+		var no *adminapi.ResponseError
 		if err := c.Call("PUT", "/drain", nil, nil); !errors.As(err, &no) || no.Status != 401 || !strings.Contains(no.Reason, "set the clocks") {
 			t.Errorf("off by %s: %v", off, err)
 		}
 	}
-	signed := seal.Sign("demo", ring["demo"], seal.Call{Method: "PUT", Target: "/v1/drain"}, time.Now(), "once")
+	signed := signature.Sign("demo", ring["demo"], signature.Call{Method: "PUT", Target: "/v1/drain"}, time.Now(), "once")
 	for i, want := range []int{200, 401} {
 		nc, err := net.Dial("tcp", d.Operator)
 		if err != nil {
--- a/internal/cli/look.go
+++ b/internal/cli/look.go
@@ -11,7 +11,7 @@
 
 	"golang.org/x/term"
 
-	"linkpass/internal/control"
+	"linkpass/internal/adminapi"
 )
 
 type statusCommand struct{}
@@ -25,7 +25,7 @@
 	return e.show(s, func(w io.Writer) { statusRows(w, s) })
 }
 
-func statusRows(w io.Writer, s control.Status) {
+func statusRows(w io.Writer, s adminapi.Status) {
 	fmt.Fprintf(w, "name\t%s\nprogram\t%s, pid %d\nstate\t%s, up %s\n", s.Name, s.Program, s.PID, s.State,
 		(time.Duration(s.UptimeS) * time.Second).String())
 	if s.Core != "ok" {
@@ -33,14 +33,14 @@
 	}
 	fmt.Fprintf(w, "queries\t%d open\n", s.InFlight)
 	for _, c := range s.Classes {
-		fmt.Fprintf(w, "  %s\t%d served, %d refused, %d failed\n", c.Name, c.Served, c.Refused, c.Failed)
+		fmt.Fprintf(w, "  %s\t%d served, %d refused, %d failed\n", c.Name, c.Served, c.Rejected, c.Failed)
 	}
-	fmt.Fprintf(w, "servers\t%d, %d of them avoided\n", s.Known, s.Avoided)
-	for _, l := range s.Layouts {
-		fmt.Fprintf(w, "index %s\t%d slices, version %d, %d plans open\n", l.Index, l.Slices, l.Version, l.Plans)
+	fmt.Fprintf(w, "servers\t%d, %d of them avoided\n", s.ServersKnown, s.ServersExcluded)
+	for _, l := range s.ShardMaps {
+		fmt.Fprintf(w, "index %s\t%d slices, version %d, %d plans open\n", l.Index, l.Shards, l.Version, l.Plans)
 	}
 	if b := s.Bodies; b != nil {
-		fmt.Fprintf(w, "bodies\t%d, %s in memory, %s in files\n", b.Held, size(b.Memory), size(b.Files))
+		fmt.Fprintf(w, "bodies\t%d, %s in memory, %s in files\n", b.Stored, size(b.Memory), size(b.Files))
 	}
 	if st := s.Store; st != nil {
 		fmt.Fprintf(w, "store\t%s of %d, leader %s, revision %d\n", st.ID, len(st.Members), orNone(st.Leader), st.Revision)
@@ -86,7 +86,7 @@
 	return e.show(list, func(w io.Writer) { serverRows(w, list) })
 }
 
-func serverRows(w io.Writer, list []control.Server) {
+func serverRows(w io.Writer, list []adminapi.Server) {
 	fmt.Fprintln(w, "SERVER\tSTATE\tOUT\tMEDIAN\tHEALTH\tNOTES")
 	for _, s := range list {
 		worst := 1.0
@@ -94,16 +94,16 @@
 			worst = min(worst, h)
 		}
 		var notes []string
-		if s.Avoided != "" {
-			notes = append(notes, s.Avoided)
+		if s.Excluded != "" {
+			notes = append(notes, s.Excluded)
 		}
-		if s.Cold {
+		if s.WarmingUp {
 			notes = append(notes, "cold")
 		}
-		if s.LostInRow > 0 {
-			notes = append(notes, fmt.Sprintf("%d probes lost", s.LostInRow))
+		if s.ConsecutiveProbeLosses > 0 {
+			notes = append(notes, fmt.Sprintf("%d probes lost", s.ConsecutiveProbeLosses))
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%.1f ms\t%.2f\t%s\n", s.Name, s.State, s.Out, s.MedianMS, worst, strings.Join(notes, ", "))
+		fmt.Fprintf(w, "%s\t%s\t%d\t%.1f ms\t%.2f\t%s\n", s.Name, s.State, s.InFlight, s.MedianMS, worst, strings.Join(notes, ", "))
 	}
 }
 
@@ -121,7 +121,7 @@
 	b := *s.Bodies
 	return e.show(b, func(w io.Writer) {
 		fmt.Fprintf(w, "held\t%d\nshared by further queries\t%d\narriving\t%d\nwith a part to be written\t%d\nin memory\t%s\nin files\t%s\non disk\t%s\n",
-			b.Held, b.Shared, b.Arriving, b.Waiting, size(b.Memory), size(b.Files), size(b.Disk))
+			b.Stored, b.Shared, b.Arriving, b.Waiting, size(b.Memory), size(b.Files), size(b.Disk))
 	})
 }
 
@@ -175,7 +175,7 @@
 	if f, ok := e.out.Writer.(*os.File); ok {
 		terminal = term.IsTerminal(int(f.Fd()))
 	}
-	var last control.Status
+	var last adminapi.Status
 	var at time.Time
 	for i := 0; c.Count == 0 || i < c.Count; i++ {
 		if i > 0 {
@@ -200,26 +200,26 @@
 }
 
 // frame words one look: rates since the last one, servers by how much is out.
-func (e *env) frame(w io.Writer, s, last control.Status, since time.Duration, rates bool) {
+func (e *env) frame(w io.Writer, s, last adminapi.Status, since time.Duration, rates bool) {
 	fmt.Fprintf(w, "%s  %s  %s  core %s  %d open  %s resident\n", time.Now().Format(time.TimeOnly), s.Name, s.State, s.Core, s.InFlight, size(s.ResidentKB<<10))
-	before := map[string]control.ClassStatus{}
+	before := map[string]adminapi.ClassStatus{}
 	for _, c := range last.Classes {
 		before[c.Name] = c
 	}
 	for _, c := range s.Classes {
 		if !rates {
-			fmt.Fprintf(w, "%-14s %8d served %8d refused %8d failed\n", c.Name, c.Served, c.Refused, c.Failed)
+			fmt.Fprintf(w, "%-14s %8d served %8d refused %8d failed\n", c.Name, c.Served, c.Rejected, c.Failed)
 			continue
 		}
 		b, per := before[c.Name], max(0.001, since.Seconds())
 		fmt.Fprintf(w, "%-14s %8.1f/s served %6.1f/s refused %6.1f/s failed\n", c.Name, float64(c.Served-b.Served)/per,
-			float64(c.Refused-b.Refused)/per, float64(c.Failed-b.Failed)/per)
+			float64(c.Rejected-b.Rejected)/per, float64(c.Failed-b.Failed)/per)
 	}
-	for _, l := range s.Layouts {
-		fmt.Fprintf(w, "index %-10s v%d  %d slices  %d plans\n", l.Index, l.Version, l.Slices, l.Plans)
+	for _, l := range s.ShardMaps {
+		fmt.Fprintf(w, "index %-10s v%d  %d slices  %d plans\n", l.Index, l.Version, l.Shards, l.Plans)
 	}
 	if b := s.Bodies; b != nil {
-		fmt.Fprintf(w, "bodies %d  memory %s  files %s\n", b.Held, size(b.Memory), size(b.Files))
+		fmt.Fprintf(w, "bodies %d  memory %s  files %s\n", b.Stored, size(b.Memory), size(b.Files))
 	}
 	if st := s.Store; st != nil {
 		fmt.Fprintf(w, "store %s  leader %s  revision %d\n", st.ID, orNone(st.Leader), st.Revision)
@@ -229,13 +229,13 @@
 		fmt.Fprintf(w, "servers: %v\n", err)
 		return
 	}
-	slices.SortStableFunc(list, func(a, b control.Server) int { return b.Out - a.Out })
+	slices.SortStableFunc(list, func(a, b adminapi.Server) int { return b.InFlight - a.InFlight })
 	for _, v := range list {
 		health := ""
 		for _, name := range slices.Sorted(maps.Keys(v.Health)) {
 			health += fmt.Sprintf(" %.2f", v.Health[name])
 		}
-		fmt.Fprintf(w, "%-14s %3d out %7.1f ms  health%s  %s\n", v.Name, v.Out, v.MedianMS, health, v.Avoided)
+		fmt.Fprintf(w, "%-14s %3d out %7.1f ms  health%s  %s\n", v.Name, v.InFlight, v.MedianMS, health, v.Excluded)
 	}
 }
 
--- a/internal/cli/servers.go
+++ b/internal/cli/servers.go
@@ -9,15 +9,15 @@
 
 	"github.com/alecthomas/kong"
 
+	"linkpass/internal/adminapi"
 	"linkpass/internal/config"
-	"linkpass/internal/control"
 )
 
 type agreedCommand struct{}
 
 // Run shows what is agreed.
 func (agreedCommand) Run(e *env) error {
-	var a control.Agreed
+	var a adminapi.ReplicatedState
 	if err := e.client.Call("GET", "/servers/agreed", nil, &a); err != nil {
 		return err
 	}
@@ -33,10 +33,10 @@
 		for _, id := range a.Removed {
 			fmt.Fprintf(w, "%s\tremoved\n", id)
 		}
-		for _, o := range a.Unsettled {
+		for _, o := range a.Pending {
 			fmt.Fprintf(w, "%s\t%s here, not settled (order %s)\n", o.Server, o.Level, o.ID)
 		}
-		for _, o := range a.Withdrawn {
+		for _, o := range a.Rejected {
 			fmt.Fprintf(w, "%s\t%s withdrawn (order %s): %s\n", o.Request.Server, o.Request.Level, o.Request.ID, o.Reason)
 		}
 	})
@@ -50,7 +50,7 @@
 
 // Run gives the order that the command is named after.
 func (c orderCommand) Run(e *env, ctx *kong.Context) error {
-	return e.order(control.ServerOrder{Server: c.Server, Verb: ctx.Selected().Name, Force: c.Force, If: c.If})
+	return e.order(adminapi.ServerRequest{Server: c.Server, Action: ctx.Selected().Name, Force: c.Force, ExpectedVersion: c.If})
 }
 
 type weightCommand struct {
@@ -60,7 +60,7 @@
 
 // Run sets a weight.
 func (c weightCommand) Run(e *env) error {
-	return e.order(control.ServerOrder{Server: c.Server, Verb: "weight", Weight: c.Weight})
+	return e.order(adminapi.ServerRequest{Server: c.Server, Action: "weight", Weight: c.Weight})
 }
 
 type addCommand struct {
@@ -74,26 +74,26 @@
 
 // Run adds a server, or changes one that was added.
 func (c addCommand) Run(e *env) error {
-	o := control.ServerOrder{Server: c.Server, Verb: "add", Spec: &config.ServerSpec{Addr: c.Addr, Zone: c.Zone, Kind: c.Kind, Cell: c.Cell}}
+	o := adminapi.ServerRequest{Server: c.Server, Action: "add", Spec: &config.ServerSpec{Addr: c.Addr, Zone: c.Zone, Kind: c.Kind, Cell: c.Cell}}
 	if c.Change {
-		o.Verb = "change"
+		o.Action = "change"
 	}
 	return e.order(o)
 }
 
 // order gives an order and says where it holds.
-func (e *env) order(o control.ServerOrder) error {
+func (e *env) order(o adminapi.ServerRequest) error {
 	body, err := json.Marshal(o)
 	if err != nil {
 		return fmt.Errorf("order: %w", err)
 	}
-	var told control.Ordered
+	var told adminapi.ServerResponse
 	if err := e.client.Call("PUT", "/servers/order", body, &told); err != nil {
 		return err
 	}
 	return e.show(told, func(w io.Writer) {
-		fmt.Fprintf(w, "%s of %s holds %s\n", o.Verb, o.Server, told.Holds)
-		for _, s := range told.Bare {
+		fmt.Fprintf(w, "%s of %s holds %s\n", o.Action, o.Server, told.Scope)
+		for _, s := range told.UncoveredShards {
 			fmt.Fprintf(w, "left without a holder in service: %s\n", s)
 		}
 	})
--- a/internal/cli/store.go
+++ b/internal/cli/store.go
@@ -14,7 +14,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"linkpass/internal/control"
+	"linkpass/internal/adminapi"
 	"linkpass/internal/daemon"
 	"linkpass/internal/store"
 )
@@ -81,7 +81,7 @@
 
 // Run lets an instance learn.
 func (c storeJoin) Run(e *env) error {
-	return e.member(control.MemberOrder{Verb: "join", ID: c.ID, Raft: c.Raft, HTTP: c.HTTP})
+	return e.member(adminapi.MemberRequest{Action: "join", ID: c.ID, Raft: c.Raft, HTTP: c.HTTP})
 }
 
 type storeMember struct {
@@ -90,10 +90,10 @@
 
 // Run gives the order that the command is named after.
 func (c storeMember) Run(e *env, ctx *kong.Context) error {
-	return e.member(control.MemberOrder{Verb: ctx.Selected().Name, ID: c.ID})
+	return e.member(adminapi.MemberRequest{Action: ctx.Selected().Name, ID: c.ID})
 }
 
-func (e *env) member(o control.MemberOrder) error {
+func (e *env) member(o adminapi.MemberRequest) error {
 	body, err := json.Marshal(o)
 	if err != nil {
 		return fmt.Errorf("order: %w", err)
@@ -101,7 +101,7 @@
 	if err := e.client.Call("PUT", "/store/members", body, nil); err != nil {
 		return err
 	}
-	return e.show(o, func(w io.Writer) { fmt.Fprintf(w, "%s of %s is done\n", o.Verb, o.ID) })
+	return e.show(o, func(w io.Writer) { fmt.Fprintf(w, "%s of %s is done\n", o.Action, o.ID) })
 }
 
 type storeRecover struct {
@@ -207,10 +207,10 @@
 		if err != nil {
 			return fmt.Errorf("diff: %w", err)
 		}
-		if _, err := control.OpenBackup(data); err != nil {
+		if _, err := adminapi.ReadBackup(data); err != nil {
 			return err
 		}
-		var b control.Backup
+		var b adminapi.Backup
 		if err := json.Unmarshal(data, &b); err != nil {
 			return fmt.Errorf("diff: %w", err)
 		}
@@ -273,10 +273,10 @@
 	if err != nil {
 		return err
 	}
-	if _, err := control.OpenBackup(data); err != nil { // what cannot be restored is no backup
+	if _, err := adminapi.ReadBackup(data); err != nil { // what cannot be restored is no backup
 		return err
 	}
-	var b control.Backup
+	var b adminapi.Backup
 	if err := json.Unmarshal(data, &b); err != nil {
 		return fmt.Errorf("backup: %w", err)
 	}
@@ -307,7 +307,7 @@
 	if err != nil {
 		return fmt.Errorf("restore: %w", err)
 	}
-	if _, err := control.OpenBackup(data); err != nil {
+	if _, err := adminapi.ReadBackup(data); err != nil {
 		return err
 	}
 	path := "/store/document"
--- a/internal/daemon/agree.go
+++ b/internal/daemon/agree.go
@@ -11,10 +11,10 @@
 	"strings"
 	"time"
 
+	"linkpass/internal/adminapi"
 	"linkpass/internal/config"
 	"linkpass/internal/config/restriction"
 	"linkpass/internal/config/rollback"
-	"linkpass/internal/control"
 	"linkpass/internal/coordinator"
 	"linkpass/internal/discovery"
 	"linkpass/internal/endpoints"
@@ -143,15 +143,15 @@
 
 const memberLimit = 2 * time.Second // for a learner to say how far it is, and for members to answer
 
-// MemberOrder changes the instances of the store.
-func (p *Program) MemberOrder(o control.MemberOrder) error {
+// ChangeMember changes the instances of the store.
+func (p *Program) ChangeMember(o adminapi.MemberRequest) error {
 	st := p.Store()
 	if st == nil {
-		return control.ErrNoStore
+		return adminapi.ErrNoStore
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), memberLimit)
 	defer cancel()
-	switch o.Verb {
+	switch o.Action {
 	case "join":
 		return st.AddLearner(store.Member{ID: o.ID, Raft: o.Raft, HTTP: o.HTTP})
 	case "promote":
@@ -168,7 +168,7 @@
 	case "leave":
 		return st.RemoveMember(ctx, o.ID)
 	}
-	return fmt.Errorf("%w: no such order: %.40q", store.ErrUnknownMember, o.Verb)
+	return fmt.Errorf("%w: no such order: %.40q", store.ErrUnknownMember, o.Action)
 }
 
 const maxOrdersBody = 64 << 10 // bytes of one call
@@ -219,43 +219,43 @@
 	return slices.ContainsFunc(members, func(m store.Member) bool { return m.ID == id })
 }
 
-// Agreed tells what is agreed of servers, and what is not settled yet.
-func (p *Program) Agreed() (out control.Agreed, err error) {
+// ReplicatedState tells what is agreed of servers, and what is not settled yet.
+func (p *Program) ReplicatedState() (out adminapi.ReplicatedState, err error) {
 	st := p.Store()
 	if st == nil {
-		return out, control.ErrNoStore
+		return out, adminapi.ErrNoStore
 	}
 	s := st.State()
 	out.Version, out.Servers = s.Version(), map[string]config.Server{}
 	for _, id := range s.ServerIDs() {
 		out.Servers[id], _ = s.Server(id)
 	}
-	out.Removed, out.Withdrawn, out.Unsettled = s.RemovedIDs(), s.RejectedRestrictions(), p.agreement.PendingRestrictions()
+	out.Removed, out.Rejected, out.Pending = s.RemovedIDs(), s.RejectedRestrictions(), p.agreement.PendingRestrictions()
 	if out.Hash, err = s.Hash(); err != nil {
 		return out, err
 	}
 	return out, nil
 }
 
-// ServerOrder does what an operator wants of a server. Drains and removals hold here at once and wait for nobody; all else
+// ChangeServer does what an operator wants of a server. Drains and removals hold here at once and wait for nobody; all else
 // holds once a majority has it.
-func (p *Program) ServerOrder(o control.ServerOrder) (out control.Ordered, err error) {
+func (p *Program) ChangeServer(o adminapi.ServerRequest) (out adminapi.ServerResponse, err error) {
 	st := p.Store()
 	if st == nil {
-		return out, control.ErrNoStore
+		return out, adminapi.ErrNoStore
 	}
-	c := config.Command{Server: o.Server, ClientID: o.Client, Seq: o.Seq, ExpectedVersion: o.If}
-	switch o.Verb {
+	c := config.Command{Server: o.Server, ClientID: o.ClientID, Seq: o.Seq, ExpectedVersion: o.ExpectedVersion}
+	switch o.Action {
 	case "drain", "remove":
 		kind := restriction.Draining
-		if o.Verb == "remove" {
+		if o.Action == "remove" {
 			kind = restriction.Removed
 		}
 		order, err := p.agreement.Restrict(o.Server, kind, o.Force)
 		if err != nil {
 			return out, err
 		}
-		return control.Ordered{Holds: "here, and wherever it is heard; the log settles it", Order: order.ID.String()}, nil
+		return adminapi.ServerResponse{Scope: "here, and wherever it is heard; the log settles it", RestrictionID: order.ID.String()}, nil
 	case "undrain":
 		c.Kind = config.UndrainServer
 		for _, open := range p.agreement.PendingRestrictions() {
@@ -264,7 +264,7 @@
 			}
 		}
 	case "add", "change":
-		if c.Kind = config.AddServer; o.Verb == "change" {
+		if c.Kind = config.AddServer; o.Action == "change" {
 			c.Kind = config.UpdateServer
 		}
 		c.Spec = o.Spec
@@ -274,7 +274,7 @@
 	case "weight":
 		c.Kind, c.Weight = config.SetServerWeight, o.Weight
 	default:
-		return out, &endpoints.RejectedError{Result: config.Result{Reason: config.Invalid, Detail: fmt.Sprintf("no such order: %.40q", o.Verb)}}
+		return out, &endpoints.RejectedError{Result: config.Result{Reason: config.Invalid, Detail: fmt.Sprintf("no such order: %.40q", o.Action)}}
 	}
 	r, err := st.Propose(c)
 	var other *store.NotLeader
@@ -283,5 +283,5 @@
 	} else if errors.As(err, &other) {
 		err = fmt.Errorf("%w; ask there", err)
 	}
-	return control.Ordered{Holds: "everywhere", Version: r.Version, Bare: r.UncoveredShards}, err
+	return adminapi.ServerResponse{Scope: "everywhere", Version: r.Version, UncoveredShards: r.UncoveredShards}, err
 }
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"linkpass"
-	"linkpass/internal/control"
+	"linkpass/internal/adminapi"
 	"linkpass/internal/coordinator"
 	"linkpass/internal/discovery"
 	"linkpass/internal/http1"
@@ -121,7 +121,7 @@
 // openControl takes what the API listens at.
 func (p *Program) openControl(add func(net.Listener, http1.Handler, int64)) error {
 	c := p.cfg.Search.Operator
-	handler := control.Handler{Coordinator: p}
+	handler := adminapi.Handler{Coordinator: p}
 	if c.Socket != "" {
 		ln, err := listenSocket(c.Socket)
 		if err != nil {
@@ -142,7 +142,7 @@
 		return err
 	}
 	p.controlAddr.Store(ln.Addr().String())
-	add(ln, &control.Sealed{Handler: handler, Check: p.keys.check, Counters: p.count}, sealedBody)
+	add(ln, &adminapi.SignedHandler{Handler: handler, Check: p.keys.check, Counters: p.count}, sealedBody)
 	return nil
 }
 
@@ -191,44 +191,44 @@
 }
 
 // Status tells how the coordinator stands. It waits for nobody but, for a while, the core.
-func (p *Program) Status() control.Status {
-	s := control.Status{Name: p.cfg.name, Program: ProgramVersion(), PID: os.Getpid(), State: p.gate.State().String(),
+func (p *Program) Status() adminapi.Status {
+	s := adminapi.Status{Name: p.cfg.name, Program: ProgramVersion(), PID: os.Getpid(), State: p.gate.State().String(),
 		UptimeS: time.Since(p.began).Seconds(), Core: "ok", InFlight: p.figures.InFlight.Load(), Attempts: p.figures.Attempts.Load(),
-		Known: p.figures.Known.Load(), Avoided: p.figures.Excluded.Load(), ResidentKB: residentKB()}
+		ServersKnown: p.figures.Known.Load(), ServersExcluded: p.figures.Excluded.Load(), ResidentKB: residentKB()}
 	if _, ok := p.core.Beliefs(coreLimit); !ok {
 		s.Core = "busy"
 	}
 	s.Classes = p.classStatus()
-	s.Operator, _ = p.controlAddr.Load().(string)
+	s.AdminListen, _ = p.controlAddr.Load().(string)
 	for _, a := range p.Addrs() {
 		s.Fronts = append(s.Fronts, a.String())
 	}
 	if p.bodies != nil {
 		f := p.bodies.Figures()
-		s.Bodies = &control.BodyStatus{Held: f.Bodies, Shared: f.Shared, Arriving: f.ArrivingBodies, Waiting: f.WaitingBodies,
+		s.Bodies = &adminapi.BodyStatus{Stored: f.Bodies, Shared: f.Shared, Arriving: f.ArrivingBodies, Waiting: f.WaitingBodies,
 			Memory: f.Memory, Files: f.Files, Disk: f.Disk}
 	}
 	c := (*p.current.Load())()
 	for name := range c.Indices {
 		if l := c.ShardMap(name); l != nil {
-			s.Layouts = append(s.Layouts, control.Layout{Index: name, Version: l.Version(), Slices: l.Len(), Plans: len(l.Plans())})
+			s.ShardMaps = append(s.ShardMaps, adminapi.ShardMapSummary{Index: name, Version: l.Version(), Shards: l.Len(), Plans: len(l.Plans())})
 		}
 	}
-	slices.SortFunc(s.Layouts, func(a, b control.Layout) int { return strings.Compare(a.Index, b.Index) })
+	slices.SortFunc(s.ShardMaps, func(a, b adminapi.ShardMapSummary) int { return strings.Compare(a.Index, b.Index) })
 	if st := p.Store(); st != nil {
-		s.Store = &control.StoreStatus{ID: st.ID(), Leader: st.Leader(), Revision: st.Settings().Revision}
+		s.Store = &adminapi.StoreStatus{ID: st.ID(), Leader: st.Leader(), Revision: st.Settings().Revision}
 		for _, m := range st.Members() {
-			s.Store.Members = append(s.Store.Members, control.StoreMember{ID: m.ID, Raft: m.Raft, HTTP: m.HTTP, Leader: m.ID == s.Store.Leader})
+			s.Store.Members = append(s.Store.Members, adminapi.StoreMember{ID: m.ID, Raft: m.Raft, HTTP: m.HTTP, Leader: m.ID == s.Store.Leader})
 		}
 	}
 	return s
 }
 
 // classStatus counts the final answers by class.
-func (p *Program) classStatus() (out []control.ClassStatus) {
+func (p *Program) classStatus() (out []adminapi.ClassStatus) {
 	for i, name := range p.figures.Classes {
-		out = append(out, control.ClassStatus{Name: name, Served: p.figures.Served[i].Load(),
-			Refused: p.figures.Refused[i].Load(), Failed: p.figures.Failed[i].Load()})
+		out = append(out, adminapi.ClassStatus{Name: name, Served: p.figures.Served[i].Load(),
+			Rejected: p.figures.Refused[i].Load(), Failed: p.figures.Failed[i].Load()})
 	}
 	return out
 }
@@ -248,47 +248,47 @@
 }
 
 // Servers tells what the module believes of the league servers.
-func (p *Program) Servers() ([]control.Server, error) {
+func (p *Program) Servers() ([]adminapi.Server, error) {
 	list, ok := p.core.Beliefs(coreLimit)
 	if !ok {
-		return nil, control.ErrBusy
+		return nil, adminapi.ErrCoreBusy
 	}
-	out := make([]control.Server, 0, len(list))
+	out := make([]adminapi.Server, 0, len(list))
 	for _, b := range list {
-		s := control.Server{Name: p.roster.name(b.Server), State: "in_service", Out: b.Out, MedianMS: float64(b.Median.Microseconds()) / 1000,
-			Cold: b.Cold, LostInRow: b.Lost, Health: map[string]float64{}}
+		s := adminapi.Server{Name: p.roster.name(b.Server), State: "in_service", InFlight: b.Out, MedianMS: float64(b.Median.Microseconds()) / 1000,
+			WarmingUp: b.Cold, ConsecutiveProbeLosses: b.Lost, Health: map[string]float64{}}
 		for i, h := range b.Health {
 			s.Health[p.figures.Classes[i]] = float64(int(h*1000+0.5)) / 1000
 		}
 		switch {
 		case b.State == linkpass.Draining:
-			s.State, s.Avoided = "draining", "drains"
+			s.State, s.Excluded = "draining", "drains"
 		case b.Down:
-			s.Avoided = "down"
+			s.Excluded = "down"
 		case b.Pause > 0:
-			s.Avoided = "full"
+			s.Excluded = "full"
 		}
 		out = append(out, s)
 	}
-	slices.SortFunc(out, func(a, b control.Server) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(out, func(a, b adminapi.Server) int { return strings.Compare(a.Name, b.Name) })
 	return out, nil
 }
 
-// Layouts tells of the indices whose slices can move, by name.
-func (p *Program) Layouts() []control.IndexLayout {
+// ShardMaps tells of the indices whose slices can move, by name.
+func (p *Program) ShardMaps() []adminapi.IndexShardMap {
 	c := (*p.current.Load())()
-	var out []control.IndexLayout
+	var out []adminapi.IndexShardMap
 	for _, name := range slices.Sorted(maps.Keys(c.Indices)) {
 		l := c.ShardMap(name)
 		if l == nil {
 			continue
 		}
-		in := control.IndexLayout{Index: name, Version: l.Version(), Total: l.Len(), Plans: l.Plans()}
+		in := adminapi.IndexShardMap{Index: name, Version: l.Version(), Total: l.Len(), Plans: l.Plans()}
 		l.ForEach(shardmap.FullRange, func(s shardmap.Shard) bool {
-			in.Slices = append(in.Slices, s)
-			return len(in.Slices) < control.MaxSlices
+			in.Shards = append(in.Shards, s)
+			return len(in.Shards) < adminapi.MaxShards
 		})
-		in.Plans = in.Plans[:min(len(in.Plans), control.MaxSlices)]
+		in.Plans = in.Plans[:min(len(in.Plans), adminapi.MaxShards)]
 		out = append(out, in)
 	}
 	return out
--- a/internal/daemon/effective.go
+++ b/internal/daemon/effective.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"linkpass/internal/control"
+	"linkpass/internal/adminapi"
 )
 
 // Check looks at what a start would look at, beyond each file by itself.
@@ -37,12 +37,12 @@
 }
 
 // Settings are the keys as they hold, and where each came from.
-func (p *Program) Settings() (out []control.Setting) {
+func (p *Program) Settings() (out []adminapi.Setting) {
 	p.mu.Lock()
 	c, processes := p.cfg, p.share.Processes
 	p.mu.Unlock()
 	add := func(key string, value any, source string) {
-		out = append(out, control.Setting{Key: key, Value: fmt.Sprint(value), Source: source})
+		out = append(out, adminapi.Setting{Key: key, Value: fmt.Sprint(value), Source: source})
 	}
 	add("platform.name", c.name, "platform")
 	add("platform.listen", c.listen, "platform")
@@ -57,7 +57,7 @@
 			add(key, v.Interface(), "file")
 		}
 	})
-	slices.SortFunc(out, func(a, b control.Setting) int { return strings.Compare(a.Key, b.Key) })
+	slices.SortFunc(out, func(a, b adminapi.Setting) int { return strings.Compare(a.Key, b.Key) })
 	return out
 }
 
--- a/internal/daemon/fronts.go
+++ b/internal/daemon/fronts.go
@@ -7,10 +7,10 @@
 	"os"
 	"strconv"
 
+	"linkpass/internal/admin"
 	"linkpass/internal/event"
 	"linkpass/internal/http1"
 	"linkpass/internal/opensearch"
-	"linkpass/internal/operator"
 	"linkpass/internal/parts"
 	"linkpass/internal/platform"
 	"linkpass/internal/searchconfig"
@@ -59,7 +59,7 @@
 func (p *Program) add(name string, ln net.Listener, h http1.Handler) *entrance {
 	server := &http1.Server{Name: name, Handler: h, Clock: p.core, Counters: p.count, MaxConns: p.clients}
 	p.lns, p.fronts = append(p.lns, ln), append(p.fronts, server)
-	p.gate.Follow(server)
+	p.gate.AddFront(server)
 	p.accepting.Add(1) // before it runs: the end waits for it
 	return &entrance{server, ln}
 }
@@ -130,8 +130,8 @@
 		if err != nil {
 			return err
 		}
-		p.door = &entrance{&http1.Server{Name: "operator", Handler: &operator.Door{Gate: &p.gate, Figures: p.figures}, Clock: p.core,
-			Counters: p.count, MaxConns: operator.MaxCallers}, ln}
+		p.door = &entrance{&http1.Server{Name: "operator", Handler: &admin.Handler{Readiness: &p.gate, Totals: p.figures}, Clock: p.core,
+			Counters: p.count, MaxConns: admin.MaxConns}, ln}
 		return nil
 	}, Run: func(ctx context.Context) {
 		if p.door != nil {
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -1,8 +1,6 @@
 package daemon
 
 import (
-	"bytes"
-	"flag"
 	"fmt"
 	"maps"
 	"os"
@@ -18,30 +16,17 @@
 
 	"linkpass"
 	"linkpass/internal/discovery"
+	"linkpass/internal/goldentest"
 	"linkpass/internal/searchconfig"
 	"linkpass/internal/settings"
 	"linkpass/internal/shardmap"
 	"linkpass/internal/store"
 )
 
-var update = flag.Bool("update", false, "write the golden lists of keys anew")
-
 // checkGolden compares lines with a golden file.
 func checkGolden(t *testing.T, file string, lines []string) {
 	t.Helper()
-	got, path := []byte(strings.Join(lines, "\n")+"\n"), filepath.Join("testdata", file)
-	if *update {
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s: got\n%swant\n%s", file, got, want)
-	}
+	goldentest.Bytes(t, filepath.Join("..", file), []byte(strings.Join(lines, "\n")+"\n"))
 }
 
 // leaves lists the keys of a decoded text with the types of their values, sorted.
--- a/internal/daemon/keyring.go
+++ b/internal/daemon/keyring.go
@@ -9,16 +9,16 @@
 
 	"github.com/BurntSushi/toml"
 
-	"linkpass/internal/control/seal"
+	"linkpass/internal/adminapi/signature"
 )
 
 // keyring checks the signed calls of the operators' API.
 type keyring struct {
 	mu       sync.Mutex
-	verifier *seal.Verifier // nil: nothing is let in
+	verifier *signature.Verifier // nil: nothing is let in
 }
 
-func (k *keyring) set(ring seal.Ring) {
+func (k *keyring) set(ring signature.Ring) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.verifier != nil {
@@ -26,18 +26,18 @@
 	}
 }
 
-func (k *keyring) open(ring seal.Ring, window time.Duration) {
+func (k *keyring) open(ring signature.Ring, window time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.verifier = seal.NewVerifier(ring, window, time.Now())
+	k.verifier = signature.NewVerifier(ring, window, time.Now())
 }
 
 // check lets a call in, or tells why not.
-func (k *keyring) check(header string, c seal.Call) error {
+func (k *keyring) check(header string, c signature.Call) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.verifier == nil {
-		return seal.ErrForged
+		return signature.ErrForged
 	}
 	_, err := k.verifier.Check(time.Now(), header, c)
 	return err
@@ -46,7 +46,7 @@
 const maxKeyFile = 64 << 10 // bytes
 
 // ReadKeys reads a file of keys: TOML, an id and a key in hexadecimal on each line. One that others may read is not taken.
-func ReadKeys(path string) (seal.Ring, error) {
+func ReadKeys(path string) (signature.Ring, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
@@ -61,7 +61,7 @@
 	if _, err := toml.DecodeFile(path, &texts); err != nil {
 		return nil, fmt.Errorf("keys %s: %w", path, err)
 	}
-	ring := seal.Ring{}
+	ring := signature.Ring{}
 	for id, text := range texts {
 		if ring[id], err = hex.DecodeString(text); err != nil {
 			return nil, fmt.Errorf("keys %s: key %.80q is not in hexadecimal", path, id)
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -9,8 +9,8 @@
 	"slices"
 	"strings"
 
-	"linkpass/internal/control"
-	"linkpass/internal/control/seal"
+	"linkpass/internal/adminapi"
+	"linkpass/internal/adminapi/signature"
 	"linkpass/internal/event"
 	"linkpass/internal/schema"
 	"linkpass/internal/searchconfig"
@@ -21,19 +21,19 @@
 // Reload reads the platform's configuration and the operators' file again while the program runs, and tells which keys
 // have taken hold and which wait for a start. A file that can't be used changes nothing: a coordinator must not end
 // over it.
-func (p *Program) Reload() (control.Reloaded, error) {
+func (p *Program) Reload() (adminapi.ReloadResult, error) {
 	p.reloading.Lock()
 	defer p.reloading.Unlock()
 	cfg, ring, err := p.readAgain()
 	if err != nil {
 		p.count.Add("config_bad", 1)
 		event.ConfigKept.Log(err)
-		return control.Reloaded{}, err
+		return adminapi.ReloadResult{}, err
 	}
 	p.mu.Lock()
 	if p.over {
 		p.mu.Unlock()
-		return control.Reloaded{}, errOver
+		return adminapi.ReloadResult{}, errOver
 	}
 	p.cfg.memoryMB = cfg.memoryMB
 	p.limitMemory()
@@ -50,12 +50,12 @@
 		event.KeysTaken.Log(len(ring))
 	}
 	p.count.Add("config_reloaded", 1)
-	event.ConfigReloaded.Log(cfg.fileDiscovery, strings.Join(told.Held, ","), strings.Join(told.Waiting, ","))
+	event.ConfigReloaded.Log(cfg.fileDiscovery, strings.Join(told.Applied, ","), strings.Join(told.NeedsRestart, ","))
 	return told, nil
 }
 
 // readAgain reads all files, and tells what is wrong with any.
-func (p *Program) readAgain() (cfg Config, ring seal.Ring, err error) {
+func (p *Program) readAgain() (cfg Config, ring signature.Ring, err error) {
 	env := p.cfg.env
 	if env == nil {
 		env = os.Getenv
@@ -82,7 +82,7 @@
 }
 
 // takeSearch lets those keys of a new operators' file take hold that can, and tells which. The lock is held.
-func (p *Program) takeSearch(next *Search) (told control.Reloaded) {
+func (p *Program) takeSearch(next *Search) (told adminapi.ReloadResult) {
 	now := &p.cfg.Search
 	waits := now.mustWait(next)
 	var held []schema.Value
@@ -91,18 +91,18 @@
 		case now.Store.ID != "" && replicated(c.Key):
 			told.Replicated = append(told.Replicated, c.Key)
 		case !c.Live || waits(c.Key):
-			told.Waiting = append(told.Waiting, c.Key)
+			told.NeedsRestart = append(told.NeedsRestart, c.Key)
 		default:
-			told.Held = append(told.Held, c.Key)
+			told.Applied = append(told.Applied, c.Key)
 		}
 	}
 	// What waits stays as it runs, and is told again with the next reload.
 	for _, v := range next.values {
-		if slices.Contains(told.Held, v.Name) {
+		if slices.Contains(told.Applied, v.Name) {
 			held = append(held, v)
 		}
 	}
-	kept := slices.DeleteFunc(slices.Clone(now.values), func(v schema.Value) bool { return slices.Contains(told.Held, v.Name) })
+	kept := slices.DeleteFunc(slices.Clone(now.values), func(v schema.Value) bool { return slices.Contains(told.Applied, v.Name) })
 	now.values = append(kept, held...)
 	p.pass(next)
 	return told
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"linkpass"
+	"linkpass/internal/admin"
 	"linkpass/internal/bodies"
 	"linkpass/internal/bodies/tier"
 	"linkpass/internal/coordinator"
@@ -27,7 +28,6 @@
 	"linkpass/internal/http1"
 	"linkpass/internal/link"
 	"linkpass/internal/opensearch"
-	"linkpass/internal/operator"
 	"linkpass/internal/parts"
 	"linkpass/internal/peer"
 	"linkpass/internal/reshardexec"
@@ -45,7 +45,7 @@
 
 	memoryShare    = 0.6 // of the limit is the collector's; the rest is for what it does not see
 	defaultSockets = 1024
-	ownSockets     = 24 + operator.MaxCallers // descriptors for the program itself: its streams, listeners, discovery, the store, the door
+	ownSockets     = 24 + admin.MaxConns // descriptors for the program itself: its streams, listeners, discovery, the store, the door
 	mailboxSize    = 1024
 )
 
@@ -66,7 +66,7 @@
 	roster     roster
 	began      time.Time
 	bodyLimits tier.Limits // of all processes together
-	gate       operator.Gate
+	gate       admin.Readiness
 	parts      *parts.List
 	fronts     []*http1.Server
 	lns        []net.Listener // of the fronts, in their order
@@ -233,7 +233,7 @@
 		case <-usable:
 			usable = nil
 			if !young {
-				p.gate.Open()
+				p.gate.MarkUsable()
 				break
 			}
 			// The other process serves meanwhile: this one joins it when it knows its servers.
@@ -241,7 +241,7 @@
 		case <-warm:
 			warm = nil
 			close(p.welcome)
-			p.gate.Open()
+			p.gate.MarkUsable()
 		case <-p.alone:
 			p.mu.Lock()
 			p.parts.OpenLate(func(name string, err error) {
@@ -394,7 +394,7 @@
 // the socket another process accepts on it, and this one stops at once. Elsewhere nobody
 // else would take what waits at the socket: it is closed only once that has been taken in.
 func (p *Program) stop() {
-	p.gate.End()
+	p.gate.Shutdown()
 	wait := grace
 	if p.cfg.listenFD != 0 {
 		wait = 0
--- a/internal/daemon/run_test.go
+++ b/internal/daemon/run_test.go
@@ -18,10 +18,10 @@
 	"time"
 
 	"linkpass"
-	"linkpass/internal/control"
+	"linkpass/internal/admin"
+	"linkpass/internal/adminapi"
 	"linkpass/internal/discovery"
 	"linkpass/internal/http1"
-	"linkpass/internal/operator"
 	"linkpass/internal/searchconfig"
 	"linkpass/internal/settings"
 	"linkpass/internal/store"
@@ -795,7 +795,7 @@
 func TestStatusBesideAFloodedDoor(t *testing.T) {
 	socket := filepath.Join(t.TempDir(), "api.sock")
 	b := newBench(t, 3, func(c *Config) { c.operator, c.Search.Operator.Socket = "127.0.0.1:0", socket })
-	for range 3 * operator.MaxCallers {
+	for range 3 * admin.MaxConns {
 		nc, err := net.Dial("tcp", b.p.door.ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -803,7 +803,7 @@
 		defer nc.Close()
 		_, _ = io.WriteString(nc, "GET /v1/rea") // those that had to make room already can't
 	}
-	if s, err := (&control.Client{Socket: socket, Limit: 10 * time.Second}).Status(); err != nil || s.State != "serving" {
+	if s, err := (&adminapi.Client{Socket: socket, Limit: 10 * time.Second}).Status(); err != nil || s.State != "serving" {
 		t.Errorf("%+v %v", s, err)
 	}
 	// A caller that has begun keeps its place for a second; then it gives way.
--- a/internal/daemon/wire_golden_test.go
+++ b/internal/daemon/wire_golden_test.go
@@ -15,10 +15,10 @@
 	"testing"
 	"time"
 
+	"linkpass/internal/adminapi"
 	"linkpass/internal/config"
 	"linkpass/internal/config/restriction"
 	"linkpass/internal/config/rollback"
-	"linkpass/internal/control"
 	"linkpass/internal/coordinator"
 	"linkpass/internal/counters"
 	"linkpass/internal/discovery"
@@ -292,7 +292,7 @@
 		shown := p.Settings()
 		if c := p.cfg.Search; c.path != "" {
 			// A bool that is true by default and false in the file is shown as its default, which is a fault: no golden form.
-			shown = slices.DeleteFunc(shown, func(s control.Setting) bool {
+			shown = slices.DeleteFunc(shown, func(s adminapi.Setting) bool {
 				return s.Key == "reshape.replan" || s.Key == "search.default_allow_partial_results"
 			})
 		}
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"linkpass/internal/control"
+	"linkpass/internal/adminapi"
 	"linkpass/internal/page"
 	"linkpass/internal/shardmap"
 	"linkpass/internal/standin"
@@ -38,7 +38,7 @@
 		return nil, err
 	}
 	return &Demo{w: w, Socket: filepath.Join(w.dir, "linkpass.sock"), Search: w.nodes[0].search, Door: w.nodes[0].door,
-		Operator: w.nodes[0].p.Status().Operator, KeyFile: filepath.Join(w.dir, "keys.toml"), File: filepath.Join(w.dir, "n0-search.toml"),
+		Operator: w.nodes[0].p.Status().AdminListen, KeyFile: filepath.Join(w.dir, "keys.toml"), File: filepath.Join(w.dir, "n0-search.toml"),
 		Config: filepath.Join(w.dir, "n0-config.json")}, nil
 }
 
@@ -65,7 +65,7 @@
 	if err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
-	go func() { _ = page.Serve(ctx, ln, &control.Client{Socket: d.Socket, Limit: time.Second}) }()
+	go func() { _ = page.Serve(ctx, ln, &adminapi.Client{Socket: d.Socket, Limit: time.Second}) }()
 	fmt.Printf(`six stand-in servers, discovery and a coordinator, ready after %d ms. Try, in another terminal:
 
   a browser at http://%[6]s/
--- a/internal/lab/drains.go
+++ b/internal/lab/drains.go
@@ -9,7 +9,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"linkpass/internal/control"
+	"linkpass/internal/adminapi"
 	"linkpass/internal/standin"
 )
 
@@ -129,25 +129,25 @@
 
 // agreeOnce waits until a command was taken: what is drained before a document was agreed is settled later.
 func (w *world) agreeOnce() error {
-	return w.byLeader(control.ServerOrder{Server: w.fleet.Servers[0].Name, Verb: "weight"})
+	return w.byLeader(adminapi.ServerRequest{Server: w.fleet.Servers[0].Name, Action: "weight"})
 }
 
 // byLeader gives an order that the leader alone takes.
-func (w *world) byLeader(o control.ServerOrder) (err error) {
+func (w *world) byLeader(o adminapi.ServerRequest) (err error) {
 	for end := time.Now().Add(15 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		for _, n := range w.nodes {
-			if _, err = n.p.ServerOrder(o); err == nil {
+			if _, err = n.p.ChangeServer(o); err == nil {
 				return nil
 			}
 		}
 	}
-	return fmt.Errorf("lab: nobody took %s of %s: %w", o.Verb, o.Server, err)
+	return fmt.Errorf("lab: nobody took %s of %s: %w", o.Action, o.Server, err)
 }
 
 // drain orders a drain at an instance and waits until all that are up hold it.
 func (w *world) drain(at, up int, server string, force bool) (t told, err error) {
 	began := time.Now()
-	if _, err := w.nodes[at].p.ServerOrder(control.ServerOrder{Server: server, Verb: "drain", Force: force}); err != nil {
+	if _, err := w.nodes[at].p.ChangeServer(adminapi.ServerRequest{Server: server, Action: "drain", Force: force}); err != nil {
 		return t, fmt.Errorf("lab: %w", err)
 	}
 	took := make([]int64, up)
@@ -171,7 +171,7 @@
 
 // undrain brings a server back everywhere.
 func (w *world) undrain(server string) error {
-	if err := w.byLeader(control.ServerOrder{Server: server, Verb: "undrain"}); err != nil {
+	if err := w.byLeader(adminapi.ServerRequest{Server: server, Action: "undrain"}); err != nil {
 		return err
 	}
 	for i, n := range w.nodes {
@@ -203,12 +203,12 @@
 // more, or, without a majority, whose unsettled orders do.
 func (w *world) states(up int) (diverged int, err error) {
 	word := func(n *node) string {
-		a, e := n.p.Agreed()
+		a, e := n.p.ReplicatedState()
 		if e != nil {
 			err = e
 		}
 		var ids []string
-		for _, o := range a.Unsettled {
+		for _, o := range a.Pending {
 			ids = append(ids, o.ID.String())
 		}
 		return fmt.Sprint(a.Version, a.Hash, strings.Join(ids, " "))
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
+	"linkpass/internal/adminapi"
 	"linkpass/internal/config"
-	"linkpass/internal/control"
 	"linkpass/internal/endpoints"
 	"linkpass/internal/event"
 	"linkpass/internal/http1"
@@ -107,7 +107,7 @@
 	t.Setenv("TMPDIR", t.TempDir())
 	here, there := cluster(t, 11, 3), cluster(t, 12, 1)
 	call := func(n *node, method, path string, body []byte) *http1.Response {
-		return control.Handler{Coordinator: n.p}.Serve(context.Background(), 0, &http1.Request{Method: method, Path: "/v1" + path, Body: body})
+		return adminapi.Handler{Coordinator: n.p}.Serve(context.Background(), 0, &http1.Request{Method: method, Path: "/v1" + path, Body: body})
 	}
 	stop, written := make(chan struct{}), make(chan int)
 	go func() {
@@ -133,7 +133,7 @@
 			taken = (taken + 1) % 3
 			continue
 		}
-		doc, err := control.OpenBackup(res.Body)
+		doc, err := adminapi.ReadBackup(res.Body)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -145,11 +145,11 @@
 	}
 	close(stop)
 	<-written
-	before, members := there.nodes[0].p.Layouts(), fmt.Sprint(there.nodes[0].p.Store().Members())
+	before, members := there.nodes[0].p.ShardMaps(), fmt.Sprint(there.nodes[0].p.Store().Members())
 	if res := call(there.nodes[0], "PUT", "/store/document", last); res.Status != 200 {
 		t.Fatalf("%d %s", res.Status, res.Body)
 	}
-	doc, err := control.OpenBackup(last)
+	doc, err := adminapi.ReadBackup(last)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -157,7 +157,7 @@
 	if now.Search.MaxResultWindow != doc.Search.MaxResultWindow || revision < 2 {
 		t.Errorf("%+v, backup %+v of revision %d", now.Search, doc.Search, revision)
 	}
-	if after := there.nodes[0].p.Layouts(); !reflect.DeepEqual(before, after) || fmt.Sprint(there.nodes[0].p.Store().Members()) != members {
+	if after := there.nodes[0].p.ShardMaps(); !reflect.DeepEqual(before, after) || fmt.Sprint(there.nodes[0].p.Store().Members()) != members {
 		t.Error("the restore moved slices or members")
 	}
 	if status, body, err := there.ask(there.nodes[0], "POST", "/players/_search", `{"size":1}`); err != nil || !strings.Contains(string(body), `"failed":0`) {
@@ -182,9 +182,9 @@
 	for _, n := range nodes {
 		for {
 			list, err := n.p.Servers()
-			a, err2 := n.p.Agreed()
-			at := slices.IndexFunc(list, func(s control.Server) bool { return s.Name == server })
-			if err == nil && err2 == nil && (at < 0 && state == "gone" || at >= 0 && list[at].State == state) && (!settled || len(a.Unsettled) == 0) {
+			a, err2 := n.p.ReplicatedState()
+			at := slices.IndexFunc(list, func(s adminapi.Server) bool { return s.Name == server })
+			if err == nil && err2 == nil && (at < 0 && state == "gone" || at >= 0 && list[at].State == state) && (!settled || len(a.Pending) == 0) {
 				break
 			}
 			if t.Context().Err() != nil {
@@ -204,7 +204,7 @@
 	t.Setenv("TMPDIR", t.TempDir())
 	w := cluster(t, 13, 3)
 	order := func(n *node, verb, server string, force bool) error {
-		_, err := n.p.ServerOrder(control.ServerOrder{Server: server, Verb: verb, Force: force})
+		_, err := n.p.ChangeServer(adminapi.ServerRequest{Server: server, Action: verb, Force: force})
 		return err
 	}
 	byLeader := func(verb, server string) {
@@ -254,7 +254,7 @@
 	}
 	hashes := map[string]bool{}
 	for _, n := range w.nodes {
-		a, err := n.p.Agreed()
+		a, err := n.p.ReplicatedState()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -275,8 +275,8 @@
 	if err := order(w.nodes[0], "undrain", "s-03", false); err == nil {
 		t.Error("an undrain held without a majority")
 	}
-	if a, err := w.nodes[0].p.Agreed(); err != nil || len(a.Unsettled) != 1 {
-		t.Errorf("%+v %v", a.Unsettled, err)
+	if a, err := w.nodes[0].p.ReplicatedState(); err != nil || len(a.Pending) != 1 {
+		t.Errorf("%+v %v", a.Pending, err)
 	}
 	holds(t, w.nodes[:1], "s-03", "draining", false)
 }
--- a/internal/page/page.go
+++ b/internal/page/page.go
@@ -13,15 +13,15 @@
 	"strings"
 	"time"
 
-	"linkpass/internal/control"
+	"linkpass/internal/adminapi"
 	"linkpass/internal/shardmap"
 )
 
 // Source is what the page draws; control.Client is one.
 type Source interface {
-	Status() (control.Status, error)
-	Servers() ([]control.Server, error)
-	Layouts() ([]control.IndexLayout, error)
+	Status() (adminapi.Status, error)
+	Servers() ([]adminapi.Server, error)
+	ShardMaps() ([]adminapi.IndexShardMap, error)
 }
 
 // Handler serves the page at /. Everything else is not there, and nothing can be ordered.
@@ -38,12 +38,12 @@
 
 const (
 	chartWidth, chartHeight = 640, 120
-	maxDrawn                = control.MaxSlices // servers and plans; the source bounds slices
+	maxDrawn                = adminapi.MaxShards // servers and plans; the source bounds slices
 )
 
 // view is what the template draws.
 type view struct {
-	Status  control.Status
+	Status  adminapi.Status
 	Now     string
 	Servers []server
 	Faults  []string // what the coordinator did not answer
@@ -56,7 +56,7 @@
 }
 
 type server struct {
-	control.Server
+	adminapi.Server
 	Worst float64
 	Color template.CSS
 }
@@ -146,20 +146,20 @@
 	for _, s := range list[:min(len(list), maxDrawn)] {
 		v.Servers = append(v.Servers, drawServer(s))
 	}
-	layouts, err := h.Source.Layouts()
+	layouts, err := h.Source.ShardMaps()
 	note(err)
 	v.draw(layouts)
 	return v
 }
 
-func drawServer(s control.Server) server {
+func drawServer(s adminapi.Server) server {
 	out := server{Server: s, Worst: 1}
 	for _, health := range s.Health {
 		out.Worst = min(out.Worst, health)
 	}
 	hue := 120 * out.Worst // from red to green
 	out.Color = template.CSS(fmt.Sprintf("hsl(%.0f 60%% 45%%)", hue))
-	if s.Avoided != "" {
+	if s.Excluded != "" {
 		out.Color = "#888"
 	}
 	return out
@@ -195,10 +195,10 @@
 }
 
 // draw adds the layouts and their open plans.
-func (v *view) draw(layouts []control.IndexLayout) {
+func (v *view) draw(layouts []adminapi.IndexShardMap) {
 	for _, l := range layouts {
 		in := index{Name: l.Index, Version: l.Version, Slices: l.Total}
-		for _, s := range l.Slices {
+		for _, s := range l.Shards {
 			in.Drawn = append(in.Drawn, drawSlice(s))
 		}
 		v.Indices = append(v.Indices, in)
--- a/internal/page/page_test.go
+++ b/internal/page/page_test.go
@@ -15,22 +15,22 @@
 	"testing/synctest"
 	"time"
 
-	"linkpass/internal/control"
+	"linkpass/internal/adminapi"
 	"linkpass/internal/shardmap"
 )
 
 type fake struct {
-	servers []control.Server
+	servers []adminapi.Server
 	err     error
 }
 
-func (f fake) Status() (control.Status, error) {
-	return control.Status{Name: "<b>n0</b>", State: "serving", Core: "ok"}, f.err
+func (f fake) Status() (adminapi.Status, error) {
+	return adminapi.Status{Name: "<b>n0</b>", State: "serving", Core: "ok"}, f.err
 }
-func (f fake) Servers() ([]control.Server, error) { return f.servers, nil }
+func (f fake) Servers() ([]adminapi.Server, error) { return f.servers, nil }
 
-// Layouts has an index with an open plan.
-func (fake) Layouts() ([]control.IndexLayout, error) {
+// ShardMaps has an index with an open plan.
+func (fake) ShardMaps() ([]adminapi.IndexShardMap, error) {
 	l, err := shardmap.NewEven(4, [][]string{{"a", "<script>"}, {"c"}})
 	if err == nil {
 		l, err = l.Apply(shardmap.Command{Request: &shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{shardmap.FirstDynamicID}, Pieces: 2}})
@@ -38,7 +38,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return []control.IndexLayout{{Index: "players", Version: l.Version(), Total: l.Len(), Slices: l.Shards(), Plans: l.Plans()}}, nil
+	return []adminapi.IndexShardMap{{Index: "players", Version: l.Version(), Total: l.Len(), Shards: l.Shards(), Plans: l.Plans()}}, nil
 }
 
 // What is served is a rate between two samples, over the window alone, and what is older does not stay in memory.
@@ -50,7 +50,7 @@
 		}
 		served := int64(1000) // before the page was there: no rate
 		for range 2000 {
-			if err := s.Add(time.Now(), []control.ClassStatus{{Name: "c", Served: served}}); err != nil {
+			if err := s.Add(time.Now(), []adminapi.ClassStatus{{Name: "c", Served: served}}); err != nil {
 				t.Fatal(err)
 			}
 			served += 10
@@ -71,7 +71,7 @@
 			t.Errorf("%d samples of long ago: %v", len(old), err)
 		}
 		before := time.Now().Add(-time.Hour) // a clock that was set back is no reason to fail
-		if err := s.Add(before, []control.ClassStatus{{Name: "c", Served: served}}); err != nil {
+		if err := s.Add(before, []adminapi.ClassStatus{{Name: "c", Served: served}}); err != nil {
 			t.Error(err)
 		}
 		if err := s.Close(); err != nil {
@@ -90,11 +90,11 @@
 	start := time.Now().Add(-time.Minute)
 	for i := range 20 {
 		at := start.Add(time.Duration(i) * Every)
-		if err := s.Add(at, []control.ClassStatus{{Name: "lookup & <co>", Served: int64(i * i * 3), Failed: int64(i)}}); err != nil {
+		if err := s.Add(at, []adminapi.ClassStatus{{Name: "lookup & <co>", Served: int64(i * i * 3), Failed: int64(i)}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	h := &Handler{Source: fake{servers: []control.Server{{Name: "<script>alert(1)</script>", State: "in_service", Health: map[string]float64{"c": 0.25}}}},
+	h := &Handler{Source: fake{servers: []adminapi.Server{{Name: "<script>alert(1)</script>", State: "in_service", Health: map[string]float64{"c": 0.25}}}},
 		Series: s, Now: time.Now}
 	get := func(host string) (int, string) {
 		w := httptest.NewRecorder()
@@ -125,8 +125,8 @@
 	if len(points) != 3*19 {
 		t.Errorf("%d points", len(points))
 	}
-	h.Source = fake{err: control.ErrNobody}
-	if _, body := get("[::1]:1"); !strings.Contains(body, control.ErrNobody.Error()) || !strings.Contains(body, "<polyline") {
+	h.Source = fake{err: adminapi.ErrUnreachable}
+	if _, body := get("[::1]:1"); !strings.Contains(body, adminapi.ErrUnreachable.Error()) || !strings.Contains(body, "<polyline") {
 		t.Errorf("%s", body)
 	}
 	if status, _ := get("evil.example"); status != http.StatusMisdirectedRequest {
@@ -142,7 +142,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- Serve(ctx, ln, fake{err: control.ErrNobody}) }()
+	go func() { done <- Serve(ctx, ln, fake{err: adminapi.ErrUnreachable}) }()
 	for call, want := range map[[2]string]int{{"GET", "/"}: 200, {"PUT", "/"}: 405, {"GET", "/v1/drain"}: 404} {
 		req, err := http.NewRequest(call[0], "http://"+ln.Addr().String()+call[1], nil)
 		if err != nil {
--- a/internal/page/series.go
+++ b/internal/page/series.go
@@ -10,7 +10,7 @@
 
 	"github.com/nakabonne/tstorage"
 
-	"linkpass/internal/control"
+	"linkpass/internal/adminapi"
 )
 
 const (
@@ -52,7 +52,7 @@
 
 // Add takes a sample: the answers since the last one become a rate. The first only says where to count from. One
 // goroutine calls it.
-func (s *Series) Add(now time.Time, classes []control.ClassStatus) error {
+func (s *Series) Add(now time.Time, classes []adminapi.ClassStatus) error {
 	first := s.at.IsZero()
 	per := now.Sub(s.at).Seconds()
 	if per <= 0 {
@@ -62,7 +62,7 @@
 	var names []string
 	for _, c := range classes {
 		names = append(names, c.Name)
-		for i, n := range []int64{c.Served, c.Refused, c.Failed} {
+		for i, n := range []int64{c.Served, c.Rejected, c.Failed} {
 			name := c.Name + " " + kinds[i]
 			if !first && n >= s.last[name] { // a count that fell is a restart: a gap
 				rows = append(rows, tstorage.Row{Metric: kinds[i], Labels: []tstorage.Label{{Name: "class", Value: c.Name}},
