--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -19,7 +19,7 @@
 	"linkpass/internal/coordinator"
 	"linkpass/internal/discovery"
 	"linkpass/internal/http1"
-	"linkpass/internal/parts"
+	"linkpass/internal/lifecycle"
 	"linkpass/internal/shardmap"
 	"linkpass/internal/store"
 )
@@ -92,7 +92,7 @@
 var _ discovery.Core = listTee{}
 
 // controlPart is the operators' API, at its socket and over TCP.
-func (p *Program) controlPart() parts.Part {
+func (p *Program) controlPart() lifecycle.Component {
 	var open []*entrance
 	giveBack := func() error {
 		for _, e := range open {
@@ -100,7 +100,7 @@
 		}
 		return nil
 	}
-	return parts.Part{Name: "control", Needs: []string{"core"}, Late: true, Open: func() error {
+	return lifecycle.Component{Name: "control", DependsOn: []string{"core"}, Deferred: true, Open: func() error {
 		err := p.openControl(func(ln net.Listener, h http1.Handler, maxBody int64) {
 			open = append(open, &entrance{&http1.Server{Name: "control", Handler: h, Clock: p.core, Counters: p.count,
 				MaxConns: controlConns, MaxBody: maxBody}, ln})
--- a/internal/daemon/fronts.go
+++ b/internal/daemon/fronts.go
@@ -10,8 +10,8 @@
 	"linkpass/internal/admin"
 	"linkpass/internal/event"
 	"linkpass/internal/http1"
+	"linkpass/internal/lifecycle"
 	"linkpass/internal/opensearch"
-	"linkpass/internal/parts"
 	"linkpass/internal/platform"
 	"linkpass/internal/searchconfig"
 	"linkpass/internal/store"
@@ -65,7 +65,7 @@
 }
 
 // frontPart is a part whose entrance is one for clients, or nil after it has opened: it is off.
-func (p *Program) frontPart(part parts.Part, open func() (*entrance, error), alsoClose func() error) parts.Part {
+func (p *Program) frontPart(part lifecycle.Component, open func() (*entrance, error), alsoClose func() error) lifecycle.Component {
 	var e *entrance
 	part.Open = func() (err error) { e, err = open(); return err }
 	part.Run = func(ctx context.Context) {
@@ -85,8 +85,8 @@
 }
 
 // platformPart is the platform's front.
-func (p *Program) platformPart() parts.Part {
-	return p.frontPart(parts.Part{Name: "platform", Needs: []string{"core", "bodies", "links"}}, func() (*entrance, error) {
+func (p *Program) platformPart() lifecycle.Component {
+	return p.frontPart(lifecycle.Component{Name: "platform", DependsOn: []string{"core", "bodies", "links"}}, func() (*entrance, error) {
 		thin := &platform.Front{Core: p.core, Classes: p.cfg.host.Classes, Tenants: p.cfg.host.Tenants, Shards: p.cfg.module.Shards, Counters: p.count}
 		thin.Ready, thin.Bodies, thin.Retry = p.gate.Ready, p.bodies, p.retry()
 		for _, class := range p.cfg.module.Classes {
@@ -121,8 +121,8 @@
 }
 
 // doorPart is the operators' door on the platform's address.
-func (p *Program) doorPart() parts.Part {
-	return parts.Part{Name: "door", Needs: []string{"core"}, Open: func() error {
+func (p *Program) doorPart() lifecycle.Component {
+	return lifecycle.Component{Name: "door", DependsOn: []string{"core"}, Open: func() error {
 		if p.cfg.operator == "" {
 			return nil
 		}
@@ -145,8 +145,8 @@
 
 // searchPart is the search front, and the store where there is one. It has an address and files that another process
 // may still hold.
-func (p *Program) searchPart() parts.Part {
-	return p.frontPart(parts.Part{Name: "search", Needs: []string{"core", "bodies", "links", "layouts"}, Late: true}, p.openSearch, func() error {
+func (p *Program) searchPart() lifecycle.Component {
+	return p.frontPart(lifecycle.Component{Name: "search", DependsOn: []string{"core", "bodies", "links", "layouts"}, Deferred: true}, p.openSearch, func() error {
 		if p.store == nil {
 			return nil
 		}
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -26,9 +26,9 @@
 	"linkpass/internal/frame"
 	"linkpass/internal/handover"
 	"linkpass/internal/http1"
+	"linkpass/internal/lifecycle"
 	"linkpass/internal/link"
 	"linkpass/internal/opensearch"
-	"linkpass/internal/parts"
 	"linkpass/internal/peer"
 	"linkpass/internal/reshardexec"
 	"linkpass/internal/searchconfig"
@@ -67,7 +67,7 @@
 	began      time.Time
 	bodyLimits tier.Limits // of all processes together
 	gate       admin.Readiness
-	parts      *parts.List
+	parts      *lifecycle.Group
 	fronts     []*http1.Server
 	lns        []net.Listener // of the fronts, in their order
 	door       *entrance      // nil: none
@@ -244,7 +244,7 @@
 			p.gate.MarkUsable()
 		case <-p.alone:
 			p.mu.Lock()
-			p.parts.OpenLate(func(name string, err error) {
+			p.parts.OpenDeferred(func(name string, err error) {
 				switch name {
 				case "control":
 					event.ControlFailed.Log(err)
@@ -277,7 +277,7 @@
 	p.settle(p.fixed.Load)
 	p.join()
 	var err error
-	if p.parts, err = parts.New(p.list()...); err == nil {
+	if p.parts, err = lifecycle.New(p.list()...); err == nil {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		err = p.parts.Open(!p.young())
@@ -291,15 +291,15 @@
 
 // list is the program, part by part, in the order of its start. What listens where the other process of a change of
 // version may still listen comes late.
-func (p *Program) list() []parts.Part {
-	return []parts.Part{
+func (p *Program) list() []lifecycle.Component {
+	return []lifecycle.Component{
 		{Name: "handover", Close: func() error { p.post.Close(); return nil }},
-		{Name: "core", Needs: []string{"handover"}, Open: p.openCore},
-		{Name: "bodies", Needs: []string{"core"}, Open: p.openBodies, Close: p.closeBodies},
-		{Name: "links", Needs: []string{"core"}, Open: p.openLinks, Close: func() error { p.links.Close(); return nil }},
-		{Name: "layouts", Needs: []string{"core"}, Open: p.openLayouts, Run: p.runSteward},
-		{Name: "agreement", Needs: []string{"links", "layouts"}, Open: p.openAgreement, Run: p.runAgreement},
-		{Name: "discovery", Needs: []string{"agreement"}, Open: p.openDiscovery, Run: func(ctx context.Context) { p.watcher.Run(ctx, p.cfg.known) }},
+		{Name: "core", DependsOn: []string{"handover"}, Open: p.openCore},
+		{Name: "bodies", DependsOn: []string{"core"}, Open: p.openBodies, Close: p.closeBodies},
+		{Name: "links", DependsOn: []string{"core"}, Open: p.openLinks, Close: func() error { p.links.Close(); return nil }},
+		{Name: "layouts", DependsOn: []string{"core"}, Open: p.openLayouts, Run: p.runSteward},
+		{Name: "agreement", DependsOn: []string{"links", "layouts"}, Open: p.openAgreement, Run: p.runAgreement},
+		{Name: "discovery", DependsOn: []string{"agreement"}, Open: p.openDiscovery, Run: func(ctx context.Context) { p.watcher.Run(ctx, p.cfg.known) }},
 		p.platformPart(),
 		p.doorPart(),
 		p.searchPart(),
--- a/internal/parts/parts.go
+++ b/internal/lifecycle/parts.go
@@ -1,6 +1,6 @@
-// Package parts starts and ends the parts of a program in one order: each once those that it needs stand, and
+// Package lifecycle starts and ends the parts of a program in one order: each once those that it needs stand, and
 // all of them or none.
-package parts
+package lifecycle
 
 import (
 	"context"
@@ -10,33 +10,33 @@
 	"time"
 )
 
-// Part is one subsystem. What is nil there is nothing to do for.
-type Part struct {
-	Name  string
-	Needs []string // names of parts that stand before it in the list
-	Late  bool     // opens with a later call than the first
+// Component is one subsystem. What is nil there is nothing to do for.
+type Component struct {
+	Name      string
+	DependsOn []string // names of parts that stand before it in the list
+	Deferred  bool     // opens with a later call than the first
 	// Open takes what the part holds: addresses, files. What it took before it failed it gives back itself.
 	Open func() error
 	// Run works until the context ends.
 	Run func(context.Context)
 	// Close gives back what Open took. Run has returned, or was given up.
 	Close func() error
-	// Limit is what Run and Close may take to end, together; 0: DefaultLimit.
-	Limit time.Duration
+	// StopTimeout is what Run and Close may take to end, together; 0: DefaultLimit.
+	StopTimeout time.Duration
 }
 
-// DefaultLimit bounds the end of a part that names no other limit.
-const DefaultLimit = 5 * time.Second
+// DefaultStopTimeout bounds the end of a part that names no other limit.
+const DefaultStopTimeout = 5 * time.Second
 
-// List is a program's parts in their order. Its calls are made one at a time.
-type List struct {
+// Group is a program's parts in their order. Its calls are made one at a time.
+type Group struct {
 	parts  []*running
 	begun  bool
 	parent context.Context
 }
 
 type running struct {
-	Part
+	Component
 	open   bool
 	cancel context.CancelFunc
 	done   chan struct{} // closed once Run has returned; nil: it was never begun
@@ -44,23 +44,23 @@
 
 // New orders parts as they are given. A name that is there twice, or a need that does not stand
 // before the one that has it, is an error.
-func New(list ...Part) (*List, error) {
-	l := &List{}
+func New(list ...Component) (*Group, error) {
+	l := &Group{}
 	for _, p := range list {
 		if l.find(p.Name) != nil {
 			return nil, fmt.Errorf("part %s is there twice", p.Name)
 		}
-		for _, need := range p.Needs {
+		for _, need := range p.DependsOn {
 			if l.find(need) == nil {
 				return nil, fmt.Errorf("part %s needs %s, which does not stand before it", p.Name, need)
 			}
 		}
-		l.parts = append(l.parts, &running{Part: p})
+		l.parts = append(l.parts, &running{Component: p})
 	}
 	return l, nil
 }
 
-func (l *List) find(name string) *running {
+func (l *Group) find(name string) *running {
 	i := slices.IndexFunc(l.parts, func(r *running) bool { return r.Name == name })
 	if i < 0 {
 		return nil
@@ -70,10 +70,10 @@
 
 // Open opens, in order, all parts that are not open yet: the late ones too where late is set. If one fails, those
 // that this call has opened are closed in reverse order, and the error names the part.
-func (l *List) Open(late bool) error {
+func (l *Group) Open(late bool) error {
 	var fresh []*running
 	for _, r := range l.parts {
-		if r.open || r.Late && !late {
+		if r.open || r.Deferred && !late {
 			continue
 		}
 		if err := r.start(l); err != nil {
@@ -88,11 +88,11 @@
 	return nil
 }
 
-// OpenLate opens the late parts while the others run: each by itself, as the program goes on without it. It tells of
+// OpenDeferred opens the late parts while the others run: each by itself, as the program goes on without it. It tells of
 // each that fails.
-func (l *List) OpenLate(failed func(name string, err error)) {
+func (l *Group) OpenDeferred(failed func(name string, err error)) {
 	for _, r := range l.parts {
-		if r.Late && !r.open {
+		if r.Deferred && !r.open {
 			if err := r.start(l); err != nil {
 				failed(r.Name, err)
 			}
@@ -101,8 +101,8 @@
 }
 
 // start opens one part, and lets it run if the others run already.
-func (r *running) start(l *List) error {
-	for _, need := range r.Needs {
+func (r *running) start(l *Group) error {
+	for _, need := range r.DependsOn {
 		if !l.find(need).open {
 			return fmt.Errorf("it needs %s, which is not open", need)
 		}
@@ -120,7 +120,7 @@
 }
 
 // Run lets all parts run that are open, and each that opens later.
-func (l *List) Run(ctx context.Context) {
+func (l *Group) Run(ctx context.Context) {
 	l.begun, l.parent = true, ctx
 	for _, r := range l.parts {
 		if r.open {
@@ -143,7 +143,7 @@
 
 // Stop ends all parts in reverse order, each within its limit; one that does not end is named in the error and
 // left behind.
-func (l *List) Stop() error {
+func (l *Group) Stop() error {
 	var faults []error
 	for _, r := range slices.Backward(l.parts) {
 		if r.open {
@@ -156,14 +156,14 @@
 	return errors.Join(faults...)
 }
 
-// ErrStuck says that a part did not end within its limit.
-var ErrStuck = errors.New("did not end in time")
+// ErrStopTimeout says that a part did not end within its limit.
+var ErrStopTimeout = errors.New("did not end in time")
 
 func (r *running) end() error {
 	r.open = false
-	limit := r.Limit
+	limit := r.StopTimeout
 	if limit <= 0 {
-		limit = DefaultLimit
+		limit = DefaultStopTimeout
 	}
 	over := time.NewTimer(limit)
 	defer over.Stop()
@@ -173,7 +173,7 @@
 		case <-r.done:
 			r.done = nil
 		case <-over.C:
-			return fmt.Errorf("%w: %s", ErrStuck, limit)
+			return fmt.Errorf("%w: %s", ErrStopTimeout, limit)
 		}
 	}
 	if r.Close == nil {
@@ -185,6 +185,6 @@
 	case err := <-closed:
 		return err
 	case <-over.C:
-		return fmt.Errorf("%w: %s", ErrStuck, limit)
+		return fmt.Errorf("%w: %s", ErrStopTimeout, limit)
 	}
 }
--- a/internal/parts/parts_test.go
+++ b/internal/lifecycle/parts_test.go
@@ -1,4 +1,4 @@
-package parts
+package lifecycle
 
 import (
 	"context"
@@ -22,13 +22,13 @@
 		fails := rapid.IntRange(0, n).Draw(t, "fails") // n: none
 		firstLate := rapid.IntRange(0, n).Draw(t, "first late")
 		var log, want []string
-		var list []Part
+		var list []Component
 		for i := range n {
 			name := fmt.Sprint("p", i)
-			p := Part{Name: name, Late: i >= firstLate}
+			p := Component{Name: name, Deferred: i >= firstLate}
 			for j := range i {
 				if rapid.Bool().Draw(t, "needs") {
-					p.Needs = append(p.Needs, fmt.Sprint("p", j))
+					p.DependsOn = append(p.DependsOn, fmt.Sprint("p", j))
 				}
 			}
 			p.Open = func() error {
@@ -70,8 +70,8 @@
 		ended := 0
 		leave := make(chan struct{})
 		untilDone := func(ctx context.Context) { <-ctx.Done(); ended++ }
-		l, err := New(Part{Name: "a", Run: untilDone}, Part{Name: "b", Run: func(context.Context) { <-leave }},
-			Part{Name: "c", Close: func() error { <-leave; return nil }}, Part{Name: "late", Needs: []string{"a"}, Late: true, Run: untilDone})
+		l, err := New(Component{Name: "a", Run: untilDone}, Component{Name: "b", Run: func(context.Context) { <-leave }},
+			Component{Name: "c", Close: func() error { <-leave; return nil }}, Component{Name: "late", DependsOn: []string{"a"}, Deferred: true, Run: untilDone})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -79,9 +79,9 @@
 			t.Fatal(err)
 		}
 		l.Run(context.Background())
-		l.OpenLate(func(name string, err error) { t.Error(name, err) }) // runs at once, as the others do
+		l.OpenDeferred(func(name string, err error) { t.Error(name, err) }) // runs at once, as the others do
 		err = l.Stop()
-		if !errors.Is(err, ErrStuck) || !strings.Contains(err.Error(), "b: did not") || !strings.Contains(err.Error(), "c: did not") || ended != 2 {
+		if !errors.Is(err, ErrStopTimeout) || !strings.Contains(err.Error(), "b: did not") || !strings.Contains(err.Error(), "c: did not") || ended != 2 {
 			t.Errorf("%v, %d ended", err, ended)
 		}
 		close(leave)
@@ -90,24 +90,24 @@
 
 // A list that cannot be put in order is refused before anything starts.
 func TestOrdersThatCannotBe(t *testing.T) {
-	for _, list := range [][]Part{{{Name: "a", Needs: []string{"b"}}, {Name: "b"}}, {{Name: "a"}, {Name: "a"}}, {{Name: "a", Needs: []string{"a"}}}} {
+	for _, list := range [][]Component{{{Name: "a", DependsOn: []string{"b"}}, {Name: "b"}}, {{Name: "a"}, {Name: "a"}}, {{Name: "a", DependsOn: []string{"a"}}}} {
 		if _, err := New(list...); err == nil {
 			t.Errorf("%+v was taken", list)
 		}
 	}
-	l, err := New(Part{Name: "a", Late: true}, Part{Name: "b", Needs: []string{"a"}})
+	l, err := New(Component{Name: "a", Deferred: true}, Component{Name: "b", DependsOn: []string{"a"}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := l.Open(false); err == nil {
 		t.Error("one opened without what it needs")
 	}
-	l, err = New(Part{Name: "a"}, Part{Name: "b", Late: true, Open: func() error { return errors.New("taken") }}, Part{Name: "c", Late: true})
+	l, err = New(Component{Name: "a"}, Component{Name: "b", Deferred: true, Open: func() error { return errors.New("taken") }}, Component{Name: "c", Deferred: true})
 	if err != nil {
 		t.Fatal(err)
 	}
 	failed := ""
-	l.OpenLate(func(name string, err error) { failed += name + err.Error() })
+	l.OpenDeferred(func(name string, err error) { failed += name + err.Error() })
 	if failed != "btaken" || !l.parts[2].open {
 		t.Errorf("%q, c open: %v", failed, l.parts[2].open)
 	}
