--- a/internal/admin/door.go
+++ b/internal/admin/door.go
@@ -6,8 +6,8 @@
 	"net/textproto"
 	"time"
 
-	"linkpass/internal/counters"
 	"linkpass/internal/http1"
+	"linkpass/internal/metrics"
 )
 
 // Limits of the door. Its callers have descriptors set aside for them, so that no
@@ -21,7 +21,7 @@
 // figures and waits for nobody.
 type Handler struct {
 	Readiness *Readiness
-	Totals    *counters.Figures
+	Totals    *metrics.Totals
 }
 
 // Serve answers one call.
@@ -63,11 +63,11 @@
 }
 
 // formatTotals words the figures, one on a line.
-func formatTotals(f *counters.Figures) (b []byte) {
+func formatTotals(f *metrics.Totals) (b []byte) {
 	for i, class := range f.Classes {
 		b = fmt.Appendf(b, "app.served.%s=%d\napp.refused.%s=%d\napp.failed.%s=%d\n", class, f.Served[i].Load(),
-			class, f.Refused[i].Load(), class, f.Failed[i].Load())
+			class, f.Rejected[i].Load(), class, f.Failed[i].Load())
 	}
 	return fmt.Appendf(b, "app.attempts=%d\napp.in_flight=%d\napp.league_servers_known=%d\napp.league_servers_excluded=%d\n",
-		f.Attempts.Load(), f.InFlight.Load(), f.Known.Load(), f.Excluded.Load())
+		f.Attempts.Load(), f.InFlight.Load(), f.ServersKnown.Load(), f.ServersExcluded.Load())
 }
--- a/internal/admin/operator_test.go
+++ b/internal/admin/operator_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"linkpass/internal/counters"
 	"linkpass/internal/http1"
+	"linkpass/internal/metrics"
 )
 
 type front struct{ drained, orders int }
@@ -17,7 +17,7 @@
 	var g Readiness
 	var f front
 	g.AddFront(&f)
-	d := &Handler{Readiness: &g, Totals: counters.NewFigures([]string{"a", "b"})}
+	d := &Handler{Readiness: &g, Totals: metrics.NewTotals([]string{"a", "b"})}
 	ask := func(method, path string, status int, drained, orders int) {
 		t.Helper()
 		res := d.Serve(t.Context(), 0, &http1.Request{Method: method, Path: path})
--- a/internal/adminapi/sealed.go
+++ b/internal/adminapi/sealed.go
@@ -6,16 +6,16 @@
 	"time"
 
 	"linkpass/internal/adminapi/signature"
-	"linkpass/internal/counters"
 	"linkpass/internal/event"
 	"linkpass/internal/http1"
+	"linkpass/internal/metrics"
 )
 
 // SignedHandler serves the API to signed calls alone.
 type SignedHandler struct {
 	Handler  http1.Handler
 	Check    func(header string, c signature.Call) error
-	Counters *counters.Set
+	Counters *metrics.Counters
 
 	lines event.Lines
 }
--- a/internal/adminapi/wire_golden_test.go
+++ b/internal/adminapi/wire_golden_test.go
@@ -16,10 +16,10 @@
 	"linkpass/internal/adminapi/signature"
 	"linkpass/internal/config"
 	"linkpass/internal/config/restriction"
-	"linkpass/internal/counters"
 	"linkpass/internal/endpoints"
 	"linkpass/internal/goldentest"
 	"linkpass/internal/http1"
+	"linkpass/internal/metrics"
 	"linkpass/internal/searchconfig"
 	"linkpass/internal/shardmap"
 	"linkpass/internal/store"
@@ -397,7 +397,7 @@
 		t.Fatalf("%v, %v", header, err)
 	}
 	v := signature.NewVerifier(signature.Ring{"ops-1": key}, time.Minute, at)
-	sealed := &SignedHandler{Handler: Handler{&fixedCoordinator{store: &store.Store{}}}, Counters: counters.New(),
+	sealed := &SignedHandler{Handler: Handler{&fixedCoordinator{store: &store.Store{}}}, Counters: metrics.NewCounters(),
 		Check: func(header string, c signature.Call) error { _, err := v.Check(at, header, c); return err }}
 	req := &http1.Request{Method: "PUT", Path: "/v1/store/document", Query: "check=true", Header: header, Body: []byte("body")}
 	if res := sealed.Serve(context.Background(), 0, req); res.Status != 400 { // let in: the body is no backup
--- a/internal/bodies/bodies.go
+++ b/internal/bodies/bodies.go
@@ -14,8 +14,8 @@
 	"lukechampine.com/blake3"
 
 	"linkpass/internal/bodies/tier"
-	"linkpass/internal/counters"
 	"linkpass/internal/event"
+	"linkpass/internal/metrics"
 )
 
 // Small is the size up to which a body is no matter for the store: its bytes go along with the query.
@@ -37,7 +37,7 @@
 	Dir      string   // of files; "": there are none
 	FS       FS       // nil: the machine's own
 	Now      func() time.Duration
-	Counters *counters.Set
+	Counters *metrics.Counters
 }
 
 // Store keeps bodies. Its methods may be called from anywhere; none waits for a disk but Write of
--- a/internal/bodies/bodies_test.go
+++ b/internal/bodies/bodies_test.go
@@ -19,7 +19,7 @@
 	"pgregory.net/rapid"
 
 	"linkpass/internal/bodies/tier"
-	"linkpass/internal/counters"
+	"linkpass/internal/metrics"
 	_ "linkpass/internal/seeded"
 )
 
@@ -75,7 +75,7 @@
 	if l.Files > 0 {
 		dir = t.TempDir()
 	}
-	s := Open(Config{Limits: l, Classes: []string{"lookup", "table"}, Dir: dir, FS: fs, Counters: counters.New(),
+	s := Open(Config{Limits: l, Classes: []string{"lookup", "table"}, Dir: dir, FS: fs, Counters: metrics.NewCounters(),
 		Now: func() time.Duration { return time.Since(began) }})
 	t.Cleanup(s.Close)
 	return s
@@ -152,7 +152,7 @@
 		fs := noFaults()
 		var now atomic.Int64
 		cfg := Config{Limits: tier.Limits{Memory: 40 << 10, Files: 120 << 10, Largest: 24 << 10, Classes: []tier.Class{{Floor: 8 << 10}, {}}},
-			Classes: []string{"lookup", "table"}, Dir: dir, FS: fs, Counters: counters.New(), Now: func() time.Duration { return time.Duration(now.Load()) }}
+			Classes: []string{"lookup", "table"}, Dir: dir, FS: fs, Counters: metrics.NewCounters(), Now: func() time.Duration { return time.Duration(now.Load()) }}
 		s := Open(cfg)
 		defer func() { s.Close() }()
 		type hold struct {
@@ -368,7 +368,7 @@
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cfg := Config{Limits: small, Dir: filepath.Join(file, "none"), Counters: counters.New(), Now: func() time.Duration { return 0 }}
+	cfg := Config{Limits: small, Dir: filepath.Join(file, "none"), Counters: metrics.NewCounters(), Now: func() time.Duration { return 0 }}
 	broken := Open(cfg)
 	if broken.log != nil {
 		t.Error("files in a folder that cannot be")
--- a/internal/bodies/golden_test.go
+++ b/internal/bodies/golden_test.go
@@ -17,7 +17,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"linkpass/internal/bodies/tier"
-	"linkpass/internal/counters"
+	"linkpass/internal/metrics"
 )
 
 var update = flag.Bool("update", false, "write the golden data directory anew")
@@ -45,7 +45,7 @@
 func newGoldenStore(t *testing.T, dir string) *Store {
 	t.Helper()
 	s := Open(Config{Limits: tier.Limits{Memory: 1 << 20, Files: 1 << 20, Largest: 1}, Classes: []string{"lookup"}, Dir: dir,
-		Counters: counters.New(), Now: func() time.Duration { return time.Second }})
+		Counters: metrics.NewCounters(), Now: func() time.Duration { return time.Second }})
 	t.Cleanup(s.Close)
 	return s
 }
--- a/internal/coordinator/bench_test.go
+++ b/internal/coordinator/bench_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"linkpass"
-	"linkpass/internal/counters"
 	"linkpass/internal/end"
+	"linkpass/internal/metrics"
 	"linkpass/internal/shardmap"
 )
 
@@ -60,7 +60,7 @@
 	set := linkpass.Settings{Tick: time.Microsecond, Peers: fleet.coordinators, Shards: fleet.shards, Cells: fleet.cells, Reach: 1, Probes: false, Cancel: true, MaxAttempts: 3,
 		CallParts: 1, ReportFields: []linkpass.ReportField{linkpass.FieldInflight}, AnswerSlack: 20 * time.Millisecond,
 		Classes: []linkpass.Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Need: 1, Floor: 1}}}
-	core, err := New(Config{Settings: set, Seed: 7, ProbeTimeout: time.Second, Counters: counters.New(), Figures: counters.NewFigures([]string{"q"})})
+	core, err := New(Config{Settings: set, Seed: 7, ProbeTimeout: time.Second, Counters: metrics.NewCounters(), Figures: metrics.NewTotals([]string{"q"})})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -13,10 +13,10 @@
 	"time"
 
 	"linkpass"
-	"linkpass/internal/counters"
 	"linkpass/internal/deadline"
 	"linkpass/internal/end"
 	"linkpass/internal/event"
+	"linkpass/internal/metrics"
 	"linkpass/internal/shardmap"
 	"linkpass/internal/shardmap/coverage"
 )
@@ -201,8 +201,8 @@
 	Settings     linkpass.Settings
 	Seed         uint64
 	ProbeTimeout time.Duration
-	Counters     *counters.Set
-	Figures      *counters.Figures
+	Counters     *metrics.Counters
+	Figures      *metrics.Totals
 	Mailbox      int // messages that wait at most
 	// KeepPlans leaves parts whose slice has moved as they are: they fail.
 	KeepPlans bool
@@ -213,8 +213,8 @@
 	set     linkpass.Settings
 	router  *linkpass.Router
 	links   Links
-	count   *counters.Set
-	figures *counters.Figures
+	count   *metrics.Counters
+	figures *metrics.Totals
 	mailbox chan func()
 	noted   chan struct{} // there are notes
 	done    chan struct{}
@@ -617,7 +617,7 @@
 func (c *Core) settle(q Query, a Answer) {
 	c.count.Add([...]string{Answered: "queries_answered", Refused: "queries_refused",
 		Failed: "queries_failed"}[a.Verdict], 1)
-	[...][]atomic.Int64{Answered: c.figures.Served, Refused: c.figures.Refused,
+	[...][]atomic.Int64{Answered: c.figures.Served, Refused: c.figures.Rejected,
 		Failed: c.figures.Failed}[a.Verdict][q.Class].Add(1)
 	c.figures.InFlight.Add(-1)
 	q.Reply(a)
@@ -626,8 +626,8 @@
 // survey keeps the figures on servers fresh: the module is asked what it believes.
 func (c *Core) survey() {
 	known, avoided := c.router.Listed(c.Now())
-	c.figures.Known.Store(int64(known))
-	c.figures.Excluded.Store(int64(avoided))
+	c.figures.ServersKnown.Store(int64(known))
+	c.figures.ServersExcluded.Store(int64(avoided))
 	c.dues.Arm(c.Now()+surveyGap, c.survey)
 }
 
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"linkpass"
-	"linkpass/internal/counters"
 	"linkpass/internal/end"
+	"linkpass/internal/metrics"
 )
 
 // links is a stand-in for the way to servers: what it takes waits for the test.
@@ -72,7 +72,7 @@
 			ReportFields: []linkpass.ReportField{linkpass.FieldInflight}, AnswerSlack: 20 * time.Millisecond,
 			Classes: []linkpass.Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Need: 1, Floor: 1}}}
 		change(&set)
-		core, err := New(Config{Settings: set, Seed: 7, ProbeTimeout: 250 * time.Millisecond, Counters: counters.New(), Figures: counters.NewFigures(make([]string, len(set.Classes)))})
+		core, err := New(Config{Settings: set, Seed: 7, ProbeTimeout: 250 * time.Millisecond, Counters: metrics.NewCounters(), Figures: metrics.NewTotals(make([]string, len(set.Classes)))})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -224,7 +224,7 @@
 func TestClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, err := New(Config{Settings: linkpass.Settings{Peers: 1, Shards: 1, Cells: 1, Reach: 1,
-			Classes: []linkpass.Class{{Aim: 1, Deadline: 1, Need: 1}}}, Counters: counters.New(), Figures: counters.NewFigures(make([]string, 1))})
+			Classes: []linkpass.Class{{Aim: 1, Deadline: 1, Need: 1}}}, Counters: metrics.NewCounters(), Figures: metrics.NewTotals(make([]string, 1))})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -194,7 +194,7 @@
 func (p *Program) Status() adminapi.Status {
 	s := adminapi.Status{Name: p.cfg.name, Program: ProgramVersion(), PID: os.Getpid(), State: p.gate.State().String(),
 		UptimeS: time.Since(p.began).Seconds(), Core: "ok", InFlight: p.figures.InFlight.Load(), Attempts: p.figures.Attempts.Load(),
-		ServersKnown: p.figures.Known.Load(), ServersExcluded: p.figures.Excluded.Load(), ResidentKB: residentKB()}
+		ServersKnown: p.figures.ServersKnown.Load(), ServersExcluded: p.figures.ServersExcluded.Load(), ResidentKB: residentKB()}
 	if _, ok := p.core.Beliefs(coreLimit); !ok {
 		s.Core = "busy"
 	}
@@ -228,7 +228,7 @@
 func (p *Program) classStatus() (out []adminapi.ClassStatus) {
 	for i, name := range p.figures.Classes {
 		out = append(out, adminapi.ClassStatus{Name: name, Served: p.figures.Served[i].Load(),
-			Rejected: p.figures.Refused[i].Load(), Failed: p.figures.Failed[i].Load()})
+			Rejected: p.figures.Rejected[i].Load(), Failed: p.figures.Failed[i].Load()})
 	}
 	return out
 }
--- a/internal/daemon/reshape.go
+++ b/internal/daemon/reshape.go
@@ -83,7 +83,7 @@
 	p.steward = reshardexec.New(reshardexec.Config{Store: stored{p}, Limits: limits, PollInterval: poll, Timeout: max(poll, time.Second),
 		Now: p.core.Now, Counters: p.count, QueryTotals: func() (ended, refused int64) {
 			for i := range p.figures.Classes {
-				r := p.figures.Refused[i].Load()
+				r := p.figures.Rejected[i].Load()
 				ended, refused = ended+r+p.figures.Served[i].Load()+p.figures.Failed[i].Load(), refused+r
 			}
 			return ended, refused
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -19,7 +19,6 @@
 	"linkpass/internal/bodies"
 	"linkpass/internal/bodies/tier"
 	"linkpass/internal/coordinator"
-	"linkpass/internal/counters"
 	"linkpass/internal/discovery"
 	"linkpass/internal/endpoints"
 	"linkpass/internal/event"
@@ -28,6 +27,7 @@
 	"linkpass/internal/http1"
 	"linkpass/internal/lifecycle"
 	"linkpass/internal/link"
+	"linkpass/internal/metrics"
 	"linkpass/internal/opensearch"
 	"linkpass/internal/peer"
 	"linkpass/internal/reshardexec"
@@ -52,8 +52,8 @@
 // Program is what runs: the core, what it stands on, and its fronts.
 type Program struct {
 	cfg        Config
-	count      *counters.Set
-	figures    *counters.Figures
+	count      *metrics.Counters
+	figures    *metrics.Totals
 	core       *coordinator.Core
 	links      *link.Set
 	watcher    *discovery.Watcher
@@ -178,7 +178,7 @@
 	p.over = true
 	p.mu.Unlock()
 	err := p.parts.Stop()
-	p.count.Print("exit")
+	p.count.Log("exit")
 	event.Stopped.Log()
 	return err
 }
@@ -209,7 +209,7 @@
 		}
 		return
 	}
-	p.count.Print("signal")
+	p.count.Log("signal")
 	p.printBodies()
 }
 
@@ -270,7 +270,7 @@
 	if cfg.sockets <= 0 {
 		cfg.sockets = defaultSockets
 	}
-	p := &Program{cfg: cfg, began: time.Now(), count: counters.New(), figures: counters.NewFigures(cfg.host.Classes),
+	p := &Program{cfg: cfg, began: time.Now(), count: metrics.NewCounters(), figures: metrics.NewTotals(cfg.host.Classes),
 		dials: peer.NewPlaces(0), alone: make(chan struct{}, 1), welcome: make(chan struct{}), leaving: make(chan struct{}),
 		changed: make(chan struct{}, 1)}
 	p.fixed.Store(&cfg.Search.Config)
@@ -454,4 +454,4 @@
 }
 
 // Counters are the program's own.
-func (p *Program) Counters() *counters.Set { return p.count }
+func (p *Program) Counters() *metrics.Counters { return p.count }
--- a/internal/daemon/wire_golden_test.go
+++ b/internal/daemon/wire_golden_test.go
@@ -20,11 +20,11 @@
 	"linkpass/internal/config/restriction"
 	"linkpass/internal/config/rollback"
 	"linkpass/internal/coordinator"
-	"linkpass/internal/counters"
 	"linkpass/internal/discovery"
 	"linkpass/internal/endpoints"
 	"linkpass/internal/goldentest"
 	"linkpass/internal/http1"
+	"linkpass/internal/metrics"
 	"linkpass/internal/schema"
 	"linkpass/internal/searchconfig"
 	"linkpass/internal/shardmap"
@@ -125,7 +125,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = st.Close() })
-	p := &Program{count: counters.New()}
+	p := &Program{count: metrics.NewCounters()}
 	p.opened.Store(st)
 	p.agreement = endpoints.New(endpoints.Config{InstanceID: "a", Incarnation: 9, OnUpdate: func(coordinator.EndpointUpdate) {}, Counters: p.count,
 		ResolveEndpoint: func(id string, _ config.ServerSpec) (coordinator.Endpoint, error) {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -17,9 +17,9 @@
 
 	"linkpass"
 	"linkpass/internal/coordinator"
-	"linkpass/internal/counters"
 	"linkpass/internal/event"
 	"linkpass/internal/http1"
+	"linkpass/internal/metrics"
 )
 
 const (
@@ -117,7 +117,7 @@
 	Addr     string
 	Reader   *Reader
 	Core     Core
-	Counters *counters.Set
+	Counters *metrics.Counters
 	Seed     uint64 // of the chance that keeps many watchers from asking in step
 	Patience Patience
 
@@ -132,7 +132,7 @@
 }
 
 // NewWatcher makes the watcher of the list at an address.
-func NewWatcher(addr string, reader *Reader, core Core, count *counters.Set) *Watcher {
+func NewWatcher(addr string, reader *Reader, core Core, count *metrics.Counters) *Watcher {
 	w := &Watcher{Addr: addr, Reader: reader, Core: core, Counters: count, Patience: Queued, mailbox: make(chan reply, 1),
 		moves: make(chan string, 1), first: make(chan struct{})}
 	w.usable = sync.OnceFunc(func() { close(w.first) })
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -20,8 +20,8 @@
 
 	"linkpass"
 	"linkpass/internal/coordinator"
-	"linkpass/internal/counters"
 	"linkpass/internal/http1"
+	"linkpass/internal/metrics"
 )
 
 type fakeCore struct {
@@ -95,7 +95,7 @@
 	core := &fakeCore{lists: make(chan coordinator.EndpointUpdate, 4)}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	w := NewWatcher(agent(t, paths, answers), reader(), core, counters.New())
+	w := NewWatcher(agent(t, paths, answers), reader(), core, metrics.NewCounters())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -165,7 +165,7 @@
 			tries <- struct{}{}
 		}
 	}()
-	w := NewWatcher(ln.Addr().String(), reader(), &fakeCore{lists: make(chan coordinator.EndpointUpdate, 1)}, counters.New())
+	w := NewWatcher(ln.Addr().String(), reader(), &fakeCore{lists: make(chan coordinator.EndpointUpdate, 1)}, metrics.NewCounters())
 	done := make(chan struct{})
 	go func() { defer close(done); w.Run(ctx, Document{}) }()
 	for range 4 {
@@ -188,7 +188,7 @@
 	defer close(newAnswers)
 	core := &fakeCore{lists: make(chan coordinator.EndpointUpdate, 4)}
 	ctx, cancel := context.WithCancel(t.Context())
-	w := NewWatcher(agent(t, paths, answers), reader(), core, counters.New())
+	w := NewWatcher(agent(t, paths, answers), reader(), core, metrics.NewCounters())
 	done := make(chan struct{})
 	go func() { defer close(done); w.Run(ctx, Document{Version: 9, Full: true}) }()
 	<-core.lists
@@ -216,7 +216,7 @@
 	defer close(answers)
 	core := &fakeCore{lists: make(chan coordinator.EndpointUpdate, 4), armed: make(chan limit, 8)}
 	ctx, cancel := context.WithCancel(t.Context())
-	w := NewWatcher(agent(t, paths, answers), reader(), core, counters.New())
+	w := NewWatcher(agent(t, paths, answers), reader(), core, metrics.NewCounters())
 	done := make(chan struct{})
 	go func() { defer close(done); w.Run(ctx, Document{Version: 9, Full: true}) }()
 	<-core.lists
@@ -265,7 +265,7 @@
 	defer close(answers)
 	ctx, cancel := context.WithCancel(t.Context())
 	core := &fakeCore{lists: make(chan coordinator.EndpointUpdate, 4)}
-	w := NewWatcher(agent(t, paths, answers), reader(), core, counters.New())
+	w := NewWatcher(agent(t, paths, answers), reader(), core, metrics.NewCounters())
 	done := make(chan struct{})
 	go func() { defer close(done); w.Run(ctx, Document{Version: 9, Full: true}) }()
 	for _, answer := range []string{"503", `{"version":9,"full":false,"servers":[]}`} {
@@ -286,7 +286,7 @@
 	defer close(answers)
 	ctx, cancel := context.WithCancel(t.Context())
 	core := &fakeCore{lists: make(chan coordinator.EndpointUpdate, 4)}
-	w := NewWatcher(agent(t, paths, answers), reader(), core, counters.New())
+	w := NewWatcher(agent(t, paths, answers), reader(), core, metrics.NewCounters())
 	done := make(chan struct{})
 	go func() { defer close(done); w.Run(ctx, Document{Version: 9, Full: true}) }()
 	<-core.lists
@@ -312,7 +312,7 @@
 		paths, answers := make(chan string, 1), make(chan string)
 		core := &fakeCore{lists: make(chan coordinator.EndpointUpdate, 4), armed: make(chan limit, 8)}
 		ctx, cancel := context.WithCancel(t.Context())
-		w := NewWatcher(agent(t, paths, answers), reader(), core, counters.New())
+		w := NewWatcher(agent(t, paths, answers), reader(), core, metrics.NewCounters())
 		done := make(chan struct{})
 		go func() { defer close(done); w.Run(ctx, known) }()
 		limit := <-core.armed
@@ -350,7 +350,7 @@
 	}()
 	ctx, cancel := context.WithCancel(t.Context())
 	core := &fakeCore{lists: make(chan coordinator.EndpointUpdate, 4)}
-	w := NewWatcher(broken.Addr().String(), reader(), core, counters.New())
+	w := NewWatcher(broken.Addr().String(), reader(), core, metrics.NewCounters())
 	w.Patience = Pushed(time.Second)
 	done := make(chan struct{})
 	go func() { defer close(done); w.Run(ctx, Document{Version: 9, Full: true}) }()
--- a/internal/discovery/patience_test.go
+++ b/internal/discovery/patience_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"linkpass/internal/coordinator"
-	"linkpass/internal/counters"
+	"linkpass/internal/metrics"
 )
 
 // An agent that was silent, for however long, is heard again by 0.6 of the time in which sends by the old
@@ -36,7 +36,7 @@
 	defer close(answers)
 	core := &fakeCore{lists: make(chan coordinator.EndpointUpdate, 4), armed: make(chan limit, 8)}
 	ctx, cancel := context.WithCancel(t.Context())
-	w := NewWatcher(agent(t, paths, answers), reader(), core, counters.New())
+	w := NewWatcher(agent(t, paths, answers), reader(), core, metrics.NewCounters())
 	w.Patience = Pushed(time.Second)
 	done := make(chan struct{})
 	go func() { defer close(done); w.Run(ctx, Document{Version: 9, Full: true}) }()
--- a/internal/discovery/wire_golden_test.go
+++ b/internal/discovery/wire_golden_test.go
@@ -13,8 +13,8 @@
 
 	"linkpass"
 	"linkpass/internal/coordinator"
-	"linkpass/internal/counters"
 	"linkpass/internal/http1"
+	"linkpass/internal/metrics"
 )
 
 // goldenList is a golden list, and what the program makes of it.
@@ -161,7 +161,7 @@
 	defer close(answers)
 	core := &fakeCore{lists: make(chan coordinator.EndpointUpdate, 16)}
 	ctx, cancel := context.WithCancel(t.Context())
-	w := NewWatcher(agent(t, requests, answers), goldenReader(), core, counters.New())
+	w := NewWatcher(agent(t, requests, answers), goldenReader(), core, metrics.NewCounters())
 	known, err := Parse(readList(t, "full.json"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/endpoints/agree.go
+++ b/internal/endpoints/agree.go
@@ -16,8 +16,8 @@
 	"linkpass/internal/config/endpointmerge"
 	"linkpass/internal/config/restriction"
 	"linkpass/internal/coordinator"
-	"linkpass/internal/counters"
 	"linkpass/internal/event"
+	"linkpass/internal/metrics"
 )
 
 // ReplicatedLog is the replicated store.
@@ -34,7 +34,7 @@
 	OnUpdate        func(coordinator.EndpointUpdate)
 	ResolveEndpoint func(id string, spec config.ServerSpec) (coordinator.Endpoint, error) // how an added server is listed
 	Broadcast       map[string]func(context.Context, []restriction.Request) error         // to each other instance, by id
-	Counters        *counters.Set
+	Counters        *metrics.Counters
 }
 
 const (
--- a/internal/endpoints/agree_test.go
+++ b/internal/endpoints/agree_test.go
@@ -14,8 +14,8 @@
 	"linkpass/internal/config"
 	"linkpass/internal/config/restriction"
 	"linkpass/internal/coordinator"
-	"linkpass/internal/counters"
 	"linkpass/internal/event"
+	"linkpass/internal/metrics"
 	"linkpass/internal/searchconfig"
 )
 
@@ -140,7 +140,7 @@
 				spread[fmt.Sprint("n", j)] = n.send(i, j)
 			}
 		}
-		n.nodes[i] = New(Config{InstanceID: fmt.Sprint("n", i), Incarnation: 1, Counters: counters.New(), Broadcast: spread, OnUpdate: func(l coordinator.EndpointUpdate) {
+		n.nodes[i] = New(Config{InstanceID: fmt.Sprint("n", i), Incarnation: 1, Counters: metrics.NewCounters(), Broadcast: spread, OnUpdate: func(l coordinator.EndpointUpdate) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			for _, s := range l.Endpoints {
--- a/internal/endpoints/wire_golden_test.go
+++ b/internal/endpoints/wire_golden_test.go
@@ -9,8 +9,8 @@
 	"linkpass/internal/config"
 	"linkpass/internal/config/restriction"
 	"linkpass/internal/coordinator"
-	"linkpass/internal/counters"
 	"linkpass/internal/goldentest"
+	"linkpass/internal/metrics"
 	"linkpass/internal/searchconfig"
 )
 
@@ -33,7 +33,7 @@
 			t.Fatal(r)
 		}
 	}
-	a := New(Config{InstanceID: name, Incarnation: boot, OnUpdate: func(coordinator.EndpointUpdate) {}, Counters: counters.New(),
+	a := New(Config{InstanceID: name, Incarnation: boot, OnUpdate: func(coordinator.EndpointUpdate) {}, Counters: metrics.NewCounters(),
 		ResolveEndpoint: func(id string, _ config.ServerSpec) (coordinator.Endpoint, error) {
 			return coordinator.Endpoint{Name: id}, nil
 		}})
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -16,7 +16,7 @@
 
 	_ "linkpass/internal/seeded"
 
-	"linkpass/internal/counters"
+	"linkpass/internal/metrics"
 )
 
 const (
@@ -164,7 +164,7 @@
 }
 
 func serveOn(t *testing.T, ln net.Listener, h HandlerFunc, conns int, changes ...func(*Server)) (*Server, string) {
-	s := &Server{Name: "test", Handler: h, Clock: new(clock), Counters: counters.New(), MaxConns: conns}
+	s := &Server{Name: "test", Handler: h, Clock: new(clock), Counters: metrics.NewCounters(), MaxConns: conns}
 	for _, change := range changes {
 		change(s)
 	}
@@ -342,7 +342,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	s := &Server{Name: "test", Clock: new(clock), Counters: counters.New(), MaxConns: 9,
+	s := &Server{Name: "test", Clock: new(clock), Counters: metrics.NewCounters(), MaxConns: 9,
 		Handler: HandlerFunc(func(context.Context, time.Duration, *Request) *Response { return &Response{Status: 200} })}
 	nc, r := dial(t, ln.Addr().String())
 	_ = WriteRequest(nc, "GET", "/", "x", nil, nil)
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"linkpass/internal/counters"
 	"linkpass/internal/event"
+	"linkpass/internal/metrics"
 )
 
 // Handler answers requests. began is when the request's first byte was seen;
@@ -59,7 +59,7 @@
 	Name     string // of the front, for the log
 	Handler  Handler
 	Clock    Clock
-	Counters *counters.Set
+	Counters *metrics.Counters
 	MaxConns int
 	MaxBody  int64
 	Spools   func(*Request) Spool // of large bodies; nil: they lie in memory
--- a/internal/lab/bodies.go
+++ b/internal/lab/bodies.go
@@ -18,7 +18,7 @@
 
 	"linkpass/internal/bodies"
 	"linkpass/internal/bodies/tier"
-	"linkpass/internal/counters"
+	"linkpass/internal/metrics"
 	"linkpass/internal/standin"
 )
 
@@ -247,7 +247,7 @@
 	defer os.RemoveAll(dir)
 	began := time.Now()
 	s := bodies.Open(bodies.Config{Limits: tier.Limits{Memory: budget, Files: 1 << 30, Largest: 1 << 20}, Classes: []string{"lookup"}, Dir: dir,
-		Counters: counters.New(), Now: func() time.Duration { return time.Since(began) }})
+		Counters: metrics.NewCounters(), Now: func() time.Duration { return time.Since(began) }})
 	defer s.Close()
 	data := make([]byte, holdSize)
 	rng := rand.New(rand.NewPCG(1, 1))
--- a/internal/counters/counters_test.go
+++ b/internal/metrics/counters_test.go
@@ -1,4 +1,4 @@
-package counters
+package metrics
 
 import (
 	"sync"
@@ -6,7 +6,7 @@
 )
 
 func TestCountersAddUpAndAreListedByName(t *testing.T) {
-	s := New()
+	s := NewCounters()
 	var wg sync.WaitGroup
 	for range 8 {
 		wg.Go(func() {
--- a/internal/opensearch/front.go
+++ b/internal/opensearch/front.go
@@ -15,9 +15,9 @@
 
 	"linkpass/internal/bodies"
 	"linkpass/internal/coordinator"
-	"linkpass/internal/counters"
 	"linkpass/internal/event"
 	"linkpass/internal/http1"
+	"linkpass/internal/metrics"
 	"linkpass/internal/searchconfig"
 )
 
@@ -44,7 +44,7 @@
 	Changes  Changes       // of layouts; nil: they are a file's
 	Bodies   *bodies.Store // of large searches; nil: they lie in memory
 	Prefix   string        // makes this instance's names of searches its own
-	Counters *counters.Set
+	Counters *metrics.Counters
 
 	searches atomic.Uint64
 	lines    event.Lines // on searches that are turned down
--- a/internal/opensearch/large_test.go
+++ b/internal/opensearch/large_test.go
@@ -15,13 +15,13 @@
 	"linkpass/internal/bodies"
 	"linkpass/internal/bodies/tier"
 	"linkpass/internal/coordinator"
-	"linkpass/internal/counters"
 	"linkpass/internal/http1"
+	"linkpass/internal/metrics"
 )
 
 // large is a front with a store, and a search's body on its way in.
 func large(t *testing.T, k *core, l tier.Limits, body string) (*Front, *http1.Request, *bodies.Store) {
-	s := bodies.Open(bodies.Config{Limits: l, Dir: t.TempDir(), Counters: counters.New(), Now: func() time.Duration { return 0 }})
+	s := bodies.Open(bodies.Config{Limits: l, Dir: t.TempDir(), Counters: metrics.NewCounters(), Now: func() time.Duration { return 0 }})
 	t.Cleanup(s.Close)
 	f := front(k)
 	f.Bodies = s
--- a/internal/opensearch/opensearch_test.go
+++ b/internal/opensearch/opensearch_test.go
@@ -12,9 +12,9 @@
 	"pgregory.net/rapid"
 
 	"linkpass/internal/coordinator"
-	"linkpass/internal/counters"
 	"linkpass/internal/end"
 	"linkpass/internal/http1"
+	"linkpass/internal/metrics"
 	"linkpass/internal/peer"
 	"linkpass/internal/searchconfig"
 	_ "linkpass/internal/seeded"
@@ -44,7 +44,7 @@
 }
 
 func front(c *core) *Front {
-	return &Front{Core: c, Shards: 6, Prefix: "n0", Counters: counters.New(), Catalog: settings,
+	return &Front{Core: c, Shards: 6, Prefix: "n0", Counters: metrics.NewCounters(), Catalog: settings,
 		Classes:  []Class{{"league-table", 5 * time.Second, 3}, {"team-lookup", 2500 * time.Millisecond, 1}},
 		Settings: FixedSettings(settings)}
 }
--- a/internal/peer/burst_test.go
+++ b/internal/peer/burst_test.go
@@ -9,9 +9,9 @@
 
 	"linkpass"
 	"linkpass/internal/coordinator"
-	"linkpass/internal/counters"
 	"linkpass/internal/end"
 	"linkpass/internal/frame"
+	"linkpass/internal/metrics"
 	"linkpass/internal/peer"
 )
 
@@ -49,13 +49,13 @@
 func TestABurstOfClientsThatLeave(t *testing.T) {
 	set := linkpass.Settings{Tick: 5 * time.Millisecond, Peers: 1, Shards: 1, Cells: 1, Reach: 1, CallParts: 1, MaxAttempts: 3,
 		AnswerSlack: 20 * time.Millisecond, Classes: []linkpass.Class{{Aim: 20 * time.Second, Deadline: 30 * time.Second, Worth: 1, Need: 1, Floor: 1}}}
-	core, err := coordinator.New(coordinator.Config{Settings: set, Seed: 7, Counters: counters.New(), Figures: counters.NewFigures(make([]string, 1))})
+	core, err := coordinator.New(coordinator.Config{Settings: set, Seed: 7, Counters: metrics.NewCounters(), Figures: metrics.NewTotals(make([]string, 1))})
 	if err != nil {
 		t.Fatal(err)
 	}
 	sink := &lateCore{Core: core, late: make(chan struct{})}
 	ln := listenTCP(t)
-	w := &way{Peer: peer.New(peer.Config{Sink: sink, Counters: counters.New(), Figures: counters.NewFigures(nil), ConnectTimeout: patience},
+	w := &way{Peer: peer.New(peer.Config{Sink: sink, Counters: metrics.NewCounters(), Figures: metrics.NewTotals(nil), ConnectTimeout: patience},
 		frame.Dialect{MaxStreams: 64}, "s-1", ln.Addr().String())}
 	w.Fit(true)
 	core.Bind(w)
--- a/internal/peer/crossings_test.go
+++ b/internal/peer/crossings_test.go
@@ -11,9 +11,9 @@
 
 	"linkpass"
 	"linkpass/internal/coordinator"
-	"linkpass/internal/counters"
 	"linkpass/internal/end"
 	"linkpass/internal/frame"
+	"linkpass/internal/metrics"
 	"linkpass/internal/peer"
 )
 
@@ -62,7 +62,7 @@
 func playAs(t *testing.T, s *stage, d peer.Dialect) (p *peer.Peer, ln net.Listener) {
 	ln = listenTCP(t)
 	s.ended = make(chan coordinator.Result)
-	p = peer.New(peer.Config{Sink: s, Counters: counters.New(), Figures: counters.NewFigures(nil), ConnectTimeout: dialTime},
+	p = peer.New(peer.Config{Sink: s, Counters: metrics.NewCounters(), Figures: metrics.NewTotals(nil), ConnectTimeout: dialTime},
 		d, "s-1", ln.Addr().String())
 	p.Fit(true)
 	t.Cleanup(func() {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -14,9 +14,9 @@
 	"time"
 
 	"linkpass/internal/coordinator"
-	"linkpass/internal/counters"
 	"linkpass/internal/end"
 	"linkpass/internal/event"
+	"linkpass/internal/metrics"
 	"linkpass/internal/shardmap"
 )
 
@@ -84,8 +84,8 @@
 // Config is what all peers have in common.
 type Config struct {
 	Sink           Sink
-	Counters       *counters.Set
-	Figures        *counters.Figures
+	Counters       *metrics.Counters
+	Figures        *metrics.Totals
 	ConnectTimeout time.Duration
 	Keepalive      time.Duration
 	Places         *Places // nil: no bound
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -14,10 +14,10 @@
 	"time"
 
 	"linkpass/internal/coordinator"
-	"linkpass/internal/counters"
 	"linkpass/internal/end"
 	"linkpass/internal/frame"
 	"linkpass/internal/http1"
+	"linkpass/internal/metrics"
 	"linkpass/internal/opensearch"
 	"linkpass/internal/peer"
 )
@@ -122,7 +122,7 @@
 
 func start(t *testing.T, addr string) (*peer.Peer, *sink) {
 	s := newSink()
-	p := peer.New(peer.Config{Sink: s, Counters: counters.New(), Figures: counters.NewFigures(nil), ConnectTimeout: 250 * time.Millisecond, Keepalive: 30 * time.Second},
+	p := peer.New(peer.Config{Sink: s, Counters: metrics.NewCounters(), Figures: metrics.NewTotals(nil), ConnectTimeout: 250 * time.Millisecond, Keepalive: 30 * time.Second},
 		frame.Dialect{MaxStreams: 2, ReportNames: []string{"active"}}, "s-1", addr)
 	p.Fit(true)
 	t.Cleanup(func() { p.Close(); p.Wait() })
@@ -319,7 +319,7 @@
 		}
 	}
 	s := newSink()
-	p := peer.New(peer.Config{Sink: s, Counters: counters.New(), Figures: counters.NewFigures(nil), ConnectTimeout: time.Second}, opensearch.Dialect{}, "s-1", ln.Addr().String())
+	p := peer.New(peer.Config{Sink: s, Counters: metrics.NewCounters(), Figures: metrics.NewTotals(nil), ConnectTimeout: time.Second}, opensearch.Dialect{}, "s-1", ln.Addr().String())
 	defer func() { p.Close(); p.Wait() }()
 	p.Fit(true)
 	p.Probe(1)
@@ -349,7 +349,7 @@
 	srv := listen(t)
 	places := peer.NewPlaces(1)
 	s := newSink()
-	cfg := peer.Config{Sink: s, Counters: counters.New(), Figures: counters.NewFigures(nil), ConnectTimeout: time.Second, Places: places}
+	cfg := peer.Config{Sink: s, Counters: metrics.NewCounters(), Figures: metrics.NewTotals(nil), ConnectTimeout: time.Second, Places: places}
 	first := peer.New(cfg, frame.Dialect{MaxStreams: 1}, "s-1", srv.ln.Addr().String())
 	first.Fit(true)
 	first.Call(attempt("a", 3, 0))
@@ -378,7 +378,7 @@
 func TestFewerPlaces(t *testing.T) {
 	srv := listen(t)
 	places, s := peer.NewPlaces(2), newSink()
-	p := peer.New(peer.Config{Sink: s, Counters: counters.New(), Figures: counters.NewFigures(nil), ConnectTimeout: time.Second, Places: places},
+	p := peer.New(peer.Config{Sink: s, Counters: metrics.NewCounters(), Figures: metrics.NewTotals(nil), ConnectTimeout: time.Second, Places: places},
 		frame.Dialect{MaxStreams: 2}, "s-1", srv.ln.Addr().String())
 	defer func() { p.Close(); p.Wait() }()
 	p.Fit(true)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -16,9 +16,9 @@
 
 	"linkpass/internal/bodies"
 	"linkpass/internal/coordinator"
-	"linkpass/internal/counters"
 	"linkpass/internal/event"
 	"linkpass/internal/http1"
+	"linkpass/internal/metrics"
 	"linkpass/internal/settings"
 )
 
@@ -33,7 +33,7 @@
 	Classes  []string // names, by number
 	Tenants  []string // the same; nil: the site has none
 	Shards   int
-	Counters *counters.Set
+	Counters *metrics.Counters
 	Ready    func() bool
 	Bodies   *bodies.Store // of large texts; nil: they lie in memory
 	Worth    []float64     // of the classes, by number
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 
 	"linkpass/internal/coordinator"
-	"linkpass/internal/counters"
 	"linkpass/internal/http1"
+	"linkpass/internal/metrics"
 	_ "linkpass/internal/seeded"
 )
 
@@ -42,7 +42,7 @@
 }
 
 func front(c *core) *Front {
-	return &Front{Core: c, Classes: []string{"browse", "checkout"}, Shards: 6, Counters: counters.New(), Ready: func() bool { return true }}
+	return &Front{Core: c, Classes: []string{"browse", "checkout"}, Shards: 6, Counters: metrics.NewCounters(), Ready: func() bool { return true }}
 }
 
 func TestQueriesAndAnswers(t *testing.T) {
--- a/internal/platform/wire_golden_test.go
+++ b/internal/platform/wire_golden_test.go
@@ -12,14 +12,14 @@
 	"linkpass/internal/bodies"
 	"linkpass/internal/bodies/tier"
 	"linkpass/internal/coordinator"
-	"linkpass/internal/counters"
 	"linkpass/internal/end"
 	"linkpass/internal/http1"
+	"linkpass/internal/metrics"
 )
 
 func goldenFront(c *core) *Front {
 	return &Front{Core: c, Classes: []string{"browse", "checkout"}, Tenants: []string{"north", "south_coast"}, Shards: 6,
-		Counters: counters.New(), Ready: func() bool { return true }}
+		Counters: metrics.NewCounters(), Ready: func() bool { return true }}
 }
 
 // exchange serves a request given by its bytes and returns the response's bytes.
--- a/internal/reshardexec/steward.go
+++ b/internal/reshardexec/steward.go
@@ -16,9 +16,9 @@
 
 	"linkpass"
 	"linkpass/internal/coordinator"
-	"linkpass/internal/counters"
 	"linkpass/internal/event"
 	"linkpass/internal/http1"
+	"linkpass/internal/metrics"
 	"linkpass/internal/searchconfig"
 	"linkpass/internal/shardmap"
 	"linkpass/internal/shardmap/resharding"
@@ -59,7 +59,7 @@
 	Timeout      time.Duration // of one call
 	Now          func() time.Duration
 	QueryTotals  func() (ended, refused int64) // queries so far
-	Counters     *counters.Set
+	Counters     *metrics.Counters
 }
 
 const (
