--- a/Makefile
+++ b/Makefile
@@ -31,8 +31,8 @@
 		files=$$(ls $$p/*.go | grep -v _test.go); \
 		bad="$$bad$$(grep -nE '\btime\.(Now|Since|Until|After|AfterFunc|Sleep|Tick|NewTimer|NewTicker)\b|^[[:space:]]*go (func|[A-Za-z_.]+\()' $$files)"; \
 		if [ -n "$$bad" ]; then echo "$$p is listed as pure: $$bad"; exit 1; fi; done
-	@bare=$$(grep -rlE '^[[:space:]]*"log(/slog)?"$$' --include=*.go . | grep -v '^./internal/event/'); if [ -n "$$bare" ]; then \
-		echo "lines are logged by internal/event alone: $$bare"; exit 1; fi
+	@bare=$$(grep -rlE '^[[:space:]]*"log(/slog)?"$$' --include=*.go . | grep -v '^./internal/eventlog/'); if [ -n "$$bare" ]; then \
+		echo "lines are logged by internal/eventlog alone: $$bare"; exit 1; fi
 	@head -n 1 router.go | grep -q 'api\.go' || { echo "router.go must point to api.go first"; exit 1; }
 
 test: lint build
--- a/cmd/linkpass-lab/main.go
+++ b/cmd/linkpass-lab/main.go
@@ -11,7 +11,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 	"linkpass/internal/lab"
 )
 
@@ -44,7 +44,7 @@
 
 // logs sends the coordinators' lines where they are wanted.
 func (c common) logs() error {
-	event.SetOutput(io.Discard, false)
+	eventlog.SetOutput(io.Discard, false)
 	if c.Log == "" {
 		return nil
 	}
@@ -55,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	event.SetOutput(f, false)
+	eventlog.SetOutput(f, false)
 	return nil
 }
 
--- a/internal/admin/gate.go
+++ b/internal/admin/gate.go
@@ -6,7 +6,7 @@
 import (
 	"sync"
 
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 )
 
 // State is where the coordinator stands towards its clients.
@@ -97,7 +97,7 @@
 		}
 	}
 	if before != after {
-		event.State.Log(before, after)
+		eventlog.State.Log(before, after)
 	}
 	return after
 }
--- a/internal/adminapi/control.go
+++ b/internal/adminapi/control.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"linkpass/internal/endpoints"
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 	"linkpass/internal/http1"
 	"linkpass/internal/searchconfig"
 	"linkpass/internal/shardmap"
@@ -204,16 +204,16 @@
 		}
 		return reply(told)
 	case "GET log":
-		return reply(event.Levels())
+		return reply(eventlog.Levels())
 	case "GET store/document", "GET store/backup", "PUT store/document":
 		return h.document(path, req)
 	}
 	if part, ok := strings.CutPrefix(path, "log/"); ok && req.Method == "PUT" {
-		if err := event.SetLevel(part, string(req.Body)); err != nil {
+		if err := eventlog.SetLevel(part, string(req.Body)); err != nil {
 			return fail(400, err)
 		}
-		event.LogLevel.Log(part, string(req.Body))
-		return reply(event.Levels())
+		eventlog.LogLevel.Log(part, string(req.Body))
+		return reply(eventlog.Levels())
 	}
 	return fail(404, fmt.Errorf("no such call: %s %.80q", req.Method, req.Path))
 }
--- a/internal/adminapi/sealed.go
+++ b/internal/adminapi/sealed.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"linkpass/internal/adminapi/signature"
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 	"linkpass/internal/http1"
 	"linkpass/internal/metrics"
 )
@@ -17,7 +17,7 @@
 	Check    func(header string, c signature.Call) error
 	Counters *metrics.Counters
 
-	lines event.Lines
+	lines eventlog.RateLimited
 }
 
 // Serve answers one call, after a look at its signature.
@@ -31,7 +31,7 @@
 		return s.Handler.Serve(ctx, began, req)
 	}
 	s.Counters.Add("control_unsigned", 1)
-	s.lines.Log(event.CallRefused, err)
+	s.lines.Log(eventlog.CallRefused, err)
 	if errors.Is(err, signature.ErrCrowded) {
 		return fail(429, err)
 	}
--- a/internal/bodies/bodies.go
+++ b/internal/bodies/bodies.go
@@ -14,7 +14,7 @@
 	"lukechampine.com/blake3"
 
 	"linkpass/internal/bodies/tier"
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 	"linkpass/internal/metrics"
 )
 
@@ -58,7 +58,7 @@
 	wake    chan struct{}
 	done    chan struct{}
 	wg      sync.WaitGroup
-	lines   event.Lines
+	lines   eventlog.RateLimited
 }
 
 // entry is one body.
@@ -89,7 +89,7 @@
 	if c.Dir != "" && c.Limits.Files > 0 {
 		own, lock, err := ownDir(c.Dir)
 		if err != nil {
-			event.BodiesMemoryOnly.Log(c.Dir, err)
+			eventlog.BodiesMemoryOnly.Log(c.Dir, err)
 		} else {
 			s.own, s.lock, s.log = own, lock, newLog(c.FS, own)
 		}
@@ -141,7 +141,7 @@
 func (s *Store) awake() []tier.Move {
 	if s.rests > 0 && s.cfg.Now() >= s.rests {
 		s.rests = 0
-		event.BodiesFilesBack.Log()
+		eventlog.BodiesFilesBack.Log()
 		return s.state.Rest(false)
 	}
 	return nil
@@ -203,7 +203,7 @@
 func (s *Store) lost(e *entry, err error) {
 	s.mu.Lock()
 	s.count(e, "lost")
-	s.lines.Log(event.BodyLost, e.class, e.size, err)
+	s.lines.Log(eventlog.BodyLost, e.class, e.size, err)
 	s.state.Free(e.id)
 	told := s.forget(e)
 	s.mu.Unlock()
--- a/internal/bodies/move.go
+++ b/internal/bodies/move.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"linkpass/internal/bodies/tier"
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 )
 
 // Bounds on compaction: it writes so much at a time, and no more often than that.
@@ -88,7 +88,7 @@
 	s.event(func() []tier.Move {
 		s.cfg.Counters.Add("bodies_write_failed", 1)
 		if s.rests == 0 {
-			event.BodiesFilesRest.Log(filesRest.Milliseconds(), err)
+			eventlog.BodiesFilesRest.Log(filesRest.Milliseconds(), err)
 		}
 		s.rests = s.cfg.Now() + filesRest
 		return s.state.Rest(true)
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -18,7 +18,7 @@
 	"linkpass/internal/adminapi"
 	"linkpass/internal/adminapi/signature"
 	"linkpass/internal/daemon"
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 	"linkpass/internal/http1"
 	"linkpass/internal/lab"
 	"linkpass/internal/launch"
@@ -32,8 +32,8 @@
 // Every command, with its exit codes and its output, and every command that the pages show, against a coordinator on a
 // stand-in fleet.
 func TestCommands(t *testing.T) {
-	event.SetOutput(io.Discard, false)
-	t.Cleanup(func() { event.SetOutput(os.Stderr, false) })
+	eventlog.SetOutput(io.Discard, false)
+	t.Cleanup(func() { eventlog.SetOutput(os.Stderr, false) })
 	t.Setenv("TMPDIR", t.TempDir())
 	files, err := filepath.Glob(filepath.Join("testdata", "*.txtar"))
 	if err != nil || len(files) == 0 {
@@ -84,8 +84,8 @@
 
 // demo starts a coordinator on a stand-in fleet.
 func demo(t *testing.T, seed uint64) *lab.Demo {
-	event.SetOutput(io.Discard, false)
-	t.Cleanup(func() { event.SetOutput(os.Stderr, false) })
+	eventlog.SetOutput(io.Discard, false)
+	t.Cleanup(func() { eventlog.SetOutput(os.Stderr, false) })
 	t.Setenv("TMPDIR", t.TempDir())
 	d, err := lab.StartDemo(seed)
 	if err != nil {
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -15,7 +15,7 @@
 	"linkpass"
 	"linkpass/internal/deadline"
 	"linkpass/internal/end"
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 	"linkpass/internal/metrics"
 	"linkpass/internal/shardmap"
 	"linkpass/internal/shardmap/coverage"
@@ -537,7 +537,7 @@
 	}
 	// Guards against a query that the module never ends: it fails when its time is over.
 	open.due = c.dues.Arm(open.ends+c.set.AnswerSlack, func() {
-		event.QueryOverdue.Log(open.Name, open.Class)
+		eventlog.QueryOverdue.Log(open.Name, open.Class)
 		c.count.Add("queries_overdue", 1)
 		c.events = append(c.events, linkpass.ClientGone{ID: open.id})
 		c.finish(open, Answer{Verdict: Failed, TimedOut: true})
--- a/internal/daemon/bodies.go
+++ b/internal/daemon/bodies.go
@@ -11,7 +11,7 @@
 
 	"linkpass/internal/bodies"
 	"linkpass/internal/bodies/tier"
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 	"linkpass/internal/http1"
 	"linkpass/internal/opensearch"
 )
@@ -142,5 +142,5 @@
 		return
 	}
 	f := p.bodies.Figures()
-	event.Bodies.Log(f.Bodies, f.Shared, f.ArrivingBodies, f.WaitingBodies, f.Memory, f.Files, f.Disk)
+	eventlog.Bodies.Log(f.Bodies, f.Shared, f.ArrivingBodies, f.WaitingBodies, f.Memory, f.Files, f.Disk)
 }
--- a/internal/daemon/fronts.go
+++ b/internal/daemon/fronts.go
@@ -8,7 +8,7 @@
 	"strconv"
 
 	"linkpass/internal/admin"
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 	"linkpass/internal/http1"
 	"linkpass/internal/lifecycle"
 	"linkpass/internal/opensearch"
@@ -27,9 +27,9 @@
 func (e *entrance) run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = e.ln.Close() })
 	defer stop()
-	event.Listening.Log(e.server.Name, e.ln.Addr())
+	eventlog.Listening.Log(e.server.Name, e.ln.Addr())
 	if err := e.server.Serve(e.ln); err != nil {
-		event.FrontFailed.Log(e.server.Name, err)
+		eventlog.FrontFailed.Log(e.server.Name, err)
 	}
 }
 
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -7,7 +7,7 @@
 	"strings"
 	"syscall"
 
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 )
 
 // Arguments reads a command line that does no more than start the daemon: nothing, or serve, and the operators' file in
@@ -43,7 +43,7 @@
 		err = cfg.Check()
 	}
 	if err != nil {
-		event.ConfigBad.Log(err)
+		eventlog.ConfigBad.Log(err)
 		return 1
 	}
 	term, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -53,7 +53,7 @@
 		err = p.Serve(term, news)
 	}
 	if err != nil {
-		event.Failed.Log(err)
+		eventlog.Failed.Log(err)
 		return 1
 	}
 	return 0
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -11,7 +11,7 @@
 
 	"linkpass/internal/adminapi"
 	"linkpass/internal/adminapi/signature"
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 	"linkpass/internal/schema"
 	"linkpass/internal/searchconfig"
 )
@@ -27,7 +27,7 @@
 	cfg, ring, err := p.readAgain()
 	if err != nil {
 		p.count.Add("config_bad", 1)
-		event.ConfigKept.Log(err)
+		eventlog.ConfigKept.Log(err)
 		return adminapi.ReloadResult{}, err
 	}
 	p.mu.Lock()
@@ -47,10 +47,10 @@
 	}
 	if ring != nil {
 		p.keys.set(ring)
-		event.KeysTaken.Log(len(ring))
+		eventlog.KeysTaken.Log(len(ring))
 	}
 	p.count.Add("config_reloaded", 1)
-	event.ConfigReloaded.Log(cfg.fileDiscovery, strings.Join(told.Applied, ","), strings.Join(told.NeedsRestart, ","))
+	eventlog.ConfigReloaded.Log(cfg.fileDiscovery, strings.Join(told.Applied, ","), strings.Join(told.NeedsRestart, ","))
 	return told, nil
 }
 
@@ -192,17 +192,17 @@
 	if level == "" {
 		level = Keys.Must("log.level").Default
 	}
-	_ = event.SetLevel("all", level) // all of them were checked when the file was read
+	_ = eventlog.SetLevel("all", level) // all of them were checked when the file was read
 	if level != "error" && level != "off" {
-		_ = event.SetLevel("raft", "warn")
+		_ = eventlog.SetLevel("raft", "warn")
 	}
 	for part, level := range l.Levels {
-		_ = event.SetLevel(part, level)
+		_ = eventlog.SetLevel(part, level)
 	}
 }
 
 // Apply lets the log be written to w as the file says.
 func (l Log) Apply(w io.Writer) {
-	event.SetOutput(w, l.Format == "json")
+	eventlog.SetOutput(w, l.Format == "json")
 	l.levels()
 }
--- a/internal/daemon/reshape.go
+++ b/internal/daemon/reshape.go
@@ -7,7 +7,7 @@
 
 	"linkpass/internal/coordinator"
 	"linkpass/internal/discovery"
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 	"linkpass/internal/reshardexec"
 	"linkpass/internal/searchconfig"
 	"linkpass/internal/shardmap"
@@ -62,7 +62,7 @@
 			if n.Map != nil {
 				version = n.Map.Version()
 			}
-			event.LayoutChanged.Log(n.Collection, version, len(n.Added), len(n.Removed))
+			eventlog.LayoutChanged.Log(n.Collection, version, len(n.Added), len(n.Removed))
 		}
 	}
 }
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -21,7 +21,7 @@
 	"linkpass/internal/coordinator"
 	"linkpass/internal/discovery"
 	"linkpass/internal/endpoints"
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 	"linkpass/internal/frame"
 	"linkpass/internal/handover"
 	"linkpass/internal/http1"
@@ -104,7 +104,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.share.Processes != s.Processes {
-		event.Share.Log(s.Processes, s.Open)
+		eventlog.Share.Log(s.Processes, s.Open)
 	}
 	p.share = s
 	p.limitMemory()
@@ -154,7 +154,7 @@
 		close(p.welcome)
 	}
 	p.parts.Run(context.Background())
-	event.Started.Log(cfg.name, cfg.discovery, len(cfg.known.Servers))
+	eventlog.Started.Log(cfg.name, cfg.discovery, len(cfg.known.Servers))
 	go p.reloads(ctx)
 	p.follow(term, news, young)
 
@@ -179,7 +179,7 @@
 	p.mu.Unlock()
 	err := p.parts.Stop()
 	p.count.Log("exit")
-	event.Stopped.Log()
+	eventlog.Stopped.Log()
 	return err
 }
 
@@ -247,9 +247,9 @@
 			p.parts.OpenDeferred(func(name string, err error) {
 				switch name {
 				case "control":
-					event.ControlFailed.Log(err)
+					eventlog.ControlFailed.Log(err)
 				default:
-					event.SearchFailed.Log(err)
+					eventlog.SearchFailed.Log(err)
 				}
 			})
 			p.mu.Unlock()
@@ -311,7 +311,7 @@
 func (p *Program) join() {
 	var err error
 	if p.post, err = handover.Join(os.TempDir(), p.cfg.name, p.cfg.module.MaxOpen, p.keepTo); err != nil {
-		event.HandoverFailed.Log(err) // one that runs alone does without
+		eventlog.HandoverFailed.Log(err) // one that runs alone does without
 		p.keepTo(handover.Share{Processes: 1, Open: p.cfg.module.MaxOpen})
 	}
 }
@@ -399,7 +399,7 @@
 	if p.cfg.listenFD != 0 {
 		wait = 0
 	}
-	event.Stopping.Log(wait.Milliseconds())
+	eventlog.Stopping.Log(wait.Milliseconds())
 	time.Sleep(wait)
 	close(p.leaving)
 	own, shared := p.lns, []net.Listener(nil)
--- a/internal/daemon/schema.go
+++ b/internal/daemon/schema.go
@@ -12,7 +12,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 	"linkpass/internal/schema"
 )
 
@@ -113,8 +113,8 @@
 		note("bodies", err)
 	}
 	for part, level := range c.Log.Levels {
-		if !slices.Contains(event.Parts(), part) {
-			note("log.levels."+part, fmt.Errorf("log.levels.%s = %q: no such part; there are %s", part, level, strings.Join(event.Parts(), ", ")))
+		if !slices.Contains(eventlog.Components(), part) {
+			note("log.levels."+part, fmt.Errorf("log.levels.%s = %q: no such part; there are %s", part, level, strings.Join(eventlog.Components(), ", ")))
 		}
 	}
 	if (c.Operator.Listen != "") != (c.Operator.Keys != "") {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -17,7 +17,7 @@
 
 	"linkpass"
 	"linkpass/internal/coordinator"
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 	"linkpass/internal/http1"
 	"linkpass/internal/metrics"
 )
@@ -223,7 +223,7 @@
 		}
 		if failing && r.err == nil {
 			failing = false
-			event.DiscoveryBack.Log(w.Addr)
+			eventlog.DiscoveryBack.Log(w.Addr)
 		}
 		if r.err != nil {
 			w.Counters.Add("discovery_failed", 1)
@@ -233,7 +233,7 @@
 			}
 			// Guards the log against one line for each of the tries while discovery is down.
 			if !failing {
-				event.DiscoveryFailed.Log(w.Addr, r.err)
+				eventlog.DiscoveryFailed.Log(w.Addr, r.err)
 			}
 			failing = true
 			var rest time.Duration
@@ -259,7 +259,7 @@
 	if held != nil {
 		_ = held.Close()
 	}
-	event.DiscoveryMoved.Log(w.Addr, addr)
+	eventlog.DiscoveryMoved.Log(w.Addr, addr)
 	w.Counters.Add("discovery_moved", 1)
 	w.Addr, w.version, w.answers, w.rest = addr, none, 0, w.Patience.rest
 	return nil
@@ -315,7 +315,7 @@
 
 func (w *Watcher) bad(err error) {
 	w.Counters.Add("discovery_bad", 1)
-	event.ListBad.Log(err)
+	eventlog.ListBad.Log(err)
 }
 
 func (w *Watcher) take(data []byte) error {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"context"
 	"fmt"
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 	"math/rand/v2"
 	"net"
 	"os"
@@ -147,8 +147,8 @@
 // While discovery is down every try counts, but only the first is logged.
 func TestDiscoveryThatIsDownIsLoggedOnce(t *testing.T) {
 	var lines bytes.Buffer
-	event.SetOutput(&lines, false)
-	defer event.SetOutput(os.Stderr, false)
+	eventlog.SetOutput(&lines, false)
+	defer eventlog.SetOutput(os.Stderr, false)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/endpoints/agree.go
+++ b/internal/endpoints/agree.go
@@ -16,7 +16,7 @@
 	"linkpass/internal/config/endpointmerge"
 	"linkpass/internal/config/restriction"
 	"linkpass/internal/coordinator"
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 	"linkpass/internal/metrics"
 )
 
@@ -138,7 +138,7 @@
 	if v.Spec != nil {
 		m, err := a.cfg.ResolveEndpoint(name, *v.Spec)
 		if err != nil {
-			event.ListBad.Log(fmt.Errorf("agreed server %q: %w", name, err))
+			eventlog.ListBad.Log(fmt.Errorf("agreed server %q: %w", name, err))
 			return now
 		}
 		now.Added = &m
@@ -170,7 +170,7 @@
 		return o, fmt.Errorf("agree: order %s counts as settled: this process's clock is behind those before it", o.ID)
 	}
 	a.cfg.Counters.Add("orders_given", 1)
-	event.OrderHeard.Log(o.ID, o.Server, o.Level, "an operator")
+	eventlog.OrderHeard.Log(o.ID, o.Server, o.Level, "an operator")
 	a.remember(o)
 	a.announce(nil)
 	a.wakeWorkers()
@@ -193,7 +193,7 @@
 	news := a.pending.Receive(a.log.State(), orders...)
 	for _, o := range news {
 		a.cfg.Counters.Add("orders_heard", 1)
-		event.OrderHeard.Log(o.ID, o.Server, o.Level, from)
+		eventlog.OrderHeard.Log(o.ID, o.Server, o.Level, from)
 		a.remember(o)
 	}
 	if len(news) > 0 {
@@ -321,7 +321,7 @@
 			return // no majority now: asked again
 		}
 		if r.Reason != config.Applied && r.Reason != config.AlreadySettled {
-			event.OrderWithdrawn.Log(o.ID, o.Server, o.Level, string(r.Reason))
+			eventlog.OrderWithdrawn.Log(o.ID, o.Server, o.Level, string(r.Reason))
 		}
 	}
 }
--- a/internal/endpoints/agree_test.go
+++ b/internal/endpoints/agree_test.go
@@ -14,7 +14,7 @@
 	"linkpass/internal/config"
 	"linkpass/internal/config/restriction"
 	"linkpass/internal/coordinator"
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 	"linkpass/internal/metrics"
 	"linkpass/internal/searchconfig"
 )
@@ -162,8 +162,8 @@
 // Whatever the network does, a drain holds at once where it is ordered and within a second wherever it can be heard directly;
 // and when all is well again every order is settled and all instances are alike.
 func TestDrainsThroughABadNetwork(t *testing.T) {
-	_ = event.SetLevel("store", "off")
-	defer func() { _ = event.SetLevel("store", "info") }()
+	_ = eventlog.SetLevel("store", "off")
+	defer func() { _ = eventlog.SetLevel("store", "info") }()
 	for seed := range uint64(40) {
 		synctest.Test(t, func(t *testing.T) {
 			n := newNetwork(seed)
--- a/internal/event/event.go
+++ b/internal/eventlog/event.go
@@ -1,6 +1,6 @@
-// Package event is the program's log: every line is an event of one registry, written by a logger
+// Package eventlog is the program's log: every line is an event of one registry, written by a logger
 // named after the part of the program that it comes from, as key=value text or as JSON.
-package event
+package eventlog
 
 import (
 	"fmt"
@@ -15,32 +15,32 @@
 	"golang.org/x/time/rate"
 )
 
-// Kind is a kind of event.
-type Kind struct {
-	Part, Name string
-	Fields     []string
-	Level      hclog.Level
-	Means, Do  string // for those on call, in Markdown
+// Event is a kind of event.
+type Event struct {
+	Component, Name string
+	Fields          []string
+	Level           hclog.Level
+	Meaning, Action string // for those on call, in Markdown
 }
 
-var registry []*Kind
+var registry []*Event
 
 // register adds a kind; fields are separated by spaces.
-func register(part, name, fields string, level hclog.Level, means, do string) *Kind {
-	k := &Kind{Part: part, Name: name, Fields: strings.Fields(fields), Level: level, Means: means, Do: do}
+func register(part, name, fields string, level hclog.Level, means, do string) *Event {
+	k := &Event{Component: part, Name: name, Fields: strings.Fields(fields), Level: level, Meaning: means, Action: do}
 	registry = append(registry, k)
 	return k
 }
 
-// Kinds are all kinds, by name.
-func Kinds() []*Kind {
-	return slices.SortedFunc(slices.Values(registry), func(a, b *Kind) int { return strings.Compare(a.Name, b.Name) })
+// Events are all kinds, by name.
+func Events() []*Event {
+	return slices.SortedFunc(slices.Values(registry), func(a, b *Event) int { return strings.Compare(a.Name, b.Name) })
 }
 
 // Log writes the event with the values of its fields in their order, then further keys and values in turn.
 // It may be called from anywhere.
-func (k *Kind) Log(values ...any) {
-	l := logger(k.Part)
+func (k *Event) Log(values ...any) {
+	l := logger(k.Component)
 	if k.Level < l.GetLevel() {
 		return
 	}
@@ -56,7 +56,7 @@
 }
 
 // message is the name in words: what a reader sees first.
-func (k *Kind) message() string { return strings.ReplaceAll(k.Name, "_", " ") }
+func (k *Event) message() string { return strings.ReplaceAll(k.Name, "_", " ") }
 
 // oneLine keeps what comes from outside from starting lines of its own.
 func oneLine(v any) any {
@@ -74,9 +74,9 @@
 	return strings.NewReplacer("\r\n", "; ", "\n", "; ", "\r", "; ").Replace(s)
 }
 
-// Lines bounds the log lines of a kind that others can cause at will: a few at once, then
+// RateLimited bounds the log lines of a kind that others can cause at will: a few at once, then
 // one a second. What is not logged is counted all the same. The zero value is ready.
-type Lines struct {
+type RateLimited struct {
 	once sync.Once
 	some rate.Sometimes
 }
@@ -84,7 +84,7 @@
 const linesAtOnce = 20
 
 // Log logs an event, unless there were too many.
-func (l *Lines) Log(k *Kind, values ...any) {
+func (l *RateLimited) Log(k *Event, values ...any) {
 	l.once.Do(func() { l.some = rate.Sometimes{First: linesAtOnce, Interval: time.Second} })
 	l.some.Do(func() { k.Log(values...) })
 }
@@ -97,11 +97,11 @@
 	byPart map[string]hclog.Logger
 }
 
-// Parts are the names of the loggers.
-func Parts() []string {
+// Components are the names of the loggers.
+func Components() []string {
 	parts := []string{raftPart}
 	for _, k := range registry {
-		parts = append(parts, k.Part)
+		parts = append(parts, k.Component)
 	}
 	slices.Sort(parts)
 	return slices.Compact(parts)
@@ -127,7 +127,7 @@
 	if l == hclog.NoLevel {
 		return fmt.Errorf("log level %q is none of trace, debug, info, warn, error and off", level)
 	}
-	parts := Parts()
+	parts := Components()
 	if part != "all" {
 		if !slices.Contains(parts, part) {
 			return fmt.Errorf("log part %q is none of %s", part, strings.Join(parts, ", "))
@@ -143,14 +143,14 @@
 // Levels are the levels by part.
 func Levels() map[string]string {
 	out := map[string]string{}
-	for _, p := range Parts() {
+	for _, p := range Components() {
 		out[p] = logger(p).GetLevel().String()
 	}
 	return out
 }
 
-// Raft is the logger that the library of the store gets; its lines are events called raft.
-func Raft() hclog.Logger { return logger(raftPart).With("event", "raft") }
+// RaftLogger is the logger that the library of the store gets; its lines are events called raft.
+func RaftLogger() hclog.Logger { return logger(raftPart).With("event", "raft") }
 
 func logger(part string) hclog.Logger {
 	loggers.Lock()
--- a/internal/event/event_test.go
+++ b/internal/eventlog/event_test.go
@@ -1,4 +1,4 @@
-package event
+package eventlog
 
 import (
 	"bytes"
@@ -25,7 +25,7 @@
 func TestLinesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		got := written(false, func() {
-			var lines Lines
+			var lines RateLimited
 			for range 1000 { // ten seconds
 				lines.Log(ListBad, "x")
 				time.Sleep(10 * time.Millisecond)
@@ -64,7 +64,7 @@
 	if err := SetLevel("discovery", "error"); err != nil {
 		t.Fatal(err)
 	}
-	got := written(false, func() { ListBad.Log("x"); Stopped.Log(); Raft().Info("talk"); Raft().Warn("lost") })
+	got := written(false, func() { ListBad.Log("x"); Stopped.Log(); RaftLogger().Info("talk"); RaftLogger().Warn("lost") })
 	if strings.Contains(got, "list_bad") || strings.Contains(got, "talk") || !strings.Contains(got, "event=stopped") ||
 		!strings.Contains(got, "lost: event=raft") || Levels()["discovery"] != "error" {
 		t.Error(got)
@@ -87,11 +87,11 @@
 	if !ok || !also {
 		t.Fatal("the table has no place")
 	}
-	want := before + from + Table() + to + after
+	want := before + from + MarkdownTable() + to + after
 	if os.Getenv("UPDATE_DOCS") != "" {
 		err = os.WriteFile(path, []byte(want), 0o644)
 	}
 	if err != nil || want != string(page) && os.Getenv("UPDATE_DOCS") == "" {
-		t.Errorf("docs/oncall.md is not what the registry says (UPDATE_DOCS=1 go test ./internal/event writes it): %v", err)
+		t.Errorf("docs/oncall.md is not what the registry says (UPDATE_DOCS=1 go test ./internal/eventlog writes it): %v", err)
 	}
 }
--- a/internal/event/registry.go
+++ b/internal/eventlog/registry.go
@@ -1,4 +1,4 @@
-package event
+package eventlog
 
 import "github.com/hashicorp/go-hclog"
 
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -12,7 +12,7 @@
 	"sync"
 	"syscall"
 
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 )
 
 // Share is the part of the limits that a process may use.
@@ -88,14 +88,14 @@
 		}
 		var s Share
 		if _, err := fmt.Sscanf(line, "processes=%d open=%d\n", &s.Processes, &s.Open); err != nil || s.Processes < 2 || s.Open < 0 {
-			event.HandoverBad.Log(line)
+			eventlog.HandoverBad.Log(line)
 			break
 		}
 		p.share(s)
 	}
 	_ = nc.Close()
 	if err := p.claim(); err != nil {
-		event.HandoverFailed.Log(err)
+		eventlog.HandoverFailed.Log(err)
 	}
 }
 
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 )
 
 // conn is one connection. Its own goroutine reads, answers and closes it; others may only end
@@ -172,7 +172,7 @@
 		return // cut short: nobody is there to be told
 	}
 	c.server.Counters.Add(c.server.Name+"_malformed", 1)
-	c.server.lines.Log(event.RequestMalformed, c.server.Name, bad.Status, bad.Reason)
+	c.server.lines.Log(eventlog.RequestMalformed, c.server.Name, bad.Status, bad.Reason)
 	res := &Response{Status: bad.Status, Close: true, Body: []byte(bad.Reason + "\n")}
 	if bad.RetryAfter != "" {
 		res.Header = textproto.MIMEHeader{"Retry-After": {bad.RetryAfter}}
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 	"linkpass/internal/metrics"
 )
 
@@ -64,7 +64,7 @@
 	MaxBody  int64
 	Spools   func(*Request) Spool // of large bodies; nil: they lie in memory
 
-	lines    event.Lines // on requests that can't be read
+	lines    eventlog.RateLimited // on requests that can't be read
 	mu       sync.Mutex
 	moved    sync.Cond // on mu: some connection has left its state, or ended
 	conns    map[*conn]bool
@@ -96,7 +96,7 @@
 		}
 		if err != nil {
 			// Guards against a shortage of descriptors: it passes, the listener stays.
-			event.AcceptFailed.Log(s.Name, err)
+			eventlog.AcceptFailed.Log(s.Name, err)
 			s.Counters.Add(s.Name+"_accept_failed", 1)
 			time.Sleep(20 * time.Millisecond)
 			continue
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -17,7 +17,7 @@
 	"linkpass/internal/adminapi"
 	"linkpass/internal/config"
 	"linkpass/internal/endpoints"
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 	"linkpass/internal/http1"
 	"linkpass/internal/standin"
 	"linkpass/internal/store"
@@ -26,8 +26,8 @@
 // A short run of the experiment keeps every rule and leaves its tables and its chart. How fast it
 // was is not looked at.
 func TestReshapeKeepsTheRules(t *testing.T) {
-	event.SetOutput(io.Discard, false)
-	t.Cleanup(func() { event.SetOutput(os.Stderr, false) })
+	eventlog.SetOutput(io.Discard, false)
+	t.Cleanup(func() { eventlog.SetOutput(os.Stderr, false) })
 	t.Setenv("TMPDIR", t.TempDir())
 	dir := t.TempDir()
 	ok, err := Reshape(ReshapeConfig{Seeds: []uint64{7}, Seconds: 4, Servers: 12, Rate: 30, Every: time.Second, Out: dir})
@@ -71,8 +71,8 @@
 // A server that claims a version that does not exist, one that is cut off, one that is slow and one that
 // speaks plain frames: searches of the whole index are answered whole, by the twins and by the plain one.
 func TestSearchesBesideBadServers(t *testing.T) {
-	event.SetOutput(io.Discard, false)
-	t.Cleanup(func() { event.SetOutput(os.Stderr, false) })
+	eventlog.SetOutput(io.Discard, false)
+	t.Cleanup(func() { eventlog.SetOutput(os.Stderr, false) })
 	t.Setenv("TMPDIR", t.TempDir())
 	d, err := StartDemo(3)
 	if err != nil {
@@ -102,8 +102,8 @@
 // A backup that is taken while settings are written is one document that held, whole; restored into a cluster with other
 // members it brings the settings, and neither the members nor where slices lie.
 func TestBackupDuringWritesIntoAnotherCluster(t *testing.T) {
-	event.SetOutput(io.Discard, false)
-	t.Cleanup(func() { event.SetOutput(os.Stderr, false) })
+	eventlog.SetOutput(io.Discard, false)
+	t.Cleanup(func() { eventlog.SetOutput(os.Stderr, false) })
 	t.Setenv("TMPDIR", t.TempDir())
 	here, there := cluster(t, 11, 3), cluster(t, 12, 1)
 	call := func(n *node, method, path string, body []byte) *http1.Response {
@@ -199,8 +199,8 @@
 // is refused; an undrain holds once a majority has it; a removed server stays away. Without a majority a drain still holds
 // where it is heard, and an undrain is refused.
 func TestDrainsWithAndWithoutAMajority(t *testing.T) {
-	event.SetOutput(io.Discard, false)
-	t.Cleanup(func() { event.SetOutput(os.Stderr, false) })
+	eventlog.SetOutput(io.Discard, false)
+	t.Cleanup(func() { eventlog.SetOutput(os.Stderr, false) })
 	t.Setenv("TMPDIR", t.TempDir())
 	w := cluster(t, 13, 3)
 	order := func(n *node, verb, server string, force bool) error {
@@ -284,8 +284,8 @@
 // Instances report their disks to each other over the search front: one that comes with an earlier start is turned away
 // with 409, what is no report with 400.
 func TestDisksAreReported(t *testing.T) {
-	event.SetOutput(io.Discard, false)
-	t.Cleanup(func() { event.SetOutput(os.Stderr, false) })
+	eventlog.SetOutput(io.Discard, false)
+	t.Cleanup(func() { eventlog.SetOutput(os.Stderr, false) })
 	t.Setenv("TMPDIR", t.TempDir())
 	w := cluster(t, 17, 3)
 	ask := func(body string) int {
@@ -319,8 +319,8 @@
 // A short run of the experiment on drains keeps every rule; how fast it was is not looked at, but for the second that is
 // the rule.
 func TestDrainsKeepTheRules(t *testing.T) {
-	event.SetOutput(io.Discard, false)
-	t.Cleanup(func() { event.SetOutput(os.Stderr, false) })
+	eventlog.SetOutput(io.Discard, false)
+	t.Cleanup(func() { eventlog.SetOutput(os.Stderr, false) })
 	t.Setenv("TMPDIR", t.TempDir())
 	if ok, err := Drains(DrainsConfig{Seeds: []uint64{3}, Orders: 4, Rate: 20, Out: t.TempDir()}); err != nil || !ok {
 		t.Fatalf("rules kept: %v, %v", ok, err)
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -8,7 +8,7 @@
 
 	"linkpass"
 	"linkpass/internal/coordinator"
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 )
 
 // Carrier is the actor that speaks with one server.
@@ -98,7 +98,7 @@
 func (s *Set) speak(m *member) {
 	protocol := s.protocols.Of(m.Name)
 	if m.carrier != nil && m.protocol != protocol {
-		event.ProtocolChanged.Log(m.Name, m.protocol, protocol)
+		eventlog.ProtocolChanged.Log(m.Name, m.protocol, protocol)
 		s.retire(m)
 	}
 	if m.carrier == nil {
--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -9,7 +9,7 @@
 	"sync"
 	"sync/atomic"
 
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 )
 
 // Counters is a group of named counters. Its methods may be called from anywhere.
@@ -60,7 +60,7 @@
 		values = append(values, name, s.counts[name].Load())
 	}
 	s.mu.Unlock()
-	event.Counters.Log(values...)
+	eventlog.Counters.Log(values...)
 }
 
 // Totals are what the operators read. Each is changed in one place: where the thing
--- a/internal/opensearch/front.go
+++ b/internal/opensearch/front.go
@@ -15,7 +15,7 @@
 
 	"linkpass/internal/bodies"
 	"linkpass/internal/coordinator"
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 	"linkpass/internal/http1"
 	"linkpass/internal/metrics"
 	"linkpass/internal/searchconfig"
@@ -47,7 +47,7 @@
 	Counters *metrics.Counters
 
 	searches atomic.Uint64
-	lines    event.Lines // on searches that are turned down
+	lines    eventlog.RateLimited // on searches that are turned down
 }
 
 type shards struct {
@@ -107,7 +107,7 @@
 
 func (f *Front) reject(c *cause) *http1.Response {
 	f.Counters.Add("search_rejected", 1)
-	f.lines.Log(event.SearchRejected, c.Status, c.Type, c.Reason)
+	f.lines.Log(eventlog.SearchRejected, c.Status, c.Type, c.Reason)
 	return errorResponse(c)
 }
 
--- a/internal/opensearch/settings.go
+++ b/internal/opensearch/settings.go
@@ -8,7 +8,7 @@
 	"net/url"
 	"time"
 
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 	"linkpass/internal/http1"
 	"linkpass/internal/searchconfig"
 	"linkpass/internal/store"
@@ -90,6 +90,6 @@
 	case errors.Is(err, store.ErrNoQuorum):
 		c.Type = "process_cluster_event_timeout_exception"
 	}
-	event.StoreFailed.Log(err)
+	eventlog.StoreFailed.Log(err)
 	return errorResponse(c)
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -15,7 +15,7 @@
 
 	"linkpass/internal/coordinator"
 	"linkpass/internal/end"
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 	"linkpass/internal/metrics"
 	"linkpass/internal/shardmap"
 )
@@ -143,7 +143,7 @@
 	ctx     context.Context
 	stop    context.CancelFunc
 	fit     atomic.Bool // the list says that new work is wanted
-	lines   event.Lines
+	lines   eventlog.RateLimited
 	wg      sync.WaitGroup
 
 	conns    []*conn // owned by the actor
@@ -474,7 +474,7 @@
 		}
 		cancel(nil)
 		if p.tell(func() { p.drop(c, e) }) {
-			p.lines.Log(event.DialFailed, p.name, p.addr, e)
+			p.lines.Log(eventlog.DialFailed, p.name, p.addr, e)
 		}
 	})
 	return c
@@ -598,7 +598,7 @@
 		c.shut()
 	}
 	if len(c.parts)+len(c.probes) > 0 && e != end.Silent && e != end.CalledOff {
-		p.lines.Log(event.ConnLost, p.name, e, len(c.parts), len(c.probes))
+		p.lines.Log(eventlog.ConnLost, p.name, e, len(c.parts), len(c.probes))
 	}
 	p.cfg.Counters.Add("peer_conn_"+e.String(), 1)
 	c.release()
@@ -627,7 +627,7 @@
 			e = end.OfRead(err, errors.Is(err, io.EOF))
 		} else if m, e, err = r.Next(); err != nil && !errors.Is(err, net.ErrClosed) { // not closed on this side
 			p.cfg.Counters.Add("peer_messages_bad", 1)
-			p.lines.Log(event.MessageBad, p.name, e, err)
+			p.lines.Log(eventlog.MessageBad, p.name, e, err)
 		}
 		if err != nil {
 			p.tell(func() { p.drop(c, e) })
@@ -665,7 +665,7 @@
 		// Guards the parts that are out: an answer with a name that was never asked here is one of
 		// theirs, spoilt, and such a connection is of no further use.
 		p.cfg.Counters.Add("peer_messages_bad", 1)
-		p.lines.Log(event.MessageBad, p.name, end.Garbled, "an answer to nothing")
+		p.lines.Log(eventlog.MessageBad, p.name, end.Garbled, "an answer to nothing")
 		p.drop(c, end.Garbled)
 	default:
 		p.cfg.Counters.Add("peer_answers_late", 1)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -16,7 +16,7 @@
 
 	"linkpass/internal/bodies"
 	"linkpass/internal/coordinator"
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 	"linkpass/internal/http1"
 	"linkpass/internal/metrics"
 	"linkpass/internal/settings"
@@ -39,7 +39,7 @@
 	Worth    []float64     // of the classes, by number
 	Retry    string        // what a client is told whose body finds no room, in seconds; "": nothing
 
-	lines event.Lines // on requests that are no query
+	lines eventlog.RateLimited // on requests that are no query
 
 	mu   sync.Mutex
 	open map[string]bool // names of the queries being answered
@@ -85,7 +85,7 @@
 	}
 	if err != nil {
 		f.Counters.Add("platform_rejected", 1)
-		f.lines.Log(event.QueryRejected, status, err)
+		f.lines.Log(eventlog.QueryRejected, status, err)
 		return &http1.Response{Status: status, Body: []byte(err.Error() + "\n")}
 	}
 	defer f.leave(query.Name)
--- a/internal/reshardexec/steward.go
+++ b/internal/reshardexec/steward.go
@@ -16,7 +16,7 @@
 
 	"linkpass"
 	"linkpass/internal/coordinator"
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 	"linkpass/internal/http1"
 	"linkpass/internal/metrics"
 	"linkpass/internal/searchconfig"
@@ -84,7 +84,7 @@
 	reports    map[string]map[string]resharding.Report
 	failed     map[string]time.Duration // when a server's last call failed; absent: it did not
 	lines      map[string]*line
-	problems   event.Lines
+	problems   eventlog.RateLimited
 }
 
 // line is the connection to a server, kept between calls.
@@ -152,7 +152,7 @@
 			continue
 		}
 		if s.controller == nil {
-			event.ReshapeLeads.Log()
+			eventlog.ReshapeLeads.Log()
 			s.controller = resharding.New(limits)
 			s.reports, s.failed = map[string]map[string]resharding.Report{}, map[string]time.Duration{}
 		}
@@ -249,7 +249,7 @@
 		if h.err != nil {
 			s.failed[h.name] = s.cfg.Now()
 			s.cfg.Counters.Add("reshape_calls_failed", 1)
-			s.problems.Log(event.DutyFailed, h.name, h.err)
+			s.problems.Log(eventlog.DutyFailed, h.name, h.err)
 			continue
 		}
 		delete(s.failed, h.name)
@@ -317,11 +317,11 @@
 	switch {
 	case err == nil:
 		s.cfg.Counters.Add("reshape_"+what, 1)
-		event.ReshapeStep.Log(step.Index, plan, what, step.Reason)
+		eventlog.ReshapeStep.Log(step.Index, plan, what, step.Reason)
 	case errors.Is(err, shardmap.ErrVersionConflict), errors.Is(err, store.ErrConflict):
 		s.cfg.Counters.Add("reshape_conflicts", 1)
 	default:
 		s.cfg.Counters.Add("reshape_steps_failed", 1)
-		s.problems.Log(event.ReshapeStepFailed, step.Index, plan, what, err)
+		s.problems.Log(eventlog.ReshapeStepFailed, step.Index, plan, what, err)
 	}
 }
--- a/internal/store/marks.go
+++ b/internal/store/marks.go
@@ -12,7 +12,7 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 
 	"linkpass/internal/config/rollback"
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 )
 
 const (
@@ -111,10 +111,10 @@
 		r.Current = rollback.Position{Term: s.raft.CurrentTerm(), Index: s.raft.AppliedIndex()}
 		if err := s.report(ctx, s.Members(), r); err != nil {
 			s.machine.halted.Store(&err)
-			event.StoreRestored.Log(err)
+			eventlog.StoreRestored.Log(err)
 			tick.Stop()
 			if err := s.raft.Shutdown().Error(); err != nil {
-				event.StoreFailed.Log(err)
+				eventlog.StoreFailed.Log(err)
 			}
 			return
 		}
--- a/internal/store/marks_test.go
+++ b/internal/store/marks_test.go
@@ -10,7 +10,7 @@
 	"testing"
 
 	"linkpass/internal/config/rollback"
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 )
 
 // grapevine carries reports between the instances of a cluster, unless it is cut.
@@ -54,8 +54,8 @@
 // An instance whose disk was put back to an old image is refused at its start, or ends its part as soon as it is heard; an
 // honest restart is not, and the others go on meanwhile.
 func TestARestoredDiskIsRefused(t *testing.T) {
-	event.SetOutput(io.Discard, false)
-	t.Cleanup(func() { event.SetOutput(os.Stderr, false) })
+	eventlog.SetOutput(io.Discard, false)
+	t.Cleanup(func() { eventlog.SetOutput(os.Stderr, false) })
 	c := newCluster(t)
 	leader := c.change(window(7))
 	g, victim := &grapevine{stores: map[string]*Store{}}, (leader+1)%3
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -12,7 +12,7 @@
 	"go.etcd.io/bbolt"
 
 	"linkpass/internal/config"
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 	"linkpass/internal/searchconfig"
 )
 
@@ -41,7 +41,7 @@
 		return r, fmt.Errorf("%w: the log cannot be opened, does the instance still run? %w", ErrRecoveryRefused, err)
 	}
 	defer bolt.Close()
-	logger := event.Raft()
+	logger := eventlog.RaftLogger()
 	snaps, err := raft.NewFileSnapshotStoreWithLogger(c.Dir, keepSnaps, logger)
 	if err != nil {
 		return r, fmt.Errorf("store: snapshots: %w", err)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -22,7 +22,7 @@
 
 	"linkpass/internal/config"
 	"linkpass/internal/config/rollback"
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 	"linkpass/internal/searchconfig"
 	"linkpass/internal/shardmap"
 )
@@ -106,7 +106,7 @@
 	if err := os.MkdirAll(c.Dir, 0o700); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	logger := event.Raft()
+	logger := eventlog.RaftLogger()
 	rc := raft.DefaultConfig()
 	rc.LocalID, rc.Logger = raft.ServerID(c.ID), logger
 	c.bound(rc)
@@ -429,18 +429,18 @@
 		err = fmt.Errorf("store: entry %d: %w", entry.Index, err)
 		if errors.Is(err, config.ErrUnknownFormat) {
 			m.halted.Store(&err)
-			event.StoreHalted.Log(entry.Index, err)
+			eventlog.StoreHalted.Log(entry.Index, err)
 		} else {
-			event.SettingsBad.Log(entry.Index, err)
+			eventlog.SettingsBad.Log(entry.Index, err)
 		}
 		return err
 	}
 	next, r := now.Apply(c)
 	m.set(next)
 	if r.Reason != config.Applied {
-		event.SettingsBad.Log(entry.Index, refused(r))
+		eventlog.SettingsBad.Log(entry.Index, refused(r))
 	} else if next.Settings() != now.Settings() {
-		event.SettingsChanged.Log(entry.Index)
+		eventlog.SettingsChanged.Log(entry.Index)
 	}
 	return r
 }
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -21,7 +21,7 @@
 
 	"linkpass/internal/config"
 	"linkpass/internal/config/restriction"
-	"linkpass/internal/event"
+	"linkpass/internal/eventlog"
 	"linkpass/internal/searchconfig"
 	"linkpass/internal/shardmap"
 )
@@ -104,8 +104,8 @@
 }
 
 func quiet(t testing.TB) {
-	event.SetOutput(io.Discard, false)
-	t.Cleanup(func() { event.SetOutput(os.Stderr, false) })
+	eventlog.SetOutput(io.Discard, false)
+	t.Cleanup(func() { eventlog.SetOutput(os.Stderr, false) })
 }
 
 // copyFixture copies a data directory to a temporary one.
@@ -331,7 +331,7 @@
 		t.Fatal(err)
 	}
 	mustCommand(t, s, config.Command{Kind: config.SetServerWeight, Server: "s-2", Weight: 3}, config.Applied)
-	snaps, err := raft.NewFileSnapshotStoreWithLogger(dir, keepSnaps, event.Raft())
+	snaps, err := raft.NewFileSnapshotStoreWithLogger(dir, keepSnaps, eventlog.RaftLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -430,7 +430,7 @@
 		}
 		c.Entries = append(c.Entries, e)
 	}
-	snaps, err := raft.NewFileSnapshotStoreWithLogger(dir, keepSnaps, event.Raft())
+	snaps, err := raft.NewFileSnapshotStoreWithLogger(dir, keepSnaps, eventlog.RaftLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
