--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -136,7 +136,7 @@
 	if err != nil {
 		return err
 	}
-	p.keys.open(ring, Keys.Time("operator.window", c.Window))
+	p.keys.open(ring, Keys.Duration("operator.window", c.Window))
 	ln, err := net.Listen("tcp", c.Listen)
 	if err != nil {
 		return err
--- a/internal/daemon/effective.go
+++ b/internal/daemon/effective.go
@@ -52,7 +52,7 @@
 	add("processes", processes, "handover")
 	walk("", reflect.ValueOf(c.Search), func(key string, v reflect.Value) {
 		if v.IsZero() {
-			add(key, Keys.Must(key).Default, "default")
+			add(key, Keys.MustKey(key).Default, "default")
 		} else {
 			add(key, v.Interface(), "file")
 		}
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -111,7 +111,7 @@
 	var got []string
 	for _, k := range Keys {
 		got = append(got, fmt.Sprintf("%s | %s | default %q | %q to %q | one of %q | %s | live %t", k.Name, k.Type, k.Default, k.Min, k.Max,
-			k.OneOf, k.Unit, k.Live))
+			k.OneOf, k.Unit, k.Reloadable))
 	}
 	checkGolden(t, "keys.txt", got)
 }
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -90,7 +90,7 @@
 		switch {
 		case now.Store.ID != "" && replicated(c.Key):
 			told.Replicated = append(told.Replicated, c.Key)
-		case !c.Live || waits(c.Key):
+		case !c.Reloadable || waits(c.Key):
 			told.NeedsRestart = append(told.NeedsRestart, c.Key)
 		default:
 			told.Applied = append(told.Applied, c.Key)
@@ -190,7 +190,7 @@
 func (l Log) levels() {
 	level := l.Level
 	if level == "" {
-		level = Keys.Must("log.level").Default
+		level = Keys.MustKey("log.level").Default
 	}
 	_ = eventlog.SetLevel("all", level) // all of them were checked when the file was read
 	if level != "error" && level != "off" {
--- a/internal/daemon/reshape.go
+++ b/internal/daemon/reshape.go
@@ -26,9 +26,9 @@
 
 // pace reads the settings, with their defaults; longest is the longest deadline of a query.
 func (r Reshape) pace(longest time.Duration) (limits resharding.Limits, poll time.Duration) {
-	poll = Keys.Time("reshape.poll", r.Poll)
+	poll = Keys.Duration("reshape.poll", r.Poll)
 	limits = resharding.Limits{MaxMigrations: int(Keys.Int("reshape.moves", int64(r.Moves))), MaxPerServer: int(Keys.Int("reshape.per_server", int64(r.PerServer))),
-		ReportTTL: 3 * poll, RetireDelay: Keys.Time("reshape.retire_after", r.RetireAfter), StallTimeout: Keys.Time("reshape.patience", r.Patience)}
+		ReportTTL: 3 * poll, RetireDelay: Keys.Duration("reshape.retire_after", r.RetireAfter), StallTimeout: Keys.Duration("reshape.patience", r.Patience)}
 	if limits.RetireDelay == 0 {
 		limits.RetireDelay = longest + time.Second
 	}
--- a/internal/daemon/wire_golden_test.go
+++ b/internal/daemon/wire_golden_test.go
@@ -203,7 +203,7 @@
 	var rows []map[string]any
 	for _, k := range Keys {
 		rows = append(rows, map[string]any{"name": k.Name, "type": string(k.Type), "default": k.Default, "min": k.Min, "max": k.Max,
-			"one_of": k.OneOf, "unit": k.Unit, "live": k.Live})
+			"one_of": k.OneOf, "unit": k.Unit, "live": k.Reloadable})
 	}
 	data, err := json.MarshalIndent(rows, "", " ")
 	if err != nil {
--- a/internal/schema/lines.go
+++ b/internal/schema/lines.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// Positions are the lines on which names stand.
-type Positions map[string]int
+// LineNumbers are the lines on which names stand.
+type LineNumbers map[string]int
 
-// Lines finds where a TOML text names its sections and keys. A text that is no TOML may lead to wrong lines, never
+// ParseLineNumbers finds where a TOML text names its sections and keys. A text that is no TOML may lead to wrong lines, never
 // to a panic.
-func Lines(text string) Positions {
-	at := Positions{}
+func ParseLineNumbers(text string) LineNumbers {
+	at := LineNumbers{}
 	section := ""
 	arrays := map[string]int{}
 	for i, line := range strings.Split(text, "\n") {
@@ -36,7 +36,7 @@
 }
 
 // note keeps the first line of a name.
-func (p Positions) note(name string, line int) {
+func (p LineNumbers) note(name string, line int) {
 	if _, ok := p[name]; !ok {
 		p[name] = line
 	}
@@ -52,7 +52,7 @@
 }
 
 // Of is the line of a name, or of the nearest that it lies under; 1 where none is known.
-func (p Positions) Of(name string) int {
+func (p LineNumbers) Of(name string) int {
 	for ; name != ""; name = name[:max(0, strings.LastIndex(name, "."))] {
 		if line, ok := p[name]; ok {
 			return line
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -34,31 +34,31 @@
 
 // Key is one key. A step of its name that is * stands for any name, or for a place in an array of tables.
 type Key struct {
-	Name     string
-	Type     Type
-	Default  string // as it would stand in the file, without quotes; "": none, or as Doc says
-	Min, Max string // for Int, Float and Duration; "": no bound
-	OneOf    []string
-	Unit     string
-	Live     bool // takes hold with a reload; others wait for a start
-	Doc      string
+	Name       string
+	Type       Type
+	Default    string // as it would stand in the file, without quotes; "": none, or as Doc says
+	Min, Max   string // for Int, Float and Duration; "": no bound
+	OneOf      []string
+	Unit       string
+	Reloadable bool // takes hold with a reload; others wait for a start
+	Doc        string
 }
 
 // Table is the keys of a file.
 type Table []Key
 
-// Fault is what is wrong at one line.
-type Fault struct {
+// Error is what is wrong at one line.
+type Error struct {
 	File string
 	Line int
 	Err  error
 }
 
 // Error is the place and the reason.
-func (f Fault) Error() string { return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Err) }
+func (f Error) Error() string { return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Err) }
 
 // Unwrap is the reason.
-func (f Fault) Unwrap() error { return f.Err }
+func (f Error) Unwrap() error { return f.Err }
 
 // find is the key that a dotted name falls under.
 func (t Table) find(name string) (Key, bool) {
@@ -94,26 +94,26 @@
 
 // Read takes a text apart into its leaves by name and checks each against the table. A text that is no TOML
 // has one fault.
-func (t Table) Read(file, text string) ([]Value, []Fault) {
+func (t Table) Read(file, text string) ([]Value, []Error) {
 	var tree map[string]any
 	if _, err := toml.Decode(text, &tree); err != nil {
 		var syntax toml.ParseError
 		if errors.As(err, &syntax) {
-			return nil, []Fault{{file, syntax.Position.Line, errors.New(syntax.Message)}}
+			return nil, []Error{{file, syntax.Position.Line, errors.New(syntax.Message)}}
 		}
-		return nil, []Fault{{file, 1, err}}
+		return nil, []Error{{file, 1, err}}
 	}
-	lines := Lines(text)
+	lines := ParseLineNumbers(text)
 	var leaves []Value
-	var faults []Fault
+	var faults []Error
 	t.walk("", tree, func(name string, v any) {
 		line := lines.Of(name)
 		leaves = append(leaves, Value{name, v, line})
 		k, ok := t.find(name)
 		if !ok {
-			faults = append(faults, Fault{file, line, fmt.Errorf("unknown key %s", name)})
+			faults = append(faults, Error{file, line, fmt.Errorf("unknown key %s", name)})
 		} else if err := k.check(v); err != nil {
-			faults = append(faults, Fault{file, line, fmt.Errorf("%s %w", name, err)})
+			faults = append(faults, Error{file, line, fmt.Errorf("%s %w", name, err)})
 		}
 	})
 	return leaves, faults
@@ -251,8 +251,8 @@
 	return fmt.Sprint(v)
 }
 
-// Must is the key of that very name; one that is not in the table is a fault of the program.
-func (t Table) Must(name string) Key {
+// MustKey is the key of that very name; one that is not in the table is a fault of the program.
+func (t Table) MustKey(name string) Key {
 	k, ok := t.find(name)
 	if !ok {
 		panic("schema: no key " + name)
@@ -260,22 +260,22 @@
 	return k
 }
 
-// Time is what a key of type Duration holds: the text, or the default where that is empty.
-func (t Table) Time(name, text string) time.Duration {
-	d, _ := time.ParseDuration(cmp.Or(text, t.Must(name).Default)) // checked when it was read
+// Duration is what a key of type Duration holds: the text, or the default where that is empty.
+func (t Table) Duration(name, text string) time.Duration {
+	d, _ := time.ParseDuration(cmp.Or(text, t.MustKey(name).Default)) // checked when it was read
 	return d
 }
 
 // Int is what a key of type Int holds: the number, or the default where that is 0.
 func (t Table) Int(name string, n int64) int64 {
-	def, _ := strconv.ParseInt(t.Must(name).Default, 10, 64)
+	def, _ := strconv.ParseInt(t.MustKey(name).Default, 10, 64)
 	return cmp.Or(n, def)
 }
 
 // Change is a key whose value differs between two texts.
 type Change struct {
-	Key  string
-	Live bool
+	Key        string
+	Reloadable bool
 }
 
 // Changes are the keys that differ between two lists of leaves, by name.
@@ -298,7 +298,7 @@
 	for _, name := range names {
 		if a[name] != b[name] {
 			k, _ := t.find(name)
-			out = append(out, Change{name, k.Live})
+			out = append(out, Change{name, k.Reloadable})
 		}
 	}
 	return out
@@ -313,7 +313,7 @@
 		if k.Default != "" {
 			def = "`" + k.Default + "`"
 		}
-		if k.Live {
+		if k.Reloadable {
 			hold = "reload"
 		}
 		unit := string(k.Type)
--- a/internal/schema/schema_test.go
+++ b/internal/schema/schema_test.go
@@ -12,8 +12,8 @@
 )
 
 var table = Table{
-	{Name: "listen", Type: Address}, {Name: "on", Type: Bool, Default: "true", Live: true},
-	{Name: "pace.wait", Type: Duration, Default: "1s", Min: "10ms", Max: "1m", Live: true},
+	{Name: "listen", Type: Address}, {Name: "on", Type: Bool, Default: "true", Reloadable: true},
+	{Name: "pace.wait", Type: Duration, Default: "1s", Min: "10ms", Max: "1m", Reloadable: true},
 	{Name: "pace.moves", Type: Int, Default: "4", Min: "1", Max: "9"},
 	{Name: "share.*.part", Type: Float, Min: "0", Max: "1"}, {Name: "share.*.kind", Type: String, OneOf: []string{"a", "b"}},
 	{Name: "who.*.id", Type: String}, {Name: "sets", Type: Sets}, {Name: "names", Type: Strings}, {Name: "rest", Type: Opaque},
@@ -85,7 +85,7 @@
 }
 
 func TestDefaultsAndChanges(t *testing.T) {
-	if table.Time("pace.wait", "") != time.Second || table.Time("pace.wait", "2s") != 2*time.Second || table.Int("pace.moves", 0) != 4 || table.Int("pace.moves", 7) != 7 {
+	if table.Duration("pace.wait", "") != time.Second || table.Duration("pace.wait", "2s") != 2*time.Second || table.Int("pace.moves", 0) != 4 || table.Int("pace.moves", 7) != 7 {
 		t.Error("a default does not hold, or holds where a value is set")
 	}
 	before, _ := table.Read("a", "on = true\nnames = [\"a\"]\n[pace]\nmoves = 2")
