--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -83,7 +83,7 @@
 	reloading   sync.Mutex    // one at a time
 	changed     chan struct{} // told when the configuration is to be read again
 
-	post  *handover.Post
+	post  *handover.Group
 	alone chan struct{} // told when no other process of this coordinator runs any more
 
 	mu      sync.Mutex // guards what follows: the share of the limits
@@ -104,7 +104,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.share.Processes != s.Processes {
-		eventlog.Share.Log(s.Processes, s.Open)
+		eventlog.Share.Log(s.Processes, s.MaxOpen)
 	}
 	p.share = s
 	p.limitMemory()
@@ -115,7 +115,7 @@
 	}
 	p.dials.Limit(servers)
 	if p.core != nil {
-		p.core.Room(s.Open)
+		p.core.Room(s.MaxOpen)
 	}
 	p.limitBodies()
 	if s.Processes == 1 {
@@ -312,7 +312,7 @@
 	var err error
 	if p.post, err = handover.Join(os.TempDir(), p.cfg.name, p.cfg.module.MaxOpen, p.keepTo); err != nil {
 		eventlog.HandoverFailed.Log(err) // one that runs alone does without
-		p.keepTo(handover.Share{Processes: 1, Open: p.cfg.module.MaxOpen})
+		p.keepTo(handover.Share{Processes: 1, MaxOpen: p.cfg.module.MaxOpen})
 	}
 }
 
@@ -321,7 +321,7 @@
 		p.cfg.seed ^= uint64(os.Getpid()) * 0x9e3779b97f4a7c15 // chance and names apart from the other's
 	}
 	module := p.cfg.module
-	module.MaxOpen = p.share.Open
+	module.MaxOpen = p.share.MaxOpen
 	p.core, err = coordinator.New(coordinator.Config{Settings: module, Seed: p.cfg.seed,
 		ProbeTimeout: p.cfg.host.ConnectTimeout, Counters: p.count, Figures: p.figures, Mailbox: mailboxSize,
 		KeepPlans: p.cfg.Search.Reshape.Replan != nil && !*p.cfg.Search.Reshape.Replan})
@@ -408,7 +408,7 @@
 	}
 	closeAfter(own, shared, p.accepting.Wait)
 	time.Sleep(lastCalls - wait)
-	p.post.Leave(p.core.Held())
+	p.post.Retire(p.core.Held())
 	for _, front := range p.fronts {
 		front.Stop()
 	}
--- a/internal/daemon/run_test.go
+++ b/internal/daemon/run_test.go
@@ -540,7 +540,7 @@
 	limits := func(p *Program) (processes, clients, room int) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return p.share.Processes, p.clients, p.share.Open
+		return p.share.Processes, p.clients, p.share.MaxOpen
 	}
 	for _, p := range []*Program{old.p, young.p} { // each keeps to its half
 		n, clients, room := limits(p)
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -18,34 +18,34 @@
 // Share is the part of the limits that a process may use.
 type Share struct {
 	Processes int // that run; each has its equal part of memory and descriptors
-	Open      int // queries and parts that this one may hold
+	MaxOpen   int // queries and parts that this one may hold
 }
 
-// Post is a process's place among those that run.
-type Post struct {
+// Group is a process's place among those that run.
+type Group struct {
 	path  string
 	open  int // what all of them may hold together
 	share func(Share)
 
-	mu      sync.Mutex
-	ln      net.Listener
-	elder   net.Conn
-	younger map[net.Conn]bool
-	holds   int // by an eldest that leaves; below 0: it stays
-	closed  bool
-	wg      sync.WaitGroup
+	mu        sync.Mutex
+	ln        net.Listener
+	leader    net.Conn
+	followers map[net.Conn]bool
+	retained  int // by an eldest that leaves; below 0: it stays
+	closed    bool
+	wg        sync.WaitGroup
 }
 
 // Join takes a place among the processes of a name that use a directory, and tells the
 // share. It is told anew, from another goroutine, whenever it changes.
-func Join(dir, name string, open int, share func(Share)) (*Post, error) {
-	p := &Post{path: filepath.Join(dir, "linkpass-"+filepath.Base(name)+".sock"), open: open, share: share,
-		younger: map[net.Conn]bool{}, holds: -1}
+func Join(dir, name string, open int, share func(Share)) (*Group, error) {
+	p := &Group{path: filepath.Join(dir, "linkpass-"+filepath.Base(name)+".sock"), open: open, share: share,
+		followers: map[net.Conn]bool{}, retained: -1}
 	return p, p.claim()
 }
 
 // claim finds the eldest, or becomes it.
-func (p *Post) claim() error {
+func (p *Group) claim() error {
 	// Guards two that start at once: the second finds the first listening.
 	lock, err := os.OpenFile(p.path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -61,7 +61,7 @@
 		return nil
 	}
 	if nc, err := net.Dial("unix", p.path); err == nil {
-		p.elder = nc
+		p.leader = nc
 		p.share(Share{2, p.open / 2}) // until it has told
 		p.wg.Go(func() { p.listen(nc) })
 		return nil
@@ -73,21 +73,21 @@
 	if p.ln, err = net.Listen("unix", p.path); err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
-	p.elder = nil
+	p.leader = nil
 	p.share(Share{1, p.open})
 	p.wg.Go(func() { p.accept(p.ln) })
 	return nil
 }
 
 // listen takes what the eldest tells, until it has gone.
-func (p *Post) listen(nc net.Conn) {
+func (p *Group) listen(nc net.Conn) {
 	for r := bufio.NewReader(nc); ; {
 		line, err := r.ReadString('\n')
 		if err != nil {
 			break
 		}
 		var s Share
-		if _, err := fmt.Sscanf(line, "processes=%d open=%d\n", &s.Processes, &s.Open); err != nil || s.Processes < 2 || s.Open < 0 {
+		if _, err := fmt.Sscanf(line, "processes=%d open=%d\n", &s.Processes, &s.MaxOpen); err != nil || s.Processes < 2 || s.MaxOpen < 0 {
 			eventlog.HandoverBad.Log(line)
 			break
 		}
@@ -100,16 +100,16 @@
 }
 
 // accept takes younger processes in until the listener is closed.
-func (p *Post) accept(ln net.Listener) {
+func (p *Group) accept(ln net.Listener) {
 	for {
 		nc, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		p.change(func() { p.younger[nc] = true })
+		p.change(func() { p.followers[nc] = true })
 		p.wg.Go(func() {
 			_, _ = bufio.NewReader(nc).ReadByte() // nothing comes before its end
-			p.change(func() { delete(p.younger, nc) })
+			p.change(func() { delete(p.followers, nc) })
 			_ = nc.Close()
 		})
 	}
@@ -117,37 +117,37 @@
 
 // change applies a change and tells all their share: this one first, which may have
 // to make room for the others.
-func (p *Post) change(apply func()) {
+func (p *Group) change(apply func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	apply()
-	n := len(p.younger) + 1
+	n := len(p.followers) + 1
 	mine, theirs := p.open/n, p.open/n
-	if p.holds >= 0 && n > 1 && p.open > 0 { // 0 is no bound
-		mine, theirs = max(1, p.holds), max(1, (p.open-p.holds)/(n-1))
+	if p.retained >= 0 && n > 1 && p.open > 0 { // 0 is no bound
+		mine, theirs = max(1, p.retained), max(1, (p.open-p.retained)/(n-1))
 	}
 	if !p.closed {
 		p.share(Share{n, mine})
 	}
-	for nc := range p.younger {
+	for nc := range p.followers {
 		_, _ = fmt.Fprintf(nc, "processes=%d open=%d\n", n, theirs) // its end shows where it is read
 	}
 }
 
-// Leave says that this process takes nothing more and still holds so much.
-func (p *Post) Leave(holds int) { p.change(func() { p.holds = holds }) }
+// Retire says that this process takes nothing more and still holds so much.
+func (p *Group) Retire(holds int) { p.change(func() { p.retained = holds }) }
 
 // Close gives the place up, and waits for all that it started.
-func (p *Post) Close() {
+func (p *Group) Close() {
 	p.mu.Lock()
 	p.closed = true
 	if p.ln != nil {
 		_ = p.ln.Close() // takes its file away
 	}
-	if p.elder != nil {
-		_ = p.elder.Close()
+	if p.leader != nil {
+		_ = p.leader.Close()
 	}
-	for nc := range p.younger {
+	for nc := range p.followers {
 		_ = nc.Close()
 	}
 	p.mu.Unlock()
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -8,7 +8,7 @@
 
 // post is a process whose shares the test reads.
 type post struct {
-	*Post
+	*Group
 	shares chan Share
 }
 
@@ -53,7 +53,7 @@
 	third.Close()
 	first.until(t, Share{2, 80})
 	second.until(t, Share{2, 80})
-	first.Leave(30) // takes nothing more: what it does not hold is the other's
+	first.Retire(30) // takes nothing more: what it does not hold is the other's
 	first.until(t, Share{2, 30})
 	second.until(t, Share{2, 130})
 	first.Close()
--- a/internal/handover/wire_golden_test.go
+++ b/internal/handover/wire_golden_test.go
@@ -49,7 +49,7 @@
 	nc2, r2 := dialEldest(t, dir)
 	first.WriteString(readLine(t, r1))
 	second.WriteString(readLine(t, r2))
-	eldest.Leave(30)
+	eldest.Retire(30)
 	first.WriteString(readLine(t, r1))
 	second.WriteString(readLine(t, r2))
 	if err := nc2.Close(); err != nil {
@@ -80,10 +80,10 @@
 	if err := nc.SetDeadline(time.Now().Add(ioLimit)); err != nil {
 		t.Fatal(err)
 	}
-	if s := <-younger.shares; s != (Share{Processes: 2, Open: 80}) {
+	if s := <-younger.shares; s != (Share{Processes: 2, MaxOpen: 80}) {
 		t.Errorf("share before the first message: %+v", s)
 	}
-	want := []Share{{Processes: 2, Open: 80}, {Processes: 3, Open: 53}, {Processes: 3, Open: 65}, {Processes: 2, Open: 130}}
+	want := []Share{{Processes: 2, MaxOpen: 80}, {Processes: 3, MaxOpen: 53}, {Processes: 3, MaxOpen: 65}, {Processes: 2, MaxOpen: 130}}
 	messages := strings.SplitAfter(strings.TrimSuffix(string(goldentest.Read(t, "eldest_to_first.txt")), "\n"), "\n")
 	if len(messages) != len(want) {
 		t.Fatalf("%d golden messages, %d shares", len(messages), len(want))
