--- a/internal/admin/gate.go
+++ b/internal/admin/gate.go
@@ -97,7 +97,7 @@
 		}
 	}
 	if before != after {
-		eventlog.State.Log(before, after)
+		eventlog.ReadinessChanged.Log(before, after)
 	}
 	return after
 }
--- a/internal/adminapi/sealed.go
+++ b/internal/adminapi/sealed.go
@@ -30,8 +30,8 @@
 	if err == nil {
 		return s.Handler.Serve(ctx, began, req)
 	}
-	s.Counters.Add("control_unsigned", 1)
-	s.lines.Log(eventlog.CallRefused, err)
+	s.Counters.Add("admin_api_unsigned", 1)
+	s.lines.Log(eventlog.CallRejected, err)
 	if errors.Is(err, signature.ErrCrowded) {
 		return fail(429, err)
 	}
--- a/internal/bodies/bodies.go
+++ b/internal/bodies/bodies.go
@@ -89,7 +89,7 @@
 	if c.Dir != "" && c.Limits.Files > 0 {
 		own, lock, err := ownDir(c.Dir)
 		if err != nil {
-			eventlog.BodiesMemoryOnly.Log(c.Dir, err)
+			eventlog.BodyFilesUnavailable.Log(c.Dir, err)
 		} else {
 			s.own, s.lock, s.log = own, lock, newLog(c.FS, own)
 		}
@@ -141,7 +141,7 @@
 func (s *Store) awake() []tier.Move {
 	if s.rests > 0 && s.cfg.Now() >= s.rests {
 		s.rests = 0
-		eventlog.BodiesFilesBack.Log()
+		eventlog.BodyFilesRecovered.Log()
 		return s.state.Rest(false)
 	}
 	return nil
--- a/internal/bodies/move.go
+++ b/internal/bodies/move.go
@@ -88,7 +88,7 @@
 	s.event(func() []tier.Move {
 		s.cfg.Counters.Add("bodies_write_failed", 1)
 		if s.rests == 0 {
-			eventlog.BodiesFilesRest.Log(filesRest.Milliseconds(), err)
+			eventlog.BodyFilesSuspended.Log(filesRest.Milliseconds(), err)
 		}
 		s.rests = s.cfg.Now() + filesRest
 		return s.state.Rest(true)
--- a/internal/coordinator/moving.go
+++ b/internal/coordinator/moving.go
@@ -44,7 +44,7 @@
 		g = &ground{name: n.Collection, number: c.grounds}
 		c.layouts[n.Collection] = g
 	}
-	c.count.Add("layout_changes", 1)
+	c.count.Add("shard_map_changes", 1)
 	g.now = n.Map
 	for _, s := range n.Added {
 		ids := make([]linkpass.ServerID, len(s.Replicas))
@@ -223,7 +223,7 @@
 	if rest == nil {
 		change, why = replan.Replan(q.ground.now, standing, at, left, replanTicks*c.set.Tick)
 	} else {
-		change, why = replan.ReplanRest(q.ground.now, standing, at, rest, left, replanTicks*c.set.Tick)
+		change, why = replan.Remaining(q.ground.now, standing, at, rest, left, replanTicks*c.set.Tick)
 	}
 	if why != replan.Replanned {
 		return out, why
--- a/internal/daemon/agree.go
+++ b/internal/daemon/agree.go
@@ -48,11 +48,11 @@
 func (p *Program) hearMark(req *http1.Request) *http1.Response {
 	var r rollback.Report
 	if err := json.Unmarshal(req.Body, &r); req.Method != "POST" || err != nil || r.ID == "" {
-		p.count.Add("marks_bad", 1)
+		p.count.Add("position_reports_malformed", 1)
 		return &http1.Response{Status: 400, Body: []byte("this is no report\n")}
 	}
 	if err := p.Store().ObservePosition(r); err != nil {
-		p.count.Add("marks_refused", 1)
+		p.count.Add("position_reports_rejected", 1)
 		return &http1.Response{Status: 409, Body: []byte(err.Error() + "\n")}
 	}
 	return &http1.Response{Status: 200}
@@ -188,14 +188,14 @@
 		var orders []restriction.Request
 		err := json.Unmarshal(req.Body, &orders)
 		if req.Method != "POST" || err != nil || len(req.Body) > maxOrdersBody || len(orders) > restriction.MaxPending {
-			p.count.Add("orders_bad", 1)
+			p.count.Add("restrictions_malformed", 1)
 			return &http1.Response{Status: 400, Body: []byte("these are no orders\n")}
 		}
 		members := p.Store().Members()
 		known := len(orders)
 		// Guards the state against orders of instances that never were: what the log decides of each is kept.
 		orders = slices.DeleteFunc(orders, func(o restriction.Request) bool { return !among(members, o.ID.Origin.Instance) })
-		p.count.Add("orders_bad", int64(known-len(orders)))
+		p.count.Add("restrictions_malformed", int64(known-len(orders)))
 		from := "another instance"
 		if id, ok := cutFrom(req.Query); ok && among(members, id) {
 			from = id
--- a/internal/daemon/crossings_test.go
+++ b/internal/daemon/crossings_test.go
@@ -56,7 +56,7 @@
 		case <-time.After(10 * time.Second):
 			t.Fatal("nobody hears of a new configuration")
 		}
-		for b.p.count.Get("config_bad") == 0 {
+		for b.p.count.Get("config_invalid") == 0 {
 			time.Sleep(time.Millisecond)
 		}
 	}
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -43,7 +43,7 @@
 		err = cfg.Check()
 	}
 	if err != nil {
-		eventlog.ConfigBad.Log(err)
+		eventlog.ConfigInvalid.Log(err)
 		return 1
 	}
 	term, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -26,8 +26,8 @@
 	defer p.reloading.Unlock()
 	cfg, ring, err := p.readAgain()
 	if err != nil {
-		p.count.Add("config_bad", 1)
-		eventlog.ConfigKept.Log(err)
+		p.count.Add("config_invalid", 1)
+		eventlog.ConfigReloadFailed.Log(err)
 		return adminapi.ReloadResult{}, err
 	}
 	p.mu.Lock()
@@ -47,7 +47,7 @@
 	}
 	if ring != nil {
 		p.keys.set(ring)
-		eventlog.KeysTaken.Log(len(ring))
+		eventlog.KeysLoaded.Log(len(ring))
 	}
 	p.count.Add("config_reloaded", 1)
 	eventlog.ConfigReloaded.Log(cfg.fileDiscovery, strings.Join(told.Applied, ","), strings.Join(told.NeedsRestart, ","))
--- a/internal/daemon/reshape.go
+++ b/internal/daemon/reshape.go
@@ -62,7 +62,7 @@
 			if n.Map != nil {
 				version = n.Map.Version()
 			}
-			eventlog.LayoutChanged.Log(n.Collection, version, len(n.Added), len(n.Removed))
+			eventlog.ShardMapChanged.Log(n.Collection, version, len(n.Added), len(n.Removed))
 		}
 	}
 }
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -104,7 +104,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.share.Processes != s.Processes {
-		eventlog.Share.Log(s.Processes, s.MaxOpen)
+		eventlog.HandoverShare.Log(s.Processes, s.MaxOpen)
 	}
 	p.share = s
 	p.limitMemory()
@@ -247,7 +247,7 @@
 			p.parts.OpenDeferred(func(name string, err error) {
 				switch name {
 				case "control":
-					eventlog.ControlFailed.Log(err)
+					eventlog.AdminAPIFailed.Log(err)
 				default:
 					eventlog.SearchFailed.Log(err)
 				}
--- a/internal/daemon/run_test.go
+++ b/internal/daemon/run_test.go
@@ -412,7 +412,7 @@
 		b.news <- syscall.SIGHUP
 	}
 	write("{")
-	for b.p.count.Get("config_bad") == 0 { // read before the next one is written
+	for b.p.count.Get("config_invalid") == 0 { // read before the next one is written
 		time.Sleep(time.Millisecond)
 	}
 	write(`{"name":"n0","listen":"127.0.0.1:1","discovery":"` + moved + `","seed":"8c1f","known":{"servers":[]},"settings":` + settingsText + `}`)
@@ -429,7 +429,7 @@
 	if status, _ := b.query(b.platform, "whole", 15*time.Second, 0, 1, 2); status != 200 {
 		t.Errorf("%d", status)
 	}
-	if b.p.count.Get("config_bad") != 1 || b.p.count.Get("config_reloaded") != 1 {
+	if b.p.count.Get("config_invalid") != 1 || b.p.count.Get("config_reloaded") != 1 {
 		t.Error(b.p.count)
 	}
 	b.rules()
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -223,7 +223,7 @@
 		}
 		if failing && r.err == nil {
 			failing = false
-			eventlog.DiscoveryBack.Log(w.Addr)
+			eventlog.DiscoveryRecovered.Log(w.Addr)
 		}
 		if r.err != nil {
 			w.Counters.Add("discovery_failed", 1)
@@ -315,7 +315,7 @@
 
 func (w *Watcher) bad(err error) {
 	w.Counters.Add("discovery_bad", 1)
-	eventlog.ListBad.Log(err)
+	eventlog.EndpointListInvalid.Log(err)
 }
 
 func (w *Watcher) take(data []byte) error {
--- a/internal/endpoints/agree.go
+++ b/internal/endpoints/agree.go
@@ -138,7 +138,7 @@
 	if v.Spec != nil {
 		m, err := a.cfg.ResolveEndpoint(name, *v.Spec)
 		if err != nil {
-			eventlog.ListBad.Log(fmt.Errorf("agreed server %q: %w", name, err))
+			eventlog.EndpointListInvalid.Log(fmt.Errorf("agreed server %q: %w", name, err))
 			return now
 		}
 		now.Added = &m
@@ -169,8 +169,8 @@
 	if state.Settled().Contains(o.ID) {
 		return o, fmt.Errorf("agree: order %s counts as settled: this process's clock is behind those before it", o.ID)
 	}
-	a.cfg.Counters.Add("orders_given", 1)
-	eventlog.OrderHeard.Log(o.ID, o.Server, o.Level, "an operator")
+	a.cfg.Counters.Add("restrictions_issued", 1)
+	eventlog.RestrictionReceived.Log(o.ID, o.Server, o.Level, "an operator")
 	a.remember(o)
 	a.announce(nil)
 	a.wakeWorkers()
@@ -192,8 +192,8 @@
 	}
 	news := a.pending.Receive(a.log.State(), orders...)
 	for _, o := range news {
-		a.cfg.Counters.Add("orders_heard", 1)
-		eventlog.OrderHeard.Log(o.ID, o.Server, o.Level, from)
+		a.cfg.Counters.Add("restrictions_received", 1)
+		eventlog.RestrictionReceived.Log(o.ID, o.Server, o.Level, from)
 		a.remember(o)
 	}
 	if len(news) > 0 {
@@ -296,7 +296,7 @@
 		err := send(call, news)
 		cancel()
 		if err != nil {
-			a.cfg.Counters.Add("orders_unheard_"+id, 1)
+			a.cfg.Counters.Add("restrictions_unacknowledged_"+id, 1)
 		}
 		for _, o := range news {
 			still[o.ID] = err == nil
@@ -317,11 +317,11 @@
 	for _, o := range open {
 		r, err := a.log.Propose(config.Command{Kind: config.RestrictServer, Restriction: &o})
 		if err != nil {
-			a.cfg.Counters.Add("orders_not_proposed", 1)
+			a.cfg.Counters.Add("restrictions_not_proposed", 1)
 			return // no majority now: asked again
 		}
 		if r.Reason != config.Applied && r.Reason != config.AlreadySettled {
-			eventlog.OrderWithdrawn.Log(o.ID, o.Server, o.Level, string(r.Reason))
+			eventlog.RestrictionRejected.Log(o.ID, o.Server, o.Level, string(r.Reason))
 		}
 	}
 }
--- a/internal/eventlog/event_test.go
+++ b/internal/eventlog/event_test.go
@@ -27,11 +27,11 @@
 		got := written(false, func() {
 			var lines RateLimited
 			for range 1000 { // ten seconds
-				lines.Log(ListBad, "x")
+				lines.Log(EndpointListInvalid, "x")
 				time.Sleep(10 * time.Millisecond)
 			}
 		})
-		if n := strings.Count(got, "event=list_bad"); n <= linesAtOnce || n > linesAtOnce+10 {
+		if n := strings.Count(got, "event=endpoint_list_invalid"); n <= linesAtOnce || n > linesAtOnce+10 {
 			t.Errorf("%d lines", n)
 		}
 	})
@@ -40,9 +40,9 @@
 // What comes from outside cannot forge a line, as text or as JSON.
 func TestALineStaysALine(t *testing.T) {
 	err := errors.Join(errors.New("one"), errors.New("event=stopped"))
-	log := func() { ListBad.Log(err); QueryRejected.Log("platform", 400, "a\r\nb \"c\"") }
+	log := func() { EndpointListInvalid.Log(err); QueryRejected.Log("platform", 400, "a\r\nb \"c\"") }
 	text := written(false, log)
-	for _, want := range []string{`discovery: list bad: event=list_bad err="one; event=stopped"`, "front=platform status=400"} {
+	for _, want := range []string{`discovery: endpoint list invalid: event=endpoint_list_invalid err="one; event=stopped"`, "front=platform status=400"} {
 		if !strings.Contains(text, want) || strings.Count(text, "\n") != 2 {
 			t.Errorf("%q lacks %q", text, want)
 		}
@@ -64,8 +64,13 @@
 	if err := SetLevel("discovery", "error"); err != nil {
 		t.Fatal(err)
 	}
-	got := written(false, func() { ListBad.Log("x"); Stopped.Log(); RaftLogger().Info("talk"); RaftLogger().Warn("lost") })
-	if strings.Contains(got, "list_bad") || strings.Contains(got, "talk") || !strings.Contains(got, "event=stopped") ||
+	got := written(false, func() {
+		EndpointListInvalid.Log("x")
+		Stopped.Log()
+		RaftLogger().Info("talk")
+		RaftLogger().Warn("lost")
+	})
+	if strings.Contains(got, "endpoint_list_invalid") || strings.Contains(got, "talk") || !strings.Contains(got, "event=stopped") ||
 		!strings.Contains(got, "lost: event=raft") || Levels()["discovery"] != "error" {
 		t.Error(got)
 	}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -88,7 +88,7 @@
 		}
 		var s Share
 		if _, err := fmt.Sscanf(line, "processes=%d open=%d\n", &s.Processes, &s.MaxOpen); err != nil || s.Processes < 2 || s.MaxOpen < 0 {
-			eventlog.HandoverBad.Log(line)
+			eventlog.HandoverMessageInvalid.Log(line)
 			break
 		}
 		p.share(s)
--- a/internal/lab/chaos.go
+++ b/internal/lab/chaos.go
@@ -217,7 +217,7 @@
 func (w *world) ended() map[string]int64 {
 	out := map[string]int64{}
 	for _, step := range []string{"switched", "retired", "abandoned"} {
-		out[step] = w.sum("reshape_" + step)
+		out[step] = w.sum("resharding_" + step)
 	}
 	return out
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -233,7 +233,7 @@
 	if status, body, err := w.ask(w.nodes[0], "POST", "/_linkpass/orders?from=n1", stranger); err != nil || status != 200 {
 		t.Errorf("%d %s %v", status, body, err)
 	}
-	if n := w.nodes[0].p.Counters().Get("orders_bad"); n != 1 {
+	if n := w.nodes[0].p.Counters().Get("restrictions_malformed"); n != 1 {
 		t.Errorf("%d orders of no member were counted", n)
 	}
 	holds(t, w.nodes, "s-04", "in_service", true) // an instance that never was orders nothing
@@ -311,7 +311,7 @@
 		}
 	}
 	c := w.nodes[0].p.Counters()
-	if bad, refused := c.Get("marks_bad"), c.Get("marks_refused"); bad != 4 || refused < 1 {
+	if bad, refused := c.Get("position_reports_malformed"), c.Get("position_reports_rejected"); bad != 4 || refused < 1 {
 		t.Errorf("%d bad, %d refused", bad, refused)
 	}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -627,7 +627,7 @@
 			e = end.OfRead(err, errors.Is(err, io.EOF))
 		} else if m, e, err = r.Next(); err != nil && !errors.Is(err, net.ErrClosed) { // not closed on this side
 			p.cfg.Counters.Add("peer_messages_bad", 1)
-			p.lines.Log(eventlog.MessageBad, p.name, e, err)
+			p.lines.Log(eventlog.MessageMalformed, p.name, e, err)
 		}
 		if err != nil {
 			p.tell(func() { p.drop(c, e) })
@@ -665,7 +665,7 @@
 		// Guards the parts that are out: an answer with a name that was never asked here is one of
 		// theirs, spoilt, and such a connection is of no further use.
 		p.cfg.Counters.Add("peer_messages_bad", 1)
-		p.lines.Log(eventlog.MessageBad, p.name, end.Garbled, "an answer to nothing")
+		p.lines.Log(eventlog.MessageMalformed, p.name, end.Garbled, "an answer to nothing")
 		p.drop(c, end.Garbled)
 	default:
 		p.cfg.Counters.Add("peer_answers_late", 1)
--- a/internal/reshardexec/steward.go
+++ b/internal/reshardexec/steward.go
@@ -152,7 +152,7 @@
 			continue
 		}
 		if s.controller == nil {
-			eventlog.ReshapeLeads.Log()
+			eventlog.ReshardingLeader.Log()
 			s.controller = resharding.New(limits)
 			s.reports, s.failed = map[string]map[string]resharding.Report{}, map[string]time.Duration{}
 		}
@@ -248,8 +248,8 @@
 		}
 		if h.err != nil {
 			s.failed[h.name] = s.cfg.Now()
-			s.cfg.Counters.Add("reshape_calls_failed", 1)
-			s.problems.Log(eventlog.DutyFailed, h.name, h.err)
+			s.cfg.Counters.Add("resharding_calls_failed", 1)
+			s.problems.Log(eventlog.AssignmentFailed, h.name, h.err)
 			continue
 		}
 		delete(s.failed, h.name)
@@ -316,12 +316,12 @@
 	}
 	switch {
 	case err == nil:
-		s.cfg.Counters.Add("reshape_"+what, 1)
-		eventlog.ReshapeStep.Log(step.Index, plan, what, step.Reason)
+		s.cfg.Counters.Add("resharding_"+what, 1)
+		eventlog.ReshardingStep.Log(step.Index, plan, what, step.Reason)
 	case errors.Is(err, shardmap.ErrVersionConflict), errors.Is(err, store.ErrConflict):
-		s.cfg.Counters.Add("reshape_conflicts", 1)
+		s.cfg.Counters.Add("resharding_conflicts", 1)
 	default:
-		s.cfg.Counters.Add("reshape_steps_failed", 1)
-		s.problems.Log(eventlog.ReshapeStepFailed, step.Index, plan, what, err)
+		s.cfg.Counters.Add("resharding_steps_failed", 1)
+		s.problems.Log(eventlog.ReshardingStepFailed, step.Index, plan, what, err)
 	}
 }
--- a/internal/shardmap/replan/replan.go
+++ b/internal/shardmap/replan/replan.go
@@ -79,7 +79,7 @@
 			return Change{}, NoNewerMap
 		}
 	}
-	c, why := ReplanRest(now, parts, i, []shardmap.Range{p.Range}, left, need)
+	c, why := Remaining(now, parts, i, []shardmap.Range{p.Range}, left, need)
 	if why != Replanned {
 		return Change{}, why
 	}
@@ -91,9 +91,9 @@
 	return c, Replanned
 }
 
-// ReplanRest plans anew what is left of part i once a piece of it is answered, or all of it: its
+// Remaining plans anew what is left of part i once a piece of it is answered, or all of it: its
 // slice may serve still, and another holder may have the rest.
-func ReplanRest(now *shardmap.Map, parts []Part, i int, rest []shardmap.Range, left, need time.Duration) (Change, Reason) {
+func Remaining(now *shardmap.Map, parts []Part, i int, rest []shardmap.Range, left, need time.Duration) (Change, Reason) {
 	p := parts[i]
 	switch {
 	case p.State == Answered:
--- a/internal/store/marks.go
+++ b/internal/store/marks.go
@@ -111,7 +111,7 @@
 		r.Current = rollback.Position{Term: s.raft.CurrentTerm(), Index: s.raft.AppliedIndex()}
 		if err := s.report(ctx, s.Members(), r); err != nil {
 			s.machine.halted.Store(&err)
-			eventlog.StoreRestored.Log(err)
+			eventlog.StoreRolledBack.Log(err)
 			tick.Stop()
 			if err := s.raft.Shutdown().Error(); err != nil {
 				eventlog.StoreFailed.Log(err)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -431,14 +431,14 @@
 			m.halted.Store(&err)
 			eventlog.StoreHalted.Log(entry.Index, err)
 		} else {
-			eventlog.SettingsBad.Log(entry.Index, err)
+			eventlog.SettingsRejected.Log(entry.Index, err)
 		}
 		return err
 	}
 	next, r := now.Apply(c)
 	m.set(next)
 	if r.Reason != config.Applied {
-		eventlog.SettingsBad.Log(entry.Index, refused(r))
+		eventlog.SettingsRejected.Log(entry.Index, refused(r))
 	} else if next.Settings() != now.Settings() {
 		eventlog.SettingsChanged.Log(entry.Index)
 	}
