--- a/internal/discovery/wire_golden_test.go
+++ b/internal/discovery/wire_golden_test.go
@@ -13,6 +13,7 @@
 
 	"linkpass"
 	"linkpass/internal/coordinator"
+	"linkpass/internal/goldentest"
 	"linkpass/internal/http1"
 	"linkpass/internal/metrics"
 )
@@ -87,20 +88,20 @@
 
 // The program writes lists too: an old process hands the one last known to the new one.
 func TestListGoldenWritten(t *testing.T) {
-	var got []entry
+	var got []goldentest.Entry
 	for _, c := range goldenLists() {
 		data, err := json.Marshal(c.document)
 		if err != nil {
 			t.Fatal(err)
 		}
-		got = append(got, entry{c.file, string(data)})
+		got = append(got, goldentest.Entry{Name: c.file, Data: string(data)})
 	}
-	checkGolden(t, "lists_written.txt", got)
+	goldentest.CheckEntries(t, "lists_written.txt", got)
 }
 
 // The unusable lists are refused as a whole.
 func TestListGoldenUnusable(t *testing.T) {
-	for name, data := range readGolden(t, "lists_unusable.txt") {
+	for name, data := range goldentest.ReadEntries(t, "lists_unusable.txt") {
 		t.Run(name, func(t *testing.T) {
 			d, err := Parse([]byte(data))
 			if err == nil {
@@ -114,7 +115,7 @@
 }
 
 func TestWatchRequestGolden(t *testing.T) {
-	var got []entry
+	var got []goldentest.Entry
 	for _, c := range []struct {
 		name string
 		ask  ask
@@ -134,9 +135,9 @@
 			t.Errorf("%s: an answer from nobody", c.name)
 		}
 		_ = client.Close()
-		got = append(got, entry{c.name, <-done})
+		got = append(got, goldentest.Entry{Name: c.name, Data: <-done})
 	}
-	checkGolden(t, "requests.txt", got)
+	goldentest.CheckEntries(t, "requests.txt", got)
 }
 
 // failedRead stands for a server that never answers.
@@ -176,16 +177,16 @@
 			t.Errorf("%s: got  %+v\nwant %+v", name, got, want)
 		}
 	}
-	var got []entry
+	var got []goldentest.Entry
 	lists := goldenLists()
 	heard("cached", coordinator.EndpointUpdate{Mode: linkpass.ListCached, Endpoints: lists[0].list.Endpoints})
 	for _, i := range []int{1, 3, 4, 5, 2} {
-		got = append(got, entry{"before " + lists[i].file, within(t, requests)})
+		got = append(got, goldentest.Entry{Name: "before " + lists[i].file, Data: within(t, requests)})
 		answers <- string(readList(t, lists[i].file))
 		if lists[i].file != "delta_empty.json" { // no news: the core hears nothing
 			heard(lists[i].file, lists[i].list)
 		}
 	}
-	got = append(got, entry{"after all", within(t, requests)})
-	checkGolden(t, "watch.txt", got)
+	got = append(got, goldentest.Entry{Name: "after all", Data: within(t, requests)})
+	goldentest.CheckEntries(t, "watch.txt", got)
 }
--- a/internal/frame/wire_golden_test.go
+++ b/internal/frame/wire_golden_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"linkpass/internal/end"
+	"linkpass/internal/goldentest"
 	"linkpass/internal/peer"
 )
 
@@ -21,20 +22,20 @@
 	part := peer.Part{Name: "9b1f03aa5c7e2d41.3", Collection: "players", Shard: 3, Wait: 240 * time.Millisecond, Text: []byte("c41e77d0")}
 	other := peer.Part{Name: "9b1f03aa5c7e2d41.17", Shard: 17, Wait: 1500*time.Millisecond + 999*time.Microsecond, Text: []byte("line one\nline \x00\xff two")}
 	urgent := peer.Part{Name: "a.0", Wait: 999 * time.Microsecond}
-	checkGolden(t, "frames_sent.txt", []entry{
-		{"call of one part", string(plain.Call([]peer.Part{part}))},
-		{"call of two parts", string(plain.Call([]peer.Part{part, other}))},
-		{"call without time and text", string(plain.Call([]peer.Part{urgent}))},
-		{"head of a call of 100000 bytes", string(plain.Head(part, 100000))},
-		{"cancel", string(plain.GiveUp(part.Name))},
-		{"probe", string(plain.Probe())},
-		{"probe for load", string(loaded.Probe())},
+	goldentest.CheckEntries(t, "frames_sent.txt", []goldentest.Entry{
+		{Name: "call of one part", Data: string(plain.Call([]peer.Part{part}))},
+		{Name: "call of two parts", Data: string(plain.Call([]peer.Part{part, other}))},
+		{Name: "call without time and text", Data: string(plain.Call([]peer.Part{urgent}))},
+		{Name: "head of a call of 100000 bytes", Data: string(plain.Head(part, 100000))},
+		{Name: "cancel", Data: string(plain.GiveUp(part.Name))},
+		{Name: "probe", Data: string(plain.Probe())},
+		{Name: "probe for load", Data: string(loaded.Probe())},
 	})
 }
 
 // Sent frames read back by the same framing give the letter and the rest of each.
 func TestRequestFrameGoldenReadBack(t *testing.T) {
-	sent := readGolden(t, "frames_sent.txt")
+	sent := goldentest.ReadEntries(t, "frames_sent.txt")
 	for name, want := range map[string]string{
 		"call of one part":           "D9b1f03aa5c7e2d41.3 3 d=240 8\nc41e77d0",
 		"call of two parts":          "D9b1f03aa5c7e2d41.3 3 d=240 8\nc41e77d09b1f03aa5c7e2d41.17 17 d=1500 20\nline one\nline \x00\xff two",
@@ -64,7 +65,7 @@
 }
 
 func TestReplyFrameGolden(t *testing.T) {
-	received := readGolden(t, "frames_received.txt")
+	received := goldentest.ReadEntries(t, "frames_received.txt")
 	cases := map[string]struct {
 		want  peer.Message
 		end   end.End
@@ -112,7 +113,7 @@
 }
 
 func TestReplyLineGolden(t *testing.T) {
-	_, rest, err := Read(bufio.NewReader(strings.NewReader(readGolden(t, "frames_received.txt")["reply with a report"])))
+	_, rest, err := Read(bufio.NewReader(strings.NewReader(goldentest.ReadEntries(t, "frames_received.txt")["reply with a report"])))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/wire_golden_test.go
+++ b/internal/platform/wire_golden_test.go
@@ -13,6 +13,7 @@
 	"linkpass/internal/bodies/tier"
 	"linkpass/internal/coordinator"
 	"linkpass/internal/end"
+	"linkpass/internal/goldentest"
 	"linkpass/internal/http1"
 	"linkpass/internal/metrics"
 )
@@ -37,7 +38,7 @@
 }
 
 func TestRequestGolden(t *testing.T) {
-	requests := readGolden(t, "requests.txt")
+	requests := goldentest.ReadEntries(t, "requests.txt")
 	both := []byte("c41e77d0 \"quoted\" \u00e9\n")
 	cases := map[string]coordinator.Query{
 		"every field": {Name: "9b1f03aa5c7e2d41", Class: 1, Tenant: 2, Began: 3 * time.Second, Timeout: 480 * time.Millisecond, Repeat: true,
@@ -74,7 +75,7 @@
 }
 
 func TestResponseGolden(t *testing.T) {
-	every := readGolden(t, "requests.txt")["every field"]
+	every := goldentest.ReadEntries(t, "requests.txt")["every field"]
 	with := func(old, new string) string {
 		if !strings.Contains(every, old) {
 			t.Fatalf("the golden request has no %q", old)
@@ -89,7 +90,7 @@
 	get := func(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: router\r\n\r\n" }
 	values := []coordinator.Value{{Shard: 3, Data: []byte("5be2")}, {Shard: 5, Data: []byte("<a & \"b\">\n\u00e9\u2028\xff")}}
 	bare := []coordinator.Miss{{Shard: 3, Last: end.Served}, {Shard: 5, Last: end.Unkept, Tried: true, Bare: true}}
-	var got []entry
+	var got []goldentest.Entry
 	for _, c := range []struct {
 		name    string
 		answer  coordinator.Answer
@@ -131,16 +132,16 @@
 		if c.set != nil {
 			c.set(f)
 		}
-		got = append(got, entry{c.name, exchange(t, f, c.request)})
+		got = append(got, goldentest.Entry{Name: c.name, Data: exchange(t, f, c.request)})
 	}
 	c := &core{answer: coordinator.Answer{Verdict: coordinator.Answered}}
 	f := goldenFront(c)
 	c.during = func() {
 		c.during = nil
-		got = append(got, entry{"request id of an open query", exchange(t, f, every)})
+		got = append(got, goldentest.Entry{Name: "request id of an open query", Data: exchange(t, f, every)})
 	}
 	exchange(t, f, every)
-	checkGolden(t, "responses.txt", got)
+	goldentest.CheckEntries(t, "responses.txt", got)
 }
 
 // fullStore gives a front a store of bodies without room for any.
--- a/internal/report/wire_golden_test.go
+++ b/internal/report/wire_golden_test.go
@@ -4,10 +4,12 @@
 	"math"
 	"slices"
 	"testing"
+
+	"linkpass/internal/goldentest"
 )
 
 func TestReportGolden(t *testing.T) {
-	reports := readGolden(t, "reports.txt")
+	reports := goldentest.ReadEntries(t, "reports.txt")
 	names := []string{"active", "waiting", "cpu", "avg_ms", "rps", "err_rps"}
 	nan := math.NaN()
 	cases := map[string][]float64{
