--- a/internal/store/limits.go
+++ b/internal/store/limits.go
@@ -14,11 +14,11 @@
 const (
 	MaxCommandBytes = 1 << 20 // bytes of an entry
 	// Changes a second, and at once after a pause: each is written to disk by every instance.
-	changesPace, changesAtOnce = 100, 200
+	changeRate, changeBurst = 100, 200
 
-	snapshotEvery = 30 * time.Second // between two looks at whether the log is long enough for a snapshot
-	logKept       = 1024             // entries for followers that are behind; past that they get the snapshot
-	appendMost    = 16               // entries in one message to a follower, 16 MiB of them at the most; the library's own bound is 64
+	snapshotInterval    = 30 * time.Second // between two looks at whether the log is long enough for a snapshot
+	defaultTrailingLogs = 1024             // entries for followers that are behind; past that they get the snapshot
+	maxAppendEntries    = 16               // entries in one message to a follower, 16 MiB of them at the most; the library's own bound is 64
 )
 
 // Errors of a change that is over a limit.
@@ -27,13 +27,13 @@
 	ErrBusy     = errors.New("store: too many changes at a time, ask again in a moment")
 )
 
-// changesLimit bounds the changes that clients make at this instance.
-func changesLimit() *rate.Limiter { return rate.NewLimiter(changesPace, changesAtOnce) }
+// newChangeLimiter bounds the changes that clients make at this instance.
+func newChangeLimiter() *rate.Limiter { return rate.NewLimiter(changeRate, changeBurst) }
 
 // admit tells whether one more change of a client may be made now.
 func (s *Store) admit() error {
-	if !s.changes.Allow() {
-		return fmt.Errorf("%w: %d a second are taken", ErrBusy, changesPace)
+	if !s.limiter.Allow() {
+		return fmt.Errorf("%w: %d a second are taken", ErrBusy, changeRate)
 	}
 	return nil
 }
@@ -42,7 +42,7 @@
 func (c *Config) bound(rc *raft.Config) {
 	kept := c.TrailingLogs
 	if kept == 0 {
-		kept = logKept
+		kept = defaultTrailingLogs
 	}
-	rc.SnapshotInterval, rc.SnapshotThreshold, rc.TrailingLogs, rc.MaxAppendEntries = snapshotEvery, uint64(kept), uint64(kept), appendMost
+	rc.SnapshotInterval, rc.SnapshotThreshold, rc.TrailingLogs, rc.MaxAppendEntries = snapshotInterval, uint64(kept), uint64(kept), maxAppendEntries
 }
--- a/internal/store/limits_test.go
+++ b/internal/store/limits_test.go
@@ -19,8 +19,8 @@
 	if _, err := s.Propose(big); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("an entry over the bound: %v", err)
 	}
-	s.changes.SetLimit(0)
-	for s.changes.Allow() {
+	s.limiter.SetLimit(0)
+	for s.limiter.Allow() {
 	}
 	_, change := s.PatchSettings([]byte(window(8)))
 	_, update := s.UpdateSettings(func(now *searchconfig.Config) (*searchconfig.Config, error) { return now.Patch([]byte(window(8))) })
--- a/internal/store/marks.go
+++ b/internal/store/marks.go
@@ -16,32 +16,32 @@
 )
 
 const (
-	reportEvery = time.Second            // between two reports of how far this instance is, to each other one
-	reportLimit = 300 * time.Millisecond // for one
+	reportInterval = time.Second            // between two reports of how far this instance is, to each other one
+	reportTimeout  = 300 * time.Millisecond // for one
 )
 
 // Keys of the stable store: the library's own, and that of the starts on this disk.
 var (
-	keyTerm  = []byte("CurrentTerm")
-	keyBoots = []byte("linkpass.boots")
+	keyCurrentTerm = []byte("CurrentTerm")
+	keyBootCount   = []byte("linkpass.boots")
 )
 
-// marking is an instance's part in finding disks that are old.
-type marking struct {
-	began  rollback.Report
-	mu     sync.Mutex // guards heard
-	heard  *rollback.Detector
-	cancel context.CancelFunc
-	ended  sync.WaitGroup
+// positionReporter is an instance's part in finding disks that are old.
+type positionReporter struct {
+	startReport rollback.Report
+	mu          sync.Mutex // guards heard
+	detector    *rollback.Detector
+	cancel      context.CancelFunc
+	ended       sync.WaitGroup
 }
 
 // mark reads how far the disk is and counts this start on it. It comes before Raft may vote.
 func (s *Store) mark(snaps raft.SnapshotStore) error {
-	term, err := s.stable(keyTerm)
+	term, err := s.stable(keyCurrentTerm)
 	if err != nil {
 		return err
 	}
-	boots, err := s.stable(keyBoots)
+	boots, err := s.stable(keyBootCount)
 	if err != nil {
 		return err
 	}
@@ -56,12 +56,12 @@
 	for _, m := range list {
 		last = max(last, m.Index)
 	}
-	if err := s.bolt.SetUint64(keyBoots, boots+1); err != nil {
+	if err := s.bolt.SetUint64(keyBootCount, boots+1); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
 	at := rollback.Position{Term: term, Index: last}
-	s.marking.began = rollback.Report{ID: s.config.ID, Incarnation: boots + 1, Nonce: rand.Uint64(), AtStart: at, Current: at}
-	return s.report(context.Background(), s.config.Members, s.marking.began)
+	s.positions.startReport = rollback.Report{ID: s.config.ID, Incarnation: boots + 1, Nonce: rand.Uint64(), AtStart: at, Current: at}
+	return s.report(context.Background(), s.config.Members, s.positions.startReport)
 }
 
 // stable is a number of the stable store; 0 where it was never written.
@@ -79,7 +79,7 @@
 	if s.config.ReportPosition == nil {
 		return nil
 	}
-	call, cancel := context.WithTimeout(ctx, reportLimit)
+	call, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	errs := make([]error, len(members))
 	var all sync.WaitGroup
@@ -100,17 +100,17 @@
 // keepReporting reports for as long as the store is open, and ends this instance's part where its disk is found to be old:
 // it votes no more and confirms nothing, and what held here goes on holding.
 func (s *Store) keepReporting(ctx context.Context) {
-	for tick := time.NewTicker(reportEvery); ; {
+	for tick := time.NewTicker(reportInterval); ; {
 		select {
 		case <-ctx.Done():
 			tick.Stop()
 			return
 		case <-tick.C:
 		}
-		r := s.marking.began
+		r := s.positions.startReport
 		r.Current = rollback.Position{Term: s.raft.CurrentTerm(), Index: s.raft.AppliedIndex()}
 		if err := s.report(ctx, s.Members(), r); err != nil {
-			s.machine.halted.Store(&err)
+			s.fsm.halted.Store(&err)
 			eventlog.StoreRolledBack.Log(err)
 			tick.Stop()
 			if err := s.raft.Shutdown().Error(); err != nil {
@@ -127,8 +127,8 @@
 	for _, m := range s.Members() {
 		ids = append(ids, m.ID)
 	}
-	s.marking.mu.Lock()
-	defer s.marking.mu.Unlock()
-	s.marking.heard.Retain(ids)
-	return s.marking.heard.Observe(r)
+	s.positions.mu.Lock()
+	defer s.positions.mu.Unlock()
+	s.positions.detector.Retain(ids)
+	return s.positions.detector.Observe(r)
 }
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -23,7 +23,7 @@
 // MaxMembers bounds the instances of a store; more make every change slower and none safer.
 const MaxMembers = 9
 
-const reachLimit = 300 * time.Millisecond // for a member to take a connection
+const probeTimeout = 300 * time.Millisecond // for a member to take a connection
 
 // MemberStatus is a member as the log has it.
 type MemberStatus struct {
@@ -51,7 +51,7 @@
 
 // AddLearner lets an instance learn: it gets the log and does not vote. Only the leader takes it.
 func (s *Store) AddLearner(m Member) error {
-	peers, err := s.lead()
+	peers, err := s.membersAsLeader()
 	if err != nil {
 		return err
 	}
@@ -74,13 +74,13 @@
 	} else if r.Reason != config.Applied {
 		return fmt.Errorf("%w: %s: %s", ErrUnknownMember, r.Reason, r.Detail)
 	}
-	return s.confirm(s.raft.AddNonvoter(raft.ServerID(m.ID), raft.ServerAddress(m.Raft), 0, applyLimit))
+	return s.await(s.raft.AddNonvoter(raft.ServerID(m.ID), raft.ServerAddress(m.Raft), 0, applyTimeout))
 }
 
 // PromoteLearner lets a learner vote. Caught tells whether it has caught up with a version of the state; one that has not would
 // hold up every change.
 func (s *Store) PromoteLearner(id string, caught func(Member, uint64) error) error {
-	peers, err := s.lead()
+	peers, err := s.membersAsLeader()
 	if err != nil {
 		return err
 	}
@@ -94,7 +94,7 @@
 		if err := caught(p.Member, s.State().Version()); err != nil {
 			return fmt.Errorf("%w: %s: %w", ErrLearnerBehind, id, err)
 		}
-		return s.confirm(s.raft.AddVoter(raft.ServerID(id), raft.ServerAddress(p.Raft), 0, applyLimit))
+		return s.await(s.raft.AddVoter(raft.ServerID(id), raft.ServerAddress(p.Raft), 0, applyTimeout))
 	}
 	return fmt.Errorf("%w: %s", ErrUnknownMember, id)
 }
@@ -102,7 +102,7 @@
 // RemoveMember takes a member away, dead or alive. What would leave fewer voters that answer than a majority of those that remain
 // is refused.
 func (s *Store) RemoveMember(ctx context.Context, id string) error {
-	peers, err := s.lead()
+	peers, err := s.membersAsLeader()
 	if err != nil {
 		return err
 	}
@@ -118,7 +118,7 @@
 	if alive := s.alive(ctx, left); alive < len(left)/2+1 {
 		return fmt.Errorf("%w: %d of %d voters answer", ErrQuorumAtRisk, alive, len(left))
 	}
-	if err := s.confirm(s.raft.RemoveServer(raft.ServerID(id), 0, applyLimit)); err != nil {
+	if err := s.await(s.raft.RemoveServer(raft.ServerID(id), 0, applyTimeout)); err != nil {
 		return err
 	}
 	if id == s.config.ID {
@@ -128,12 +128,12 @@
 	return err
 }
 
-// lead tells the members, where this instance leads.
-func (s *Store) lead() ([]MemberStatus, error) {
-	if err := s.leads(); err != nil {
+// membersAsLeader tells the members, where this instance leads.
+func (s *Store) membersAsLeader() ([]MemberStatus, error) {
+	if err := s.checkLeader(); err != nil {
 		return nil, err
 	}
-	if err := s.confirm(s.raft.VerifyLeader()); err != nil {
+	if err := s.await(s.raft.VerifyLeader()); err != nil {
 		return nil, err
 	}
 	return s.MemberStatuses()
@@ -146,7 +146,7 @@
 	for _, p := range peers {
 		all.Go(func() {
 			if p.ID != s.config.ID {
-				call, cancel := context.WithTimeout(ctx, reachLimit)
+				call, cancel := context.WithTimeout(ctx, probeTimeout)
 				defer cancel()
 				nc, err := (&net.Dialer{}).DialContext(call, "tcp", p.Raft)
 				if err != nil {
--- a/internal/store/reads.go
+++ b/internal/store/reads.go
@@ -73,22 +73,22 @@
 
 // readLease reads at the leader. What was committed before its term must have been applied: that is waited for once a term.
 func (s *Store) readLease() (*searchconfig.Config, error) {
-	if err := s.leads(); err != nil {
+	if err := s.checkLeader(); err != nil {
 		return nil, err
 	}
-	if term := s.raft.CurrentTerm(); s.barred.Load() != term {
-		if err := s.confirm(s.raft.Barrier(applyLimit)); err != nil {
+	if term := s.raft.CurrentTerm(); s.barrierTerm.Load() != term {
+		if err := s.await(s.raft.Barrier(applyTimeout)); err != nil {
 			return nil, err
 		}
-		s.barred.Store(term)
+		s.barrierTerm.Store(term)
 	}
 	c := s.Settings()
-	return c, s.leads() // it may have ended while the document was taken
+	return c, s.checkLeader() // it may have ended while the document was taken
 }
 
 // readStale reads here, if what is here is young enough.
 func (s *Store) readStale(maxAge time.Duration) (*searchconfig.Config, error) {
-	if why := s.machine.halted.Load(); why != nil {
+	if why := s.fsm.halted.Load(); why != nil {
 		return nil, *why
 	}
 	if s.raft.State() == raft.Leader {
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -19,7 +19,7 @@
 // ErrRecoveryRefused says that a recovery could lose or fork what others hold.
 var ErrRecoveryRefused = errors.New("store: recovery refused")
 
-const lockLimit = time.Second // for the files of a store that may be open elsewhere
+const lockTimeout = time.Second // for the files of a store that may be open elsewhere
 
 // RecoveryResult is what a recovery found and kept.
 type RecoveryResult struct {
@@ -36,13 +36,13 @@
 	if !ok || c.Dir == "" {
 		return r, fmt.Errorf("%w: %q is not among the members, or dir is missing", ErrRecoveryRefused, c.ID)
 	}
-	bolt, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(c.Dir, "raft.db"), BoltOptions: &bbolt.Options{Timeout: lockLimit}})
+	bolt, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(c.Dir, "raft.db"), BoltOptions: &bbolt.Options{Timeout: lockTimeout}})
 	if err != nil {
 		return r, fmt.Errorf("%w: the log cannot be opened, does the instance still run? %w", ErrRecoveryRefused, err)
 	}
 	defer bolt.Close()
 	logger := eventlog.RaftLogger()
-	snaps, err := raft.NewFileSnapshotStoreWithLogger(c.Dir, keepSnaps, logger)
+	snaps, err := raft.NewFileSnapshotStoreWithLogger(c.Dir, retainedSnapshots, logger)
 	if err != nil {
 		return r, fmt.Errorf("store: snapshots: %w", err)
 	}
@@ -52,7 +52,7 @@
 	_, transport := raft.NewInmemTransport(raft.ServerAddress(me.Raft)) // nothing is sent
 	rc := raft.DefaultConfig()
 	rc.LocalID, rc.Logger = raft.ServerID(c.ID), logger
-	members, err := raft.GetConfiguration(rc, &stateMachine{}, bolt, bolt, snaps, transport)
+	members, err := raft.GetConfiguration(rc, &fsm{}, bolt, bolt, snaps, transport)
 	if err != nil {
 		return r, fmt.Errorf("store: members: %w", err)
 	}
@@ -66,7 +66,7 @@
 	if n := (&Store{config: c}).alive(ctx, others); n > 0 && !force {
 		return r, fmt.Errorf("%w: %d of the other members %v answer: let them elect a leader, or stop them", ErrRecoveryRefused, n, r.Dropped)
 	}
-	m := &stateMachine{}
+	m := &fsm{}
 	m.current.Store(config.NewState(&searchconfig.Config{}))
 	only := raft.Configuration{Servers: []raft.Server{{ID: raft.ServerID(c.ID), Address: raft.ServerAddress(me.Raft)}}}
 	if err := raft.RecoverCluster(rc, m, bolt, bolt, snaps, transport, only); err != nil {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -75,22 +75,22 @@
 }
 
 const (
-	applyLimit = 3 * time.Second // for a majority to confirm a change
-	keepSnaps  = 2
-	poolSize   = 3
+	applyTimeout      = 3 * time.Second // for a majority to confirm a change
+	retainedSnapshots = 2
+	maxPooledConns    = 3
 )
 
 // Store is one instance.
 type Store struct {
-	config  Config
-	raft    *raft.Raft
-	bolt    *raftboltdb.BoltStore
-	machine *stateMachine
-	marking marking
-	changes *rate.Limiter // of clients
-
-	barred   atomic.Uint64 // the term in which all of the terms before it was applied
-	changing sync.Mutex    // one change after another, each upon the last
+	config    Config
+	raft      *raft.Raft
+	bolt      *raftboltdb.BoltStore
+	fsm       *fsm
+	positions positionReporter
+	limiter   *rate.Limiter // of clients
+
+	barrierTerm atomic.Uint64 // the term in which all of the terms before it was applied
+	proposeMu   sync.Mutex    // one change after another, each upon the last
 }
 
 // Open starts an instance; one with no state of its own begins with the
@@ -115,13 +115,13 @@
 			*d = time.Duration(c.TimeScale * float64(*d))
 		}
 	}
-	s := &Store{config: c, machine: &stateMachine{changed: c.OnSettingsChanged, applied: c.OnApplied}, marking: marking{heard: rollback.NewDetector()},
-		changes: changesLimit()}
+	s := &Store{config: c, fsm: &fsm{onSettingsChanged: c.OnSettingsChanged, onApplied: c.OnApplied}, positions: positionReporter{detector: rollback.NewDetector()},
+		limiter: newChangeLimiter()}
 	initial := c.InitialSettings
 	if initial == nil {
 		initial = &searchconfig.Config{}
 	}
-	s.machine.current.Store(config.NewState(initial))
+	s.fsm.current.Store(config.NewState(initial))
 	bolt, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(c.Dir, "raft.db")})
 	if err != nil {
 		return nil, fmt.Errorf("store: log: %w", err)
@@ -132,13 +132,13 @@
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	s.marking.cancel = cancel
-	s.marking.ended.Go(func() { s.keepReporting(ctx) })
+	s.positions.cancel = cancel
+	s.positions.ended.Go(func() { s.keepReporting(ctx) })
 	return s, nil
 }
 
 func (s *Store) start(rc *raft.Config, me Member, logger hclog.Logger) error {
-	snaps, err := raft.NewFileSnapshotStoreWithLogger(s.config.Dir, keepSnaps, logger)
+	snaps, err := raft.NewFileSnapshotStoreWithLogger(s.config.Dir, retainedSnapshots, logger)
 	if err != nil {
 		return fmt.Errorf("store: snapshots: %w", err)
 	}
@@ -151,7 +151,7 @@
 			return fmt.Errorf("store: %w", err)
 		}
 	}
-	transport := raft.NewNetworkTransportWithLogger(stream{ln}, poolSize, applyLimit, logger)
+	transport := raft.NewNetworkTransportWithLogger(streamLayer{ln}, maxPooledConns, applyTimeout, logger)
 	old, err := raft.HasExistingState(s.bolt, s.bolt, snaps)
 	if err == nil && !old && !s.config.Join {
 		var members raft.Configuration
@@ -161,7 +161,7 @@
 		err = raft.BootstrapCluster(rc, s.bolt, s.bolt, snaps, transport, members)
 	}
 	if err == nil {
-		s.raft, err = raft.NewRaft(rc, s.machine, s.bolt, s.bolt, snaps, transport)
+		s.raft, err = raft.NewRaft(rc, s.fsm, s.bolt, s.bolt, snaps, transport)
 	}
 	if err != nil {
 		_ = transport.Close()
@@ -183,17 +183,17 @@
 func (s *Store) Settings() *searchconfig.Config { return s.State().Settings() }
 
 // State is all that is agreed, as this instance has it.
-func (s *Store) State() *config.State { return s.machine.current.Load() }
+func (s *Store) State() *config.State { return s.fsm.current.Load() }
 
 // Read is the catalog as a majority confirms it; only the leader can tell.
 func (s *Store) Read() (*searchconfig.Config, error) {
-	if err := s.leads(); err != nil {
+	if err := s.checkLeader(); err != nil {
 		return nil, err
 	}
-	if err := s.confirm(s.raft.VerifyLeader()); err != nil {
+	if err := s.await(s.raft.VerifyLeader()); err != nil {
 		return nil, err
 	}
-	if err := s.confirm(s.raft.Barrier(applyLimit)); err != nil {
+	if err := s.await(s.raft.Barrier(applyTimeout)); err != nil {
 		return nil, err
 	}
 	return s.Settings(), nil
@@ -204,8 +204,8 @@
 	if err := s.admit(); err != nil {
 		return nil, err
 	}
-	s.changing.Lock()
-	defer s.changing.Unlock()
+	s.proposeMu.Lock()
+	defer s.proposeMu.Unlock()
 	now, err := s.Read()
 	if err != nil {
 		return nil, err
@@ -215,14 +215,14 @@
 	} else if next == now {
 		return now, nil
 	}
-	return s.settle(config.Command{Kind: config.PatchSettings, Payload: patch})
+	return s.replicateSettings(config.Command{Kind: config.PatchSettings, Payload: patch})
 }
 
 // AdvanceShardMap takes a step of an index's layout once a majority has it. A step that changes nothing is not replicated; one that
 // cannot be taken is the layout's error.
 func (s *Store) AdvanceShardMap(index string, c shardmap.Command) error {
-	s.changing.Lock()
-	defer s.changing.Unlock()
+	s.proposeMu.Lock()
+	defer s.proposeMu.Unlock()
 	now, err := s.Read()
 	if err != nil {
 		return err
@@ -234,7 +234,7 @@
 	if next, err := l.Apply(c); err != nil || next == l {
 		return err
 	}
-	_, err = s.settle(config.Command{Kind: config.AdvanceShardMap, Index: index, ShardMapCommand: &c})
+	_, err = s.replicateSettings(config.Command{Kind: config.AdvanceShardMap, Index: index, ShardMapCommand: &c})
 	return err
 }
 
@@ -245,8 +245,8 @@
 	if err := s.admit(); err != nil {
 		return nil, err
 	}
-	s.changing.Lock()
-	defer s.changing.Unlock()
+	s.proposeMu.Lock()
+	defer s.proposeMu.Unlock()
 	now, err := s.Read()
 	if err != nil {
 		return nil, err
@@ -259,12 +259,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	return s.settle(config.Command{Kind: config.ReplaceSettings, Payload: data})
+	return s.replicateSettings(config.Command{Kind: config.ReplaceSettings, Payload: data})
 }
 
-// settle replicates a command upon the settings that hold here, and gives those that hold then. The lock is held.
-func (s *Store) settle(c config.Command) (*searchconfig.Config, error) {
-	if err := s.found(c); err != nil {
+// replicateSettings replicates a command upon the settings that hold here, and gives those that hold then. The lock is held.
+func (s *Store) replicateSettings(c config.Command) (*searchconfig.Config, error) {
+	if err := s.initialize(c); err != nil {
 		return nil, err
 	}
 	c.ExpectedVersion = s.State().SettingsVersion()
@@ -273,13 +273,13 @@
 		return nil, err
 	}
 	if r.Reason != config.Applied {
-		return nil, refused(r)
+		return nil, rejectionError(r)
 	}
 	return s.Settings(), nil
 }
 
-// found replicates this instance's settings before the first command that is no document: until then instances may differ.
-func (s *Store) found(c config.Command) error {
+// initialize replicates this instance's settings before the first command that is no document: until then instances may differ.
+func (s *Store) initialize(c config.Command) error {
 	if s.State().Initialized() || c.Kind == config.ReplaceSettings {
 		return nil
 	}
@@ -289,7 +289,7 @@
 	}
 	r, err := s.apply(config.Command{Kind: config.ReplaceSettings, Payload: data})
 	if err == nil && r.Reason != config.Applied {
-		err = refused(r)
+		err = rejectionError(r)
 	}
 	return err
 }
@@ -301,12 +301,12 @@
 			return config.Result{}, err
 		}
 	}
-	s.changing.Lock()
-	defer s.changing.Unlock()
-	if err := s.leads(); err != nil {
+	s.proposeMu.Lock()
+	defer s.proposeMu.Unlock()
+	if err := s.checkLeader(); err != nil {
 		return config.Result{}, err
 	}
-	if err := s.found(c); err != nil {
+	if err := s.initialize(c); err != nil {
 		return config.Result{}, err
 	}
 	return s.apply(c)
@@ -320,8 +320,8 @@
 	if len(data) > MaxCommandBytes {
 		return config.Result{}, fmt.Errorf("%w: %d bytes of %d", ErrTooLarge, len(data), MaxCommandBytes)
 	}
-	future := s.raft.Apply(data, applyLimit)
-	if err := s.confirm(future); err != nil {
+	future := s.raft.Apply(data, applyTimeout)
+	if err := s.await(future); err != nil {
 		return config.Result{}, err
 	}
 	switch r := future.Response().(type) {
@@ -333,19 +333,19 @@
 	return config.Result{}, fmt.Errorf("store: no answer to an entry: %v", future.Response())
 }
 
-// refused words why the log did not take a command.
-func refused(r config.Result) error {
+// rejectionError words why the log did not take a command.
+func rejectionError(r config.Result) error {
 	if r.Reason == config.Conflict {
 		return fmt.Errorf("%w: %s", ErrConflict, r.Detail)
 	}
 	return fmt.Errorf("%w: %s: %s", searchconfig.ErrInvalid, r.Reason, r.Detail)
 }
 
-// confirm waits until a majority has confirmed something.
-func (*Store) confirm(future raft.Future) error {
+// await waits until a majority has confirmed something.
+func (*Store) await(future raft.Future) error {
 	done := make(chan error, 1)
 	go func() { done <- future.Error() }() // ends with the future: when leadership is lost, at the latest
-	timer := time.NewTimer(applyLimit)
+	timer := time.NewTimer(applyTimeout)
 	defer timer.Stop()
 	select {
 	case err := <-done:
@@ -361,9 +361,9 @@
 	}
 }
 
-// leads tells why this instance can't answer for the store, if it can't.
-func (s *Store) leads() error {
-	if err := s.machine.halted.Load(); err != nil {
+// checkLeader tells why this instance can't answer for the store, if it can't.
+func (s *Store) checkLeader() error {
+	if err := s.fsm.halted.Load(); err != nil {
 		return *err
 	}
 	if s.raft.State() == raft.Leader {
@@ -385,8 +385,8 @@
 
 // Close stops the instance; its state stays on disk.
 func (s *Store) Close() error {
-	s.marking.cancel()
-	s.marking.ended.Wait()
+	s.positions.cancel()
+	s.positions.ended.Wait()
 	err := s.raft.Shutdown().Error()
 	if cerr := s.bolt.Close(); err == nil {
 		err = cerr
@@ -397,29 +397,29 @@
 	return nil
 }
 
-// stateMachine is the replicated state.
-type stateMachine struct {
-	current atomic.Pointer[config.State]
-	halted  atomic.Pointer[error] // why it takes no more entries; nil: it does
-	changed func(*searchconfig.Config)
-	applied func()
+// fsm is the replicated state.
+type fsm struct {
+	current           atomic.Pointer[config.State]
+	halted            atomic.Pointer[error] // why it takes no more entries; nil: it does
+	onSettingsChanged func(*searchconfig.Config)
+	onApplied         func()
 }
 
 // set publishes a state.
-func (m *stateMachine) set(s *config.State) {
+func (m *fsm) set(s *config.State) {
 	was := m.current.Load()
 	m.current.Store(s)
-	if m.changed != nil && s.Settings() != was.Settings() {
-		m.changed(s.Settings())
+	if m.onSettingsChanged != nil && s.Settings() != was.Settings() {
+		m.onSettingsChanged(s.Settings())
 	}
-	if m.applied != nil {
-		m.applied()
+	if m.onApplied != nil {
+		m.onApplied()
 	}
 }
 
 // Apply takes one entry. One that this program does not know ends its part in the store: to go on without it would be to
 // diverge. What held before goes on holding here, and reads and changes say why they fail.
-func (m *stateMachine) Apply(entry *raft.Log) any {
+func (m *fsm) Apply(entry *raft.Log) any {
 	if why := m.halted.Load(); why != nil {
 		return *why
 	}
@@ -438,7 +438,7 @@
 	next, r := now.Apply(c)
 	m.set(next)
 	if r.Reason != config.Applied {
-		eventlog.SettingsRejected.Log(entry.Index, refused(r))
+		eventlog.SettingsRejected.Log(entry.Index, rejectionError(r))
 	} else if next.Settings() != now.Settings() {
 		eventlog.SettingsChanged.Log(entry.Index)
 	}
@@ -458,7 +458,7 @@
 }
 
 // Snapshot is the state as it stands.
-func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
+func (m *fsm) Snapshot() (raft.FSMSnapshot, error) {
 	if why := m.halted.Load(); why != nil {
 		return nil, *why // it would claim entries that it does not hold
 	}
@@ -466,7 +466,7 @@
 }
 
 // Restore takes a snapshot's state, also one from before there were commands: a document.
-func (m *stateMachine) Restore(in io.ReadCloser) error {
+func (m *fsm) Restore(in io.ReadCloser) error {
 	defer in.Close()
 	data, err := io.ReadAll(in)
 	if err != nil {
@@ -507,11 +507,11 @@
 // Release has nothing to let go.
 func (snapshot) Release() {}
 
-// stream is Raft's transport over a listener.
-type stream struct{ net.Listener }
+// streamLayer is Raft's transport over a listener.
+type streamLayer struct{ net.Listener }
 
 // Dial connects to another instance.
-func (stream) Dial(addr raft.ServerAddress, limit time.Duration) (net.Conn, error) {
+func (streamLayer) Dial(addr raft.ServerAddress, limit time.Duration) (net.Conn, error) {
 	return net.DialTimeout("tcp", string(addr), limit)
 }
 
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -213,7 +213,7 @@
 
 // Two changes made on one document: the log holds both, and the second finds that another came first.
 func TestAChangeIsACompareAndSet(t *testing.T) {
-	m := &stateMachine{}
+	m := &fsm{}
 	m.current.Store(config.NewState(&searchconfig.Config{}))
 	apply := func(text string) any { return m.Apply(&raft.Log{Data: []byte(text)}) }
 	if err, bad := apply(`{"revision":1,"search":{"max_result_window":5}}`).(error); bad {
@@ -236,7 +236,7 @@
 // An entry of a later program ends this instance's part: nothing after it is taken, nothing is read or snapshotted as if it
 // were whole, and what held before goes on holding. A newer program's snapshot or log brings it back.
 func TestAnEntryOfALaterProgram(t *testing.T) {
-	m := &stateMachine{}
+	m := &fsm{}
 	m.current.Store(config.NewState(&searchconfig.Config{}))
 	apply := func(data []byte) any { return m.Apply(&raft.Log{Data: data}) }
 	patch, err := config.Encode(config.Command{Kind: config.ReplaceSettings, Payload: []byte(`{"search":{"max_result_window":5}}`)})
@@ -258,8 +258,8 @@
 	if _, err := m.Snapshot(); !errors.Is(err, config.ErrUnknownFormat) {
 		t.Errorf("a snapshot of what is not held: %v", err)
 	}
-	s := &Store{machine: m}
-	if err := s.leads(); !errors.Is(err, config.ErrUnknownFormat) || s.Settings().MaxResultWindow() != 5 {
+	s := &Store{fsm: m}
+	if err := s.checkLeader(); !errors.Is(err, config.ErrUnknownFormat) || s.Settings().MaxResultWindow() != 5 {
 		t.Errorf("%v, window %d", err, s.Settings().MaxResultWindow())
 	}
 	if err := m.Restore(io.NopCloser(bytes.NewReader(sound))); err != nil {
--- a/internal/store/stored_crash_test.go
+++ b/internal/store/stored_crash_test.go
@@ -38,7 +38,7 @@
 		fmt.Println("error:", err)
 		return
 	}
-	for !s.IsLeader() || s.raft.Barrier(applyLimit).Error() != nil {
+	for !s.IsLeader() || s.raft.Barrier(applyTimeout).Error() != nil {
 		time.Sleep(5 * time.Millisecond)
 	}
 	hash, err := s.State().Hash()
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -92,7 +92,7 @@
 func awaitLeader(t testing.TB, s *Store) {
 	t.Helper()
 	(&cluster{t: t}).until("the only voter leads and has applied its log", func() bool {
-		return s.IsLeader() && s.raft.Barrier(applyLimit).Error() == nil
+		return s.IsLeader() && s.raft.Barrier(applyTimeout).Error() == nil
 	})
 }
 
@@ -288,7 +288,7 @@
 
 func takeSnapshot(t *testing.T, s *Store) {
 	t.Helper()
-	if err := s.raft.Barrier(applyLimit).Error(); err != nil { // an entry of the members has to be applied first
+	if err := s.raft.Barrier(applyTimeout).Error(); err != nil { // an entry of the members has to be applied first
 		t.Fatal(err)
 	}
 	if err := s.raft.Snapshot().Error(); err != nil {
@@ -308,7 +308,7 @@
 func createDocumentsLog(t *testing.T, dir string) {
 	s := mustOpenStored(t, dir, 0)
 	for _, doc := range documents {
-		if err := s.raft.Apply([]byte(doc), applyLimit).Error(); err != nil {
+		if err := s.raft.Apply([]byte(doc), applyTimeout).Error(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -319,7 +319,7 @@
 // createDocumentsSnapshot leaves a snapshot of the older form, and an entry of either form after it.
 func createDocumentsSnapshot(t *testing.T, dir string) {
 	s := mustOpenStored(t, dir, 0)
-	if err := s.raft.Apply([]byte(documents[0]), applyLimit).Error(); err != nil {
+	if err := s.raft.Apply([]byte(documents[0]), applyTimeout).Error(); err != nil {
 		t.Fatal(err)
 	}
 	index, members := s.raft.AppliedIndex(), s.raft.GetConfiguration()
@@ -327,11 +327,11 @@
 		t.Fatal(err)
 	}
 	term := s.raft.CurrentTerm()
-	if err := s.raft.Apply([]byte(documents[1]), applyLimit).Error(); err != nil {
+	if err := s.raft.Apply([]byte(documents[1]), applyTimeout).Error(); err != nil {
 		t.Fatal(err)
 	}
 	mustCommand(t, s, config.Command{Kind: config.SetServerWeight, Server: "s-2", Weight: 3}, config.Applied)
-	snaps, err := raft.NewFileSnapshotStoreWithLogger(dir, keepSnaps, eventlog.RaftLogger())
+	snaps, err := raft.NewFileSnapshotStoreWithLogger(dir, retainedSnapshots, eventlog.RaftLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -430,7 +430,7 @@
 		}
 		c.Entries = append(c.Entries, e)
 	}
-	snaps, err := raft.NewFileSnapshotStoreWithLogger(dir, keepSnaps, eventlog.RaftLogger())
+	snaps, err := raft.NewFileSnapshotStoreWithLogger(dir, retainedSnapshots, eventlog.RaftLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -471,7 +471,7 @@
 // requireRestored restores a snapshot and takes it again, byte for byte.
 func requireRestored(t *testing.T, data []byte) {
 	t.Helper()
-	m := &stateMachine{}
+	m := &fsm{}
 	m.current.Store(config.NewState(&searchconfig.Config{}))
 	if err := m.Restore(io.NopCloser(bytes.NewReader(data))); err != nil {
 		t.Fatal(err)
@@ -573,7 +573,7 @@
 			s := mustOpenStored(t, dir, 0)
 			defer mustClose(t, s)
 			requireGolden(t, f.name+"_state.json", indented(t, readState(t, s)))
-			if began := s.marking.began; began.ID != storedMember || began.Incarnation != content.Boots+1 || began.AtStart.Term != content.Term ||
+			if began := s.positions.startReport; began.ID != storedMember || began.Incarnation != content.Boots+1 || began.AtStart.Term != content.Term ||
 				began.AtStart.Index != content.LastIndex || began.Current != began.AtStart {
 				t.Errorf("report of the start: %+v", began)
 			}
--- a/internal/store/stored_truncated_test.go
+++ b/internal/store/stored_truncated_test.go
@@ -128,7 +128,7 @@
 					t.Fatal(err)
 				}
 				defer mustClose(t, s)
-				(&cluster{t: t}).until("the cut entry halts the instance", func() bool { return s.machine.halted.Load() != nil })
+				(&cluster{t: t}).until("the cut entry halts the instance", func() bool { return s.fsm.halted.Load() != nil })
 				if _, err := s.Read(); !errors.Is(err, config.ErrUnknownFormat) {
 					t.Errorf("read: %v", err)
 				}
@@ -150,7 +150,7 @@
 	}
 	defer bolt.Close()
 	l := lastCommand(t, bolt)
-	m := &stateMachine{}
+	m := &fsm{}
 	m.current.Store(config.NewState(&searchconfig.Config{Search: searchconfig.Defaults{MaxResultWindow: storedWindow}}))
 	for i := uint64(1); i < l.Index; i++ {
 		var e raft.Log
