--- a/internal/store/limits_test.go
+++ b/internal/store/limits_test.go
@@ -12,9 +12,9 @@
 )
 
 // A change that is too large, or one too many, is refused and changes nothing; orders on servers go on.
-func TestChangesAreBounded(t *testing.T) {
+func TestChangeOverLimitIsRejected(t *testing.T) {
 	c := newCluster(t)
-	s := c.stores[c.change(window(7))]
+	s := c.stores[c.patch(windowPatch(7))]
 	big := config.Command{Kind: config.SetMemberAddress, Server: "n9", Payload: bytes.Repeat([]byte("x"), MaxCommandBytes)}
 	if _, err := s.Propose(big); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("an entry over the bound: %v", err)
@@ -22,8 +22,8 @@
 	s.limiter.SetLimit(0)
 	for s.limiter.Allow() {
 	}
-	_, change := s.PatchSettings([]byte(window(8)))
-	_, update := s.UpdateSettings(func(now *searchconfig.Config) (*searchconfig.Config, error) { return now.Patch([]byte(window(8))) })
+	_, change := s.PatchSettings([]byte(windowPatch(8)))
+	_, update := s.UpdateSettings(func(now *searchconfig.Config) (*searchconfig.Config, error) { return now.Patch([]byte(windowPatch(8))) })
 	_, command := s.Propose(config.Command{Kind: config.SetServerWeight, Server: "s-1", Weight: 2})
 	for _, err := range []error{change, update, command} {
 		if !errors.Is(err, ErrBusy) {
@@ -40,15 +40,15 @@
 }
 
 // A follower that was away for longer than the log is kept gets the snapshot while changes go on, and has all of them.
-func TestASnapshotIsInstalledUnderChanges(t *testing.T) {
-	c := &cluster{t: t, dir: t.TempDir(), logKept: 8}
-	c.begin()
-	leader := c.change(window(7))
-	c.everywhere(7)
+func TestSnapshotInstalledOnLaggingFollowerUnderChanges(t *testing.T) {
+	c := &cluster{t: t, dir: t.TempDir(), trailingLogs: 8}
+	c.start()
+	leader := c.patch(windowPatch(7))
+	c.awaitWindow(7)
 	away := (leader + 1) % 3
 	c.stop(away)
 	for i := range 40 {
-		c.change(window(100 + i))
+		c.patch(windowPatch(100 + i))
 	}
 	if err := c.stores[leader].raft.Snapshot().Error(); err != nil {
 		t.Fatal(err)
@@ -59,9 +59,9 @@
 	}
 	c.open(away, nil)
 	for i := range 40 {
-		c.change(window(200 + i))
+		c.patch(windowPatch(200 + i))
 	}
-	c.everywhere(239)
+	c.awaitWindow(239)
 	hash := ""
 	for i, s := range c.stores {
 		h, err := s.State().Hash()
--- a/internal/store/marks_test.go
+++ b/internal/store/marks_test.go
@@ -13,17 +13,17 @@
 	"linkpass/internal/eventlog"
 )
 
-// grapevine carries reports between the instances of a cluster, unless it is cut.
-type grapevine struct {
-	mu     sync.Mutex
-	stores map[string]*Store
-	cut    bool
+// reportNetwork carries reports between the instances of a cluster, unless it is cut.
+type reportNetwork struct {
+	mu          sync.Mutex
+	stores      map[string]*Store
+	partitioned bool
 }
 
-func (g *grapevine) tell(_ context.Context, m Member, r rollback.Report) error {
+func (g *reportNetwork) deliver(_ context.Context, m Member, r rollback.Report) error {
 	g.mu.Lock()
 	s := g.stores[m.ID]
-	if g.cut {
+	if g.partitioned {
 		s = nil
 	}
 	g.mu.Unlock()
@@ -33,15 +33,15 @@
 	return s.ObservePosition(r)
 }
 
-func (g *grapevine) sever(cut bool) {
+func (g *reportNetwork) setPartitioned(cut bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.cut = cut
+	g.partitioned = cut
 }
 
-func (g *grapevine) open(c *cluster, i int) (*Store, error) {
+func (g *reportNetwork) open(c *cluster, i int) (*Store, error) {
 	id := c.members[i].ID
-	s, err := Open(Config{ID: id, Dir: filepath.Join(c.dir, id), Members: c.members, TimeScale: pace, ReportPosition: g.tell})
+	s, err := Open(Config{ID: id, Dir: filepath.Join(c.dir, id), Members: c.members, TimeScale: testTimeScale, ReportPosition: g.deliver})
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if err != nil {
@@ -53,12 +53,12 @@
 
 // An instance whose disk was put back to an old image is refused at its start, or ends its part as soon as it is heard; an
 // honest restart is not, and the others go on meanwhile.
-func TestARestoredDiskIsRefused(t *testing.T) {
+func TestOpenRejectsRolledBackDisk(t *testing.T) {
 	eventlog.SetOutput(io.Discard, false)
 	t.Cleanup(func() { eventlog.SetOutput(os.Stderr, false) })
 	c := newCluster(t)
-	leader := c.change(window(7))
-	g, victim := &grapevine{stores: map[string]*Store{}}, (leader+1)%3
+	leader := c.patch(windowPatch(7))
+	g, victim := &reportNetwork{stores: map[string]*Store{}}, (leader+1)%3
 	restart := func(i int) {
 		t.Helper()
 		c.stop(i)
@@ -69,8 +69,8 @@
 	for i := range 3 {
 		restart(i)
 	}
-	c.change(window(8))
-	c.everywhere(8)
+	c.patch(windowPatch(8))
+	c.awaitWindow(8)
 	dir, image := filepath.Join(c.dir, c.members[victim].ID), filepath.Join(t.TempDir(), "image")
 	back := func() {
 		t.Helper()
@@ -84,27 +84,27 @@
 		t.Fatal(err)
 	}
 	restart(victim)
-	c.change(window(9))
-	c.everywhere(9)
+	c.patch(windowPatch(9))
+	c.awaitWindow(9)
 	restart(victim) // all that it holds is told at once
 	back()
 	if _, err := g.open(c, victim); !errors.Is(err, rollback.ErrRolledBack) {
 		t.Fatalf("an old disk was opened: %v", err)
 	}
 	back()
-	g.sever(true) // nobody hears of it as it starts
+	g.setPartitioned(true) // nobody hears of it as it starts
 	s, err := g.open(c, victim)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.sever(false)
-	c.until("its part to end", func() bool {
+	g.setPartitioned(false)
+	c.eventually("its part to end", func() bool {
 		_, err := s.ReadWith(ReadOptions{Consistency: Stale, MaxAge: DefaultMaxAge})
 		return errors.Is(err, rollback.ErrRolledBack)
 	})
-	if _, err := s.PatchSettings([]byte(window(1))); !errors.Is(err, rollback.ErrRolledBack) || s.IsLeader() {
+	if _, err := s.PatchSettings([]byte(windowPatch(1))); !errors.Is(err, rollback.ErrRolledBack) || s.IsLeader() {
 		t.Errorf("it goes on: %v", err)
 	}
 	c.stop(victim)
-	c.change(window(10))
+	c.patch(windowPatch(10))
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -20,23 +20,23 @@
 
 // cluster is three instances on the loopback.
 type cluster struct {
-	t       testing.TB
-	dir     string
-	members []Member
-	stores  []*Store // nil: down
-	logKept int
+	t            testing.TB
+	dir          string
+	members      []Member
+	stores       []*Store // nil: down
+	trailingLogs int
 }
 
-// pace keeps Raft's own limits short enough for a test; nothing is asserted on them.
-const pace = 0.2
+// testTimeScale keeps Raft's own limits short enough for a test; nothing is asserted on them.
+const testTimeScale = 0.2
 
 func newCluster(t testing.TB) *cluster {
 	c := &cluster{t: t, dir: t.TempDir()}
-	c.begin()
+	c.start()
 	return c
 }
 
-func (c *cluster) begin() {
+func (c *cluster) start() {
 	t := c.t
 	c.stores = make([]*Store, 3)
 	listeners := make([]net.Listener, 3)
@@ -60,8 +60,8 @@
 
 func (c *cluster) open(i int, ln net.Listener) {
 	c.t.Helper()
-	s, err := Open(Config{ID: c.members[i].ID, Dir: filepath.Join(c.dir, c.members[i].ID), Members: c.members, TimeScale: pace,
-		TrailingLogs: c.logKept, Listener: ln, InitialSettings: &searchconfig.Config{Search: searchconfig.Defaults{MaxResultWindow: 50}}})
+	s, err := Open(Config{ID: c.members[i].ID, Dir: filepath.Join(c.dir, c.members[i].ID), Members: c.members, TimeScale: testTimeScale,
+		TrailingLogs: c.trailingLogs, Listener: ln, InitialSettings: &searchconfig.Config{Search: searchconfig.Defaults{MaxResultWindow: 50}}})
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -77,8 +77,8 @@
 	}
 }
 
-// until asks again until something holds; the test's own time limit is the only one.
-func (c *cluster) until(what string, holds func() bool) {
+// eventually asks again until something holds; the test's own time limit is the only one.
+func (c *cluster) eventually(what string, holds func() bool) {
 	c.t.Helper()
 	for !holds() {
 		if c.t.Context().Err() != nil {
@@ -88,10 +88,10 @@
 	}
 }
 
-// change puts a patch through whoever leads.
-func (c *cluster) change(patch string) (leader int) {
+// patch puts a patch through whoever leads.
+func (c *cluster) patch(patch string) (leader int) {
 	c.t.Helper()
-	c.until("a leader that takes "+patch, func() bool {
+	c.eventually("a leader that takes "+patch, func() bool {
 		for i, s := range c.stores {
 			if s == nil {
 				continue
@@ -106,10 +106,10 @@
 	return leader
 }
 
-// everywhere waits until each instance that is up has a window.
-func (c *cluster) everywhere(window int) {
+// awaitWindow waits until each instance that is up has a window.
+func (c *cluster) awaitWindow(window int) {
 	c.t.Helper()
-	c.until(fmt.Sprint("window ", window, " everywhere"), func() bool {
+	c.eventually(fmt.Sprint("window ", window, " everywhere"), func() bool {
 		for _, s := range c.stores {
 			if s != nil && s.Settings().MaxResultWindow() != window {
 				return false
@@ -119,20 +119,20 @@
 	})
 }
 
-func window(n int) string { return fmt.Sprintf(`{"search.max_result_window":%d}`, n) }
+func windowPatch(n int) string { return fmt.Sprintf(`{"search.max_result_window":%d}`, n) }
 
-func TestElectionReplicationAndLeaderLoss(t *testing.T) {
+func TestStoreElectsReplicatesAndSurvivesLeaderLoss(t *testing.T) {
 	c := newCluster(t)
-	c.everywhere(50) // what the files say holds until something is replicated
-	leader := c.change(window(7))
-	c.everywhere(7)
+	c.awaitWindow(50) // what the files say holds until something is replicated
+	leader := c.patch(windowPatch(7))
+	c.awaitWindow(7)
 	for i, s := range c.stores {
 		if i == leader {
 			continue
 		}
 		var other *NotLeader
-		c.until("a follower that names the leader", func() bool {
-			_, err := s.PatchSettings([]byte(window(8)))
+		c.eventually("a follower that names the leader", func() bool {
+			_, err := s.PatchSettings([]byte(windowPatch(8)))
 			return errors.As(err, &other)
 		})
 		if _, ok := c.stores[leader].config.member(other.Leader.ID); !ok || other.Leader.HTTP == "" {
@@ -143,32 +143,32 @@
 		t.Errorf("an unusable change: %v", err)
 	}
 	c.stop(leader)
-	if next := c.change(`{"servers":{"s-1":{"protocol":"search"}}}`); next == leader {
+	if next := c.patch(`{"servers":{"s-1":{"protocol":"search"}}}`); next == leader {
 		t.Error("a stopped instance leads")
 	}
-	c.everywhere(7)
+	c.awaitWindow(7)
 	c.open(leader, nil) // comes back from its own disk and catches up
-	c.until("the change made while it was away", func() bool { return c.stores[leader].Settings().Protocol("s-1") == searchconfig.ProtocolSearch })
+	c.eventually("the change made while it was away", func() bool { return c.stores[leader].Settings().Protocol("s-1") == searchconfig.ProtocolSearch })
 }
 
-func TestAllRestartFromDisk(t *testing.T) {
+func TestStoreRestoresSnapshotAndLogAfterFullRestart(t *testing.T) {
 	c := newCluster(t)
-	c.change(window(9))
-	c.everywhere(9)
+	c.patch(windowPatch(9))
+	c.awaitWindow(9)
 	for i := range 3 {
 		if err := c.stores[i].raft.Snapshot().Error(); err != nil { // one part from a snapshot ...
 			t.Fatal(err)
 		}
 	}
-	c.change(`{"servers":{"s-1":{"protocol":"search"}}}`) // ... and one from the log
+	c.patch(`{"servers":{"s-1":{"protocol":"search"}}}`) // ... and one from the log
 	for i := range 3 {
 		c.stop(i)
 	}
 	for i := range 3 {
 		c.open(i, nil)
 	}
-	c.everywhere(9)
-	c.until("the change from the log", func() bool {
+	c.awaitWindow(9)
+	c.eventually("the change from the log", func() bool {
 		for _, s := range c.stores {
 			if s.Settings().Protocol("s-1") != searchconfig.ProtocolSearch {
 				return false
@@ -179,21 +179,21 @@
 }
 
 // Without a majority nothing is taken and nothing is read as if it were confirmed.
-func TestNoQuorumFailsClearly(t *testing.T) {
+func TestPatchAndReadWithoutQuorumFail(t *testing.T) {
 	c := newCluster(t)
-	leader := c.change(window(9))
-	c.everywhere(9)
+	leader := c.patch(windowPatch(9))
+	c.awaitWindow(9)
 	for i := range 3 {
 		if i != leader {
 			c.stop(i)
 		}
 	}
 	last := c.stores[leader]
-	_, err := last.PatchSettings([]byte(window(10)))
+	_, err := last.PatchSettings([]byte(windowPatch(10)))
 	if !errors.Is(err, ErrNoQuorum) && !errors.Is(err, ErrNoLeader) {
 		t.Errorf("a change without a majority: %v", err)
 	}
-	c.until("the end of its lead", func() bool {
+	c.eventually("the end of its lead", func() bool {
 		_, err := last.Read()
 		return errors.Is(err, ErrNoLeader)
 	})
@@ -202,7 +202,7 @@
 	}
 }
 
-func TestBadConfigurations(t *testing.T) {
+func TestOpenRejectsInvalidConfig(t *testing.T) {
 	for _, c := range []Config{{}, {ID: "a", Dir: t.TempDir()}, {ID: "a", Members: []Member{{ID: "a", Raft: "127.0.0.1:0"}}}} {
 		if s, err := Open(c); err == nil {
 			t.Errorf("opened %+v", c)
@@ -212,7 +212,7 @@
 }
 
 // Two changes made on one document: the log holds both, and the second finds that another came first.
-func TestAChangeIsACompareAndSet(t *testing.T) {
+func TestFSMRejectsDocumentWithConflictingRevision(t *testing.T) {
 	m := &fsm{}
 	m.current.Store(config.NewState(&searchconfig.Config{}))
 	apply := func(text string) any { return m.Apply(&raft.Log{Data: []byte(text)}) }
@@ -235,7 +235,7 @@
 
 // An entry of a later program ends this instance's part: nothing after it is taken, nothing is read or snapshotted as if it
 // were whole, and what held before goes on holding. A newer program's snapshot or log brings it back.
-func TestAnEntryOfALaterProgram(t *testing.T) {
+func TestFSMHaltsOnUnknownFormatUntilRestore(t *testing.T) {
 	m := &fsm{}
 	m.current.Store(config.NewState(&searchconfig.Config{}))
 	apply := func(data []byte) any { return m.Apply(&raft.Log{Data: data}) }
@@ -277,10 +277,10 @@
 
 // Commands through whoever leads: each holds at every instance alike, also where files differ; an answer that was lost is
 // asked for again and nothing is done twice; all of it is still there after a restart.
-func TestCommandsHoldEverywhere(t *testing.T) {
+func TestCommandsReplicateOnceAndSurviveRestart(t *testing.T) {
 	c := newCluster(t)
 	command := func(cmd config.Command) (r config.Result) {
-		c.until("a leader", func() bool {
+		c.eventually("a leader", func() bool {
 			for _, s := range c.stores {
 				var err error
 				if r, err = s.Propose(cmd); err == nil {
@@ -292,7 +292,7 @@
 		return r
 	}
 	alike := func() {
-		c.until("the same state everywhere", func() bool {
+		c.eventually("the same state everywhere", func() bool {
 			hashes := map[string]bool{}
 			for _, s := range c.stores {
 				h, err := s.State().Hash()
@@ -317,8 +317,8 @@
 	if r := command(config.Command{Kind: config.RestrictServer, Restriction: &order}); r.Reason != config.Applied || len(r.UncoveredShards) != 1 {
 		t.Errorf("forced: %+v", r)
 	}
-	c.change(window(7))
-	c.everywhere(7)
+	c.patch(windowPatch(7))
+	c.awaitWindow(7)
 	alike()
 	for i := range 3 {
 		c.stop(i)
@@ -326,7 +326,7 @@
 	for i := range 3 {
 		c.open(i, nil)
 	}
-	c.everywhere(7)
+	c.awaitWindow(7)
 	alike()
 	if got := c.stores[0].State(); got.Restriction("s-9") != restriction.Draining || len(got.RejectedRestrictions()) != 1 {
 		t.Errorf("%s, %+v", got.Restriction("s-9"), got.RejectedRestrictions())
@@ -335,10 +335,10 @@
 
 // Each kind of read gives what it promises and refuses what it cannot: at the leader, at a follower, and at those whom a
 // majority has left.
-func TestReads(t *testing.T) {
+func TestReadConsistencyByRole(t *testing.T) {
 	c := newCluster(t)
-	leader := c.change(window(7))
-	c.everywhere(7)
+	leader := c.patch(windowPatch(7))
+	c.awaitWindow(7)
 	kinds := func(s *Store, age time.Duration) (out []error) {
 		for _, kind := range []string{Linearizable, Lease, Stale, Local} {
 			doc, err := s.ReadWith(ReadOptions{kind, age})
@@ -359,7 +359,7 @@
 		}
 		var errs []error
 		// The leader's reads commit a barrier; until a follower has applied what it knows of it, a stale read is refused.
-		c.until("a follower's stale read", func() bool {
+		c.eventually("a follower's stale read", func() bool {
 			errs = kinds(s, time.Minute)
 			return !errors.Is(errs[2], ErrStale)
 		})
@@ -370,7 +370,7 @@
 	c.stop(leader)
 	alone := (leader + 1) % 3
 	c.stop((leader + 2) % 3)
-	c.until("a read that is too old", func() bool {
+	c.eventually("a read that is too old", func() bool {
 		errs := kinds(c.stores[alone], 20*time.Millisecond)
 		return errors.Is(errs[2], ErrStale) && errs[0] != nil && errs[1] != nil && errs[3] == nil
 	})
@@ -384,15 +384,15 @@
 
 // A fourth instance joins while changes go on, learns, and votes once it has caught up; a dead member is replaced; what
 // would lose the majority is refused; and an old id cannot come back at another address.
-func TestMembersChangeInService(t *testing.T) {
+func TestMembershipChangesUnderChanges(t *testing.T) {
 	c := newCluster(t)
-	leader := c.change(window(7))
+	leader := c.patch(windowPatch(7))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	m := Member{ID: "n3", Raft: ln.Addr().String(), HTTP: "http-3"}
-	join := Config{ID: m.ID, Dir: filepath.Join(c.dir, m.ID), Members: []Member{m}, Join: true, TimeScale: pace, Listener: ln}
+	join := Config{ID: m.ID, Dir: filepath.Join(c.dir, m.ID), Members: []Member{m}, Join: true, TimeScale: testTimeScale, Listener: ln}
 	fourth, err := Open(join)
 	if err != nil {
 		t.Fatal(err)
@@ -419,9 +419,9 @@
 	if err := s.PromoteLearner("n3", func(Member, uint64) error { return errors.New("far behind") }); !errors.Is(err, ErrLearnerBehind) {
 		t.Errorf("one that is behind votes: %v", err)
 	}
-	c.until("the learner caught up", func() bool { return s.PromoteLearner("n3", caught) == nil })
-	c.change(window(8))
-	c.everywhere(8)
+	c.eventually("the learner caught up", func() bool { return s.PromoteLearner("n3", caught) == nil })
+	c.patch(windowPatch(8))
+	c.awaitWindow(8)
 	voters := func() (n int) {
 		peers, err := s.MemberStatuses()
 		if err != nil {
@@ -439,7 +439,7 @@
 	}
 	dead := (leader + 1) % 3
 	c.stop(dead)
-	c.until("the dead member is taken away", func() bool { return s.RemoveMember(t.Context(), c.members[dead].ID) == nil })
+	c.eventually("the dead member is taken away", func() bool { return s.RemoveMember(t.Context(), c.members[dead].ID) == nil })
 	if n := voters(); n != 3 {
 		t.Errorf("%d voters after one was replaced", n)
 	}
@@ -447,22 +447,22 @@
 	if err := s.RemoveMember(t.Context(), "n3"); !errors.Is(err, ErrQuorumAtRisk) {
 		t.Errorf("the majority was given away: %v", err)
 	}
-	c.change(window(9)) // two of three still are one
+	c.patch(windowPatch(9)) // two of three still are one
 	if fourth.Settings().MaxResultWindow() == 9 {
 		return
 	}
-	c.until("the change at the fourth", func() bool { return fourth.Settings().MaxResultWindow() == 9 })
+	c.eventually("the change at the fourth", func() bool { return fourth.Settings().MaxResultWindow() == 9 })
 }
 
 // A majority that is lost for good: recovery is refused while the instance runs and while another member answers, and then
 // brings back alone all that this instance holds; others may join it again.
-func TestRecoveryFromALostMajority(t *testing.T) {
+func TestRecoverAfterQuorumLoss(t *testing.T) {
 	c := newCluster(t)
-	leader := c.change(window(7))
-	c.change(`{"servers":{"s-1":{"protocol":"search"}}}`)
-	c.everywhere(7)
+	leader := c.patch(windowPatch(7))
+	c.patch(`{"servers":{"s-1":{"protocol":"search"}}}`)
+	c.awaitWindow(7)
 	left := (leader + 1) % 3
-	c.until("all of it at the one that is left", func() bool { return c.stores[left].Settings().Protocol("s-1") == searchconfig.ProtocolSearch })
+	c.eventually("all of it at the one that is left", func() bool { return c.stores[left].Settings().Protocol("s-1") == searchconfig.ProtocolSearch })
 	want, err := c.stores[left].State().Hash()
 	if err != nil {
 		t.Fatal(err)
@@ -482,7 +482,7 @@
 		t.Fatalf("%+v %v, want %s", r, err, want)
 	}
 	c.open(left, nil)
-	c.change(window(9)) // it leads alone
+	c.patch(windowPatch(9)) // it leads alone
 	if s := c.stores[left]; s.Settings().MaxResultWindow() != 9 || s.Settings().Protocol("s-1") != searchconfig.ProtocolSearch {
 		t.Errorf("%+v", s.Settings())
 	}
@@ -495,9 +495,9 @@
 }
 
 // What each kind of read costs at the leader of three on the loopback.
-func BenchmarkReads(b *testing.B) {
+func BenchmarkReadConsistency(b *testing.B) {
 	c := newCluster(b)
-	s := c.stores[c.change(window(7))]
+	s := c.stores[c.patch(windowPatch(7))]
 	for _, kind := range []string{Linearizable, Lease, Stale, Local} {
 		b.Run(kind, func(b *testing.B) {
 			for b.Loop() {
--- a/internal/store/stored_crash_test.go
+++ b/internal/store/stored_crash_test.go
@@ -32,7 +32,7 @@
 		fmt.Println("no listener:", err)
 		return
 	}
-	s, err := Open(Config{ID: storedMember, Dir: dir, Members: []Member{{ID: storedMember, Raft: storedAddress, HTTP: "http-0"}}, TimeScale: pace,
+	s, err := Open(Config{ID: storedMember, Dir: dir, Members: []Member{{ID: storedMember, Raft: storedAddress, HTTP: "http-0"}}, TimeScale: testTimeScale,
 		Listener: ln, InitialSettings: &searchconfig.Config{Search: searchconfig.Defaults{MaxResultWindow: storedWindow}}})
 	if err != nil {
 		fmt.Println("error:", err)
@@ -93,7 +93,7 @@
 // older than it had.
 func TestStoredSnapshotTruncatedAfterCompactionEndsProcess(t *testing.T) {
 	size := len(mustRead(t, snapshotStates(t, copyFixture(t, "compacted"))[1]))
-	for _, at := range cuts(size) {
+	for _, at := range truncationPoints(size) {
 		t.Run(fmt.Sprint(at, " of ", size), func(t *testing.T) {
 			dir := copyFixture(t, "compacted")
 			if err := os.Truncate(snapshotStates(t, dir)[1], int64(at)); err != nil {
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -70,7 +70,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := Open(Config{ID: storedMember, Dir: dir, Members: []Member{{ID: storedMember, Raft: storedAddress, HTTP: "http-0"}}, TimeScale: pace,
+	s, err := Open(Config{ID: storedMember, Dir: dir, Members: []Member{{ID: storedMember, Raft: storedAddress, HTTP: "http-0"}}, TimeScale: testTimeScale,
 		TrailingLogs: logKept, Listener: ln, InitialSettings: &searchconfig.Config{Search: searchconfig.Defaults{MaxResultWindow: storedWindow}}})
 	if err != nil {
 		_ = ln.Close()
@@ -91,7 +91,7 @@
 
 func awaitLeader(t testing.TB, s *Store) {
 	t.Helper()
-	(&cluster{t: t}).until("the only voter leads and has applied its log", func() bool {
+	(&cluster{t: t}).eventually("the only voter leads and has applied its log", func() bool {
 		return s.IsLeader() && s.raft.Barrier(applyTimeout).Error() == nil
 	})
 }
@@ -103,7 +103,7 @@
 	}
 }
 
-func quiet(t testing.TB) {
+func discardEvents(t testing.TB) {
 	eventlog.SetOutput(io.Discard, false)
 	t.Cleanup(func() { eventlog.SetOutput(os.Stderr, false) })
 }
@@ -559,7 +559,7 @@
 }
 
 func TestStoredDirectoryReadsBaseFormat(t *testing.T) {
-	quiet(t)
+	discardEvents(t)
 	for _, f := range storedFixtures {
 		t.Run(f.name, func(t *testing.T) {
 			if _, err := os.Stat(filepath.Join(storedDir, f.name)); errors.Is(err, os.ErrNotExist) && *writeStored {
@@ -583,7 +583,7 @@
 
 // The log fixtures hold a command of every kind.
 func TestStoredLogHoldsEveryKind(t *testing.T) {
-	quiet(t)
+	discardEvents(t)
 	seen := map[config.CommandKind]bool{}
 	bolt, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(copyFixture(t, "log"), logName)})
 	if err != nil {
@@ -617,7 +617,7 @@
 
 // A store that has opened a fixture takes a snapshot that another start restores alike.
 func TestStoredDirectorySurvivesSnapshotAndRestart(t *testing.T) {
-	quiet(t)
+	discardEvents(t)
 	for _, f := range storedFixtures {
 		t.Run(f.name, func(t *testing.T) {
 			dir := copyFixture(t, f.name)
--- a/internal/store/stored_truncated_test.go
+++ b/internal/store/stored_truncated_test.go
@@ -30,14 +30,14 @@
 	return list
 }
 
-// cuts are the points at which a file of a size is cut.
-func cuts(size int) []int { return []int{0, 1, size / 4, size / 2, size - 1} }
+// truncationPoints are the points at which a file of a size is cut.
+func truncationPoints(size int) []int { return []int{0, 1, size / 4, size / 2, size - 1} }
 
 // The newest snapshot is cut: the one before it and the log give the whole state.
 func TestStoredSnapshotTruncatedFallsBackToEarlier(t *testing.T) {
-	quiet(t)
+	discardEvents(t)
 	size := len(mustRead(t, snapshotStates(t, copyFixture(t, "snapshots"))[1]))
-	for _, at := range cuts(size) {
+	for _, at := range truncationPoints(size) {
 		t.Run(fmt.Sprint(at, " of ", size), func(t *testing.T) {
 			dir := copyFixture(t, "snapshots")
 			if err := os.Truncate(snapshotStates(t, dir)[1], int64(at)); err != nil {
@@ -52,9 +52,9 @@
 
 // All snapshots are cut: the store does not open.
 func TestStoredSnapshotsAllTruncatedIsError(t *testing.T) {
-	quiet(t)
+	discardEvents(t)
 	for _, name := range []string{"snapshots", "compacted", "documents_snapshot"} {
-		for _, at := range cuts(len(mustRead(t, snapshotStates(t, copyFixture(t, name))[0]))) {
+		for _, at := range truncationPoints(len(mustRead(t, snapshotStates(t, copyFixture(t, name))[0]))) {
 			t.Run(fmt.Sprint(name, " at ", at), func(t *testing.T) {
 				dir := copyFixture(t, name)
 				for _, path := range snapshotStates(t, dir) {
@@ -108,7 +108,7 @@
 // The last command of the log is cut at several bytes. The instance takes no more entries, keeps the state before it and says
 // why it fails.
 func TestStoredLogEndsInTruncatedCommand(t *testing.T) {
-	quiet(t)
+	discardEvents(t)
 	for _, name := range []string{"log", "documents_log"} {
 		dir := copyFixture(t, name)
 		bolt, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(dir, logName)})
@@ -128,7 +128,7 @@
 					t.Fatal(err)
 				}
 				defer mustClose(t, s)
-				(&cluster{t: t}).until("the cut entry halts the instance", func() bool { return s.fsm.halted.Load() != nil })
+				(&cluster{t: t}).eventually("the cut entry halts the instance", func() bool { return s.fsm.halted.Load() != nil })
 				if _, err := s.Read(); !errors.Is(err, config.ErrUnknownFormat) {
 					t.Errorf("read: %v", err)
 				}
@@ -174,7 +174,7 @@
 
 // An entry of the older form that is cut is passed over: the state before it holds, and later entries are taken.
 func TestStoredLogEndsInTruncatedDocument(t *testing.T) {
-	quiet(t)
+	discardEvents(t)
 	for _, at := range []int{1, len(documents[1]) / 2, len(documents[1]) - 1} {
 		t.Run(fmt.Sprint(at, " of ", len(documents[1])), func(t *testing.T) {
 			dir := copyFixture(t, "documents_log")
@@ -192,7 +192,7 @@
 
 // The last record of the log's file is cut, not the command within it: the store does not open.
 func TestStoredLogEndsInTruncatedRecord(t *testing.T) {
-	quiet(t)
+	discardEvents(t)
 	for _, cut := range []struct {
 		name string
 		at   func(size int) int
--- a/internal/store/wire_golden_test.go
+++ b/internal/store/wire_golden_test.go
@@ -9,17 +9,17 @@
 	"linkpass/internal/goldentest"
 )
 
-func TestMarksReportGolden(t *testing.T) {
+func TestPositionReportGolden(t *testing.T) {
 	goldentest.JSON(t, "marks_request.json", rollback.Report{ID: "n1", Incarnation: 3, Nonce: 18446744073709551557,
 		AtStart: rollback.Position{Term: 4, Index: 5}, Current: rollback.Position{Term: 6, Index: 7}})
 }
 
-func TestRecoveredGolden(t *testing.T) {
+func TestRecoveryResultGolden(t *testing.T) {
 	goldentest.JSON(t, "recovered.json", RecoveryResult{Version: 8, Hash: "c0ffee", Dropped: []string{"n2"}})
 }
 
 // The parameters of a read, as URLs of the admin API and of the search front carry them.
-func TestReadParameters(t *testing.T) {
+func TestParseReadOptions(t *testing.T) {
 	for _, c := range []struct {
 		query string
 		want  ReadOptions
