--- a/internal/store/limits.go
+++ b/internal/store/limits.go
@@ -9,16 +9,20 @@
 	"golang.org/x/time/rate"
 )
 
-// Limits on what clients may put into the log. Orders on servers (drain, remove) are not held up by them: the instances
-// have at most a bounded number of those unsettled.
-const (
-	MaxCommandBytes = 1 << 20 // bytes of an entry
-	// Changes a second, and at once after a pause: each is written to disk by every instance.
-	changeRate, changeBurst = 100, 200
+// MaxCommandBytes bounds the encoded size of one command.
+const MaxCommandBytes = 1 << 20
 
-	snapshotInterval    = 30 * time.Second // between two looks at whether the log is long enough for a snapshot
-	defaultTrailingLogs = 1024             // entries for followers that are behind; past that they get the snapshot
-	maxAppendEntries    = 16               // entries in one message to a follower, 16 MiB of them at the most; the library's own bound is 64
+const (
+	// Every member writes each change to disk, so clients' changes are limited. Restrictions on servers (drain,
+	// remove) are exempt: each instance has only a bounded number of those pending.
+	changeRate  = 100 // a second
+	changeBurst = 200
+
+	snapshotInterval = 30 * time.Second // between two checks of whether the log is long enough for a snapshot
+	// defaultTrailingLogs is how many entries are kept for followers that are behind; past that they get the snapshot.
+	defaultTrailingLogs = 1024
+	// maxAppendEntries bounds one message to a follower to 16 MiB; the library's own bound is 64 entries.
+	maxAppendEntries = 16
 )
 
 // Errors of a change that is over a limit.
@@ -27,22 +31,25 @@
 	ErrBusy     = errors.New("store: too many changes at a time, ask again in a moment")
 )
 
-// newChangeLimiter bounds the changes that clients make at this instance.
+// newChangeLimiter limits the changes that clients make at one instance.
 func newChangeLimiter() *rate.Limiter { return rate.NewLimiter(changeRate, changeBurst) }
 
-// admit tells whether one more change of a client may be made now.
+// admit returns ErrBusy where a client's change is over the rate limit.
 func (s *Store) admit() error {
 	if !s.limiter.Allow() {
-		return fmt.Errorf("%w: %d a second are taken", ErrBusy, changeRate)
+		return fmt.Errorf("%w: the limit is %d a second", ErrBusy, changeRate)
 	}
 	return nil
 }
 
-// bound sets how much of the log is kept and sent at once.
-func (c *Config) bound(rc *raft.Config) {
-	kept := c.TrailingLogs
-	if kept == 0 {
-		kept = defaultTrailingLogs
+// applyLimits sets how much of the log is kept, and how much of it is sent in one message.
+func (c *Config) applyLimits(rc *raft.Config) {
+	trailing := uint64(defaultTrailingLogs)
+	if c.TrailingLogs != 0 {
+		trailing = uint64(c.TrailingLogs)
 	}
-	rc.SnapshotInterval, rc.SnapshotThreshold, rc.TrailingLogs, rc.MaxAppendEntries = snapshotInterval, uint64(kept), uint64(kept), maxAppendEntries
+	rc.SnapshotInterval = snapshotInterval
+	rc.SnapshotThreshold = trailing
+	rc.TrailingLogs = trailing
+	rc.MaxAppendEntries = maxAppendEntries
 }
--- /dev/null
+++ b/internal/store/propose.go
@@ -0,0 +1,97 @@
+package store
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+
+	"linkpass/internal/config"
+	"linkpass/internal/searchconfig"
+)
+
+// ErrConflict is the error of a change that is based on a version that is no longer the current one.
+var ErrConflict = errors.New("store: another change came first")
+
+// Propose replicates a command and returns its result once a quorum has committed it. Only the leader accepts
+// proposals. Restrictions are exempt from the rate limit.
+func (s *Store) Propose(c config.Command) (config.Result, error) {
+	if c.Kind != config.RestrictServer {
+		if err := s.admit(); err != nil {
+			return config.Result{}, err
+		}
+	}
+	s.proposeMu.Lock()
+	defer s.proposeMu.Unlock()
+	if err := s.checkLeader(); err != nil {
+		return config.Result{}, err
+	}
+	if err := s.initialize(c); err != nil {
+		return config.Result{}, err
+	}
+	return s.replicate(c)
+}
+
+// initialize replicates this instance's settings before the first command that does not replace them: until then they
+// come from each instance's own configuration, which may differ. The caller holds proposeMu.
+func (s *Store) initialize(c config.Command) error {
+	if s.State().Initialized() || c.Kind == config.ReplaceSettings {
+		return nil
+	}
+	replace, err := replaceCommand(s.Settings())
+	if err != nil {
+		return err
+	}
+	return s.replicateApplied(*replace)
+}
+
+// replicateApplied replicates a command and returns an error if the state rejected it. The caller holds proposeMu.
+func (s *Store) replicateApplied(c config.Command) error {
+	result, err := s.replicate(c)
+	if err != nil {
+		return err
+	}
+	if result.Reason != config.Applied {
+		return rejectionError(result)
+	}
+	return nil
+}
+
+// replicate appends a command to the log and waits until it is committed and applied here. The caller holds proposeMu.
+func (s *Store) replicate(c config.Command) (config.Result, error) {
+	data, err := config.Encode(c)
+	if err != nil {
+		return config.Result{}, fmt.Errorf("store: encode command: %w", err)
+	}
+	if len(data) > MaxCommandBytes {
+		return config.Result{}, fmt.Errorf("%w: %d bytes of %d", ErrTooLarge, len(data), MaxCommandBytes)
+	}
+	future := s.raft.Apply(data, applyTimeout)
+	if err := await(future); err != nil {
+		return config.Result{}, err
+	}
+	switch response := future.Response().(type) {
+	case config.Result:
+		return response, nil
+	case error:
+		return config.Result{}, response
+	default:
+		return config.Result{}, fmt.Errorf("store: entry %d: unexpected response %v", future.Index(), response)
+	}
+}
+
+// replaceCommand is the command that replaces the settings.
+func replaceCommand(settings *searchconfig.Config) (*config.Command, error) {
+	data, err := json.Marshal(settings)
+	if err != nil {
+		return nil, fmt.Errorf("store: encode settings: %w", err)
+	}
+	return &config.Command{Kind: config.ReplaceSettings, Payload: data}, nil
+}
+
+// rejectionError describes why the state rejected a command.
+func rejectionError(r config.Result) error {
+	if r.Reason == config.Conflict {
+		return fmt.Errorf("%w: %s", ErrConflict, r.Detail)
+	}
+	return fmt.Errorf("%w: %s: %s", searchconfig.ErrInvalid, r.Reason, r.Detail)
+}
--- /dev/null
+++ b/internal/store/recovery.go
@@ -0,0 +1,130 @@
+package store
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"github.com/hashicorp/raft"
+	"go.etcd.io/bbolt"
+
+	"linkpass/internal/eventlog"
+	"linkpass/internal/searchconfig"
+)
+
+// ErrRecoveryRefused is the error of a recovery that could lose state or fork it.
+var ErrRecoveryRefused = errors.New("store: recovery refused")
+
+const lockTimeout = time.Second // for the lock on the files of a store that may be open in another process
+
+// RecoveryResult describes the state after a recovery.
+type RecoveryResult struct {
+	Version uint64   `json:"version"` // of the recovered state
+	Hash    string   `json:"hash"`    // of the recovered state
+	Dropped []string `json:"dropped"` // members that were removed
+}
+
+// Recover makes this instance, which must not be running, the only member of its store, with the state on its own
+// disk. It is for a quorum that is lost for good: what the others had committed and this instance had not is lost
+// with them. It returns ErrRecoveryRefused while another member accepts connections, unless forced: then two stores
+// may diverge.
+func Recover(ctx context.Context, c Config, force bool) (RecoveryResult, error) {
+	self, ok := c.member(c.ID)
+	if !ok || c.Dir == "" {
+		return RecoveryResult{}, fmt.Errorf("%w: instance %q is not among the members, or dir is missing",
+			ErrRecoveryRefused, c.ID)
+	}
+	bolt, err := openLog(c.Dir, &bbolt.Options{Timeout: lockTimeout})
+	if err != nil {
+		return RecoveryResult{}, fmt.Errorf("%w: the log cannot be opened, is the instance still running? %w",
+			ErrRecoveryRefused, err)
+	}
+	defer bolt.Close()
+	logger := eventlog.RaftLogger()
+	snapshots, err := openSnapshots(c.Dir, logger)
+	if err != nil {
+		return RecoveryResult{}, err
+	}
+	_, transport := raft.NewInmemTransport(raft.ServerAddress(self.Raft)) // sends nothing
+	r := recovery{
+		config:    baseRaftConfig(c.ID, logger),
+		self:      self,
+		log:       bolt,
+		stable:    bolt,
+		snapshots: snapshots,
+		transport: transport,
+	}
+	return r.run(ctx, c.Dir, force)
+}
+
+// recovery is one recovery of an instance's files.
+type recovery struct {
+	config    *raft.Config
+	self      Member
+	log       raft.LogStore
+	stable    raft.StableStore
+	snapshots raft.SnapshotStore
+	transport raft.Transport
+}
+
+// run checks that a recovery is safe, or forced, and rewrites the membership.
+func (r *recovery) run(ctx context.Context, dir string, force bool) (RecoveryResult, error) {
+	existing, err := raft.HasExistingState(r.log, r.stable, r.snapshots)
+	if err != nil || !existing {
+		return RecoveryResult{}, errors.Join(fmt.Errorf("%w: there is no state in %s", ErrRecoveryRefused, dir), err)
+	}
+	others, err := r.otherMembers()
+	if err != nil {
+		return RecoveryResult{}, err
+	}
+	var result RecoveryResult
+	for _, m := range others {
+		result.Dropped = append(result.Dropped, m.ID)
+	}
+	if n := countReachable(ctx, r.self.ID, others); n > 0 && !force {
+		return result, fmt.Errorf("%w: %d of the other members %v answer: let them elect a leader, or stop them",
+			ErrRecoveryRefused, n, result.Dropped)
+	}
+	m, err := r.rewriteMembership()
+	if err != nil {
+		return result, err
+	}
+	state := m.current.Load()
+	result.Version = state.Version()
+	result.Hash, err = state.Hash()
+	return result, err
+}
+
+// otherMembers are the members by the log, without this instance.
+func (r *recovery) otherMembers() ([]MemberStatus, error) {
+	replayed := newFSM(&searchconfig.Config{}) // discarded: only the membership is read
+	members, err := raft.GetConfiguration(r.config, replayed, r.log, r.stable, r.snapshots, r.transport)
+	if err != nil {
+		return nil, fmt.Errorf("store: read members: %w", err)
+	}
+	var others []MemberStatus
+	for _, server := range members.Servers {
+		if string(server.ID) != r.self.ID {
+			others = append(others, memberStatus(server))
+		}
+	}
+	return others, nil
+}
+
+// rewriteMembership makes this instance the only voter, and returns the FSM with the recovered state.
+func (r *recovery) rewriteMembership() (*fsm, error) {
+	m := newFSM(&searchconfig.Config{})
+	only := raft.Configuration{Servers: []raft.Server{{
+		ID:      raft.ServerID(r.self.ID),
+		Address: raft.ServerAddress(r.self.Raft),
+	}}}
+	err := raft.RecoverCluster(r.config, m, r.log, r.stable, r.snapshots, r.transport, only)
+	if err != nil {
+		return nil, fmt.Errorf("store: recover cluster: %w", err)
+	}
+	if err := m.haltedErr(); err != nil {
+		return nil, err
+	}
+	return m, nil
+}
--- /dev/null
+++ b/internal/store/snapshot.go
@@ -0,0 +1,67 @@
+package store
+
+import (
+	"fmt"
+	"io"
+
+	"github.com/hashicorp/raft"
+
+	"linkpass/internal/config"
+	"linkpass/internal/searchconfig"
+)
+
+// Snapshot captures the current state. A halted FSM takes none: it would claim to cover entries that were not applied.
+func (m *fsm) Snapshot() (raft.FSMSnapshot, error) {
+	if err := m.haltedErr(); err != nil {
+		return nil, err
+	}
+	return snapshot{m.current.Load()}, nil
+}
+
+// Restore replaces the state by that of a snapshot, and ends a halt.
+func (m *fsm) Restore(in io.ReadCloser) error {
+	defer in.Close()
+	data, err := io.ReadAll(in)
+	if err != nil {
+		return fmt.Errorf("store: read snapshot: %w", err)
+	}
+	state, err := decodeSnapshot(data)
+	if err != nil {
+		return fmt.Errorf("store: restore snapshot: %w", err)
+	}
+	m.halted.Store(nil)
+	m.publish(state)
+	return nil
+}
+
+// decodeSnapshot decodes a state, also one in the JSON format that preceded commands.
+func decodeSnapshot(data []byte) (*config.State, error) {
+	if !isDocument(data) {
+		return config.Restore(data)
+	}
+	empty := config.NewState(&searchconfig.Config{})
+	state, _ := empty.Apply(config.Command{Kind: config.ReplaceSettings, Payload: data})
+	if !state.Initialized() {
+		return nil, searchconfig.ErrInvalid
+	}
+	return state, nil
+}
+
+// snapshot is a captured state, which is immutable.
+type snapshot struct{ state *config.State }
+
+// Persist writes the complete state, or cancels the sink.
+func (s snapshot) Persist(sink raft.SnapshotSink) error {
+	data, err := s.state.Snapshot()
+	if err == nil {
+		_, err = sink.Write(data)
+	}
+	if err != nil {
+		_ = sink.Cancel()
+		return fmt.Errorf("store: persist snapshot: %w", err)
+	}
+	return sink.Close()
+}
+
+// Release has nothing to free: states are immutable and garbage-collected.
+func (snapshot) Release() {}
