--- a/internal/store/cluster_test.go
+++ b/internal/store/cluster_test.go
@@ -10,16 +10,16 @@
 	"linkpass/internal/searchconfig"
 )
 
-// cluster is three instances on the loopback.
+// cluster is a store of three instances on the loopback interface.
 type cluster struct {
 	t            testing.TB
 	dir          string
 	members      []Member
-	stores       []*Store // nil: down
+	stores       []*Store // nil: stopped
 	trailingLogs int
 }
 
-// testTimeScale keeps Raft's own limits short enough for a test; nothing is asserted on them.
+// testTimeScale keeps Raft's timeouts short enough for a test; nothing is asserted on them.
 const testTimeScale = 0.2
 
 func newCluster(t testing.TB) *cluster {
@@ -38,7 +38,11 @@
 			t.Fatal(err)
 		}
 		listeners[i] = ln
-		c.members = append(c.members, Member{ID: fmt.Sprint("n", i), Raft: ln.Addr().String(), HTTP: fmt.Sprint("http-", i)})
+		c.members = append(c.members, Member{
+			ID:   fmt.Sprint("n", i),
+			Raft: ln.Addr().String(),
+			HTTP: fmt.Sprint("http-", i),
+		})
 	}
 	for i, ln := range listeners {
 		c.open(i, ln)
@@ -52,8 +56,15 @@
 
 func (c *cluster) open(i int, ln net.Listener) {
 	c.t.Helper()
-	s, err := Open(Config{ID: c.members[i].ID, Dir: filepath.Join(c.dir, c.members[i].ID), Members: c.members, TimeScale: testTimeScale,
-		TrailingLogs: c.trailingLogs, Listener: ln, InitialSettings: &searchconfig.Config{Search: searchconfig.Defaults{MaxResultWindow: 50}}})
+	s, err := Open(Config{
+		ID:              c.members[i].ID,
+		Dir:             filepath.Join(c.dir, c.members[i].ID),
+		Members:         c.members,
+		TimeScale:       testTimeScale,
+		TrailingLogs:    c.trailingLogs,
+		Listener:        ln,
+		InitialSettings: &searchconfig.Config{Search: searchconfig.Defaults{MaxResultWindow: 50}},
+	})
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -69,10 +80,10 @@
 	}
 }
 
-// eventually asks again until something holds; the test's own time limit is the only one.
-func (c *cluster) eventually(what string, holds func() bool) {
+// eventually polls until a condition is true; the test's own deadline is the only limit.
+func (c *cluster) eventually(what string, condition func() bool) {
 	c.t.Helper()
-	for !holds() {
+	for !condition() {
 		if c.t.Context().Err() != nil {
 			c.t.Fatal(what)
 		}
@@ -80,10 +91,10 @@
 	}
 }
 
-// patch puts a patch through whoever leads.
+// patch applies a patch at the leader, and returns the leader.
 func (c *cluster) patch(patch string) (leader int) {
 	c.t.Helper()
-	c.eventually("a leader that takes "+patch, func() bool {
+	c.eventually("a leader that accepts "+patch, func() bool {
 		for i, s := range c.stores {
 			if s == nil {
 				continue
@@ -98,10 +109,10 @@
 	return leader
 }
 
-// awaitWindow waits until each instance that is up has a window.
+// awaitWindow waits until every running instance has applied a result window.
 func (c *cluster) awaitWindow(window int) {
 	c.t.Helper()
-	c.eventually(fmt.Sprint("window ", window, " everywhere"), func() bool {
+	c.eventually(fmt.Sprint("window ", window, " at every instance"), func() bool {
 		for _, s := range c.stores {
 			if s != nil && s.Settings().MaxResultWindow() != window {
 				return false
--- /dev/null
+++ b/internal/store/leader_test.go
@@ -0,0 +1,30 @@
+package store
+
+import (
+	"errors"
+	"testing"
+
+	"github.com/hashicorp/raft"
+)
+
+func TestQuorumErrorClassifiesRaftErrors(t *testing.T) {
+	for _, c := range []struct {
+		err      error
+		noQuorum bool
+	}{
+		{raft.ErrNotLeader, true},
+		{raft.ErrLeadershipLost, true},
+		{raft.ErrEnqueueTimeout, true},
+		{raft.ErrRaftShutdown, false},
+	} {
+		t.Run(c.err.Error(), func(t *testing.T) {
+			got := quorumError(c.err)
+			if !errors.Is(got, c.err) || errors.Is(got, ErrNoQuorum) != c.noQuorum {
+				t.Errorf("%v; want ErrNoQuorum: %t", got, c.noQuorum)
+			}
+		})
+	}
+	if err := quorumError(nil); err != nil {
+		t.Errorf("nil became %v", err)
+	}
+}
--- a/internal/store/limits_test.go
+++ b/internal/store/limits_test.go
@@ -10,30 +10,57 @@
 	"linkpass/internal/searchconfig"
 )
 
-// A change that is too large, or one too many, is refused and changes nothing; orders on servers go on.
+// A change over the size or rate limit is rejected and changes nothing; restrictions are exempt from the rate limit.
 func TestChangeOverLimitIsRejected(t *testing.T) {
 	c := newCluster(t)
 	s := c.stores[c.patch(windowPatch(7))]
-	big := config.Command{Kind: config.SetMemberAddress, Server: "n9", Payload: bytes.Repeat([]byte("x"), MaxCommandBytes)}
-	if _, err := s.Propose(big); !errors.Is(err, ErrTooLarge) {
-		t.Errorf("an entry over the bound: %v", err)
+	large := config.Command{
+		Kind:    config.SetMemberAddress,
+		Server:  "n9",
+		Payload: bytes.Repeat([]byte("x"), MaxCommandBytes),
+	}
+	if _, err := s.Propose(large); !errors.Is(err, ErrTooLarge) {
+		t.Errorf("command over the size limit: %v", err)
 	}
 	s.limiter.SetLimit(0)
 	for s.limiter.Allow() {
 	}
-	_, change := s.PatchSettings([]byte(windowPatch(8)))
-	_, update := s.UpdateSettings(func(now *searchconfig.Config) (*searchconfig.Config, error) { return now.Patch([]byte(windowPatch(8))) })
-	_, command := s.Propose(config.Command{Kind: config.SetServerWeight, Server: "s-1", Weight: 2})
-	for _, err := range []error{change, update, command} {
-		if !errors.Is(err, ErrBusy) {
-			t.Errorf("one too many: %v", err)
+	for _, change := range []struct {
+		name string
+		make func() error
+	}{
+		{"patch", func() error {
+			_, err := s.PatchSettings([]byte(windowPatch(8)))
+			return err
+		}},
+		{"update", func() error {
+			_, err := s.UpdateSettings(func(current *searchconfig.Config) (*searchconfig.Config, error) {
+				return current.Patch([]byte(windowPatch(8)))
+			})
+			return err
+		}},
+		{"command", func() error {
+			_, err := s.Propose(config.Command{Kind: config.SetServerWeight, Server: "s-1", Weight: 2})
+			return err
+		}},
+	} {
+		if err := change.make(); !errors.Is(err, ErrBusy) {
+			t.Errorf("%s over the rate limit: %v", change.name, err)
 		}
 	}
-	order := restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: "n0", Incarnation: 1}, Seq: 1}, Server: "s-1", Level: restriction.Removed, Force: true}
-	if r, err := s.Propose(config.Command{Kind: config.RestrictServer, Restriction: &order}); err != nil || r.Reason != config.Applied {
-		t.Errorf("an order: %+v %v", r, err)
+	removal := restrictionRequest(1, "s-1", restriction.Removed)
+	removal.Force = true
+	result, err := s.Propose(config.Command{Kind: config.RestrictServer, Restriction: &removal})
+	if err != nil || result.Reason != config.Applied {
+		t.Errorf("restriction over the rate limit: %+v %v", result, err)
 	}
-	if w := s.Settings().MaxResultWindow(); w != 7 {
-		t.Errorf("window %d", w)
+	if window := s.Settings().MaxResultWindow(); window != 7 {
+		t.Errorf("window %d, want 7", window)
 	}
 }
+
+// restrictionRequest is a request of instance n0's first incarnation.
+func restrictionRequest(seq uint64, server string, level restriction.Level) restriction.Request {
+	origin := restriction.Origin{Instance: "n0", Incarnation: 1}
+	return restriction.Request{ID: restriction.ID{Origin: origin, Seq: seq}, Server: server, Level: level}
+}
--- a/internal/store/position_reporter_test.go
+++ b/internal/store/position_reporter_test.go
@@ -13,97 +13,119 @@
 	"linkpass/internal/eventlog"
 )
 
-// reportNetwork carries reports between the instances of a cluster, unless it is cut.
+// reportNetwork delivers position reports between the instances of a cluster, unless it is partitioned.
 type reportNetwork struct {
-	mu          sync.Mutex
+	mu          sync.Mutex // guards what follows
 	stores      map[string]*Store
 	partitioned bool
 }
 
-func (g *reportNetwork) deliver(_ context.Context, m Member, r rollback.Report) error {
-	g.mu.Lock()
-	s := g.stores[m.ID]
-	if g.partitioned {
-		s = nil
-	}
-	g.mu.Unlock()
+func (n *reportNetwork) deliver(_ context.Context, m Member, r rollback.Report) error {
+	s := n.receiver(m.ID)
 	if s == nil {
-		return errors.New("out of reach")
+		return errors.New("unreachable")
 	}
 	return s.ObservePosition(r)
 }
 
-func (g *reportNetwork) setPartitioned(cut bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.partitioned = cut
+// receiver is the instance that a report reaches; nil if none.
+func (n *reportNetwork) receiver(id string) *Store {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.partitioned {
+		return nil
+	}
+	return n.stores[id]
+}
+
+func (n *reportNetwork) setPartitioned(partitioned bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.partitioned = partitioned
 }
 
-func (g *reportNetwork) open(c *cluster, i int) (*Store, error) {
+func (n *reportNetwork) open(c *cluster, i int) (*Store, error) {
 	id := c.members[i].ID
-	s, err := Open(Config{ID: id, Dir: filepath.Join(c.dir, id), Members: c.members, TimeScale: testTimeScale, ReportPosition: g.deliver})
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	s, err := Open(Config{
+		ID:             id,
+		Dir:            filepath.Join(c.dir, id),
+		Members:        c.members,
+		TimeScale:      testTimeScale,
+		ReportPosition: n.deliver,
+	})
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	if err != nil {
 		s = nil
 	}
-	g.stores[id], c.stores[i] = s, s
+	n.stores[id] = s
+	c.stores[i] = s
 	return s, err
 }
 
-// An instance whose disk was put back to an old image is refused at its start, or ends its part as soon as it is heard; an
-// honest restart is not, and the others go on meanwhile.
+// restart closes an instance and opens it again on the same disk, which must succeed.
+func (n *reportNetwork) restart(c *cluster, i int) {
+	c.t.Helper()
+	c.stop(i)
+	if _, err := n.open(c, i); err != nil {
+		c.t.Fatal(err)
+	}
+}
+
+// restoreDisk replaces a directory by its image.
+func restoreDisk(t *testing.T, dir, image string) {
+	t.Helper()
+	if err := errors.Join(os.RemoveAll(dir), os.CopyFS(dir, os.DirFS(image))); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// An instance whose disk was rolled back to an old image is rejected when it starts, or halts once a report of it
+// reaches another member. A regular restart is not rejected, and the others go on meanwhile.
 func TestOpenRejectsRolledBackDisk(t *testing.T) {
 	eventlog.SetOutput(io.Discard, false)
 	t.Cleanup(func() { eventlog.SetOutput(os.Stderr, false) })
 	c := newCluster(t)
 	leader := c.patch(windowPatch(7))
-	g, victim := &reportNetwork{stores: map[string]*Store{}}, (leader+1)%3
-	restart := func(i int) {
-		t.Helper()
-		c.stop(i)
-		if _, err := g.open(c, i); err != nil {
-			t.Fatal(err)
-		}
-	}
+	network := &reportNetwork{stores: map[string]*Store{}}
 	for i := range 3 {
-		restart(i)
+		network.restart(c, i)
 	}
 	c.patch(windowPatch(8))
 	c.awaitWindow(8)
-	dir, image := filepath.Join(c.dir, c.members[victim].ID), filepath.Join(t.TempDir(), "image")
-	back := func() {
-		t.Helper()
-		c.stop(victim)
-		if err := errors.Join(os.RemoveAll(dir), os.CopyFS(dir, os.DirFS(image))); err != nil {
-			t.Fatal(err)
-		}
-	}
+
+	victim := (leader + 1) % 3
+	dir := filepath.Join(c.dir, c.members[victim].ID)
+	image := filepath.Join(t.TempDir(), "image")
 	c.stop(victim)
 	if err := os.CopyFS(image, os.DirFS(dir)); err != nil {
 		t.Fatal(err)
 	}
-	restart(victim)
+	network.restart(c, victim)
 	c.patch(windowPatch(9))
 	c.awaitWindow(9)
-	restart(victim) // all that it holds is told at once
-	back()
-	if _, err := g.open(c, victim); !errors.Is(err, rollback.ErrRolledBack) {
-		t.Fatalf("an old disk was opened: %v", err)
+	network.restart(c, victim) // reports its latest position at once
+
+	c.stop(victim)
+	restoreDisk(t, dir, image)
+	if _, err := network.open(c, victim); !errors.Is(err, rollback.ErrRolledBack) {
+		t.Fatalf("open on a rolled-back disk: %v", err)
 	}
-	back()
-	g.setPartitioned(true) // nobody hears of it as it starts
-	s, err := g.open(c, victim)
+
+	c.stop(victim)
+	restoreDisk(t, dir, image)
+	network.setPartitioned(true) // no member rejects its start
+	s, err := network.open(c, victim)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.setPartitioned(false)
-	c.eventually("its part to end", func() bool {
+	network.setPartitioned(false)
+	c.eventually("the instance halts", func() bool {
 		_, err := s.ReadWith(ReadOptions{Consistency: Stale, MaxAge: DefaultMaxAge})
 		return errors.Is(err, rollback.ErrRolledBack)
 	})
 	if _, err := s.PatchSettings([]byte(windowPatch(1))); !errors.Is(err, rollback.ErrRolledBack) || s.IsLeader() {
-		t.Errorf("it goes on: %v", err)
+		t.Errorf("patch at a halted instance: %v", err)
 	}
 	c.stop(victim)
 	c.patch(windowPatch(10))
--- a/internal/store/propose_test.go
+++ b/internal/store/propose_test.go
@@ -7,60 +7,84 @@
 	"linkpass/internal/config/restriction"
 )
 
-// Commands through whoever leads: each holds at every instance alike, also where files differ; an answer that was lost is
-// asked for again and nothing is done twice; all of it is still there after a restart.
-func TestCommandsReplicateOnceAndSurviveRestart(t *testing.T) {
-	c := newCluster(t)
-	command := func(cmd config.Command) (r config.Result) {
-		c.eventually("a leader", func() bool {
-			for _, s := range c.stores {
-				var err error
-				if r, err = s.Propose(cmd); err == nil {
-					return true
-				}
+// propose proposes a command at the leader.
+func (c *cluster) propose(command config.Command) (result config.Result) {
+	c.t.Helper()
+	c.eventually("a leader", func() bool {
+		for _, s := range c.stores {
+			var err error
+			if result, err = s.Propose(command); err == nil {
+				return true
 			}
-			return false
-		})
-		return r
-	}
-	alike := func() {
-		c.eventually("the same state everywhere", func() bool {
-			hashes := map[string]bool{}
-			for _, s := range c.stores {
-				h, err := s.State().Hash()
-				if err != nil {
-					t.Fatal(err)
-				}
-				hashes[h] = true
+		}
+		return false
+	})
+	return result
+}
+
+// awaitSameState waits until the state's hash is the same at every instance.
+func (c *cluster) awaitSameState() {
+	c.t.Helper()
+	c.eventually("the same state at every instance", func() bool {
+		hashes := map[string]bool{}
+		for _, s := range c.stores {
+			hash, err := s.State().Hash()
+			if err != nil {
+				c.t.Fatal(err)
 			}
-			return len(hashes) == 1
-		})
+			hashes[hash] = true
+		}
+		return len(hashes) == 1
+	})
+}
+
+// restartAll stops all instances and opens them again.
+func (c *cluster) restartAll() {
+	c.t.Helper()
+	for i := range c.stores {
+		c.stop(i)
+	}
+	for i := range c.stores {
+		c.open(i, nil)
 	}
-	add := config.Command{Kind: config.AddServer, ClientID: "me", Seq: 1, Server: "s-9", Spec: &config.ServerSpec{Addr: "127.0.0.1:1"}}
-	first := command(add)
-	if again := command(add); first.Reason != config.Applied || again.Version != first.Version {
-		t.Errorf("%+v, asked again %+v", first, again)
+}
+
+// Commands have the same effect at every instance, also where the configured settings differ; one that is retried
+// after a lost response is applied once; the state survives a restart.
+func TestCommandsReplicateOnceAndSurviveRestart(t *testing.T) {
+	c := newCluster(t)
+	add := config.Command{
+		Kind:     config.AddServer,
+		ClientID: "me",
+		Seq:      1,
+		Server:   "s-9",
+		Spec:     &config.ServerSpec{Addr: "127.0.0.1:1"},
+	}
+	first := c.propose(add)
+	if retried := c.propose(add); first.Reason != config.Applied || retried.Version != first.Version {
+		t.Errorf("%+v, retried %+v", first, retried)
 	}
-	order := restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: "n0", Incarnation: 1}, Seq: 1}, Server: "s-9", Level: restriction.Draining}
-	if r := command(config.Command{Kind: config.RestrictServer, Restriction: &order}); r.Reason != config.NoReplicaLeft {
-		t.Errorf("the last of its cell was drained: %+v", r)
+	request := restrictionRequest(1, "s-9", restriction.Draining)
+	drain := config.Command{Kind: config.RestrictServer, Restriction: &request}
+	if r := c.propose(drain); r.Reason != config.NoReplicaLeft {
+		t.Errorf("drain of the last replica of a shard: %+v", r)
 	}
-	order.Force, order.ID.Seq = true, 2
-	if r := command(config.Command{Kind: config.RestrictServer, Restriction: &order}); r.Reason != config.Applied || len(r.UncoveredShards) != 1 {
-		t.Errorf("forced: %+v", r)
+	request.Force = true
+	request.ID.Seq = 2
+	if r := c.propose(drain); r.Reason != config.Applied || len(r.UncoveredShards) != 1 {
+		t.Errorf("forced drain: %+v", r)
 	}
 	c.patch(windowPatch(7))
 	c.awaitWindow(7)
-	alike()
-	for i := range 3 {
-		c.stop(i)
-	}
-	for i := range 3 {
-		c.open(i, nil)
-	}
+	c.awaitSameState()
+	c.restartAll()
 	c.awaitWindow(7)
-	alike()
-	if got := c.stores[0].State(); got.Restriction("s-9") != restriction.Draining || len(got.RejectedRestrictions()) != 1 {
-		t.Errorf("%s, %+v", got.Restriction("s-9"), got.RejectedRestrictions())
+	c.awaitSameState()
+	state := c.stores[0].State()
+	if level := state.Restriction("s-9"); level != restriction.Draining {
+		t.Errorf("restriction %s after the restart", level)
+	}
+	if rejected := state.RejectedRestrictions(); len(rejected) != 1 {
+		t.Errorf("rejected restrictions after the restart: %+v", rejected)
 	}
 }
--- a/internal/store/read_test.go
+++ b/internal/store/read_test.go
@@ -8,63 +8,84 @@
 	"time"
 )
 
-// Each kind of read gives what it promises and refuses what it cannot: at the leader, at a follower, and at those whom a
-// majority has left.
+// readErrors are the errors of one read at each consistency level.
+type readErrors struct{ linearizable, lease, stale, local error }
+
+// readAll reads at each consistency level; settings with a window other than 7 are an error.
+func readAll(s *Store, maxAge time.Duration) readErrors {
+	read := func(consistency string) error {
+		settings, err := s.ReadWith(ReadOptions{Consistency: consistency, MaxAge: maxAge})
+		if err == nil && settings.MaxResultWindow() != 7 {
+			return fmt.Errorf("%s: window %d", consistency, settings.MaxResultWindow())
+		}
+		return err
+	}
+	return readErrors{
+		linearizable: read(Linearizable),
+		lease:        read(Lease),
+		stale:        read(Stale),
+		local:        read(Local),
+	}
+}
+
+// Each consistency level succeeds where it can be ensured and fails elsewhere: at the leader, at a follower, and at an
+// instance without a quorum.
 func TestReadConsistencyByRole(t *testing.T) {
 	c := newCluster(t)
 	leader := c.patch(windowPatch(7))
 	c.awaitWindow(7)
-	kinds := func(s *Store, age time.Duration) (out []error) {
-		for _, kind := range []string{Linearizable, Lease, Stale, Local} {
-			doc, err := s.ReadWith(ReadOptions{kind, age})
-			if err == nil && doc.MaxResultWindow() != 7 {
-				err = fmt.Errorf("%s: window %d", kind, doc.MaxResultWindow())
-			}
-			out = append(out, err)
-		}
-		return out
-	}
-	var other *NotLeader
 	for i, s := range c.stores {
 		if i == leader {
-			if err := errors.Join(kinds(s, time.Minute)...); err != nil {
-				t.Error(err)
+			if got := readAll(s, time.Minute); got != (readErrors{}) {
+				t.Errorf("leader: %+v", got)
 			}
 			continue
 		}
-		var errs []error
-		// The leader's reads commit a barrier; until a follower has applied what it knows of it, a stale read is refused.
+		var got readErrors
+		// The leader's reads commit a barrier; until a follower has applied what it knows of it, a stale read is rejected.
 		c.eventually("a follower's stale read", func() bool {
-			errs = kinds(s, time.Minute)
-			return !errors.Is(errs[2], ErrStale)
+			got = readAll(s, time.Minute)
+			return !errors.Is(got.stale, ErrStale)
 		})
-		if !errors.As(errs[0], &other) || !errors.As(errs[1], &other) || errs[2] != nil || errs[3] != nil {
-			t.Errorf("a follower: %v", errs)
+		var notLeader *NotLeader
+		if !errors.As(got.linearizable, &notLeader) || !errors.As(got.lease, &notLeader) {
+			t.Errorf("follower: %+v, want redirects", got)
+		}
+		if got.stale != nil || got.local != nil {
+			t.Errorf("follower: %+v", got)
 		}
 	}
 	c.stop(leader)
-	alone := (leader + 1) % 3
 	c.stop((leader + 2) % 3)
-	c.eventually("a read that is too old", func() bool {
-		errs := kinds(c.stores[alone], 20*time.Millisecond)
-		return errors.Is(errs[2], ErrStale) && errs[0] != nil && errs[1] != nil && errs[3] == nil
+	isolated := c.stores[(leader+1)%3]
+	c.eventually("a stale read that is rejected by age", func() bool {
+		got := readAll(isolated, 20*time.Millisecond)
+		return errors.Is(got.stale, ErrStale) && got.linearizable != nil && got.lease != nil && got.local == nil
 	})
-	for _, bad := range []string{"read=soon", "read=stale&max_age=0s", "max_age=1s", "read=stale&max_age=x"} {
-		v, _ := url.ParseQuery(bad)
-		if r, err := ParseReadOptions(v); err == nil {
-			t.Errorf("%s was taken: %+v", bad, r)
-		}
+}
+
+func TestParseReadOptionsRejectsInvalidParameters(t *testing.T) {
+	for _, query := range []string{"read=soon", "read=stale&max_age=0s", "max_age=1s", "read=stale&max_age=x"} {
+		t.Run(query, func(t *testing.T) {
+			values, err := url.ParseQuery(query)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if r, err := ParseReadOptions(values); err == nil {
+				t.Errorf("parsed as %+v", r)
+			}
+		})
 	}
 }
 
-// What each kind of read costs at the leader of three on the loopback.
+// The cost of a read at each consistency level, at the leader of three instances on the loopback interface.
 func BenchmarkReadConsistency(b *testing.B) {
 	c := newCluster(b)
 	s := c.stores[c.patch(windowPatch(7))]
-	for _, kind := range []string{Linearizable, Lease, Stale, Local} {
-		b.Run(kind, func(b *testing.B) {
+	for _, consistency := range []string{Linearizable, Lease, Stale, Local} {
+		b.Run(consistency, func(b *testing.B) {
 			for b.Loop() {
-				if _, err := s.ReadWith(ReadOptions{kind, time.Minute}); err != nil {
+				if _, err := s.ReadWith(ReadOptions{Consistency: consistency, MaxAge: time.Minute}); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/store/settings.go
+++ b/internal/store/settings.go
@@ -15,8 +15,7 @@
 	}
 	return s.changeSettings(func(current *searchconfig.Config) (*config.Command, error) {
 		// Checked before the proposal, so that the log holds only patches that can be applied.
-		next, err := current.Patch(patch)
-		if err != nil || next == current {
+		if _, err := current.Patch(patch); err != nil {
 			return nil, err
 		}
 		return &config.Command{Kind: config.PatchSettings, Payload: patch}, nil
--- a/internal/store/snapshot_test.go
+++ b/internal/store/snapshot_test.go
@@ -1,18 +1,15 @@
 package store
 
-import (
-	"fmt"
-	"testing"
-)
+import "testing"
 
-// A follower that was away for longer than the log is kept gets the snapshot while changes go on, and has all of them.
+// A follower that was down for longer than the log is kept gets a snapshot while changes go on, and catches up.
 func TestSnapshotInstalledOnLaggingFollowerUnderChanges(t *testing.T) {
 	c := &cluster{t: t, dir: t.TempDir(), trailingLogs: 8}
 	c.start()
 	leader := c.patch(windowPatch(7))
 	c.awaitWindow(7)
-	away := (leader + 1) % 3
-	c.stop(away)
+	lagging := (leader + 1) % 3
+	c.stop(lagging)
 	for i := range 40 {
 		c.patch(windowPatch(100 + i))
 	}
@@ -23,22 +20,22 @@
 	if err != nil || first < 20 {
 		t.Fatalf("the log begins at %d, %v: no snapshot is needed", first, err)
 	}
-	c.open(away, nil)
+	c.open(lagging, nil)
 	for i := range 40 {
 		c.patch(windowPatch(200 + i))
 	}
 	c.awaitWindow(239)
-	hash := ""
+	want, err := c.stores[0].State().Hash()
+	if err != nil {
+		t.Error(err)
+	}
 	for i, s := range c.stores {
-		h, err := s.State().Hash()
-		if hash == "" {
-			hash = h
-		}
-		if err != nil || h != hash {
-			t.Errorf("n%d: %s, %s elsewhere, %v", i, h, hash, err)
+		hash, err := s.State().Hash()
+		if err != nil || hash != want {
+			t.Errorf("n%d: state %s, %s at n0, %v", i, hash, want, err)
 		}
 	}
-	if n := c.stores[away].raft.Stats()["last_snapshot_index"]; n == "0" {
-		t.Error(fmt.Sprint("no snapshot came: ", n))
+	if index := c.stores[lagging].raft.Stats()["last_snapshot_index"]; index == "0" {
+		t.Errorf("no snapshot was installed: index %s", index)
 	}
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -7,34 +7,45 @@
 	"linkpass/internal/searchconfig"
 )
 
+const searchProtocolPatch = `{"servers":{"s-1":{"protocol":"search"}}}`
+
+// hasSearchProtocol tells whether searchProtocolPatch is applied at an instance.
+func hasSearchProtocol(s *Store) bool {
+	return s.Settings().Protocol("s-1") == searchconfig.ProtocolSearch
+}
+
 func TestStoreElectsReplicatesAndSurvivesLeaderLoss(t *testing.T) {
 	c := newCluster(t)
-	c.awaitWindow(50) // what the files say holds until something is replicated
+	c.awaitWindow(50) // the configured settings are in force until some are replicated
 	leader := c.patch(windowPatch(7))
 	c.awaitWindow(7)
 	for i, s := range c.stores {
 		if i == leader {
 			continue
 		}
-		var other *NotLeader
+		var notLeader *NotLeader
 		c.eventually("a follower that names the leader", func() bool {
 			_, err := s.PatchSettings([]byte(windowPatch(8)))
-			return errors.As(err, &other)
+			return errors.As(err, &notLeader)
 		})
-		if _, ok := c.stores[leader].config.member(other.Leader.ID); !ok || other.Leader.HTTP == "" {
-			t.Errorf("named %+v", other.Leader)
+		named := notLeader.Leader
+		if _, ok := c.stores[leader].config.member(named.ID); !ok || named.HTTP == "" {
+			t.Errorf("named %+v", named)
 		}
 	}
-	if _, err := c.stores[leader].PatchSettings([]byte(`{"servers.s-1.protocol":"telnet"}`)); !errors.Is(err, searchconfig.ErrInvalid) {
-		t.Errorf("an unusable change: %v", err)
+	invalid := []byte(`{"servers.s-1.protocol":"telnet"}`)
+	if _, err := c.stores[leader].PatchSettings(invalid); !errors.Is(err, searchconfig.ErrInvalid) {
+		t.Errorf("invalid patch: %v", err)
 	}
 	c.stop(leader)
-	if next := c.patch(`{"servers":{"s-1":{"protocol":"search"}}}`); next == leader {
+	if next := c.patch(searchProtocolPatch); next == leader {
 		t.Error("a stopped instance leads")
 	}
 	c.awaitWindow(7)
-	c.open(leader, nil) // comes back from its own disk and catches up
-	c.eventually("the change made while it was away", func() bool { return c.stores[leader].Settings().Protocol("s-1") == searchconfig.ProtocolSearch })
+	c.open(leader, nil)
+	c.eventually("the change made while the instance was down", func() bool {
+		return hasSearchProtocol(c.stores[leader])
+	})
 }
 
 func TestStoreRestoresSnapshotAndLogAfterFullRestart(t *testing.T) {
@@ -42,21 +53,16 @@
 	c.patch(windowPatch(9))
 	c.awaitWindow(9)
 	for i := range 3 {
-		if err := c.stores[i].raft.Snapshot().Error(); err != nil { // one part from a snapshot ...
+		if err := c.stores[i].raft.Snapshot().Error(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	c.patch(`{"servers":{"s-1":{"protocol":"search"}}}`) // ... and one from the log
-	for i := range 3 {
-		c.stop(i)
-	}
-	for i := range 3 {
-		c.open(i, nil)
-	}
+	c.patch(searchProtocolPatch) // after the snapshot, so that it is restored from the log
+	c.restartAll()
 	c.awaitWindow(9)
 	c.eventually("the change from the log", func() bool {
 		for _, s := range c.stores {
-			if s.Settings().Protocol("s-1") != searchconfig.ProtocolSearch {
+			if !hasSearchProtocol(s) {
 				return false
 			}
 		}
@@ -64,7 +70,7 @@
 	})
 }
 
-// Without a majority nothing is taken and nothing is read as if it were confirmed.
+// Without a quorum no change is committed, and no read claims to be confirmed.
 func TestPatchAndReadWithoutQuorumFail(t *testing.T) {
 	c := newCluster(t)
 	leader := c.patch(windowPatch(9))
@@ -74,25 +80,34 @@
 			c.stop(i)
 		}
 	}
-	last := c.stores[leader]
-	_, err := last.PatchSettings([]byte(windowPatch(10)))
+	isolated := c.stores[leader]
+	_, err := isolated.PatchSettings([]byte(windowPatch(10)))
 	if !errors.Is(err, ErrNoQuorum) && !errors.Is(err, ErrNoLeader) {
-		t.Errorf("a change without a majority: %v", err)
+		t.Errorf("patch without a quorum: %v", err)
 	}
-	c.eventually("the end of its lead", func() bool {
-		_, err := last.Read()
+	c.eventually("the end of its leadership", func() bool {
+		_, err := isolated.Read()
 		return errors.Is(err, ErrNoLeader)
 	})
-	if last.Settings().MaxResultWindow() != 9 {
+	if isolated.Settings().MaxResultWindow() != 9 {
 		t.Error("an unconfirmed change is in force")
 	}
 }
 
 func TestOpenRejectsInvalidConfig(t *testing.T) {
-	for _, c := range []Config{{}, {ID: "a", Dir: t.TempDir()}, {ID: "a", Members: []Member{{ID: "a", Raft: "127.0.0.1:0"}}}} {
-		if s, err := Open(c); err == nil {
-			t.Errorf("opened %+v", c)
-			_ = s.Close()
-		}
+	for _, c := range []struct {
+		name   string
+		config Config
+	}{
+		{"empty", Config{}},
+		{"not among the members", Config{ID: "a", Dir: t.TempDir()}},
+		{"no directory", Config{ID: "a", Members: []Member{{ID: "a", Raft: "127.0.0.1:0"}}}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if s, err := Open(c.config); err == nil {
+				t.Errorf("opened %+v", c.config)
+				_ = s.Close()
+			}
+		})
 	}
 }
