--- a/internal/store/fsm.go
+++ b/internal/store/fsm.go
@@ -107,5 +107,5 @@
 	return nil
 }
 
-// isDocument tells whether data is of the JSON format that preceded commands.
+// isDocument reports whether data is of the JSON format that preceded commands.
 func isDocument(data []byte) bool { return len(data) > 0 && data[0] == '{' }
--- a/internal/store/leader.go
+++ b/internal/store/leader.go
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("store: %s at %s is the leader", e.Leader.ID, e.Leader.HTTP)
 }
 
-// IsLeader tells whether this instance is the leader, as far as it knows.
+// IsLeader reports whether this instance is the leader, as far as it knows.
 func (s *Store) IsLeader() bool { return s.raft.State() == raft.Leader }
 
 // Leader is the id of the leader; "" if none is known.
--- a/internal/store/membership.go
+++ b/internal/store/membership.go
@@ -54,7 +54,7 @@
 	return await(s.raft.AddNonvoter(raft.ServerID(m.ID), raft.ServerAddress(m.Raft), 0, applyTimeout))
 }
 
-// checkNewMember tells whether a member exists already. An id at another address, or an address under another id, is
+// checkNewMember reports whether a member exists already. An id at another address, or an address under another id, is
 // an error: a member that lost its disk may not vote again under an id that has voted.
 func checkNewMember(members []MemberStatus, m Member) (exists bool, err error) {
 	for _, existing := range members {
@@ -159,7 +159,7 @@
 	return int(reachable.Load())
 }
 
-// probe tells whether an address accepts a connection.
+// probe reports whether an address accepts a connection.
 func probe(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -34,7 +34,7 @@
 const DefaultMaxAge = 5 * time.Second
 
 // ErrStale is the error of a stale read at an instance that is too far behind.
-var ErrStale = errors.New("store: what this instance has may be older than was asked for")
+var ErrStale = errors.New("store: the state of this instance may be older than the read allows")
 
 // ParseReadOptions parses the query parameters read and max_age. local=true is the older form of read=local.
 func ParseReadOptions(v url.Values) (ReadOptions, error) {
@@ -52,7 +52,7 @@
 	if text := v.Get("max_age"); text != "" {
 		maxAge, err := time.ParseDuration(text)
 		if err != nil || maxAge <= 0 || r.Consistency != Stale {
-			return r, fmt.Errorf("max_age %.40q is no time above 0, or the read is not stale", text)
+			return r, fmt.Errorf("max_age %.40q must be a duration above 0, and needs read=stale", text)
 		}
 		r.MaxAge = maxAge
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -9,7 +9,7 @@
 
 const searchProtocolPatch = `{"servers":{"s-1":{"protocol":"search"}}}`
 
-// hasSearchProtocol tells whether searchProtocolPatch is applied at an instance.
+// hasSearchProtocol reports whether searchProtocolPatch is applied at an instance.
 func hasSearchProtocol(s *Store) bool {
 	return s.Settings().Protocol("s-1") == searchconfig.ProtocolSearch
 }
