--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -42,7 +42,7 @@
 
 // command draws one that may be anything, sound or not, made on a version that may be the right one.
 func command(t *rapid.T, s *State, n int) Command {
-	c := Command{Kind: CommandKind(rapid.IntRange(1, int(commandKinds)-1).Draw(t, "kind")), Server: rapid.SampledFrom(servers).Draw(t, "server"),
+	c := Command{Kind: CommandKind(rapid.IntRange(1, int(commandKindLimit)-1).Draw(t, "kind")), Server: rapid.SampledFrom(servers).Draw(t, "server"),
 		Weight: rapid.SampledFrom([]float64{-1, 0, 0.5, 2}).Draw(t, "weight")}
 	if rapid.Bool().Draw(t, "client") {
 		c.ClientID, c.Seq = rapid.SampledFrom([]string{"x", "y"}).Draw(t, "name"), uint64(rapid.IntRange(1, 20).Draw(t, "seq"))
@@ -152,7 +152,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	later, _ := encMode.Marshal(map[int]any{1: uint8(commandKinds), 5: "a"})
+	later, _ := encMode.Marshal(map[int]any{1: uint8(commandKindLimit), 5: "a"})
 	field, _ := encMode.Marshal(map[int]any{1: uint8(SetServerWeight), 5: "a", 99: "more"})
 	for name, data := range map[string][]byte{"format": append([]byte{formatVersion + 1}, entry[1:]...), "kind": append([]byte{formatVersion}, later...),
 		"field": append([]byte{formatVersion}, field...), "empty": nil, "after": append(slices.Clone(entry), 0)} {
--- /dev/null
+++ b/internal/config/restriction.go
@@ -0,0 +1,158 @@
+package config
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+
+	"linkpass/internal/config/restriction"
+	"linkpass/internal/shardmap"
+)
+
+// RejectedRestriction is a restriction request that the log rejected, or that an undrain withdrew.
+type RejectedRestriction struct {
+	Request restriction.Request `cbor:"1,keyasint" json:"order"`
+	Reason  Reason              `cbor:"2,keyasint" json:"why"`
+	// Version is that of the state after the command that decided it.
+	Version uint64 `cbor:"3,keyasint" json:"at"`
+}
+
+// applyRestriction applies RestrictServer. The request is settled whether it is accepted or rejected: no
+// instance proposes it again.
+func (s *State) applyRestriction(c Command) Result {
+	request := c.Restriction
+	if request == nil || !validRestriction(*request) {
+		return reject(Invalid, "an order needs an id, a server and a kind")
+	}
+	if s.settled.Contains(request.ID) {
+		return reject(AlreadySettled, "%s", request.ID)
+	}
+	s.settled = s.settled.With(request.ID)
+	r := s.restrictServer(*request)
+	if r.Reason != Applied {
+		s.recordRejection(*request, r.Reason)
+	}
+	return r
+}
+
+func validRestriction(r restriction.Request) bool {
+	return r.Server != "" && len(r.Server) <= MaxNameBytes &&
+		r.ID.Seq != 0 &&
+		r.Level != restriction.None && r.Level <= restriction.Removed
+}
+
+// restrictServer accepts a restriction, or rejects it where it would leave a shard without a replica.
+func (s *State) restrictServer(request restriction.Request) Result {
+	server, known := s.servers[request.Server]
+	if s.removed[request.Server] {
+		if request.Level == restriction.Removed {
+			return Result{} // already in the requested state
+		}
+		return reject(ServerIDRetired, "%s", request.Server)
+	}
+	tooManyServers := !known && len(s.servers) >= MaxServers
+	tooManyRemoved := request.Level == restriction.Removed && len(s.removed) >= MaxRemovedIDs
+	if tooManyServers || tooManyRemoved {
+		return reject(LimitExceeded, "%d servers, %d removed ids", len(s.servers), len(s.removed))
+	}
+	uncovered := s.uncoveredWithout(request.Server)
+	reported := uncovered[:min(len(uncovered), MaxReportedShards)]
+	if len(uncovered) > 0 && !request.Force {
+		r := reject(NoReplicaLeft, "%d slices, %s among them", len(uncovered), uncovered[0])
+		r.UncoveredShards = reported
+		return r
+	}
+	if request.Level == restriction.Removed {
+		s.removeServer(request.Server)
+		return Result{UncoveredShards: reported}
+	}
+	server.Restriction = max(server.Restriction, request.Level)
+	s.putServer(request.Server, server)
+	return Result{UncoveredShards: reported}
+}
+
+func (s *State) removeServer(id string) {
+	s.servers = maps.Clone(s.servers)
+	delete(s.servers, id)
+	s.removed = maps.Clone(s.removed)
+	s.removed[id] = true
+}
+
+func (s *State) recordRejection(request restriction.Request, reason Reason) {
+	rejection := RejectedRestriction{Request: request, Reason: reason, Version: s.version + 1}
+	s.rejected = append(slices.Clone(s.rejected), rejection)
+	if excess := len(s.rejected) - MaxRejectedRestrictions; excess > 0 {
+		s.rejected = s.rejected[excess:]
+	}
+}
+
+// applyUndrain applies UndrainServer. It also withdraws the pending restrictions that the operator saw: they
+// would drain the server again as soon as they were proposed.
+func (s *State) applyUndrain(c Command) Result {
+	server, r := s.lookupServer(c)
+	if r.Reason != Applied {
+		return r
+	}
+	if len(c.WithdrawnIDs) > restriction.MaxPending {
+		return reject(Invalid, "%d orders are named, %d at most", len(c.WithdrawnIDs), restriction.MaxPending)
+	}
+	for _, id := range c.WithdrawnIDs {
+		if s.settled.Contains(id) {
+			continue
+		}
+		s.settled = s.settled.With(id)
+		withdrawn := restriction.Request{ID: id, Server: c.Server, Level: restriction.Draining}
+		s.recordRejection(withdrawn, reasonUndrained)
+	}
+	if server.Restriction == restriction.None {
+		return Result{}
+	}
+	server.Restriction = restriction.None
+	s.putServer(c.Server, server)
+	return Result{}
+}
+
+// uncoveredWithout lists what has a replica in service now and would have none if a server were restricted: shards by
+// their replicas, cells by the servers that commands added. Cells that only discovery lists are not known here.
+func (s *State) uncoveredWithout(server string) []string {
+	if s.Restriction(server) != restriction.None {
+		return nil // the server is out of service already
+	}
+	inService := func(id string) bool {
+		return id != server && s.Restriction(id) == restriction.None
+	}
+	var uncovered []string
+	for _, index := range slices.Sorted(maps.Keys(s.settings.Indices)) {
+		shardMap := s.settings.ShardMap(index)
+		if shardMap == nil {
+			continue
+		}
+		for _, shard := range uncoveredShards(shardMap, server, inService) {
+			uncovered = append(uncovered, fmt.Sprintf("%s/%d", index, shard))
+		}
+	}
+	if spec := s.servers[server].Spec; spec != nil && !s.cellServed(spec.Cell, inService) {
+		uncovered = append(uncovered, fmt.Sprintf("cell %d", spec.Cell))
+	}
+	return uncovered
+}
+
+func uncoveredShards(m *shardmap.Map, server string, inService func(id string) bool) []shardmap.ShardID {
+	var uncovered []shardmap.ShardID
+	for _, shard := range m.Shards() {
+		if slices.Contains(shard.Replicas, server) && !slices.ContainsFunc(shard.Replicas, inService) {
+			uncovered = append(uncovered, shard.ID)
+		}
+	}
+	return uncovered
+}
+
+// cellServed tells whether an added server of a cell is in service.
+func (s *State) cellServed(cell int, inService func(id string) bool) bool {
+	for id, server := range s.servers {
+		if server.Spec != nil && server.Spec.Cell == cell && inService(id) {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -128,8 +128,8 @@
 	s.servers["s-2"] = Server{Version: 22, Spec: &ServerSpec{Addr: "10.0.0.2:9200"}}
 	s.servers["s-3"] = Server{Version: 23, Weight: 2}
 	s.removed["s-8"], s.removed["s-9"] = true, true
-	s.sessions["ops"] = clientSession{Seq: 5, Result: Result{Reason: NoReplicaLeft, Detail: "2 slices", Version: 19, UncoveredShards: []string{"players/1048576", "cell 3"}}, At: 31}
-	s.sessions["robot"] = clientSession{Seq: 6, Result: Result{Version: 20}, At: 32}
+	s.sessions["ops"] = clientSession{Seq: 5, Result: Result{Reason: NoReplicaLeft, Detail: "2 slices", Version: 19, UncoveredShards: []string{"players/1048576", "cell 3"}}, Version: 31}
+	s.sessions["robot"] = clientSession{Seq: 6, Result: Result{Version: 20}, Version: 32}
 	s.settled = restriction.NewSettledSet([]restriction.Interval{{Origin: origin, UpTo: 7, Above: []uint64{9, 12}}, {Origin: restriction.Origin{Instance: "n2", Incarnation: 1}, UpTo: 3}})
 	s.rejected = []RejectedRestriction{
 		{Request: restriction.Request{ID: restriction.ID{Origin: origin, Seq: 9}, Server: "s-8", Level: restriction.Removed, Force: true}, Reason: ServerIDRetired, Version: 33},
@@ -202,7 +202,7 @@
 	for _, c := range commands {
 		seen[c.Kind] = true
 	}
-	for k := CommandKind(1); k < commandKinds; k++ {
+	for k := CommandKind(1); k < commandKindLimit; k++ {
 		if !seen[k] {
 			t.Errorf("no entry of kind %d", k)
 		}
@@ -395,7 +395,7 @@
 		}
 		fieldsSet(reflect.ValueOf(c), set)
 	}
-	var d stateDocument
+	var d snapshotDocument
 	if err := decMode.Unmarshal(readFixture(t, "snapshot.cbor", nil)[1:], &d); err != nil {
 		t.Fatal(err)
 	}
@@ -414,7 +414,7 @@
 			}
 		}
 	}
-	for _, v := range []any{Command{}, ServerSpec{}, Result{}, Server{}, RejectedRestriction{}, clientSession{}, stateDocument{}, restriction.Origin{}, restriction.ID{}, restriction.Request{}, restriction.Interval{},
+	for _, v := range []any{Command{}, ServerSpec{}, Result{}, Server{}, RejectedRestriction{}, clientSession{}, snapshotDocument{}, restriction.Origin{}, restriction.ID{}, restriction.Request{}, restriction.Interval{},
 		shardmap.Command{}, shardmap.PlanRequest{}, shardmap.Advance{}, shardmap.Abandon{}, shardmap.Document{}, shardmap.Plan{}, shardmap.Shard{},
 		searchconfig.Config{}, searchconfig.Defaults{}, searchconfig.Index{}, searchconfig.InitialSharding{}, searchconfig.Server{}} {
 		if set[reflect.TypeOf(v)] == nil {
