--- a/internal/config/result_golden_test.go
+++ b/internal/config/result_golden_test.go
@@ -12,7 +12,7 @@
 // goldenState has two servers that were added, one that was removed, a settled request and one member's address.
 func goldenState(t *testing.T) *State {
 	t.Helper()
-	s := founded(t)
+	s := initializedState(t)
 	for _, c := range []Command{
 		{Kind: AddServer, Server: "d", Spec: &ServerSpec{Addr: "h:1", Cell: 1}},
 		{Kind: AddServer, Server: "e", Spec: &ServerSpec{Addr: "h:2", Cell: 1}},
@@ -64,7 +64,7 @@
 			Result{Reason: Invalid, Detail: "a name has 128 bytes at most"}},
 		{"long client name", s, Command{Kind: AddServer, ClientID: long},
 			Result{Reason: Invalid, Detail: "a name has 128 bytes at most"}},
-		{"before the first document", NewState(settings(t)), Command{Kind: SetServerWeight, Server: "a"},
+		{"before the first document", NewState(testSettings(t)), Command{Kind: SetServerWeight, Server: "a"},
 			Result{Reason: NotInitialized, Detail: "command 5"}},
 		{"unknown kind", s, Command{Kind: 200}, Result{Reason: Invalid, Detail: "command 200"}},
 		{"no server", s, Command{Kind: SetServerWeight}, Result{Reason: Invalid, Detail: "no server is named"}},
--- a/internal/config/config_test.go
+++ b/internal/config/state_test.go
@@ -17,7 +17,7 @@
 )
 
 // settings have an index with two sets of holders, a+b and c.
-func settings(t interface{ Fatal(...any) }) *searchconfig.Config {
+func testSettings(t interface{ Fatal(...any) }) *searchconfig.Config {
 	c, err := searchconfig.Parse([]byte(`{"indices":{"players":{"class":"lookup","spread":{"slices":2,"sets":[["a","b"],["c"]]}}}}`))
 	if err != nil {
 		t.Fatal(err)
@@ -26,8 +26,8 @@
 }
 
 // founded is the state after the first document.
-func founded(t interface{ Fatal(...any) }) *State {
-	doc, err := json.Marshal(settings(t))
+func initializedState(t interface{ Fatal(...any) }) *State {
+	doc, err := json.Marshal(testSettings(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,11 +38,11 @@
 	return s
 }
 
-var servers = []string{"a", "b", "c", "d", "e"}
+var serverIDs = []string{"a", "b", "c", "d", "e"}
 
 // command draws one that may be anything, sound or not, made on a version that may be the right one.
-func command(t *rapid.T, s *State, n int) Command {
-	c := Command{Kind: CommandKind(rapid.IntRange(1, int(commandKindLimit)-1).Draw(t, "kind")), Server: rapid.SampledFrom(servers).Draw(t, "server"),
+func drawCommand(t *rapid.T, s *State, n int) Command {
+	c := Command{Kind: CommandKind(rapid.IntRange(1, int(commandKindLimit)-1).Draw(t, "kind")), Server: rapid.SampledFrom(serverIDs).Draw(t, "server"),
 		Weight: rapid.SampledFrom([]float64{-1, 0, 0.5, 2}).Draw(t, "weight")}
 	if rapid.Bool().Draw(t, "client") {
 		c.ClientID, c.Seq = rapid.SampledFrom([]string{"x", "y"}).Draw(t, "name"), uint64(rapid.IntRange(1, 20).Draw(t, "seq"))
@@ -68,35 +68,35 @@
 	return c
 }
 
-// Whatever commands come: the old state is untouched; a removed id stays away; no slice that had a holder in service loses
+// Whatever commands come: the old state is untouched; a removed id stays away; no shard that had a holder in service loses
 // its last one unless it was forced and said; a command asked again gives its first answer and changes nothing but the
 // count; and the history, through its encoding and through a snapshot at any place, gives the same state byte for byte.
-func TestHistories(t *testing.T) {
+func TestApplyKeepsInvariantsUnderRandomCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := founded(t)
+		s := initializedState(t)
 		var history [][]byte
 		snapAt, snap := rapid.IntRange(0, 40).Draw(t, "snapshot at"), []byte(nil)
 		for n := range rapid.IntRange(1, 40).Draw(t, "commands") {
 			if n == snapAt {
-				snap = words(t, s)
+				snap = encodeState(t, s)
 			}
-			c := command(t, s, n)
+			c := drawCommand(t, s, n)
 			entry, err := Encode(c)
 			if err != nil {
 				t.Fatal(err)
 			}
 			history = append(history, entry)
-			before, gone := words(t, s), s.RemovedIDs()
+			before, removed := encodeState(t, s), s.RemovedIDs()
 			next, r := s.Apply(c)
-			if !bytes.Equal(words(t, s), before) {
+			if !bytes.Equal(encodeState(t, s), before) {
 				t.Fatalf("%+v changed the state that it was applied to", c)
 			}
-			for _, id := range gone {
+			for _, id := range removed {
 				if _, back := next.Server(id); back || next.Restriction(id) != restriction.Removed {
 					t.Fatalf("%s came back", id)
 				}
 			}
-			checkBare(t, s, next, c, r)
+			checkCoverage(t, s, next, c, r)
 			if c.ClientID != "" && r.Reason != StaleSequence {
 				again, r2 := next.Apply(c)
 				if fmt.Sprint(r2) != fmt.Sprint(r) || again.Version() != next.Version()+1 || !slices.Equal(again.ServerIDs(), next.ServerIDs()) || again.SettingsVersion() != next.SettingsVersion() {
@@ -105,7 +105,7 @@
 			}
 			s = next
 		}
-		replayed := founded(t)
+		replayed := initializedState(t)
 		if snap != nil {
 			var err error
 			if replayed, err = Restore(snap); err != nil {
@@ -120,13 +120,13 @@
 			}
 			replayed, _ = replayed.Apply(c)
 		}
-		if !bytes.Equal(words(t, replayed), words(t, s)) {
+		if !bytes.Equal(encodeState(t, replayed), encodeState(t, s)) {
 			t.Fatal("the history gives another state")
 		}
 	})
 }
 
-func words(t *rapid.T, s *State) []byte {
+func encodeState(t *rapid.T, s *State) []byte {
 	data, err := s.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -134,20 +134,20 @@
 	return data
 }
 
-// checkBare looks at the slices by itself: by holders, not by the code under test.
-func checkBare(t *rapid.T, before, after *State, c Command, r Result) {
-	served := func(s *State, holders []string) bool {
-		return slices.ContainsFunc(holders, func(id string) bool { return s.Restriction(id) == restriction.None })
-	}
-	for _, slice := range after.Settings().ShardMap("players").Shards() {
-		if served(before, slice.Replicas) && !served(after, slice.Replicas) && (c.Restriction == nil || !c.Restriction.Force || len(r.UncoveredShards) == 0) {
-			t.Fatalf("%+v left slice %d bare: %+v", c, slice.ID, r)
+// checkCoverage looks at the slices by itself: by holders, not by the code under test.
+func checkCoverage(t *rapid.T, before, after *State, c Command, r Result) {
+	served := func(s *State, replicas []string) bool {
+		return slices.ContainsFunc(replicas, func(id string) bool { return s.Restriction(id) == restriction.None })
+	}
+	for _, shard := range after.Settings().ShardMap("players").Shards() {
+		if served(before, shard.Replicas) && !served(after, shard.Replicas) && (c.Restriction == nil || !c.Restriction.Force || len(r.UncoveredShards) == 0) {
+			t.Fatalf("%+v left shard %d bare: %+v", c, shard.ID, r)
 		}
 	}
 }
 
 // An entry that was cut, changed, or is of a later program stops the instance; it is never half applied and never a panic.
-func TestEntriesOfLaterPrograms(t *testing.T) {
+func TestDecodeRejectsUnknownAndDamagedEntries(t *testing.T) {
 	entry, err := Encode(Command{Kind: SetServerWeight, Server: "a", Weight: 1})
 	if err != nil {
 		t.Fatal(err)
@@ -169,7 +169,7 @@
 		data := slices.Clone(entry)
 		data[rapid.IntRange(0, len(data)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
 		if c, err := Decode(data); err == nil {
-			founded(t).Apply(c)
+			initializedState(t).Apply(c)
 		}
 		if _, err := Restore(data); err == nil {
 			t.Fatal("an entry was taken for a snapshot")
@@ -178,9 +178,9 @@
 }
 
 // Instances whose files differ are alike from the first document on, and take nothing before it.
-func TestFilesThatDiffer(t *testing.T) {
-	one, other := NewState(settings(t)), NewState(&searchconfig.Config{Search: searchconfig.Defaults{MaxResultWindow: 7}})
-	doc, err := json.Marshal(settings(t))
+func TestStatesConvergeAfterFirstDocument(t *testing.T) {
+	one, other := NewState(testSettings(t)), NewState(&searchconfig.Config{Search: searchconfig.Defaults{MaxResultWindow: 7}})
+	doc, err := json.Marshal(testSettings(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -200,8 +200,8 @@
 }
 
 // What is remembered of clients and withdrawals is bounded, and bounded the same way everywhere.
-func TestBounds(t *testing.T) {
-	s := founded(t)
+func TestRetainedRecordsAreBounded(t *testing.T) {
+	s := initializedState(t)
 	for i := range uint64(MaxClients + 50) {
 		s, _ = s.Apply(Command{Kind: RestrictServer, ClientID: fmt.Sprint("client", i), Seq: 1,
 			Restriction: &restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: "n", Incarnation: 1}, Seq: i + 1}, Server: "c", Level: restriction.Draining}})
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// storedCatalog is the settings of the snapshot fixture.
-func storedCatalog() *searchconfig.Config {
+// storedSettings is the settings of the snapshot fixture.
+func storedSettings() *searchconfig.Config {
 	const first = shardmap.FirstDynamicID
 	partial := false
 	whole := func(from, to uint64) shardmap.Range { return shardmap.Range{First: from, Last: to} }
@@ -117,7 +117,7 @@
 // are seen.
 func storedState(t *testing.T) *State {
 	t.Helper()
-	settings := storedCatalog()
+	settings := storedSettings()
 	if err := settings.Validate(); err != nil {
 		t.Fatal(err)
 	}
