--- a/internal/config/result_golden_test.go
+++ b/internal/config/result_golden_test.go
@@ -32,8 +32,8 @@
 	return &restriction.Request{ID: id, Server: server, Level: level}
 }
 
-// A rejected command's detail lies in the client sessions of the replicated state, and so in its hash: instances of two
-// versions in one store must give the same text.
+// A rejected command's detail lies in the client sessions of the replicated state, and so in its hash:
+// instances of two versions in one store must give the same text.
 func TestResultDetailGolden(t *testing.T) {
 	s := goldenState(t)
 	fullServers, fullRemoved, fullMembers := *s, *s, *s
--- a/internal/config/state_test.go
+++ b/internal/config/state_test.go
@@ -16,8 +16,9 @@
 	"linkpass/internal/shardmap"
 )
 
-// settings have an index with two sets of holders, a+b and c.
-func testSettings(t interface{ Fatal(...any) }) *searchconfig.Config {
+// testSettings have an index of two shards with the replicas a and b, and c.
+func testSettings(t rapid.TB) *searchconfig.Config {
+	t.Helper()
 	c, err := searchconfig.Parse([]byte(`{"indices":{"players":{"class":"lookup","spread":{"slices":2,"sets":[["a","b"],["c"]]}}}}`))
 	if err != nil {
 		t.Fatal(err)
@@ -25,8 +26,9 @@
 	return c
 }
 
-// founded is the state after the first document.
-func initializedState(t interface{ Fatal(...any) }) *State {
+// initializedState is the state after the first replicated settings.
+func initializedState(t rapid.TB) *State {
+	t.Helper()
 	doc, err := json.Marshal(testSettings(t))
 	if err != nil {
 		t.Fatal(err)
@@ -40,80 +42,89 @@
 
 var serverIDs = []string{"a", "b", "c", "d", "e"}
 
-// command draws one that may be anything, sound or not, made on a version that may be the right one.
+// drawCommand draws a command that may or may not be valid, made on a version that may be the current one.
 func drawCommand(t *rapid.T, s *State, n int) Command {
-	c := Command{Kind: CommandKind(rapid.IntRange(1, int(commandKindLimit)-1).Draw(t, "kind")), Server: rapid.SampledFrom(serverIDs).Draw(t, "server"),
-		Weight: rapid.SampledFrom([]float64{-1, 0, 0.5, 2}).Draw(t, "weight")}
+	c := Command{
+		Kind:   CommandKind(rapid.IntRange(1, int(commandKindLimit)-1).Draw(t, "kind")),
+		Server: rapid.SampledFrom(serverIDs).Draw(t, "server"),
+		Weight: rapid.SampledFrom([]float64{-1, 0, 0.5, 2}).Draw(t, "weight"),
+	}
 	if rapid.Bool().Draw(t, "client") {
-		c.ClientID, c.Seq = rapid.SampledFrom([]string{"x", "y"}).Draw(t, "name"), uint64(rapid.IntRange(1, 20).Draw(t, "seq"))
+		c.ClientID = rapid.SampledFrom([]string{"x", "y"}).Draw(t, "name")
+		c.Seq = uint64(rapid.IntRange(1, 20).Draw(t, "seq"))
 	}
-	if now, ok := s.Server(c.Server); ok && rapid.Bool().Draw(t, "if") {
-		c.ExpectedVersion = now.Version + uint64(rapid.IntRange(0, 1).Draw(t, "off"))
+	if now, ok := s.Server(c.Server); ok && rapid.Bool().Draw(t, "expects a version") {
+		c.ExpectedVersion = now.Version + uint64(rapid.IntRange(0, 1).Draw(t, "off by"))
 	}
 	switch c.Kind {
 	case AddServer, UpdateServer:
-		c.Spec = &ServerSpec{Addr: rapid.SampledFrom([]string{"", "h:1", "h:2"}).Draw(t, "addr"), Cell: rapid.IntRange(-1, 1).Draw(t, "cell")}
+		c.Spec = &ServerSpec{
+			Addr: rapid.SampledFrom([]string{"", "h:1", "h:2"}).Draw(t, "addr"),
+			Cell: rapid.IntRange(-1, 1).Draw(t, "cell"),
+		}
 	case RestrictServer:
-		c.Restriction = &restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: rapid.SampledFrom([]string{"n0", "n1"}).Draw(t, "instance"), Incarnation: 1}, Seq: uint64(rapid.IntRange(0, n+1).Draw(t, "order"))},
-			Server: c.Server, Level: restriction.Level(rapid.IntRange(0, 3).Draw(t, "how")), Force: rapid.Bool().Draw(t, "force")}
+		c.Restriction = drawRestriction(t, c.Server, n)
 	case UndrainServer:
-		c.WithdrawnIDs = []restriction.ID{{Origin: restriction.Origin{Instance: "n0", Incarnation: 1}, Seq: uint64(rapid.IntRange(1, n+1).Draw(t, "named"))}}
+		origin := restriction.Origin{Instance: "n0", Incarnation: 1}
+		seq := uint64(rapid.IntRange(1, n+1).Draw(t, "withdrawn"))
+		c.WithdrawnIDs = []restriction.ID{{Origin: origin, Seq: seq}}
 	case PatchSettings:
-		c.ExpectedVersion = rapid.SampledFrom([]uint64{0, s.SettingsVersion(), 7}).Draw(t, "on")
-		c.Payload = []byte(rapid.SampledFrom([]string{`{"search":{"max_result_window":5}}`, `{"search":{"max_result_window":-5}}`, `{`}).Draw(t, "patch"))
+		c.ExpectedVersion = rapid.SampledFrom([]uint64{0, s.SettingsVersion(), 7}).Draw(t, "settings version")
+		c.Payload = []byte(rapid.SampledFrom([]string{
+			`{"search":{"max_result_window":5}}`,
+			`{"search":{"max_result_window":-5}}`,
+			`{`,
+		}).Draw(t, "patch"))
 	case AdvanceShardMap:
 		c.Index = rapid.SampledFrom([]string{"players", "nobody"}).Draw(t, "index")
-		c.ShardMapCommand = &shardmap.Command{Request: &shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{shardmap.FirstDynamicID}, Pieces: 2}}
+		c.ShardMapCommand = &shardmap.Command{
+			Request: &shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{shardmap.FirstDynamicID}, Pieces: 2},
+		}
 	}
 	return c
 }
 
-// Whatever commands come: the old state is untouched; a removed id stays away; no shard that had a holder in service loses
-// its last one unless it was forced and said; a command asked again gives its first answer and changes nothing but the
-// count; and the history, through its encoding and through a snapshot at any place, gives the same state byte for byte.
+func drawRestriction(t *rapid.T, server string, n int) *restriction.Request {
+	origin := restriction.Origin{Instance: rapid.SampledFrom([]string{"n0", "n1"}).Draw(t, "instance"), Incarnation: 1}
+	return &restriction.Request{
+		ID:     restriction.ID{Origin: origin, Seq: uint64(rapid.IntRange(0, n+1).Draw(t, "request"))},
+		Server: server,
+		Level:  restriction.Level(rapid.IntRange(0, 3).Draw(t, "level")),
+		Force:  rapid.Bool().Draw(t, "force"),
+	}
+}
+
+// Whatever commands are applied: the old state is unchanged; a removed id is never used again; no shard loses
+// its last replica in service unless the command was forced and its result says so; a repeated command gives
+// its first result and changes nothing but the version; and the encoded log, replayed from any snapshot, gives
+// the same state byte for byte.
 func TestApplyKeepsInvariantsUnderRandomCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := initializedState(t)
-		var history [][]byte
-		snapAt, snap := rapid.IntRange(0, 40).Draw(t, "snapshot at"), []byte(nil)
+		var entries [][]byte
+		var snapshot []byte
+		snapshotAt := rapid.IntRange(0, 40).Draw(t, "snapshot at")
 		for n := range rapid.IntRange(1, 40).Draw(t, "commands") {
-			if n == snapAt {
-				snap = encodeState(t, s)
+			if n == snapshotAt {
+				snapshot = encodeState(t, s)
 			}
 			c := drawCommand(t, s, n)
 			entry, err := Encode(c)
 			if err != nil {
 				t.Fatal(err)
 			}
-			history = append(history, entry)
-			before, removed := encodeState(t, s), s.RemovedIDs()
-			next, r := s.Apply(c)
-			if !bytes.Equal(encodeState(t, s), before) {
-				t.Fatalf("%+v changed the state that it was applied to", c)
-			}
-			for _, id := range removed {
-				if _, back := next.Server(id); back || next.Restriction(id) != restriction.Removed {
-					t.Fatalf("%s came back", id)
-				}
-			}
-			checkCoverage(t, s, next, c, r)
-			if c.ClientID != "" && r.Reason != StaleSequence {
-				again, r2 := next.Apply(c)
-				if fmt.Sprint(r2) != fmt.Sprint(r) || again.Version() != next.Version()+1 || !slices.Equal(again.ServerIDs(), next.ServerIDs()) || again.SettingsVersion() != next.SettingsVersion() {
-					t.Fatalf("asked again: %+v, then %+v", r, r2)
-				}
-			}
-			s = next
+			entries = append(entries, entry)
+			s = checkedApply(t, s, c)
 		}
 		replayed := initializedState(t)
-		if snap != nil {
+		if snapshot != nil {
 			var err error
-			if replayed, err = Restore(snap); err != nil {
+			if replayed, err = Restore(snapshot); err != nil {
 				t.Fatal(err)
 			}
-			history = history[snapAt:]
+			entries = entries[snapshotAt:]
 		}
-		for _, entry := range history {
+		for _, entry := range entries {
 			c, err := Decode(entry)
 			if err != nil {
 				t.Fatal(err)
@@ -121,12 +132,45 @@
 			replayed, _ = replayed.Apply(c)
 		}
 		if !bytes.Equal(encodeState(t, replayed), encodeState(t, s)) {
-			t.Fatal("the history gives another state")
+			t.Fatal("the replayed log gives another state")
 		}
 	})
 }
 
+// checkedApply applies a command and checks the invariants of one step.
+func checkedApply(t *rapid.T, s *State, c Command) *State {
+	t.Helper()
+	before := encodeState(t, s)
+	next, r := s.Apply(c)
+	if !bytes.Equal(encodeState(t, s), before) {
+		t.Fatalf("%+v changed the state that it was applied to", c)
+	}
+	for _, id := range s.RemovedIDs() {
+		if _, known := next.Server(id); known || next.Restriction(id) != restriction.Removed {
+			t.Fatalf("removed server %s is in use again", id)
+		}
+	}
+	checkCoverage(t, s, next, c, r)
+	if c.ClientID != "" && r.Reason != StaleSequence {
+		checkRepeat(t, next, c, r)
+	}
+	return next
+}
+
+// checkRepeat checks that a repeated command gives the first result and changes nothing but the version.
+func checkRepeat(t *rapid.T, s *State, c Command, first Result) {
+	t.Helper()
+	next, r := s.Apply(c)
+	if fmt.Sprint(r) != fmt.Sprint(first) ||
+		next.Version() != s.Version()+1 ||
+		next.SettingsVersion() != s.SettingsVersion() ||
+		!slices.Equal(next.ServerIDs(), s.ServerIDs()) {
+		t.Fatalf("%+v: result %+v, then %+v", c, first, r)
+	}
+}
+
 func encodeState(t *rapid.T, s *State) []byte {
+	t.Helper()
 	data, err := s.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -134,35 +178,45 @@
 	return data
 }
 
-// checkCoverage looks at the slices by itself: by holders, not by the code under test.
+// checkCoverage checks by the replicas of each shard, not by the code under test, that none lost its last one
+// unnoticed.
 func checkCoverage(t *rapid.T, before, after *State, c Command, r Result) {
-	served := func(s *State, replicas []string) bool {
+	t.Helper()
+	covered := func(s *State, replicas []string) bool {
 		return slices.ContainsFunc(replicas, func(id string) bool { return s.Restriction(id) == restriction.None })
 	}
+	reported := c.Restriction != nil && c.Restriction.Force && len(r.UncoveredShards) > 0
 	for _, shard := range after.Settings().ShardMap("players").Shards() {
-		if served(before, shard.Replicas) && !served(after, shard.Replicas) && (c.Restriction == nil || !c.Restriction.Force || len(r.UncoveredShards) == 0) {
-			t.Fatalf("%+v left shard %d bare: %+v", c, shard.ID, r)
+		if covered(before, shard.Replicas) && !covered(after, shard.Replicas) && !reported {
+			t.Fatalf("%+v left shard %d without a replica: %+v", c, shard.ID, r)
 		}
 	}
 }
 
-// An entry that was cut, changed, or is of a later program stops the instance; it is never half applied and never a panic.
+// An entry that is truncated, damaged, or of a later version is an error, never a panic or half a command.
 func TestDecodeRejectsUnknownAndDamagedEntries(t *testing.T) {
 	entry, err := Encode(Command{Kind: SetServerWeight, Server: "a", Weight: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	later, _ := encMode.Marshal(map[int]any{1: uint8(commandKindLimit), 5: "a"})
-	field, _ := encMode.Marshal(map[int]any{1: uint8(SetServerWeight), 5: "a", 99: "more"})
-	for name, data := range map[string][]byte{"format": append([]byte{formatVersion + 1}, entry[1:]...), "kind": append([]byte{formatVersion}, later...),
-		"field": append([]byte{formatVersion}, field...), "empty": nil, "after": append(slices.Clone(entry), 0)} {
-		if c, err := Decode(data); !errors.Is(err, ErrUnknownFormat) {
-			t.Errorf("%s: %+v %v", name, c, err)
-		}
+	laterKind, _ := encMode.Marshal(map[int]any{1: uint8(commandKindLimit), 5: "a"})
+	laterField, _ := encMode.Marshal(map[int]any{1: uint8(SetServerWeight), 5: "a", 99: "more"})
+	for name, data := range map[string][]byte{
+		"format": append([]byte{formatVersion + 1}, entry[1:]...),
+		"kind":   append([]byte{formatVersion}, laterKind...),
+		"field":  append([]byte{formatVersion}, laterField...),
+		"empty":  nil,
+		"after":  append(slices.Clone(entry), 0),
+	} {
+		t.Run(name, func(t *testing.T) {
+			if c, err := Decode(data); !errors.Is(err, ErrUnknownFormat) {
+				t.Errorf("%+v, %v", c, err)
+			}
+		})
 	}
 	for i := range entry {
 		if _, err := Decode(entry[:i]); !errors.Is(err, ErrUnknownFormat) {
-			t.Errorf("cut at %d: %v", i, err)
+			t.Errorf("truncated to %d bytes: %v", i, err)
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
@@ -172,19 +226,24 @@
 			initializedState(t).Apply(c)
 		}
 		if _, err := Restore(data); err == nil {
-			t.Fatal("an entry was taken for a snapshot")
+			t.Fatal("an entry was restored as a snapshot")
 		}
 	})
 }
 
-// Instances whose files differ are alike from the first document on, and take nothing before it.
+// Instances whose files differ are equal from the first replicated settings on, and reject every command before it.
 func TestStatesConvergeAfterFirstDocument(t *testing.T) {
-	one, other := NewState(testSettings(t)), NewState(&searchconfig.Config{Search: searchconfig.Defaults{MaxResultWindow: 7}})
+	one := NewState(testSettings(t))
+	other := NewState(&searchconfig.Config{Search: searchconfig.Defaults{MaxResultWindow: 7}})
 	doc, err := json.Marshal(testSettings(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, c := range []Command{{Kind: SetServerWeight, Server: "a", Weight: 2}, {Kind: ReplaceSettings, Payload: doc}, {Kind: SetServerWeight, Server: "a", Weight: 2}} {
+	for i, c := range []Command{
+		{Kind: SetServerWeight, Server: "a", Weight: 2},
+		{Kind: ReplaceSettings, Payload: doc},
+		{Kind: SetServerWeight, Server: "a", Weight: 2},
+	} {
 		var r, r2 Result
 		one, r = one.Apply(c)
 		other, r2 = other.Apply(c)
@@ -195,19 +254,37 @@
 	a, err := one.Hash()
 	b, err2 := other.Hash()
 	if a != b || err != nil || err2 != nil {
-		t.Error("they differ", err, err2)
+		t.Errorf("hashes %s and %s, %v, %v", a, b, err, err2)
 	}
 }
 
-// What is remembered of clients and withdrawals is bounded, and bounded the same way everywhere.
+// The records of clients and of rejected restrictions are bounded, by the same choice at every instance.
 func TestRetainedRecordsAreBounded(t *testing.T) {
 	s := initializedState(t)
+	origin := restriction.Origin{Instance: "n", Incarnation: 1}
 	for i := range uint64(MaxClients + 50) {
-		s, _ = s.Apply(Command{Kind: RestrictServer, ClientID: fmt.Sprint("client", i), Seq: 1,
-			Restriction: &restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: "n", Incarnation: 1}, Seq: i + 1}, Server: "c", Level: restriction.Draining}})
+		s, _ = s.Apply(Command{
+			Kind:     RestrictServer,
+			ClientID: fmt.Sprint("client", i),
+			Seq:      1,
+			Restriction: &restriction.Request{
+				ID:     restriction.ID{Origin: origin, Seq: i + 1},
+				Server: "c",
+				Level:  restriction.Draining,
+			},
+		})
+	}
+	if n := len(s.RejectedRestrictions()); n != MaxRejectedRestrictions {
+		t.Errorf("%d rejected restrictions, want %d", n, MaxRejectedRestrictions)
+	}
+	if n := len(s.sessions); n != MaxClients {
+		t.Errorf("%d sessions, want %d", n, MaxClients)
+	}
+	if level := s.Restriction("c"); level != restriction.None {
+		t.Errorf("c is %s, want %s", level, restriction.None)
 	}
-	if n := len(s.RejectedRestrictions()); n != MaxRejectedRestrictions || len(s.sessions) != MaxClients || s.Restriction("c") != restriction.None || len(s.Settled().Intervals()) != 1 {
-		t.Errorf("%d withdrawn, %d clients, %s", n, len(s.sessions), s.Restriction("c"))
+	if n := len(s.Settled().Intervals()); n != 1 {
+		t.Errorf("%d settled intervals, want 1", n)
 	}
 	if _, ok := s.sessions["client0"]; ok {
 		t.Error("the oldest client is remembered")
