--- /dev/null
+++ b/internal/config/restriction/pending_set.go
@@ -0,0 +1,107 @@
+package restriction
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+)
+
+const (
+	// MaxPendingOwn bounds the pending requests that one process issued; past it, Issue fails.
+	MaxPendingOwn = 64
+	// MaxPending bounds the pending requests of all origins at one instance.
+	MaxPending = 1024
+)
+
+// ErrTooManyPending means that no further request can be issued before the log has settled some.
+var ErrTooManyPending = errors.New("restriction: too many pending requests")
+
+// Replicated is the part of the replicated state that an instance has applied so far.
+type Replicated interface {
+	// Settled returns the requests that the log has decided.
+	Settled() SettledSet
+	// Restriction returns a server's restriction according to the log.
+	Restriction(server string) Level
+}
+
+// PendingSet is the set of requests that an instance knows and the log has not settled. It is not safe for
+// concurrent use.
+type PendingSet struct {
+	origin  Origin
+	lastSeq uint64 // of the latest own request
+	pending map[ID]Request
+}
+
+// NewPendingSet returns an empty set for a process. No other process, of this instance or another, may have the
+// same origin.
+func NewPendingSet(origin Origin) *PendingSet {
+	return &PendingSet{origin: origin, pending: map[ID]Request{}}
+}
+
+// Issue creates a request of this process, which takes effect here at once. It fails with ErrTooManyPending.
+func (p *PendingSet) Issue(server string, level Level, force bool) (Request, error) {
+	own := 0
+	for id := range p.pending {
+		if id.Origin == p.origin {
+			own++
+		}
+	}
+	if own >= MaxPendingOwn || len(p.pending) >= MaxPending {
+		return Request{}, fmt.Errorf("%w: %d of this process, %d in all", ErrTooManyPending, own, len(p.pending))
+	}
+	p.lastSeq++
+	request := Request{
+		ID:     ID{Origin: p.origin, Seq: p.lastSeq},
+		Server: server,
+		Level:  level,
+		Force:  force,
+	}
+	p.pending[request.ID] = request
+	return request, nil
+}
+
+// Receive adds requests of other instances, in any order and any number of times, and returns those that were
+// new. What exceeds MaxPending is dropped: it still arrives through the log.
+func (p *PendingSet) Receive(log Replicated, requests ...Request) []Request {
+	settled := log.Settled()
+	var added []Request
+	for _, request := range requests {
+		if len(p.pending) >= MaxPending {
+			break
+		}
+		if request.Level == None || request.Level > Removed {
+			continue
+		}
+		if _, known := p.pending[request.ID]; known || settled.Contains(request.ID) {
+			continue
+		}
+		p.pending[request.ID] = request
+		added = append(added, request)
+	}
+	return added
+}
+
+// DropSettled drops the requests that the log has settled.
+func (p *PendingSet) DropSettled(log Replicated) {
+	settled := log.Settled()
+	maps.DeleteFunc(p.pending, func(id ID, _ Request) bool { return settled.Contains(id) })
+}
+
+// List returns the pending requests, sorted by origin and age.
+func (p *PendingSet) List() []Request {
+	return slices.SortedFunc(maps.Values(p.pending), func(a, b Request) int { return compareIDs(a.ID, b.ID) })
+}
+
+// Effective returns the restriction of a server at this instance: the log's, joined with the requests that are
+// pending.
+func (p *PendingSet) Effective(log Replicated, server string) Level {
+	level := log.Restriction(server)
+	settled := log.Settled()
+	for id, request := range p.pending {
+		if request.Server == server && !settled.Contains(id) {
+			level = max(level, request.Level)
+		}
+	}
+	return level
+}
