--- /dev/null
+++ b/internal/config/restriction/invariants_test.go
@@ -0,0 +1,122 @@
+package restriction_test
+
+import (
+	"fmt"
+
+	"linkpass/internal/config"
+	. "linkpass/internal/config/restriction"
+)
+
+// check returns the invariant that a state violates, or "".
+func (x *explorer) check(cl *cluster) string {
+	end := cluster{log: cl.log}
+	end.nodes[0].prefix = len(cl.log)
+	final := x.view(&end, 0).state
+	for i := range cl.nodes {
+		if violation := x.checkNode(cl, i, final); violation != "" {
+			return violation
+		}
+	}
+	// Every request is known to an instance that has not settled it, or decided by the log: accepted, or
+	// rejected on record.
+	for i := range cl.nodes {
+		for _, r := range cl.nodes[i].requests {
+			if final.Settled().Contains(r.ID) && final.Restriction(r.Server) < r.Level && !cl.recorded(final, r) {
+				return fmt.Sprintf("%v was lost by %v", r, cl.log)
+			}
+		}
+	}
+	return ""
+}
+
+// checkNode checks that pending requests are in effect at an instance, and that one with no pending request
+// that has applied the whole log is where the log is.
+func (x *explorer) checkNode(cl *cluster, i int, final *config.State) string {
+	v := x.view(cl, i)
+	for _, r := range cl.nodes[i].requests {
+		if !v.state.Settled().Contains(r.ID) && x.effective(cl, i, r.Server) < r.Level {
+			return fmt.Sprintf("n%d received %v, which is not settled, and it is not in effect there", i, r)
+		}
+	}
+	if len(v.pending) > 0 || cl.nodes[i].prefix < len(cl.log) {
+		return ""
+	}
+	for _, server := range []string{"s", "t"} {
+		if got, want := x.effective(cl, i, server), final.Restriction(server); got != want {
+			return fmt.Sprintf("n%d applied the whole log and has %s for %s, the log has %s", i, got, server, want)
+		}
+	}
+	return ""
+}
+
+// recorded tells whether a request that is not in effect was rejected on record, or undone by an undrain after it.
+func (cl *cluster) recorded(final *config.State, r Request) bool {
+	for _, rejected := range final.RejectedRestrictions() {
+		if rejected.Request.ID == r.ID {
+			return true
+		}
+	}
+	accepted := false
+	for _, c := range cl.log {
+		if c.Kind == config.RestrictServer && c.Restriction.ID == r.ID {
+			accepted = true
+		}
+		if accepted && c.Kind == config.UndrainServer && c.Server == r.Server {
+			return true
+		}
+	}
+	return false
+}
+
+// checkRecovery returns what is wrong after the partition heals and no further command is issued: all instances
+// must come to the same state with no request pending.
+func (x *explorer) checkRecovery(cl *cluster) string {
+	cl = cl.clone()
+	cl.isolated = -1
+	cl.partitions = 0
+	cl.issued = 0
+	for i := range cl.nodes {
+		cl.nodes[i].prefix = 0
+	}
+	key := cl.key()
+	violation, known := x.recovered[key]
+	if !known {
+		violation = x.recover(cl)
+		x.recovered[key] = violation
+	}
+	return violation
+}
+
+func (x *explorer) recover(cl *cluster) string {
+	for range 2 {
+		for i := range cl.nodes {
+			x.exchange(cl, i)
+		}
+	}
+	hash := ""
+	for i := range cl.nodes {
+		v := x.view(cl, i)
+		if len(v.pending) > 0 || hash != "" && v.hash != hash {
+			return fmt.Sprintf("after recovery, n%d still has %v pending, or another state", i, v.pending)
+		}
+		hash = v.hash
+	}
+	return x.check(cl)
+}
+
+// exchange broadcasts and proposes an instance's requests, and lets all apply the log.
+func (x *explorer) exchange(cl *cluster, i int) {
+	for j := range cl.nodes {
+		for _, r := range cl.nodes[i].requests {
+			cl.receive(j, r)
+		}
+	}
+	if x.fault != "mute" {
+		for _, r := range x.view(cl, i).pending {
+			cl.propose(r)
+		}
+	}
+	for j := range cl.nodes {
+		cl.nodes[j].prefix = len(cl.log)
+	}
+}
