--- a/internal/config/rollback/report_json_test.go
+++ b/internal/config/rollback/report_test.go
@@ -6,7 +6,7 @@
 )
 
 // A report goes to instances of other versions: its JSON names stay.
-func TestReportKeepsItsJSONForm(t *testing.T) {
+func TestReportJSONIsStable(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		report Report
