--- a/internal/config/rollback/detector_test.go
+++ b/internal/config/rollback/detector_test.go
@@ -7,94 +7,139 @@
 	"testing"
 )
 
-// disk is an instance's: what a process writes and an image keeps.
+// disk is what a process of an instance writes and an image preserves.
 type disk struct {
 	incarnation uint64
 	position    Position
 }
 
-// An instance that starts, works, crashes and starts again is never refused, whatever is lost, repeated or late of its
-// reports; one that comes back with an image of its disk is refused as soon as a report of what the image lacks was observed.
+// instance is a simulated instance with its disk, an image of it, and what a detector was told.
+type instance struct {
+	rng      *rand.Rand
+	detector *Detector
+	disk     disk
+	image    disk
+	observed disk // the furthest that reached the detector
+	nonce    uint64
+	atStart  Position
+	sent     []Report
+}
+
+func (i *instance) start() {
+	i.nonce++
+	i.disk.incarnation++
+	i.atStart = i.disk.position
+}
+
+func (i *instance) report() Report {
+	return Report{
+		ID:          "n1",
+		Incarnation: i.disk.incarnation,
+		Nonce:       i.nonce,
+		AtStart:     i.atStart,
+		Current:     i.disk.position,
+	}
+}
+
+// sendReport sends a report that may be lost.
+func (i *instance) sendReport() error {
+	r := i.report()
+	i.sent = append(i.sent, r)
+	if i.rng.IntN(3) == 0 {
+		return nil
+	}
+	err := i.detector.Observe(r)
+	i.observed = i.disk
+	return err
+}
+
+// repeatReport delivers an earlier report late or again. An error for an earlier process reaches nobody.
+func (i *instance) repeatReport() error {
+	if len(i.sent) == 0 {
+		return nil
+	}
+	r := i.sent[i.rng.IntN(len(i.sent))]
+	err := i.detector.Observe(r)
+	if r.Incarnation >= i.observed.incarnation {
+		i.observed = disk{incarnation: r.Incarnation, position: i.observed.position.max(r.Current)}
+	}
+	if r.Incarnation != i.disk.incarnation {
+		return nil
+	}
+	return err
+}
+
+// step does something that an instance with a sound disk may do.
+func (i *instance) step() error {
+	switch i.rng.IntN(6) {
+	case 0, 1:
+		i.disk.position.Term += i.rng.Uint64N(2)
+		i.disk.position.Index += i.rng.Uint64N(3)
+	case 2:
+		return i.sendReport()
+	case 3:
+		return i.repeatReport()
+	case 4:
+		i.start()
+	case 5:
+		i.image = i.disk
+	}
+	return nil
+}
+
+// An instance that starts, works, crashes and starts again is never rejected, whatever reports are lost,
+// repeated or late; one that starts on an image of its disk is rejected at once if a report of what the image
+// lacks was observed.
 func TestObserveRejectsOnlyRolledBackDisks(t *testing.T) {
 	for seed := range uint64(2000) {
-		rng := rand.New(rand.NewPCG(seed, 1))
-		detector, nonce := NewDetector(), uint64(0)
-		var d, image, observed disk
-		var atStart Position
-		var sent []Report
-		start := func() {
-			nonce++
-			d.incarnation++
-			atStart = d.position
-		}
-		report := func() Report { return Report{"n1", d.incarnation, nonce, atStart, d.position} }
-		start()
+		i := &instance{rng: rand.New(rand.NewPCG(seed, 1)), detector: NewDetector()}
+		i.start()
 		for range 60 {
-			switch rng.IntN(6) {
-			case 0, 1:
-				d.position = Position{d.position.Term + rng.Uint64N(2), d.position.Index + rng.Uint64N(3)}
-			case 2:
-				r := report()
-				if sent = append(sent, r); rng.IntN(3) > 0 {
-					if err := detector.Observe(r); err != nil {
-						t.Fatalf("seed %d: an honest instance is refused: %v", seed, err)
-					}
-					observed = d
-				}
-			case 3: // a late or repeated one: what comes of it reaches nobody if it is of an earlier process
-				if len(sent) > 0 {
-					r := sent[rng.IntN(len(sent))]
-					if err := detector.Observe(r); err != nil && r.Incarnation == d.incarnation {
-						t.Fatalf("seed %d: %v", seed, err)
-					}
-					if r.Incarnation >= observed.incarnation {
-						observed = disk{r.Incarnation, observed.position.max(r.Current)}
-					}
-				}
-			case 4:
-				start()
-			case 5:
-				image = d
+			if err := i.step(); err != nil {
+				t.Fatalf("seed %d: an instance with a sound disk is rejected: %v", seed, err)
 			}
 		}
-		lacks := image.position.Behind(observed.position) || image.incarnation < observed.incarnation
-		d = image
-		start()
-		if err := detector.Observe(report()); lacks != errors.Is(err, ErrRolledBack) {
-			t.Fatalf("seed %d: image %+v, observed %+v: %v", seed, image, observed, err)
+		lacks := i.image.position.Behind(i.observed.position) || i.image.incarnation < i.observed.incarnation
+		i.disk = i.image
+		i.start()
+		if err := i.detector.Observe(i.report()); lacks != errors.Is(err, ErrRolledBack) {
+			t.Fatalf("seed %d: image %+v, observed %+v: %v", seed, i.image, i.observed, err)
 		}
 	}
 }
 
-// A copy of a disk that runs beside the first is refused, and so is the first from then on: neither is to be trusted.
+// A copy of a disk that runs beside the first is rejected, and so is the first from then on: neither can be trusted.
 func TestObserveRejectsCopiedDisk(t *testing.T) {
 	detector := NewDetector()
-	first, copied := Report{ID: "n1", Incarnation: 2, Nonce: 7}, Report{ID: "n1", Incarnation: 3, Nonce: 8, Current: Position{1, 5}}
+	first := Report{ID: "n1", Incarnation: 2, Nonce: 7}
+	copied := Report{ID: "n1", Incarnation: 3, Nonce: 8, Current: Position{Term: 1, Index: 5}}
 	if err := errors.Join(detector.Observe(first), detector.Observe(copied)); err != nil {
-		t.Fatal(err) // a later start: nothing tells it from an honest one
+		t.Fatal(err) // a later start looks like an ordinary restart
 	}
 	if err := detector.Observe(first); !errors.Is(err, ErrRolledBack) {
-		t.Error("the process before goes on, beside a later one")
+		t.Errorf("a process that runs beside a later one: %v", err)
 	}
 	copied.Nonce = 9
 	if err := detector.Observe(copied); !errors.Is(err, ErrRolledBack) {
-		t.Error("two processes of one start")
+		t.Errorf("two processes of one incarnation: %v", err)
 	}
 }
 
-// Strangers cannot fill the memory, and who is no member any more is forgotten.
+// Unknown instances cannot fill the memory, and instances that are no longer members are forgotten.
 func TestDetectorMemoryIsBounded(t *testing.T) {
 	detector := NewDetector()
 	for i := range 3 * MaxInstances {
-		if err := detector.Observe(Report{ID: fmt.Sprint(i), Incarnation: 9}); err != nil || len(detector.instances) > MaxInstances {
-			t.Fatal(len(detector.instances), err)
+		err := detector.Observe(Report{ID: fmt.Sprint(i), Incarnation: 9})
+		if err != nil || len(detector.instances) > MaxInstances {
+			t.Fatalf("%d instances, %v", len(detector.instances), err)
 		}
 	}
-	detector.Retain([]string{"1", "nobody"})
-	if err := detector.Observe(Report{ID: "0", Incarnation: 1}); len(detector.instances) != 2 || err != nil {
-		t.Error(len(detector.instances), err)
+	detector.Retain([]string{"1", "unknown"})
+	err := detector.Observe(Report{ID: "0", Incarnation: 1})
+	if len(detector.instances) != 2 || err != nil {
+		t.Errorf("%d instances, %v", len(detector.instances), err)
 	}
 	if err := detector.Observe(Report{ID: "1", Incarnation: 1}); !errors.Is(err, ErrRolledBack) {
-		t.Error("a member was forgotten")
+		t.Errorf("a member was forgotten: %v", err)
 	}
 }
