--- /dev/null
+++ b/internal/config/endpointmerge/merger.go
@@ -0,0 +1,150 @@
+package endpointmerge
+
+import (
+	"maps"
+	"slices"
+
+	"linkpass"
+	"linkpass/internal/config/restriction"
+	"linkpass/internal/coordinator"
+)
+
+// Merger merges both sources. It is not safe for concurrent use.
+type Merger struct {
+	discovered map[string]coordinator.Endpoint
+	overrides  map[string]Override
+	merged     map[string]coordinator.Endpoint
+	cached     bool // discovery has sent nothing newer than a list from before this process
+}
+
+// New returns a Merger that has no endpoints and no overrides yet.
+func New() *Merger {
+	return &Merger{
+		discovered: map[string]coordinator.Endpoint{},
+		overrides:  map[string]Override{},
+		merged:     map[string]coordinator.Endpoint{},
+		cached:     true,
+	}
+}
+
+// ApplyDiscovery applies an update of discovery, and returns the update of the merged list. After a failure the
+// last list stays in effect; the failure itself is passed on. Of what is older than the present state, nothing
+// is applied.
+func (m *Merger) ApplyDiscovery(update coordinator.EndpointUpdate) coordinator.EndpointUpdate {
+	if update.Mode == linkpass.ListFailed {
+		return update
+	}
+	if update.Mode == linkpass.ListCached && !m.cached {
+		return coordinator.EndpointUpdate{Mode: linkpass.ListDelta} // a newer list is known
+	}
+	m.cached = update.Mode == linkpass.ListCached
+	if update.Mode == linkpass.ListDelta {
+		return m.applyDelta(update.Endpoints)
+	}
+	m.replaceDiscovered(update.Endpoints)
+	return coordinator.EndpointUpdate{Mode: update.Mode, Endpoints: m.endpoints()}
+}
+
+// applyDelta applies changes of single endpoints.
+func (m *Merger) applyDelta(endpoints []coordinator.Endpoint) coordinator.EndpointUpdate {
+	names := make([]string, 0, len(endpoints))
+	for _, e := range endpoints {
+		names = append(names, e.Name)
+		known, ok := m.discovered[e.Name]
+		if !ok || e.State == linkpass.Gone || e.Since >= known.Since {
+			m.setDiscovered(e)
+		}
+	}
+	return m.refresh(names)
+}
+
+// replaceDiscovered replaces the whole list of discovery. An endpoint of an earlier start of a server's process
+// does not replace the one that is known.
+func (m *Merger) replaceDiscovered(endpoints []coordinator.Endpoint) {
+	previous := m.discovered
+	m.discovered = map[string]coordinator.Endpoint{}
+	names := make([]string, 0, len(previous)+len(endpoints)+len(m.overrides))
+	names = slices.AppendSeq(names, maps.Keys(previous))
+	for _, e := range endpoints {
+		names = append(names, e.Name)
+		if known, ok := previous[e.Name]; ok && e.State != linkpass.Gone && e.Since < known.Since {
+			e = known
+		}
+		m.setDiscovered(e)
+	}
+	names = slices.AppendSeq(names, maps.Keys(m.overrides))
+	m.refresh(names)
+}
+
+func (m *Merger) setDiscovered(e coordinator.Endpoint) {
+	switch {
+	case e.Name == "":
+	case e.State == linkpass.Gone:
+		delete(m.discovered, e.Name)
+	default:
+		m.discovered[e.Name] = e
+	}
+}
+
+// ApplyOverrides applies overrides by server, and returns the update of the merged list. A restriction is in
+// that very update, whatever discovery says.
+func (m *Merger) ApplyOverrides(overrides map[string]Override) coordinator.EndpointUpdate {
+	names := make([]string, 0, len(overrides))
+	for name, override := range overrides {
+		names = append(names, name)
+		if override == (Override{}) {
+			delete(m.overrides, name)
+		} else {
+			m.overrides[name] = override
+		}
+	}
+	return m.refresh(names)
+}
+
+// refresh merges some servers again, and returns what has changed.
+func (m *Merger) refresh(names []string) coordinator.EndpointUpdate {
+	slices.Sort(names)
+	update := coordinator.EndpointUpdate{Mode: linkpass.ListDelta}
+	for _, name := range slices.Compact(names) {
+		before, listed := m.merged[name]
+		after, ok := m.merge(name)
+		switch {
+		case !ok && listed:
+			delete(m.merged, name)
+			before.State = linkpass.Gone
+			update.Endpoints = append(update.Endpoints, before)
+		case ok && (!listed || before != after):
+			m.merged[name] = after
+			update.Endpoints = append(update.Endpoints, after)
+		}
+	}
+	return update
+}
+
+// merge returns the merged endpoint of a server, and whether it is listed at all.
+func (m *Merger) merge(name string) (coordinator.Endpoint, bool) {
+	endpoint, listed := m.discovered[name]
+	override := m.overrides[name]
+	if !listed && override.Added != nil {
+		endpoint, listed = *override.Added, true
+	}
+	if !listed || override.Restriction == restriction.Removed {
+		return coordinator.Endpoint{}, false
+	}
+	if override.Weight > 0 {
+		endpoint.Weight = override.Weight
+	}
+	if override.Restriction == restriction.Draining {
+		endpoint.State = linkpass.Draining
+	}
+	return endpoint, true
+}
+
+// endpoints lists the merged endpoints by name.
+func (m *Merger) endpoints() []coordinator.Endpoint {
+	endpoints := make([]coordinator.Endpoint, 0, len(m.merged))
+	for _, name := range slices.Sorted(maps.Keys(m.merged)) {
+		endpoints = append(endpoints, m.merged[name])
+	}
+	return endpoints
+}
