--- a/internal/config/endpointmerge/merge_test.go
+++ b/internal/config/endpointmerge/merger_test.go
@@ -14,21 +14,21 @@
 	_ "linkpass/internal/seeded"
 )
 
-var names = []string{"a", "b", "c"}
+var serverNames = []string{"a", "b", "c"}
 
-func line(t *rapid.T, label string) coordinator.Endpoint {
-	return coordinator.Endpoint{Name: rapid.SampledFrom(names).Draw(t, label+" name"), Addr: rapid.SampledFrom([]string{"h:1", "h:2"}).Draw(t, label+" addr"),
+func drawEndpoint(t *rapid.T, label string) coordinator.Endpoint {
+	return coordinator.Endpoint{Name: rapid.SampledFrom(serverNames).Draw(t, label+" name"), Addr: rapid.SampledFrom([]string{"h:1", "h:2"}).Draw(t, label+" addr"),
 		Entry: linkpass.Entry{State: linkpass.ServerState(rapid.IntRange(0, 2).Draw(t, label+" state")), Weight: 1, Since: 0}}
 }
 
 // Whatever both sources say, in whatever order, the list that the news add up to is what the rules make of the two last
 // words; a restriction holds in the very news that bring it, and none is lifted while either source holds it.
-func TestTheListIsWhatTheRulesSay(t *testing.T) {
+func TestMergedListFollowsRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New()
-		discovered, agreed := map[string]coordinator.Endpoint{}, map[string]Override{}
+		discovered, overrides := map[string]coordinator.Endpoint{}, map[string]Override{}
 		list := map[string]coordinator.Endpoint{}
-		take := func(l coordinator.EndpointUpdate) {
+		apply := func(l coordinator.EndpointUpdate) {
 			if l.Mode == linkpass.ListFailed {
 				return
 			}
@@ -45,41 +45,41 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"delta": func(t *rapid.T) {
-				s := line(t, "s")
+				s := drawEndpoint(t, "s")
 				if s.State == linkpass.Gone {
 					delete(discovered, s.Name)
 				} else {
 					discovered[s.Name] = s
 				}
-				take(m.ApplyDiscovery(coordinator.EndpointUpdate{Mode: linkpass.ListDelta, Endpoints: []coordinator.Endpoint{s}}))
+				apply(m.ApplyDiscovery(coordinator.EndpointUpdate{Mode: linkpass.ListDelta, Endpoints: []coordinator.Endpoint{s}}))
 			},
 			"full": func(t *rapid.T) {
 				clear(discovered)
 				l := coordinator.EndpointUpdate{Mode: linkpass.ListFull}
-				for _, name := range names {
-					if s := line(t, "s"); rapid.Bool().Draw(t, "listed") && s.State != linkpass.Gone {
+				for _, name := range serverNames {
+					if s := drawEndpoint(t, "s"); rapid.Bool().Draw(t, "listed") && s.State != linkpass.Gone {
 						s.Name = name
 						discovered[name] = s
 						l.Endpoints = append(l.Endpoints, s)
 					}
 				}
-				take(m.ApplyDiscovery(l))
+				apply(m.ApplyDiscovery(l))
 			},
-			"failed": func(_ *rapid.T) { take(m.ApplyDiscovery(coordinator.EndpointUpdate{Mode: linkpass.ListFailed})) },
-			"agreed": func(t *rapid.T) {
-				name := rapid.SampledFrom(names).Draw(t, "name")
+			"failed": func(_ *rapid.T) { apply(m.ApplyDiscovery(coordinator.EndpointUpdate{Mode: linkpass.ListFailed})) },
+			"overrides": func(t *rapid.T) {
+				name := rapid.SampledFrom(serverNames).Draw(t, "name")
 				a := Override{Restriction: restriction.Level(rapid.IntRange(0, 2).Draw(t, "hold")), Weight: float64(rapid.IntRange(0, 2).Draw(t, "weight"))}
 				if rapid.Bool().Draw(t, "added") {
 					a.Added = &coordinator.Endpoint{Name: name, Addr: "added:1", Entry: linkpass.Entry{State: linkpass.Ready, Weight: 1}}
 				}
-				agreed[name] = a
-				take(m.ApplyOverrides(map[string]Override{name: a}))
+				overrides[name] = a
+				apply(m.ApplyOverrides(map[string]Override{name: a}))
 			},
 			"": func(t *rapid.T) {
 				want := map[string]coordinator.Endpoint{}
-				for _, name := range names {
+				for _, name := range serverNames {
 					s, ok := discovered[name]
-					a := agreed[name]
+					a := overrides[name]
 					if !ok && a.Added == nil || a.Restriction == restriction.Removed {
 						continue
 					}
@@ -104,7 +104,7 @@
 
 // A source that comes back with the past changes nothing: neither a list from before this process, nor an older start of a
 // server's process.
-func TestThePastIsPassedOver(t *testing.T) {
+func TestApplyDiscoveryIgnoresOutdatedEndpoints(t *testing.T) {
 	m := New()
 	s := coordinator.Endpoint{Name: "a", Addr: "h:2", Entry: linkpass.Entry{State: linkpass.Draining, Since: 20}}
 	m.ApplyDiscovery(coordinator.EndpointUpdate{Mode: linkpass.ListFull, Endpoints: []coordinator.Endpoint{s}})
