--- a/internal/config/endpointmerge/override.go
+++ b/internal/config/endpointmerge/override.go
@@ -15,3 +15,14 @@
 	// nil: none.
 	Added *coordinator.Endpoint
 }
+
+// Equal tells whether two overrides have the same effect.
+func (o Override) Equal(other Override) bool {
+	if o.Restriction != other.Restriction || o.Weight != other.Weight {
+		return false
+	}
+	if o.Added == nil || other.Added == nil {
+		return o.Added == other.Added
+	}
+	return *o.Added == *other.Added
+}
--- /dev/null
+++ b/internal/endpoints/recent_requests.go
@@ -0,0 +1,44 @@
+package endpoints
+
+import (
+	"maps"
+	"time"
+
+	"linkpass/internal/config/restriction"
+)
+
+// recentFor is how long a request is broadcast although the log has settled it here.
+const recentFor = 10 * time.Second
+
+// recentRequests are requests that were issued or received a moment ago. They are broadcast even after the log
+// has settled them here: another instance may be reachable and yet be far behind in the log.
+type recentRequests map[restriction.ID]recentRequest
+
+type recentRequest struct {
+	request restriction.Request
+	until   time.Time
+}
+
+// add remembers a request. Past the limit it is dropped, and broadcast only while it is pending.
+func (r recentRequests) add(request restriction.Request) {
+	now := time.Now()
+	maps.DeleteFunc(r, func(_ restriction.ID, recent recentRequest) bool { return recent.until.Before(now) })
+	if len(r) < restriction.MaxPending {
+		r[request.ID] = recentRequest{request: request, until: now.Add(recentFor)}
+	}
+}
+
+// appendTo appends the requests that have not expired and are not in the list yet.
+func (r recentRequests) appendTo(requests []restriction.Request) []restriction.Request {
+	listed := make(map[restriction.ID]bool, len(requests))
+	for _, request := range requests {
+		listed[request.ID] = true
+	}
+	now := time.Now()
+	for id, recent := range r {
+		if recent.until.After(now) && !listed[id] {
+			requests = append(requests, recent.request)
+		}
+	}
+	return requests
+}
--- /dev/null
+++ b/internal/endpoints/registry.go
@@ -0,0 +1,211 @@
+package endpoints
+
+import (
+	"context"
+	"fmt"
+	"slices"
+	"sync"
+
+	"linkpass/internal/config"
+	"linkpass/internal/config/endpointmerge"
+	"linkpass/internal/config/restriction"
+	"linkpass/internal/coordinator"
+	"linkpass/internal/eventlog"
+)
+
+// Registry is an instance's list of servers. Its methods are safe for concurrent use.
+type Registry struct {
+	cfg          Config
+	broadcasters []*worker // one for each other instance
+	proposer     *worker
+
+	mu        sync.Mutex // guards what follows, and orders the calls of OnUpdate
+	pending   *restriction.PendingSet
+	merger    *endpointmerge.Merger
+	log       ReplicatedLog // nil: not open yet
+	announced map[string]endpointmerge.Override
+	recent    recentRequests
+}
+
+// New returns a Registry without endpoints. It accepts restrictions after Attach, and broadcasts and proposes
+// them in Run.
+func New(c Config) *Registry {
+	origin := restriction.Origin{Instance: c.InstanceID, Incarnation: c.Incarnation}
+	r := &Registry{
+		cfg:       c,
+		pending:   restriction.NewPendingSet(origin),
+		merger:    endpointmerge.New(),
+		announced: map[string]endpointmerge.Override{},
+		recent:    recentRequests{},
+	}
+	for id, send := range c.Broadcast {
+		acknowledged := map[restriction.ID]bool{}
+		handle := func(ctx context.Context, requests []restriction.Request) {
+			r.broadcast(ctx, id, send, requests, acknowledged)
+		}
+		r.broadcasters = append(r.broadcasters, newWorker(r.toBroadcast, handle))
+	}
+	r.proposer = newWorker(r.PendingRestrictions, r.propose)
+	return r
+}
+
+// Run broadcasts and proposes until the context ends, and returns when all workers have ended. Each other
+// instance has a worker of its own, so that one that hangs does not delay the others. Run must be called once.
+func (r *Registry) Run(ctx context.Context) {
+	var workers sync.WaitGroup
+	for _, w := range r.broadcasters {
+		workers.Go(func() { w.run(ctx) })
+	}
+	workers.Go(func() { r.proposer.run(ctx) })
+	workers.Wait()
+}
+
+// Attach gives the Registry the replicated log, which must be open.
+func (r *Registry) Attach(log ReplicatedLog) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.log = log
+	r.announce(log.State().RemovedIDs())
+}
+
+// UpdateEndpoints applies an update of discovery.
+func (r *Registry) UpdateEndpoints(update coordinator.EndpointUpdate) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.cfg.OnUpdate(r.merger.ApplyDiscovery(update))
+}
+
+// LogApplied must be called after the log was applied further.
+func (r *Registry) LogApplied() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.log == nil {
+		return
+	}
+	r.pending.DropSettled(r.log.State())
+	r.announce(nil)
+}
+
+// Restrict takes a server out of service: here at once, at other instances as soon as they receive the request,
+// and for good once the log has settled it. What the log would reject in its present state gives a
+// RejectedError.
+func (r *Registry) Restrict(server string, level restriction.Level, force bool) (restriction.Request, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.log == nil {
+		return restriction.Request{}, ErrStoreNotReady
+	}
+	state := r.log.State()
+	if err := r.checkRestriction(state, server, level, force); err != nil {
+		return restriction.Request{}, err
+	}
+	request, err := r.pending.Issue(server, level, force)
+	if err != nil {
+		return request, err
+	}
+	if state.Settled().Contains(request.ID) {
+		return request, fmt.Errorf("endpoints: restrict %s: request %s counts as settled: "+
+			"this process's clock is behind that of an earlier one", server, request.ID)
+	}
+	r.cfg.Counters.Add("restrictions_issued", 1)
+	eventlog.RestrictionReceived.Log(request.ID, request.Server, request.Level, "an operator")
+	r.recent.add(request)
+	r.announce(nil)
+	r.wakeWorkers()
+	return request, nil
+}
+
+// checkRestriction applies a restriction to a copy of the state. Its id is of a later incarnation, so that it
+// cannot be settled. Before the first settings the log cannot decide, and the request stays pending.
+func (r *Registry) checkRestriction(state *config.State, server string, level restriction.Level, force bool) error {
+	origin := restriction.Origin{Instance: r.cfg.InstanceID, Incarnation: r.cfg.Incarnation + 1}
+	request := restriction.Request{
+		ID:     restriction.ID{Origin: origin, Seq: 1},
+		Server: server,
+		Level:  level,
+		Force:  force,
+	}
+	_, result := state.Apply(config.Command{Kind: config.RestrictServer, Restriction: &request})
+	if result.Reason != config.Applied && result.Reason != config.NotInitialized {
+		return &RejectedError{Result: result}
+	}
+	return nil
+}
+
+// ReceiveRestrictions adds requests that another instance broadcast.
+func (r *Registry) ReceiveRestrictions(from string, requests []restriction.Request) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.log == nil {
+		return ErrStoreNotReady
+	}
+	added := r.pending.Receive(r.log.State(), requests...)
+	for _, request := range added {
+		r.cfg.Counters.Add("restrictions_received", 1)
+		eventlog.RestrictionReceived.Log(request.ID, request.Server, request.Level, from)
+		r.recent.add(request)
+	}
+	if len(added) > 0 {
+		r.announce(nil)
+		r.wakeWorkers()
+	}
+	return nil
+}
+
+// PendingRestrictions returns the requests that the log has not settled yet.
+func (r *Registry) PendingRestrictions() []restriction.Request {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.pending.List()
+}
+
+func (r *Registry) wakeWorkers() {
+	for _, w := range r.broadcasters {
+		w.notify()
+	}
+	r.proposer.notify()
+}
+
+// announce passes on the overrides that have changed: of these servers and of all that have an override or had
+// one. The caller must hold the mutex.
+func (r *Registry) announce(names []string) {
+	state := r.log.State()
+	names = append(names, state.ServerIDs()...)
+	for _, request := range r.pending.List() {
+		names = append(names, request.Server)
+	}
+	for name := range r.announced {
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	changed := map[string]endpointmerge.Override{}
+	for _, name := range slices.Compact(names) {
+		override := r.override(state, name)
+		if !r.announced[name].Equal(override) {
+			changed[name] = override
+			r.announced[name] = override
+		}
+		if override == (endpointmerge.Override{}) {
+			delete(r.announced, name)
+		}
+	}
+	if update := r.merger.ApplyOverrides(changed); len(update.Endpoints) > 0 {
+		r.cfg.OnUpdate(update)
+	}
+}
+
+// override returns what is in effect here for a server. The caller must hold the mutex.
+func (r *Registry) override(state *config.State, name string) endpointmerge.Override {
+	server, _ := state.Server(name)
+	override := endpointmerge.Override{Restriction: r.pending.Effective(state, name), Weight: server.Weight}
+	if server.Spec == nil {
+		return override
+	}
+	endpoint, err := r.cfg.ResolveEndpoint(name, *server.Spec)
+	if err != nil {
+		eventlog.EndpointListInvalid.Log(fmt.Errorf("resolve replicated server %q: %w", name, err))
+		return override
+	}
+	override.Added = &endpoint
+	return override
+}
