--- a/internal/endpoints/agree_test.go
+++ b/internal/endpoints/registry_test.go
@@ -21,17 +21,17 @@
 
 const instances = 3
 
-// network is three instances whose messages are cut off, lost, late, repeated and out of order, by a seed; links may be cut
+// network is three instances whose messages are blocked off, lost, late, repeated and out of order, by a seed; links may be blocked
 // in one direction alone. The log is one list: the first instance leads it while it reaches another in both directions.
 type network struct {
-	mu     sync.Mutex
-	rng    *rand.Rand
-	links  [instances][instances]*rand.Rand // of each direction, so that what one draws does not depend on the others
-	cut    [instances][instances]bool
-	log    []config.Command
-	states [instances]*config.State
-	nodes  [instances]*Registry
-	lists  [instances]map[string]linkpass.ServerState
+	mu        sync.Mutex
+	rng       *rand.Rand
+	links     [instances][instances]*rand.Rand // of each direction, so that what one draws does not depend on the others
+	blocked   [instances][instances]bool
+	log       []config.Command
+	states    [instances]*config.State
+	nodes     [instances]*Registry
+	endpoints [instances]map[string]linkpass.ServerState
 }
 
 var errLost = errors.New("lost")
@@ -48,50 +48,50 @@
 	return time.Duration(n.links[i][j].IntN(80)) * time.Millisecond
 }
 
-func (n *network) up(i, j int) bool { n.mu.Lock(); defer n.mu.Unlock(); return !n.cut[i][j] }
+func (n *network) connected(i, j int) bool { n.mu.Lock(); defer n.mu.Unlock(); return !n.blocked[i][j] }
 
 // send makes the way from one instance to another.
 func (n *network) send(i, j int) func(context.Context, []restriction.Request) error {
-	return func(ctx context.Context, orders []restriction.Request) error {
+	return func(ctx context.Context, requests []restriction.Request) error {
 		deliver := func() error {
 			select {
 			case <-time.After(n.delay(i, j)):
 			case <-ctx.Done():
 				return ctx.Err()
 			}
-			if !n.up(i, j) || n.chance(i, j, 0.3) {
+			if !n.connected(i, j) || n.chance(i, j, 0.3) {
 				return errLost
 			}
-			return n.nodes[j].ReceiveRestrictions(fmt.Sprint("n", i), orders)
+			return n.nodes[j].ReceiveRestrictions(fmt.Sprint("n", i), requests)
 		}
 		if n.chance(i, j, 0.3) {
 			late := n.delay(i, j)
-			go func() { time.Sleep(late); _ = n.nodes[j].ReceiveRestrictions("late", orders) }() // a copy that comes late, and past the others
+			go func() { time.Sleep(late); _ = n.nodes[j].ReceiveRestrictions("late", requests) }() // a copy that comes late, and past the others
 		}
 		if err := deliver(); err != nil {
 			return err
 		}
-		if !n.up(j, i) || n.chance(i, j, 0.2) {
+		if !n.connected(j, i) || n.chance(i, j, 0.2) {
 			return errLost // it was heard, the answer was lost
 		}
 		return nil
 	}
 }
 
-// view is the log as an instance sees it.
-type view struct {
+// nodeLog is the log as an instance sees it.
+type nodeLog struct {
 	n  *network
 	me int
 }
 
-func (v view) State() *config.State { v.n.mu.Lock(); defer v.n.mu.Unlock(); return v.n.states[v.me] }
-func (v view) IsLeader() bool       { return v.me == 0 }
-func (v view) Propose(c config.Command) (config.Result, error) {
+func (v nodeLog) State() *config.State { v.n.mu.Lock(); defer v.n.mu.Unlock(); return v.n.states[v.me] }
+func (v nodeLog) IsLeader() bool       { return v.me == 0 }
+func (v nodeLog) Propose(c config.Command) (config.Result, error) {
 	time.Sleep(v.n.delay(v.me, v.me))
 	v.n.mu.Lock()
 	majority := false
 	for j := 1; j < instances; j++ {
-		majority = majority || !v.n.cut[0][j] && !v.n.cut[j][0]
+		majority = majority || !v.n.blocked[0][j] && !v.n.blocked[j][0]
 	}
 	if !majority {
 		v.n.mu.Unlock()
@@ -106,7 +106,7 @@
 // replicate lets the instances that the leader reaches apply what they lack, and gives the last result at one.
 func (n *network) replicate(at int) (last config.Result) {
 	for i := range instances {
-		if i != 0 && !(n.up(0, i) && n.up(i, 0)) {
+		if i != 0 && !(n.connected(0, i) && n.connected(i, 0)) {
 			continue
 		}
 		n.mu.Lock()
@@ -125,31 +125,31 @@
 func (n *network) state(i int, server string) linkpass.ServerState {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.lists[i][server]
+	return n.endpoints[i][server]
 }
 
 func newNetwork(seed uint64) *network {
 	n := &network{rng: rand.New(rand.NewPCG(seed, 3)), log: []config.Command{{Kind: config.ReplaceSettings, Payload: []byte("{}")}}}
 	for i := range instances {
 		n.states[i], _ = config.NewState(&searchconfig.Config{}).Apply(n.log[0])
-		n.lists[i] = map[string]linkpass.ServerState{}
-		spread := map[string]func(context.Context, []restriction.Request) error{}
+		n.endpoints[i] = map[string]linkpass.ServerState{}
+		broadcast := map[string]func(context.Context, []restriction.Request) error{}
 		for j := range instances {
 			n.links[i][j] = rand.New(rand.NewPCG(seed, uint64(10*i+j)))
 			if j != i {
-				spread[fmt.Sprint("n", j)] = n.send(i, j)
+				broadcast[fmt.Sprint("n", j)] = n.send(i, j)
 			}
 		}
-		n.nodes[i] = New(Config{InstanceID: fmt.Sprint("n", i), Incarnation: 1, Counters: metrics.NewCounters(), Broadcast: spread, OnUpdate: func(l coordinator.EndpointUpdate) {
+		n.nodes[i] = New(Config{InstanceID: fmt.Sprint("n", i), Incarnation: 1, Counters: metrics.NewCounters(), Broadcast: broadcast, OnUpdate: func(l coordinator.EndpointUpdate) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			for _, s := range l.Endpoints {
-				n.lists[i][s.Name] = s.State
+				n.endpoints[i][s.Name] = s.State
 			}
 		}, ResolveEndpoint: func(string, config.ServerSpec) (coordinator.Endpoint, error) {
 			return coordinator.Endpoint{}, errors.New("none was added")
 		}})
-		n.nodes[i].Attach(view{n, i})
+		n.nodes[i].Attach(nodeLog{n, i})
 		l := coordinator.EndpointUpdate{Mode: linkpass.ListFull}
 		for s := range 8 {
 			l.Endpoints = append(l.Endpoints, coordinator.Endpoint{Name: fmt.Sprint("s", s), Entry: linkpass.Entry{State: linkpass.Ready}})
@@ -161,7 +161,7 @@
 
 // Whatever the network does, a drain holds at once where it is ordered and within a second wherever it can be heard directly;
 // and when all is well again every order is settled and all instances are alike.
-func TestDrainsThroughABadNetwork(t *testing.T) {
+func TestDrainReachesReachableInstancesOverFaultyNetwork(t *testing.T) {
 	_ = eventlog.SetLevel("store", "off")
 	defer func() { _ = eventlog.SetLevel("store", "info") }()
 	for seed := range uint64(40) {
@@ -176,10 +176,10 @@
 				n.mu.Lock()
 				for i := range instances {
 					for j := range instances {
-						n.cut[i][j] = i != j && n.rng.Float64() < 0.4
+						n.blocked[i][j] = i != j && n.rng.Float64() < 0.4
 					}
 				}
-				at, cut := n.rng.IntN(instances), n.cut
+				at, blocked := n.rng.IntN(instances), n.blocked
 				n.mu.Unlock()
 				server := fmt.Sprint("s", s)
 				if _, err := n.nodes[at].Restrict(server, restriction.Draining, false); err != nil {
@@ -190,21 +190,21 @@
 				}
 				time.Sleep(time.Second)
 				for j := range instances {
-					if !cut[at][j] && n.state(j, server) != linkpass.Draining {
+					if !blocked[at][j] && n.state(j, server) != linkpass.Draining {
 						t.Errorf("seed %d: n%d can hear n%d and does not drain %s after a second", seed, j, at, server)
 					}
 				}
 			}
 			n.mu.Lock()
-			n.cut = [instances][instances]bool{}
+			n.blocked = [instances][instances]bool{}
 			n.mu.Unlock()
 			time.Sleep(5 * time.Second)
 			n.replicate(0)
 			hash := ""
 			for i, a := range n.nodes {
 				h, err := n.states[i].Hash()
-				if open := a.PendingRestrictions(); err != nil || len(open) > 0 || hash != "" && h != hash {
-					t.Errorf("seed %d: n%d has %v open, state %s, %v", seed, i, open, h, err)
+				if pending := a.PendingRestrictions(); err != nil || len(pending) > 0 || hash != "" && h != hash {
+					t.Errorf("seed %d: n%d has %v pending, state %s, %v", seed, i, pending, h, err)
 				}
 				hash = h
 				for s := range 8 {
--- a/internal/endpoints/wire_golden_test.go
+++ b/internal/endpoints/wire_golden_test.go
@@ -21,7 +21,7 @@
 func (followerLog) IsLeader() bool                                { return false }
 func (followerLog) Propose(config.Command) (config.Result, error) { panic("a follower was asked") }
 
-func openInstance(t *testing.T, name string, boot uint64) *Registry {
+func newInstance(t *testing.T, name string, incarnation uint64) *Registry {
 	t.Helper()
 	state, r := config.NewState(&searchconfig.Config{}).Apply(config.Command{Kind: config.ReplaceSettings, Payload: []byte(`{"search":{}}`)})
 	if r.Reason != config.Applied {
@@ -33,7 +33,7 @@
 			t.Fatal(r)
 		}
 	}
-	a := New(Config{InstanceID: name, Incarnation: boot, OnUpdate: func(coordinator.EndpointUpdate) {}, Counters: metrics.NewCounters(),
+	a := New(Config{InstanceID: name, Incarnation: incarnation, OnUpdate: func(coordinator.EndpointUpdate) {}, Counters: metrics.NewCounters(),
 		ResolveEndpoint: func(id string, _ config.ServerSpec) (coordinator.Endpoint, error) {
 			return coordinator.Endpoint{Name: id}, nil
 		}})
@@ -41,26 +41,26 @@
 	return a
 }
 
-// goldenOrders are the orders of an instance "a", as its calls to the others carry them.
-var goldenOrders = []restriction.Request{
+// goldenRequests are the requests of an instance "a", as its calls to the others carry them.
+var goldenRequests = []restriction.Request{
 	{ID: restriction.ID{Origin: restriction.Origin{Instance: "a", Incarnation: 1764652800123456789}, Seq: 1}, Server: "s-1", Level: restriction.Draining},
 	{ID: restriction.ID{Origin: restriction.Origin{Instance: "a", Incarnation: 1764652800123456789}, Seq: 2}, Server: "s-2", Level: restriction.Removed, Force: true},
 }
 
-func TestOrdersGolden(t *testing.T) { goldentest.JSON(t, "orders_request.json", goldenOrders) }
+func TestRequestsGolden(t *testing.T) { goldentest.JSON(t, "orders_request.json", goldenRequests) }
 
 // What an instance gives is told in the golden form.
-func TestSpreadOrdersGolden(t *testing.T) {
-	a := openInstance(t, "a", 1764652800123456789)
-	for _, o := range goldenOrders {
+func TestBroadcastRequestsGolden(t *testing.T) {
+	a := newInstance(t, "a", 1764652800123456789)
+	for _, o := range goldenRequests {
 		if _, err := a.Restrict(o.Server, o.Level, o.Force); err != nil {
 			t.Fatal(err)
 		}
 	}
 	calls := 0
-	a.broadcast(context.Background(), "b", func(_ context.Context, orders []restriction.Request) error {
+	a.broadcast(context.Background(), "b", func(_ context.Context, requests []restriction.Request) error {
 		calls++
-		goldentest.Encodes(t, "orders_request.json", orders)
+		goldentest.Encodes(t, "orders_request.json", requests)
 		return nil
 	}, a.toBroadcast(), map[restriction.ID]bool{})
 	if calls != 1 {
@@ -68,17 +68,17 @@
 	}
 }
 
-// Another instance takes the golden orders and holds them all.
-func TestHearGoldenOrders(t *testing.T) {
-	b := openInstance(t, "b", 5)
-	var orders []restriction.Request
-	if err := json.Unmarshal(goldentest.Read(t, "orders_request.json"), &orders); err != nil {
+// Another instance takes the golden requests and holds them all.
+func TestReceiveGoldenRequests(t *testing.T) {
+	b := newInstance(t, "b", 5)
+	var requests []restriction.Request
+	if err := json.Unmarshal(goldentest.Read(t, "orders_request.json"), &requests); err != nil {
 		t.Fatal(err)
 	}
-	if err := b.ReceiveRestrictions("a", orders); err != nil {
+	if err := b.ReceiveRestrictions("a", requests); err != nil {
 		t.Fatal(err)
 	}
-	if got := b.PendingRestrictions(); !reflect.DeepEqual(got, goldenOrders) {
-		t.Errorf("got %+v, want %+v", got, goldenOrders)
+	if got := b.PendingRestrictions(); !reflect.DeepEqual(got, goldenRequests) {
+		t.Errorf("got %+v, want %+v", got, goldenRequests)
 	}
 }
