--- /dev/null
+++ b/internal/endpoints/network_test.go
@@ -0,0 +1,224 @@
+package endpoints
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"linkpass"
+	"linkpass/internal/config"
+	"linkpass/internal/config/restriction"
+	"linkpass/internal/coordinator"
+	"linkpass/internal/metrics"
+	"linkpass/internal/searchconfig"
+)
+
+const (
+	instances = 3
+	servers   = 8
+)
+
+var errLost = errors.New("lost")
+
+// network is three instances whose messages are lost, late, repeated and out of order, by a seed; links may be
+// blocked in one direction alone. The log is one list: the first instance leads it while it reaches another in
+// both directions.
+type network struct {
+	nodes [instances]*Registry
+
+	mu        sync.Mutex
+	rng       *rand.Rand
+	links     [instances][instances]*rand.Rand // of each direction, so that the draws of one do not depend on the others
+	blocked   [instances][instances]bool
+	log       []config.Command
+	states    [instances]*config.State
+	endpoints [instances]map[string]linkpass.ServerState
+}
+
+func newNetwork(seed uint64) *network {
+	n := &network{
+		rng: rand.New(rand.NewPCG(seed, 3)),
+		log: []config.Command{{Kind: config.ReplaceSettings, Payload: []byte("{}")}},
+	}
+	for i := range instances {
+		n.addNode(seed, i)
+	}
+	return n
+}
+
+// addNode adds an instance to which discovery has listed all servers.
+func (n *network) addNode(seed uint64, i int) {
+	n.states[i], _ = config.NewState(&searchconfig.Config{}).Apply(n.log[0])
+	n.endpoints[i] = map[string]linkpass.ServerState{}
+	broadcast := map[string]BroadcastFunc{}
+	for j := range instances {
+		n.links[i][j] = rand.New(rand.NewPCG(seed, uint64(10*i+j)))
+		if j != i {
+			broadcast[fmt.Sprint("n", j)] = n.send(i, j)
+		}
+	}
+	n.nodes[i] = New(Config{
+		InstanceID:  fmt.Sprint("n", i),
+		Incarnation: 1,
+		Counters:    metrics.NewCounters(),
+		Broadcast:   broadcast,
+		OnUpdate:    func(update coordinator.EndpointUpdate) { n.setEndpoints(i, update.Endpoints) },
+		ResolveEndpoint: func(string, config.ServerSpec) (coordinator.Endpoint, error) {
+			return coordinator.Endpoint{}, errors.New("no server was added")
+		},
+	})
+	n.nodes[i].Attach(nodeLog{n, i})
+	update := coordinator.EndpointUpdate{Mode: linkpass.ListFull}
+	for s := range servers {
+		entry := linkpass.Entry{State: linkpass.Ready}
+		update.Endpoints = append(update.Endpoints, coordinator.Endpoint{Name: fmt.Sprint("s", s), Entry: entry})
+	}
+	n.nodes[i].UpdateEndpoints(update)
+}
+
+func (n *network) setEndpoints(i int, endpoints []coordinator.Endpoint) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, e := range endpoints {
+		n.endpoints[i][e.Name] = e.State
+	}
+}
+
+// serverState is the state of a server in an instance's list.
+func (n *network) serverState(i int, server string) linkpass.ServerState {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.endpoints[i][server]
+}
+
+// blockLinks blocks links at random, and draws an instance.
+func (n *network) blockLinks() (at int, blocked [instances][instances]bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for i := range instances {
+		for j := range instances {
+			n.blocked[i][j] = i != j && n.rng.Float64() < 0.4
+		}
+	}
+	return n.rng.IntN(instances), n.blocked
+}
+
+func (n *network) unblockLinks() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.blocked = [instances][instances]bool{}
+}
+
+func (n *network) connected(i, j int) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return !n.blocked[i][j]
+}
+
+func (n *network) chance(i, j int, p float64) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.links[i][j].Float64() < p
+}
+
+func (n *network) delay(i, j int) time.Duration {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return time.Duration(n.links[i][j].IntN(80)) * time.Millisecond
+}
+
+// send returns the function by which one instance broadcasts to another.
+func (n *network) send(i, j int) BroadcastFunc {
+	return func(ctx context.Context, requests []restriction.Request) error {
+		if n.chance(i, j, 0.3) {
+			late := n.delay(i, j)
+			go func() { // a copy that overtakes others or is overtaken; the test's bubble waits for it
+				time.Sleep(late)
+				_ = n.nodes[j].ReceiveRestrictions("late", requests)
+			}()
+		}
+		if err := n.deliver(ctx, i, j, requests); err != nil {
+			return err
+		}
+		if !n.connected(j, i) || n.chance(i, j, 0.2) {
+			return errLost // received, but the acknowledgement is lost
+		}
+		return nil
+	}
+}
+
+func (n *network) deliver(ctx context.Context, i, j int, requests []restriction.Request) error {
+	select {
+	case <-time.After(n.delay(i, j)):
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+	if !n.connected(i, j) || n.chance(i, j, 0.3) {
+		return errLost
+	}
+	return n.nodes[j].ReceiveRestrictions(fmt.Sprint("n", i), requests)
+}
+
+// replicate lets the instances that the leader reaches apply the log, and returns the last result at the leader.
+func (n *network) replicate() config.Result {
+	var last config.Result
+	for i := range instances {
+		if i != 0 && !(n.connected(0, i) && n.connected(i, 0)) {
+			continue
+		}
+		if r, applied := n.applyLog(i); applied && i == 0 {
+			last = r
+		}
+		n.nodes[i].LogApplied()
+	}
+	return last
+}
+
+// applyLog applies what an instance lacks of the log, and returns the last result if there was any.
+func (n *network) applyLog(i int) (last config.Result, applied bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for int(n.states[i].Version()) < len(n.log) {
+		n.states[i], last = n.states[i].Apply(n.log[n.states[i].Version()])
+		applied = true
+	}
+	return last, applied
+}
+
+// commit appends a command to the log if the leader reaches a majority.
+func (n *network) commit(c config.Command) error {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for j := 1; j < instances; j++ {
+		if !n.blocked[0][j] && !n.blocked[j][0] {
+			n.log = append(n.log, c)
+			return nil
+		}
+	}
+	return errLost
+}
+
+// nodeLog is the log as an instance sees it.
+type nodeLog struct {
+	n  *network
+	id int
+}
+
+func (l nodeLog) State() *config.State {
+	l.n.mu.Lock()
+	defer l.n.mu.Unlock()
+	return l.n.states[l.id]
+}
+
+func (l nodeLog) IsLeader() bool { return l.id == 0 }
+
+func (l nodeLog) Propose(c config.Command) (config.Result, error) {
+	time.Sleep(l.n.delay(l.id, l.id))
+	if err := l.n.commit(c); err != nil {
+		return config.Result{}, err
+	}
+	return l.n.replicate(), nil
+}
