--- /dev/null
+++ b/internal/searchconfig/parse.go
@@ -0,0 +1,43 @@
+package searchconfig
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+)
+
+// Parse parses a complete document. Unknown keys are rejected.
+func Parse(data []byte) (*Config, error) { return ParseUpdate(data, nil) }
+
+// ParseUpdate parses a complete document that follows an earlier one, and shares the
+// memory of what did not change with it.
+func ParseUpdate(data []byte, earlier *Config) (*Config, error) {
+	c := &Config{}
+	if err := decode(data, c, true); err != nil {
+		return nil, err
+	}
+	if err := c.validateFields(); err != nil {
+		return nil, err
+	}
+	if err := c.loadShardMaps(earlier); err != nil {
+		return nil, err
+	}
+	return c, nil
+}
+
+// decode decodes exactly one JSON value; strict rejects unknown keys.
+func decode(data []byte, into any, strict bool) error {
+	d := json.NewDecoder(bytes.NewReader(data))
+	if strict {
+		d.DisallowUnknownFields()
+	}
+	if err := d.Decode(into); err != nil {
+		return fmt.Errorf("%w: %w", ErrInvalid, err)
+	}
+	if _, err := d.Token(); !errors.Is(err, io.EOF) {
+		return fmt.Errorf("%w: something follows the document", ErrInvalid)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/searchconfig/patch.go
@@ -0,0 +1,83 @@
+package searchconfig
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+)
+
+// Patch returns the document after a merge patch (RFC 7396). Dotted keys at the top
+// level of the patch stand for nested ones. The receiver is not changed.
+func (c *Config) Patch(patch []byte) (*Config, error) {
+	changes := map[string]any{}
+	if err := decode(patch, &changes, false); err != nil {
+		return nil, err
+	}
+	tree, err := c.tree()
+	if err != nil {
+		return nil, err
+	}
+	for _, key := range slices.Sorted(maps.Keys(changes)) {
+		mergePatch(tree, expandDottedKey(key, changes[key]))
+	}
+	data, err := json.Marshal(tree)
+	if err != nil {
+		return nil, fmt.Errorf("searchconfig: encode patched document: %w", err)
+	}
+	next, err := ParseUpdate(data, c)
+	if err != nil {
+		return nil, err
+	}
+	// A shard map changes by validated commands only; a patch would bypass their checks.
+	for name, before := range c.shardMaps {
+		now := next.shardMaps[name]
+		if now != nil && now.Version() != before.Version() {
+			return nil, fmt.Errorf("%w: the layout of index %q changes by POST /_cluster/reroute only", ErrInvalid, name)
+		}
+	}
+	return next, nil
+}
+
+// tree is the document as generic JSON.
+func (c *Config) tree() (map[string]any, error) {
+	data, err := json.Marshal(c)
+	if err != nil {
+		return nil, fmt.Errorf("searchconfig: encode document: %w", err)
+	}
+	tree := map[string]any{}
+	if err := decode(data, &tree, false); err != nil {
+		return nil, err
+	}
+	return tree, nil
+}
+
+// expandDottedKey turns a.b.c and a value into nested objects.
+func expandDottedKey(key string, value any) map[string]any {
+	path := strings.Split(key, ".")
+	for _, element := range slices.Backward(path[1:]) {
+		value = map[string]any{element: value}
+	}
+	return map[string]any{path[0]: value}
+}
+
+// mergePatch applies a merge patch to tree in place.
+func mergePatch(tree, patch map[string]any) {
+	for key, v := range patch {
+		object, nested := v.(map[string]any)
+		switch {
+		case v == nil:
+			delete(tree, key)
+		case nested:
+			inner, ok := tree[key].(map[string]any)
+			if !ok {
+				inner = map[string]any{}
+			}
+			mergePatch(inner, object)
+			tree[key] = inner
+		default:
+			tree[key] = v
+		}
+	}
+}
--- a/internal/searchconfig/wire_golden_test.go
+++ b/internal/searchconfig/wire_golden_test.go
@@ -39,7 +39,7 @@
 	if l := got.ShardMap("movable"); l == nil || !reflect.DeepEqual(l.Document(), *want.Indices["movable"].ShardMap) {
 		t.Errorf("layout %+v", l)
 	}
-	got.layouts = nil
+	got.shardMaps = nil
 	if !reflect.DeepEqual(*got, want) {
 		t.Errorf("got %+v, want %+v", *got, want)
 	}
