--- a/internal/shardmap/layout_test.go
+++ b/internal/shardmap/layout_test.go
@@ -36,16 +36,16 @@
 	case 2:
 		return Command{Request: &PlanRequest{Kind: Move, Shards: []ShardID{pick()}, ReplicaSets: [][]string{set(t)}}}
 	case 3:
-		return Command{Abandon: &Abandon{Plan: PlanID(rapid.IntRange(1, int(l.nextPlan)).Draw(t, "plan")), Reason: "test"}}
+		return Command{Abandon: &Abandon{Plan: PlanID(rapid.IntRange(1, int(l.nextPlanID)).Draw(t, "plan")), Reason: "test"}}
 	}
-	a := Advance{Plan: PlanID(rapid.IntRange(1, int(l.nextPlan)).Draw(t, "plan")), Step: rapid.SampledFrom(order).Draw(t, "step"),
+	a := Advance{Plan: PlanID(rapid.IntRange(1, int(l.nextPlanID)).Draw(t, "plan")), Step: rapid.SampledFrom(planSteps).Draw(t, "step"),
 		Replicas: map[ShardID][]string{}}
 	if rapid.IntRange(0, 3).Draw(t, "open") > 0 && len(l.plans) > 0 {
 		a.Plan = rapid.SampledFrom(l.plans).Draw(t, "of").ID
 	}
 	if p, ok := l.Plan(a.Plan); ok {
-		if i := slices.Index(order, p.Step); rapid.Bool().Draw(t, "next") && i >= 0 {
-			a.Step = order[min(i+1, len(order)-1)]
+		if i := slices.Index(planSteps, p.Step); rapid.Bool().Draw(t, "next") && i >= 0 {
+			a.Step = planSteps[min(i+1, len(planSteps)-1)]
 		}
 		for _, s := range p.To {
 			a.Replicas[s.ID] = s.Replicas[rapid.IntRange(0, 1).Draw(t, "lost")%len(s.Replicas):]
@@ -115,7 +115,7 @@
 			}
 		}
 	})
-	for _, s := range order[1:] {
+	for _, s := range planSteps[1:] {
 		if steps[s] == 0 {
 			t.Errorf("no run came to %s", s)
 		}
@@ -139,7 +139,7 @@
 }
 
 // Two changes ordered at once: the second is refused while the first is open, and the same
-// order on the version that both read is refused whatever it touches.
+// request on the version that both read is refused whatever it touches.
 func TestTwoChangesAtOnce(t *testing.T) {
 	l, _ := NewEven(4, [][]string{{"a"}, {"b"}})
 	one := Command{ExpectedVersion: l.Version(), Request: &PlanRequest{Kind: Split, Shards: []ShardID{FirstDynamicID}, Pieces: 2}}
--- a/internal/shardmap/range.go
+++ b/internal/shardmap/range.go
@@ -1,6 +1,3 @@
-// Package shardmap is the layout of an index as versioned data: which slice owns
-// which range of the key space, who holds it, and the plans that change that.
-// It is pure: state and a command in, a new state out; no I/O, clock or goroutine.
 package shardmap
 
 import (
@@ -13,45 +10,47 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// HashKey is the place of a record in the key space: the 64-bit xxHash of its id.
+// HashKey maps a record to its place in the key space: the 64-bit xxHash of its id.
 func HashKey(id string) uint64 { return xxhash.Sum64String(id) }
 
-// Range is the keys from First to Last, both included.
+// Range is the range of keys from First to Last, both included.
 type Range struct{ First, Last uint64 }
 
 // FullRange is the whole key space.
-var FullRange = Range{0, math.MaxUint64}
+var FullRange = Range{First: 0, Last: math.MaxUint64}
 
-// Valid tells whether a range holds a key.
+// Valid reports whether the range has any key.
 func (r Range) Valid() bool { return r.First <= r.Last }
 
-// Contains tells whether a key lies in the range.
+// Contains reports whether a key lies in the range.
 func (r Range) Contains(key uint64) bool { return r.First <= key && key <= r.Last }
 
-// Covers tells whether all of o lies in r.
+// Covers reports whether all of o lies in r.
 func (r Range) Covers(o Range) bool { return r.First <= o.First && o.Last <= r.Last }
 
-// Intersect is what two ranges share.
+// Intersect returns the keys that two ranges share; false if there are none.
 func (r Range) Intersect(o Range) (Range, bool) {
-	both := Range{max(r.First, o.First), min(r.Last, o.Last)}
+	both := Range{First: max(r.First, o.First), Last: min(r.Last, o.Last)}
 	return both, both.Valid()
 }
 
-// Size is the number of keys, rounded.
+// Size is the number of keys, rounded to a float64.
 func (r Range) Size() float64 { return float64(r.Last-r.First) + 1 }
 
-// Split divides a range into n alike.
+// Split divides the range into n ranges of equal size but for rounding; nil if it has
+// fewer than n keys.
 func (r Range) Split(n int) []Range {
 	if n < 1 || uint64(n)-1 > r.Last-r.First {
 		return nil
 	}
 	step := (r.Last-r.First)/uint64(n) + 1
-	if step == 0 || uint64(n-1) > (r.Last-r.First)/step { // too few keys to go round
+	if step == 0 || uint64(n-1) > (r.Last-r.First)/step { // rounded up, too few keys are left for the last range
 		step = (r.Last - r.First) / uint64(n)
 	}
 	out := make([]Range, n)
 	for i := range out {
-		out[i] = Range{r.First + uint64(i)*step, r.First + uint64(i+1)*step - 1}
+		first := r.First + uint64(i)*step
+		out[i] = Range{First: first, Last: first + step - 1}
 	}
 	out[n-1].Last = r.Last
 	return out
@@ -60,26 +59,29 @@
 // String is the range as two hexadecimal numbers.
 func (r Range) String() string { return fmt.Sprintf("%016x-%016x", r.First, r.Last) }
 
-// ErrInvalidRange marks a text that is no range.
+// ErrInvalidRange marks a text that is not a range.
 var ErrInvalidRange = errors.New("not a range such as 0000000000000000-7fffffffffffffff")
 
-// ParseRange reads what String writes; shorter numbers are taken too.
+// ParseRange parses what String formats; leading zeros may be missing.
 func ParseRange(text string) (Range, error) {
 	first, last, ok := strings.Cut(text, "-")
-	a, err := strconv.ParseUint(first, 16, 64)
-	b, err2 := strconv.ParseUint(last, 16, 64)
-	r := Range{a, b}
-	if !ok || err != nil || err2 != nil || !r.Valid() {
+	var r Range
+	var errFirst, errLast error
+	r.First, errFirst = strconv.ParseUint(first, 16, 64)
+	r.Last, errLast = strconv.ParseUint(last, 16, 64)
+	if !ok || errFirst != nil || errLast != nil || !r.Valid() {
 		return Range{}, fmt.Errorf("%w: %.40q", ErrInvalidRange, text)
 	}
 	return r, nil
 }
 
-// MarshalText writes the range for JSON and TOML, whose numbers are too short.
+// MarshalText implements encoding.TextMarshaler. The range is a text in JSON and TOML, as
+// their numbers do not have 64 bits without a sign.
 func (r Range) MarshalText() ([]byte, error) { return []byte(r.String()), nil }
 
-// UnmarshalText reads it back.
-func (r *Range) UnmarshalText(text []byte) (err error) {
-	*r, err = ParseRange(string(text))
+// UnmarshalText implements encoding.TextUnmarshaler.
+func (r *Range) UnmarshalText(text []byte) error {
+	parsed, err := ParseRange(string(text))
+	*r = parsed
 	return err
 }
--- /dev/null
+++ b/internal/shardmap/shard.go
@@ -0,0 +1,39 @@
+package shardmap
+
+import (
+	"fmt"
+	"slices"
+)
+
+// ShardID identifies a shard. It is never reused, and the key range of a shard never changes.
+type ShardID uint64
+
+// FirstDynamicID is the least id of a shard in a shard map. The ids below are those of
+// indices with fixed shards, whose ids are shard numbers.
+const FirstDynamicID ShardID = 1 << 20
+
+// Shard is a range of keys and the servers that hold a replica of it.
+type Shard struct {
+	ID       ShardID  `json:"id" toml:"id"`
+	Range    Range    `json:"range" toml:"range"`
+	Epoch    uint64   `json:"epoch" toml:"epoch"` // the version at which it began to serve; 0: it does not serve yet
+	Replicas []string `json:"holders" toml:"holders"`
+}
+
+func (s Shard) equal(other Shard) bool {
+	return s.ID == other.ID && s.Range == other.Range && s.Epoch == other.Epoch &&
+		slices.Equal(s.Replicas, other.Replicas)
+}
+
+// validateReplicas checks that the shard has replicas, each on another server.
+func (s Shard) validateReplicas() error {
+	if len(s.Replicas) == 0 {
+		return fmt.Errorf("%w: slice %d, %s", ErrNoReplica, s.ID, s.Range)
+	}
+	distinct := slices.Compact(slices.Sorted(slices.Values(s.Replicas)))
+	if len(s.Replicas) > MaxReplicas || len(distinct) < len(s.Replicas) || distinct[0] == "" {
+		return fmt.Errorf("%w: slice %d has holders %.200q: one twice, one without a name, or more than %d",
+			ErrInvalidRequest, s.ID, s.Replicas, MaxReplicas)
+	}
+	return nil
+}
