--- /dev/null
+++ b/internal/shardmap/resharding/assignment.go
@@ -0,0 +1,82 @@
+package resharding
+
+import (
+	"cmp"
+	"slices"
+
+	"linkpass/internal/shardmap"
+)
+
+// Source is where a server may copy a range of keys from.
+type Source struct {
+	Range   shardmap.Range   `json:"range"`
+	Servers []string         `json:"servers"`
+	Shard   shardmap.ShardID `json:"slice"`
+}
+
+// Task is one shard that a server is to hold a replica of.
+type Task struct {
+	Shard   shardmap.ShardID `json:"slice"`
+	Range   shardmap.Range   `json:"range"`
+	Sources []Source         `json:"sources,omitempty"`
+}
+
+// Assignment is all that a server is to hold of one index. It may drop any other shard.
+type Assignment struct {
+	Index   string `json:"index"`
+	Version uint64 `json:"version"`
+	Tasks   []Task `json:"tasks"`
+}
+
+// Assignments computes the assignments of an index by server: the shards that serve, those
+// that were replaced by a plan which is not retired yet, and those that open plans create.
+func Assignments(index string, m *shardmap.Map) map[string]Assignment {
+	out := map[string]Assignment{}
+	assign := func(s shardmap.Shard, sources func(server string) []Source) {
+		for _, server := range s.Replicas {
+			a := out[server]
+			a.Index, a.Version = index, m.Version()
+			a.Tasks = append(a.Tasks, Task{Shard: s.ID, Range: s.Range, Sources: sources(server)})
+			out[server] = a
+		}
+	}
+	assignExisting := func(shards []shardmap.Shard) {
+		for _, s := range shards {
+			assign(s, func(server string) []Source { return otherReplicas(s, server) })
+		}
+	}
+	assignExisting(m.Shards())
+	for _, p := range m.Plans() {
+		switch p.Step {
+		case shardmap.Copying, shardmap.Replicated:
+			for _, s := range p.To {
+				assign(s, func(string) []Source { return migrationSources(s, p.From) })
+			}
+		case shardmap.Switched:
+			assignExisting(p.From)
+		}
+	}
+	for _, a := range out {
+		slices.SortFunc(a.Tasks, func(x, y Task) int { return cmp.Compare(x.Shard, y.Shard) })
+	}
+	return out
+}
+
+// otherReplicas is the source for a server that lost its replica of an existing shard.
+func otherReplicas(s shardmap.Shard, server string) []Source {
+	others := slices.DeleteFunc(slices.Clone(s.Replicas), func(name string) bool { return name == server })
+	if len(others) == 0 {
+		return nil
+	}
+	return []Source{{Range: s.Range, Servers: others, Shard: s.ID}}
+}
+
+// migrationSources are the old shards of a plan that have keys of a new one.
+func migrationSources(s shardmap.Shard, from []shardmap.Shard) (sources []Source) {
+	for _, old := range from {
+		if common, ok := old.Range.Intersect(s.Range); ok {
+			sources = append(sources, Source{Range: common, Servers: old.Replicas, Shard: old.ID})
+		}
+	}
+	return sources
+}
--- a/internal/shardmap/resharding/reshape_test.go
+++ b/internal/shardmap/resharding/reshape_test.go
@@ -132,8 +132,9 @@
 					t.Fatalf("version %d: nobody has slice %d, %v", w.l.Version(), s.ID, s.Replicas)
 				}
 			}
-			if b, n := w.c.busy(w.input()); n > limits.MaxMigrations || slices.Max(append([]int{0}, values(b)...)) > limits.MaxPerServer {
-				t.Fatalf("%d plans under way, %v", n, b)
+			if load := newMigrationLoad(w.input().Maps); load.total > limits.MaxMigrations ||
+				slices.Max(append([]int{0}, values(load.byServer)...)) > limits.MaxPerServer {
+				t.Fatalf("%d migrations, %v", load.total, load.byServer)
 			}
 		}
 		w.press = false
