--- a/internal/shardmap/coverage/coverage_test.go
+++ b/internal/shardmap/coverage/coverage_test.go
@@ -75,7 +75,7 @@
 		weights := SplitWeight(0.5, append(l.requested.Ranges(), shardmap.Range{First: 7, Last: 7}))
 		for _, w := range weights {
 			size += w
-			if w < 0.5*leastShare/2 {
+			if w < 0.5*minWeightShare/2 {
 				t.Fatalf("%v vanish", weights)
 			}
 		}
