--- a/internal/shardmap/replan/change.go
+++ b/internal/shardmap/replan/change.go
@@ -22,7 +22,8 @@
 		if !ok || !target.Range.Covers(sibling.Range) {
 			continue
 		}
-		switch r := &added.Range; {
+		r := &added.Range
+		switch {
 		case r.Last != math.MaxUint64 && sibling.Range.First == r.Last+1:
 			r.Last = sibling.Range.Last
 		case r.First != 0 && sibling.Range.Last == r.First-1:
