--- a/internal/searchconfig/config_test.go
+++ b/internal/searchconfig/config_test.go
@@ -13,10 +13,10 @@
 	_ "linkpass/internal/seeded"
 )
 
-const valid = `{"search":{"default_search_timeout":"500ms"},"indices":{"players":{"class":"team-lookup","slices":[0,1]}},"servers":{"s-1":{"protocol":"search"}}}`
+const validDocument = `{"search":{"default_search_timeout":"500ms"},"indices":{"players":{"class":"team-lookup","slices":[0,1]}},"servers":{"s-1":{"protocol":"search"}}}`
 
-func TestPatches(t *testing.T) {
-	c, err := Parse([]byte(valid))
+func TestConfigPatch(t *testing.T) {
+	c, err := Parse([]byte(validDocument))
 	if err != nil || c.Timeout() != 500*time.Millisecond || c.Protocol("s-1") != ProtocolSearch || c.Protocol("s-2") != ProtocolPlain ||
 		c.MaxResultWindow() != 10000 || !c.AllowPartial() {
 		t.Fatalf("%+v %v", c, err)
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestTimes(t *testing.T) {
+func TestParseDuration(t *testing.T) {
 	for text, want := range map[string]time.Duration{"": 0, "-1": 0, "3micros": 3 * time.Microsecond, "2s": 2 * time.Second, "1m": time.Minute} {
 		if got, err := ParseDuration(text); err != nil || got != want {
 			t.Errorf("%q: %v %v", text, got, err)
@@ -51,10 +51,10 @@
 	}
 }
 
-func TestCatalogsFromAnything(t *testing.T) {
+func TestParseRejectsTruncatedDocument(t *testing.T) {
 	base := &Config{}
 	rapid.Check(t, func(t *rapid.T) {
-		if _, err := Parse([]byte(valid[:rapid.IntRange(0, len(valid)-1).Draw(t, "at")])); err == nil {
+		if _, err := Parse([]byte(validDocument[:rapid.IntRange(0, len(validDocument)-1).Draw(t, "at")])); err == nil {
 			t.Fatal("took a cut document")
 		}
 		_, _ = base.Patch(rapid.SliceOf(rapid.Byte()).Draw(t, "garbage"))
@@ -64,7 +64,7 @@
 
 // Layouts go along with the document: spread once, shared where they did not change, told as news, and
 // changed by steps only.
-func TestLayoutsOfADocument(t *testing.T) {
+func TestShardMapsOfDocument(t *testing.T) {
 	one, err := Parse([]byte(`{"search":{},"indices":{"a":{"class":"x","spread":{"slices":3,"sets":[["s"]]}},"b":{"class":"x","spread":{"slices":1,"sets":[["t"]]}}}}`))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/searchconfig/wire_golden_test.go
+++ b/internal/searchconfig/wire_golden_test.go
@@ -12,7 +12,7 @@
 	"linkpass/internal/shardmap"
 )
 
-func goldenCatalog(t *testing.T) Config {
+func goldenConfig(t *testing.T) Config {
 	t.Helper()
 	l, err := shardmap.NewEven(2, [][]string{{"s-1", "s-2"}, {"s-3"}})
 	if err != nil {
@@ -29,8 +29,8 @@
 }
 
 // A whole document; an index's spread is only read, never written, as its layout takes its place.
-func TestSettingsDocumentGolden(t *testing.T) {
-	want := goldenCatalog(t)
+func TestConfigDocumentGolden(t *testing.T) {
+	want := goldenConfig(t)
 	goldentest.Encodes(t, "document.json", &want)
 	got, err := Parse(goldentest.Read(t, "document.json"))
 	if err != nil {
@@ -46,14 +46,14 @@
 	goldentest.Encodes(t, "document_empty.json", &Config{Indices: map[string]Index{"i": {}}, Servers: map[string]Server{"s": {}}})
 }
 
-func TestSpreadGolden(t *testing.T) {
+func TestInitialShardingGolden(t *testing.T) {
 	want := Index{Class: "team-lookup", Shards: []int{3}, InitialSharding: &InitialSharding{Shards: 4, ReplicaSets: [][]string{{"s-1"}, {"s-2", "s-3"}}}}
 	goldentest.Encodes(t, "index_spread.json", want)
 	goldentest.Decodes(t, "index_spread.json", want)
 }
 
-func TestSettingsTOMLGolden(t *testing.T) {
-	want := goldenCatalog(t)
+func TestConfigTOMLGolden(t *testing.T) {
+	want := goldenConfig(t)
 	want.Revision = 0 // counted by the store alone
 	want.Indices["spread"] = Index{Class: "team-lookup", InitialSharding: &InitialSharding{Shards: 4, ReplicaSets: [][]string{{"s-1"}, {"s-2", "s-3"}}}}
 	var b bytes.Buffer
@@ -71,7 +71,7 @@
 }
 
 // Merge patches by the files patch_N.json on the golden document give patched_N.json; what a patch does not name stays.
-func TestSettingsMergePatchGolden(t *testing.T) {
+func TestConfigMergePatchGolden(t *testing.T) {
 	for _, name := range []string{"nested.json", "dotted.json", "removed.json", "spread.json"} {
 		t.Run(name, func(t *testing.T) {
 			before, err := Parse(goldentest.Read(t, "document.json"))
--- a/internal/shardmap/map_test.go
+++ b/internal/shardmap/map_test.go
@@ -12,12 +12,12 @@
 	_ "linkpass/internal/seeded"
 )
 
-func set(t *rapid.T) []string {
+func drawReplicaSet(t *rapid.T) []string {
 	return rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}), 1, 3, rapid.ID[string]).Draw(t, "set")
 }
 
 // draw makes any command: sensible ones, repeated ones and nonsense.
-func draw(t *rapid.T, l *Map) Command {
+func drawCommand(t *rapid.T, l *Map) Command {
 	pick := func() ShardID {
 		all := l.Shards()
 		return rapid.SampledFrom(all).Draw(t, "slice").ID + ShardID(rapid.SampledFrom([]int{0, 0, 0, 0, 1}).Draw(t, "off"))
@@ -32,9 +32,9 @@
 		for _, s := range all[i:min(len(all), i+rapid.IntRange(1, 3).Draw(t, "n"))] {
 			ids = append(ids, s.ID)
 		}
-		return Command{Request: &PlanRequest{Kind: Merge, Shards: ids, ReplicaSets: [][]string{set(t)}}}
+		return Command{Request: &PlanRequest{Kind: Merge, Shards: ids, ReplicaSets: [][]string{drawReplicaSet(t)}}}
 	case 2:
-		return Command{Request: &PlanRequest{Kind: Move, Shards: []ShardID{pick()}, ReplicaSets: [][]string{set(t)}}}
+		return Command{Request: &PlanRequest{Kind: Move, Shards: []ShardID{pick()}, ReplicaSets: [][]string{drawReplicaSet(t)}}}
 	case 3:
 		return Command{Abandon: &Abandon{Plan: PlanID(rapid.IntRange(1, int(l.nextPlanID)).Draw(t, "plan")), Reason: "test"}}
 	}
@@ -59,7 +59,7 @@
 
 // Any sequence of commands keeps every invariant; versions grow; old ones stay as they
 // were; repeating a command that holds changes nothing; what is written down reads back.
-func TestAnySequenceKeepsTheInvariants(t *testing.T) {
+func TestApplyKeepsInvariants(t *testing.T) {
 	steps := map[PlanStep]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		l, err := NewEven(rapid.IntRange(1, 6).Draw(t, "n"), [][]string{{"a", "b"}, {"c"}})
@@ -74,7 +74,7 @@
 		used := map[ShardID]Range{}
 		text := func(l *Map) string { b, _ := json.Marshal(l.Document()); return string(b) }
 		for range rapid.IntRange(5, 40).Draw(t, "commands") {
-			c := draw(t, l)
+			c := drawCommand(t, l)
 			next, err := l.Apply(c)
 			if err != nil {
 				continue
@@ -109,7 +109,7 @@
 		if err := json.Unmarshal([]byte(text(l)), &d); err != nil {
 			t.Fatal(err)
 		}
-		for _, from := range []*Map{nil, old0(old, l, func(k kept) *Map { return k.l })} {
+		for _, from := range []*Map{nil, firstOr(old, l, func(k kept) *Map { return k.l })} {
 			if back, err := d.Map(from); err != nil || text(back) != text(l) {
 				t.Fatalf("read back: %v", err)
 			}
@@ -122,14 +122,14 @@
 	}
 }
 
-func old0[K any](old []K, otherwise *Map, of func(K) *Map) *Map {
+func firstOr[K any](old []K, otherwise *Map, of func(K) *Map) *Map {
 	if len(old) == 0 {
 		return otherwise
 	}
 	return of(old[0])
 }
 
-func must(t *testing.T, l *Map, c Command) *Map {
+func mustApply(t *testing.T, l *Map, c Command) *Map {
 	t.Helper()
 	next, err := l.Apply(c)
 	if err != nil {
@@ -140,10 +140,10 @@
 
 // Two changes ordered at once: the second is refused while the first is open, and the same
 // request on the version that both read is refused whatever it touches.
-func TestTwoChangesAtOnce(t *testing.T) {
+func TestApplyRejectsConcurrentPlans(t *testing.T) {
 	l, _ := NewEven(4, [][]string{{"a"}, {"b"}})
 	one := Command{ExpectedVersion: l.Version(), Request: &PlanRequest{Kind: Split, Shards: []ShardID{FirstDynamicID}, Pieces: 2}}
-	next := must(t, l, one)
+	next := mustApply(t, l, one)
 	if _, err := next.Apply(one); !errors.Is(err, ErrVersionConflict) {
 		t.Errorf("the same version twice: %v", err)
 	}
@@ -151,7 +151,7 @@
 	if _, err := next.Apply(two); !errors.Is(err, ErrPlanOverlap) {
 		t.Errorf("overlapping plans: %v", err)
 	}
-	ended := must(t, next, Command{Abandon: &Abandon{Plan: 1}})
+	ended := mustApply(t, next, Command{Abandon: &Abandon{Plan: 1}})
 	if _, err := ended.Apply(two); err != nil {
 		t.Errorf("after the first was abandoned: %v", err)
 	}
@@ -161,16 +161,16 @@
 }
 
 // A holder that dies between copy and switch is left out; with no other the switch is refused.
-func TestNoRangeWithoutAHolder(t *testing.T) {
+func TestSwitchNeedsCompleteReplica(t *testing.T) {
 	l, _ := NewEven(2, [][]string{{"a"}})
-	l = must(t, l, Command{Request: &PlanRequest{Kind: Move, Shards: []ShardID{FirstDynamicID}, ReplicaSets: [][]string{{"b", "c"}}}})
-	l = must(t, l, Command{Advance: &Advance{Plan: 1, Step: Copying}})
+	l = mustApply(t, l, Command{Request: &PlanRequest{Kind: Move, Shards: []ShardID{FirstDynamicID}, ReplicaSets: [][]string{{"b", "c"}}}})
+	l = mustApply(t, l, Command{Advance: &Advance{Plan: 1, Step: Copying}})
 	to := l.Plans()[0].To[0].ID
-	l = must(t, l, Command{Advance: &Advance{Plan: 1, Step: Replicated, Replicas: map[ShardID][]string{to: {"b", "c"}}}})
+	l = mustApply(t, l, Command{Advance: &Advance{Plan: 1, Step: Replicated, Replicas: map[ShardID][]string{to: {"b", "c"}}}})
 	if _, err := l.Apply(Command{Advance: &Advance{Plan: 1, Step: Switched, Replicas: map[ShardID][]string{to: {"x"}}}}); !errors.Is(err, ErrNoReplica) {
 		t.Errorf("switched to nobody: %v", err)
 	}
-	after := must(t, l, Command{Advance: &Advance{Plan: 1, Step: Switched, Replicas: map[ShardID][]string{to: {"c"}}}})
+	after := mustApply(t, l, Command{Advance: &Advance{Plan: 1, Step: Switched, Replicas: map[ShardID][]string{to: {"c"}}}})
 	if s, ok := after.Find(1); !ok || s.ID != to || !slices.Equal(s.Replicas, []string{"c"}) || s.Epoch != after.Version() {
 		t.Errorf("serves %+v", s)
 	}
@@ -180,7 +180,7 @@
 	if _, err := after.Apply(Command{Abandon: &Abandon{Plan: 1}}); !errors.Is(err, ErrInvalidTransition) {
 		t.Errorf("abandoned after the switch: %v", err)
 	}
-	done := must(t, after, Command{Advance: &Advance{Plan: 1, Step: Retired}})
+	done := mustApply(t, after, Command{Advance: &Advance{Plan: 1, Step: Retired}})
 	if _, ok := done.Resolve(FirstDynamicID); ok {
 		t.Error("held after the plan was retired")
 	}
@@ -206,7 +206,7 @@
 }
 
 // A step's cost grows with the depth of the tree, not with the slices: versions share the rest.
-func BenchmarkStep(b *testing.B) {
+func BenchmarkApply(b *testing.B) {
 	for _, n := range []int{10, 1000, 100_000} {
 		l, err := NewEven(n, [][]string{{"a", "b"}, {"c", "d"}})
 		if err != nil {
--- a/internal/shardmap/replan/replan_test.go
+++ b/internal/shardmap/replan/replan_test.go
@@ -13,7 +13,7 @@
 )
 
 // reshape carries one change through to its switch.
-func reshape(t *rapid.T, l *shardmap.Map) *shardmap.Map {
+func drawSwitchedPlan(t *rapid.T, l *shardmap.Map) *shardmap.Map {
 	all := l.Shards()
 	i := rapid.IntRange(0, len(all)-1).Draw(t, "slice")
 	o := shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{all[i].ID}, Pieces: rapid.IntRange(2, 3).Draw(t, "into")}
@@ -46,7 +46,7 @@
 // Whatever changes and whichever part is told so, the parts ask for every wanted key exactly
 // once at all times, each of one slice, in bounded rounds, and never in more parts than slices
 // that serve what was replaced.
-func TestReplanningKeepsEveryKeyOnceAndEnds(t *testing.T) {
+func TestReplanRequestsEveryKeyOnce(t *testing.T) {
 	joined := 0
 	rapid.Check(t, func(t *rapid.T) {
 		l, err := shardmap.NewEven(rapid.IntRange(1, 6).Draw(t, "n"), [][]string{{"a"}, {"b"}})
@@ -58,7 +58,7 @@
 		parts := Plan(l, []shardmap.Range{whole})
 		rounds := 0
 		for range rapid.IntRange(1, 8).Draw(t, "changes") {
-			l = reshape(t, l)
+			l = drawSwitchedPlan(t, l)
 			for told := true; told; {
 				told = false
 				for i, p := range parts {
@@ -78,11 +78,11 @@
 						t.Fatalf("%d parts for %d slices", len(c.Add), serving)
 					}
 					joined += len(c.Drop) - 1
-					parts, told = apply(parts, c), true
+					parts, told = applyChange(parts, c), true
 					rounds++
 					break
 				}
-				check(t, parts, whole)
+				checkKeysRequestedOnce(t, parts, whole)
 			}
 			for i := range parts {
 				if parts[i].State == Pending {
@@ -99,7 +99,7 @@
 	}
 }
 
-func apply(parts []Part, c Change) (out []Part) {
+func applyChange(parts []Part, c Change) (out []Part) {
 	for i, p := range parts {
 		keep := true
 		for _, d := range c.Drop {
@@ -112,7 +112,7 @@
 	return append(out, c.Add...)
 }
 
-func check(t *rapid.T, parts []Part, whole shardmap.Range) {
+func checkKeysRequestedOnce(t *rapid.T, parts []Part, whole shardmap.Range) {
 	ledger := coverage.NewTracker(whole)
 	for _, p := range parts {
 		if !ledger.Record(p.Range) {
@@ -124,7 +124,7 @@
 	}
 }
 
-func TestRefusals(t *testing.T) {
+func TestReplanReasons(t *testing.T) {
 	l, _ := shardmap.NewEven(2, [][]string{{"a"}})
 	gone := []Part{{Shard: 1, Range: shardmap.FullRange}}
 	for want, got := range map[Reason]func() (Change, Reason){
--- a/internal/shardmap/resharding/controller_test.go
+++ b/internal/shardmap/resharding/controller_test.go
@@ -16,7 +16,7 @@
 
 // world is a fleet that does its duty at some pace; it holds what it is told, copies from
 // those that have it, and forgets all when it dies.
-type world struct {
+type fleet struct {
 	l     *shardmap.Map
 	c     *Controller
 	now   time.Duration
@@ -26,12 +26,12 @@
 	press bool
 }
 
-func newWorld(n int) *world {
+func newFleet(n int) *fleet {
 	l, err := shardmap.NewEven(n, [][]string{{"a", "b"}, {"c", "d"}})
 	if err != nil {
 		panic(err)
 	}
-	w := &world{l: l, c: New(limits), has: map[string]map[shardmap.ShardID]int{}, sound: map[string]bool{}, retry: map[shardmap.PlanStep]bool{}}
+	w := &fleet{l: l, c: New(limits), has: map[string]map[shardmap.ShardID]int{}, sound: map[string]bool{}, retry: map[shardmap.PlanStep]bool{}}
 	for _, name := range []string{"a", "b", "c", "d", "e", "f"} {
 		w.has[name], w.sound[name] = map[shardmap.ShardID]int{}, true
 	}
@@ -43,7 +43,7 @@
 	return w
 }
 
-func (w *world) input() Input {
+func (w *fleet) input() Input {
 	in := Input{Now: w.now, Maps: map[string]*shardmap.Map{"i": w.l}, Healthy: w.sound, Overloaded: w.press, Reports: map[string]map[string]Report{}}
 	for name, has := range w.has {
 		if !w.sound[name] {
@@ -59,7 +59,7 @@
 }
 
 // second lets a second pass: servers do their duty, the controller decides.
-func (w *world) second(t interface{ Fatalf(string, ...any) }) {
+func (w *fleet) second(t interface{ Fatalf(string, ...any) }) {
 	w.now += time.Second
 	duties := Assignments("i", w.l)
 	for name, has := range w.has {
@@ -92,10 +92,10 @@
 
 // Every plan ends, whatever dies and however often the controller is replaced, and as long as
 // one sound server of each range lives no range is left without one that has the data.
-func TestEveryPlanEndsAndNoRangeIsLost(t *testing.T) {
+func TestControllerEndsEveryPlanWithoutLosingRange(t *testing.T) {
 	ends := map[shardmap.PlanStep]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(4)
+		w := newFleet(4)
 		orders := 0
 		for range 120 {
 			all := w.l.Shards()
@@ -115,7 +115,7 @@
 				w.press = !w.press
 			case 5: // one of e and f, which are sources of nothing that others have not, dies or comes back empty
 				name := rapid.SampledFrom([]string{"e", "f"}).Draw(t, "name")
-				if w.sound[name] && !needed(w, name) {
+				if w.sound[name] && !isLastReplica(w, name) {
 					w.sound[name], w.has[name] = false, map[shardmap.ShardID]int{}
 				} else {
 					w.sound[name] = true
@@ -133,7 +133,7 @@
 				}
 			}
 			if load := newMigrationLoad(w.input().Maps); load.total > limits.MaxMigrations ||
-				slices.Max(append([]int{0}, values(load.byServer)...)) > limits.MaxPerServer {
+				slices.Max(append([]int{0}, mapValues(load.byServer)...)) > limits.MaxPerServer {
 				t.Fatalf("%d migrations, %v", load.total, load.byServer)
 			}
 		}
@@ -154,7 +154,7 @@
 }
 
 // needed tells whether a server is the last that has a serving slice.
-func needed(w *world, name string) bool {
+func isLastReplica(w *fleet, name string) bool {
 	for _, s := range w.l.Shards() {
 		if slices.Contains(s.Replicas, name) && !slices.ContainsFunc(s.Replicas, func(n string) bool {
 			return n != name && w.sound[n] && w.has[n][s.ID] >= 3
@@ -165,7 +165,7 @@
 	return false
 }
 
-func values(m map[string]int) (out []int) {
+func mapValues(m map[string]int) (out []int) {
 	for _, n := range m {
 		out = append(out, n)
 	}
@@ -173,8 +173,8 @@
 }
 
 // The controller is killed after each step of a plan in turn; another finishes it.
-func TestAControllerKilledAfterEachStep(t *testing.T) {
-	w := newWorld(2)
+func TestControllerReplacedAfterEachStep(t *testing.T) {
+	w := newFleet(2)
 	next, err := w.l.Apply(shardmap.Command{Request: &shardmap.PlanRequest{Kind: shardmap.Move, Shards: []shardmap.ShardID{shardmap.FirstDynamicID}, ReplicaSets: [][]string{{"e", "f"}}}})
 	if err != nil {
 		t.Fatal(err)
@@ -199,9 +199,9 @@
 
 // A holder that dies, or is told to drain, between copy and switch is left out of the new
 // slice; without any other the plan is abandoned and the old holders go on.
-func TestADrainInTheMiddleOfAMove(t *testing.T) {
+func TestControllerReplicaLostDuringMove(t *testing.T) {
 	for _, both := range []bool{false, true} {
-		w := newWorld(2)
+		w := newFleet(2)
 		w.l, _ = w.l.Apply(shardmap.Command{Request: &shardmap.PlanRequest{Kind: shardmap.Move, Shards: []shardmap.ShardID{shardmap.FirstDynamicID}, ReplicaSets: [][]string{{"e", "f"}}}})
 		for p, _ := w.l.Plan(1); p.Step != shardmap.Replicated; p, _ = w.l.Plan(1) {
 			w.second(t)
@@ -221,7 +221,7 @@
 	}
 }
 
-func TestPressureHoldsForAWhile(t *testing.T) {
+func TestOverloadDetectorRecoveryPeriod(t *testing.T) {
 	p := OverloadDetector{RejectionRatio: 0.05, RecoveryPeriod: 5 * time.Second, MinSamples: 10}
 	for i, look := range []struct {
 		ended, refused int64
--- a/internal/shardmap/resharding/wire_golden_test.go
+++ b/internal/shardmap/resharding/wire_golden_test.go
@@ -7,19 +7,19 @@
 	"linkpass/internal/shardmap"
 )
 
-func TestDutyGolden(t *testing.T) {
+func TestAssignmentGolden(t *testing.T) {
 	goldentest.JSON(t, "duty.json", Assignment{Index: "players", Version: 3, Tasks: []Task{{Shard: shardmap.FirstDynamicID + 4, Range: shardmap.Range{First: 1, Last: 0xff},
 		Sources: []Source{{Range: shardmap.Range{First: 2, Last: 0x7f}, Servers: []string{"s-1", "s-2"}, Shard: shardmap.FirstDynamicID}}}}})
 	goldentest.Encodes(t, "duty_empty.json", Assignment{Index: "players", Tasks: []Task{{}}})
 }
 
-func TestHoldingGolden(t *testing.T) {
+func TestShardStatusGolden(t *testing.T) {
 	goldentest.JSON(t, "holding.json", ShardStatus{Shard: shardmap.FirstDynamicID, Complete: true, Records: 12345678901})
 	goldentest.Encodes(t, "holding_empty.json", ShardStatus{})
 }
 
 // The duties of a layout in the middle of a move, as a server is told them.
-func TestDutiesOfPlanGolden(t *testing.T) {
+func TestAssignmentsDuringSplitGolden(t *testing.T) {
 	l, err := shardmap.NewEven(2, [][]string{{"s-1"}, {"s-2"}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/shardmap/wire_golden_test.go
+++ b/internal/shardmap/wire_golden_test.go
@@ -13,7 +13,7 @@
 )
 
 // planned is a layout that has an open plan of each kind and one that was abandoned.
-func planned(t *testing.T) *shardmap.Map {
+func mapWithPlans(t *testing.T) *shardmap.Map {
 	t.Helper()
 	l, err := shardmap.NewEven(4, [][]string{{"s-1", "s-2"}, {"s-3", "s-4"}})
 	if err != nil {
@@ -38,8 +38,8 @@
 	return l
 }
 
-func TestLayoutDocumentGolden(t *testing.T) {
-	want := planned(t)
+func TestDocumentGolden(t *testing.T) {
+	want := mapWithPlans(t)
 	goldentest.Encodes(t, "layout.json", want.Document())
 	goldentest.Decodes(t, "layout.json", want.Document())
 	t.Run("TOML", func(t *testing.T) {
@@ -62,14 +62,14 @@
 	})
 }
 
-func TestPlanOrderGolden(t *testing.T) {
+func TestPlanRequestGolden(t *testing.T) {
 	goldentest.JSON(t, "order.json", shardmap.PlanRequest{Kind: shardmap.Merge, Shards: []shardmap.ShardID{shardmap.FirstDynamicID, shardmap.FirstDynamicID + 1},
 		Pieces: 3, ReplicaSets: [][]string{{"s-1", "s-2"}, {"s-3"}}})
 }
 
 // A layout's commands are replicated in CBOR under the names of their Go fields: of Command, Advance and Abandon, which have
 // no tags, and of Order by its JSON tags.
-func TestLayoutCommandsGolden(t *testing.T) {
+func TestCommandsGolden(t *testing.T) {
 	for file, c := range map[string]shardmap.Command{
 		"command_order.cbor": {ExpectedVersion: 5, Request: &shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{shardmap.FirstDynamicID}, Pieces: 2, ReplicaSets: [][]string{{"s-1"}, {"s-2"}}}},
 		"command_advance.cbor": {ExpectedVersion: 6, Advance: &shardmap.Advance{Plan: 7, Step: shardmap.Replicated,
@@ -92,7 +92,7 @@
 }
 
 // The words of kinds and steps, as documents, commands and _cat/shards carry them.
-func TestKindAndStepWords(t *testing.T) {
+func TestKindAndStepValues(t *testing.T) {
 	got := []string{string(shardmap.Split), string(shardmap.Merge), string(shardmap.Move), string(shardmap.Planned), string(shardmap.Copying),
 		string(shardmap.Replicated), string(shardmap.Switched), string(shardmap.Retired), string(shardmap.Abandoned)}
 	want := []string{"split", "merge", "move", "planned", "copying", "both_hold", "switched", "retired", "abandoned"}
