--- a/internal/shardmap/coverage/tracker_test.go
+++ b/internal/shardmap/coverage/tracker_test.go
@@ -9,81 +9,116 @@
 	"linkpass/internal/shardmap"
 )
 
-// place maps a small model's key onto the ends and the middle of the key space, so that its
-// first and last keys are met.
+// modelKeys is the number of keys of the model.
+const modelKeys = 24
+
+// keyRange maps a key of the model to a range of real keys. The model spans the whole key
+// space, so that the first and the last key are tested.
 func keyRange(i int) shardmap.Range {
-	const n = 24
-	return shardmap.FullRange.Split(n)[i]
+	return shardmap.FullRange.Split(modelKeys)[i]
+}
+
+func rangeOver(from, to int) shardmap.Range {
+	return shardmap.Range{First: keyRange(from).First, Last: keyRange(to).Last}
 }
 
 func drawSpan(t *rapid.T) (from, to int) {
-	from = rapid.IntRange(0, 23).Draw(t, "from")
-	return from, min(23, from+rapid.IntRange(0, 8).Draw(t, "n"))
+	from = rapid.IntRange(0, modelKeys-1).Draw(t, "from")
+	return from, min(modelKeys-1, from+rapid.IntRange(0, 8).Draw(t, "n"))
 }
 
-func rangeOver(from, to int) shardmap.Range {
-	return shardmap.Range{First: keyRange(from).First, Last: keyRange(to).Last}
+// model tracks each key by itself.
+type model struct {
+	requested, answered [modelKeys]bool
+}
+
+// record reports whether the keys from one to another are all missing, and if so records them.
+func (m *model) record(from, to int) bool {
+	for i := from; i <= to; i++ {
+		if !m.requested[i] || m.answered[i] {
+			return false
+		}
+	}
+	for i := from; i <= to; i++ {
+		m.answered[i] = true
+	}
+	return true
 }
 
-// The ledger agrees with a model that counts each key by itself.
 func TestTrackerMatchesModel(t *testing.T) {
-	wholes := 0
+	complete := 0
 	rapid.Check(t, func(t *rapid.T) {
-		var wanted, in [24]bool
-		var ranges []shardmap.Range
-		for range rapid.IntRange(1, 3).Draw(t, "wanted") {
+		var m model
+		var requested []shardmap.Range
+		for range rapid.IntRange(1, 3).Draw(t, "requested") {
 			from, to := drawSpan(t)
-			ranges = append(ranges, rangeOver(from, to))
+			requested = append(requested, rangeOver(from, to))
 			for i := from; i <= to; i++ {
-				wanted[i] = true
+				m.requested[i] = true
 			}
 		}
-		l := NewTracker(ranges...)
+		tracker := NewTracker(requested...)
 		for range rapid.IntRange(0, 12).Draw(t, "answers") {
-			from, to := drawSpan(t)
-			if holes := l.Missing(); len(holes) > 0 && rapid.Bool().Draw(t, "fill") {
-				for from = 0; keyRange(from).First != holes[0].First; from++ {
-				}
-				for to = from; keyRange(to).Last != holes[0].Last; to++ {
-				}
-			}
-			fits := true
-			for i := from; i <= to; i++ {
-				fits = fits && wanted[i] && !in[i]
-			}
-			if got := l.Record(rangeOver(from, to)); got != fits {
-				t.Fatalf("booked %d to %d: %v, want %v", from, to, got, fits)
-			}
-			for i := from; i <= to && fits; i++ {
-				in[i] = true
-			}
-		}
-		missing := NewRangeSet(l.Missing()...)
-		for i := range wanted {
-			hole := wanted[i] && !in[i]
-			if got := NewRangeSet(keyRange(i)).Subtract(missing).Empty(); got != hole {
-				t.Fatalf("key %d missing: %v, want %v", i, got, hole)
+			from, to := drawAnswer(t, tracker)
+			want := m.record(from, to)
+			if got := tracker.Record(rangeOver(from, to)); got != want {
+				t.Fatalf("recorded %d to %d: %v, want %v", from, to, got, want)
 			}
 		}
-		if l.Complete() != (wanted == in) {
-			t.Fatalf("whole: %v, wanted %v, in %v", l.Complete(), wanted, in)
-		}
-		if l.Complete() {
-			wholes++
+		checkMatches(t, tracker, &m)
+		if tracker.Complete() {
+			complete++
 		}
-		size := 0.0
-		weights := SplitWeight(0.5, append(l.requested.Ranges(), shardmap.Range{First: 7, Last: 7}))
-		for _, w := range weights {
-			size += w
-			if w < 0.5*minWeightShare/2 {
-				t.Fatalf("%v vanish", weights)
-			}
+		checkWeights(t, append(tracker.requested.Ranges(), shardmap.Range{First: 7, Last: 7}))
+	})
+	if complete == 0 {
+		t.Error("no run was complete")
+	}
+}
+
+// drawAnswer draws any span, or the first that is missing.
+func drawAnswer(t *rapid.T, tracker *Tracker) (from, to int) {
+	from, to = drawSpan(t)
+	missing := tracker.Missing()
+	if len(missing) == 0 || !rapid.Bool().Draw(t, "fill") {
+		return from, to
+	}
+	from = 0
+	for keyRange(from).First != missing[0].First {
+		from++
+	}
+	to = from
+	for keyRange(to).Last != missing[0].Last {
+		to++
+	}
+	return from, to
+}
+
+func checkMatches(t *rapid.T, tracker *Tracker, m *model) {
+	missing := NewRangeSet(tracker.Missing()...)
+	for i := range m.requested {
+		want := m.requested[i] && !m.answered[i]
+		if got := NewRangeSet(keyRange(i)).Subtract(missing).Empty(); got != want {
+			t.Fatalf("key %d missing: %v, want %v", i, got, want)
 		}
-		if size < 0.499999 || size > 0.500001 {
-			t.Fatalf("weights add up to %g", size)
+	}
+	if want := m.requested == m.answered; tracker.Complete() != want {
+		t.Fatalf("complete: %v, requested %v, answered %v", tracker.Complete(), m.requested, m.answered)
+	}
+}
+
+// checkWeights checks that weights add up and that none is lost to rounding.
+func checkWeights(t *rapid.T, ranges []shardmap.Range) {
+	const total = 0.5
+	sum := 0.0
+	weights := SplitWeight(total, ranges)
+	for _, w := range weights {
+		sum += w
+		if w < total*minWeightShare/2 {
+			t.Fatalf("a weight of %v is too small", weights)
 		}
-	})
-	if wholes == 0 {
-		t.Error("no run was whole")
+	}
+	if sum < 0.499999 || sum > 0.500001 {
+		t.Fatalf("weights add up to %g", sum)
 	}
 }
--- a/internal/shardmap/map_test.go
+++ b/internal/shardmap/map_test.go
@@ -13,182 +13,240 @@
 )
 
 func drawReplicaSet(t *rapid.T) []string {
-	return rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}), 1, 3, rapid.ID[string]).Draw(t, "set")
+	servers := rapid.SampledFrom([]string{"a", "b", "c", "d", "e"})
+	return rapid.SliceOfNDistinct(servers, 1, 3, rapid.ID[string]).Draw(t, "set")
 }
 
-// draw makes any command: sensible ones, repeated ones and nonsense.
-func drawCommand(t *rapid.T, l *Map) Command {
-	pick := func() ShardID {
-		all := l.Shards()
-		return rapid.SampledFrom(all).Draw(t, "slice").ID + ShardID(rapid.SampledFrom([]int{0, 0, 0, 0, 1}).Draw(t, "off"))
-	}
+// drawCommand draws any command: valid ones, repeated ones and invalid ones.
+func drawCommand(t *rapid.T, m *Map) Command {
 	switch rapid.IntRange(0, 9).Draw(t, "command") {
 	case 0:
-		return Command{Request: &PlanRequest{Kind: Split, Shards: []ShardID{pick()}, Pieces: rapid.IntRange(1, 4).Draw(t, "into")}}
+		pieces := rapid.IntRange(1, 4).Draw(t, "into")
+		return Command{Request: &PlanRequest{Kind: Split, Shards: drawShardID(t, m), Pieces: pieces}}
 	case 1:
-		all := l.Shards()
-		i := rapid.IntRange(0, len(all)-1).Draw(t, "i")
+		shards := m.Shards()
+		first := rapid.IntRange(0, len(shards)-1).Draw(t, "i")
+		end := min(len(shards), first+rapid.IntRange(1, 3).Draw(t, "n"))
 		var ids []ShardID
-		for _, s := range all[i:min(len(all), i+rapid.IntRange(1, 3).Draw(t, "n"))] {
+		for _, s := range shards[first:end] {
 			ids = append(ids, s.ID)
 		}
 		return Command{Request: &PlanRequest{Kind: Merge, Shards: ids, ReplicaSets: [][]string{drawReplicaSet(t)}}}
 	case 2:
-		return Command{Request: &PlanRequest{Kind: Move, Shards: []ShardID{pick()}, ReplicaSets: [][]string{drawReplicaSet(t)}}}
+		ids := drawShardID(t, m)
+		return Command{Request: &PlanRequest{Kind: Move, Shards: ids, ReplicaSets: [][]string{drawReplicaSet(t)}}}
 	case 3:
-		return Command{Abandon: &Abandon{Plan: PlanID(rapid.IntRange(1, int(l.nextPlanID)).Draw(t, "plan")), Reason: "test"}}
+		id := PlanID(rapid.IntRange(1, int(m.nextPlanID)).Draw(t, "plan"))
+		return Command{Abandon: &Abandon{Plan: id, Reason: "test"}}
 	}
-	a := Advance{Plan: PlanID(rapid.IntRange(1, int(l.nextPlanID)).Draw(t, "plan")), Step: rapid.SampledFrom(planSteps).Draw(t, "step"),
-		Replicas: map[ShardID][]string{}}
-	if rapid.IntRange(0, 3).Draw(t, "open") > 0 && len(l.plans) > 0 {
-		a.Plan = rapid.SampledFrom(l.plans).Draw(t, "of").ID
+	return Command{Advance: drawAdvance(t, m)}
+}
+
+// drawShardID draws the id of one serving shard, or rarely the id after it.
+func drawShardID(t *rapid.T, m *Map) []ShardID {
+	s := rapid.SampledFrom(m.Shards()).Draw(t, "shard")
+	offset := rapid.SampledFrom([]int{0, 0, 0, 0, 1}).Draw(t, "off")
+	return []ShardID{s.ID + ShardID(offset)}
+}
+
+// drawAdvance draws any step of any plan, often the next one of an open plan. Some
+// replicas are missing.
+func drawAdvance(t *rapid.T, m *Map) *Advance {
+	a := &Advance{
+		Plan:     PlanID(rapid.IntRange(1, int(m.nextPlanID)).Draw(t, "plan")),
+		Step:     rapid.SampledFrom(planSteps).Draw(t, "step"),
+		Replicas: map[ShardID][]string{},
 	}
-	if p, ok := l.Plan(a.Plan); ok {
-		if i := slices.Index(planSteps, p.Step); rapid.Bool().Draw(t, "next") && i >= 0 {
-			a.Step = planSteps[min(i+1, len(planSteps)-1)]
-		}
-		for _, s := range p.To {
-			a.Replicas[s.ID] = s.Replicas[rapid.IntRange(0, 1).Draw(t, "lost")%len(s.Replicas):]
-			if rapid.IntRange(0, 9).Draw(t, "none") == 0 {
-				delete(a.Replicas, s.ID)
-			}
+	if rapid.IntRange(0, 3).Draw(t, "open") > 0 && len(m.plans) > 0 {
+		a.Plan = rapid.SampledFrom(m.plans).Draw(t, "of").ID
+	}
+	p, ok := m.Plan(a.Plan)
+	if !ok {
+		return a
+	}
+	if i := slices.Index(planSteps, p.Step); rapid.Bool().Draw(t, "next") && i >= 0 {
+		a.Step = planSteps[min(i+1, len(planSteps)-1)]
+	}
+	for _, s := range p.To {
+		lost := rapid.IntRange(0, 1).Draw(t, "lost") % len(s.Replicas)
+		a.Replicas[s.ID] = s.Replicas[lost:]
+		if rapid.IntRange(0, 9).Draw(t, "none") == 0 {
+			delete(a.Replicas, s.ID)
 		}
 	}
-	return Command{Advance: &a}
+	return a
+}
+
+// documentText is the JSON form of a version, to compare versions by.
+func documentText(m *Map) string {
+	data, err := json.Marshal(m.Document())
+	if err != nil {
+		panic(err)
+	}
+	return string(data)
 }
 
-// Any sequence of commands keeps every invariant; versions grow; old ones stay as they
-// were; repeating a command that holds changes nothing; what is written down reads back.
+// snapshot is a version and its JSON form at the time it was current.
+type snapshot struct {
+	m    *Map
+	text string
+}
+
+// Any sequence of commands keeps every invariant: versions grow, earlier ones do not
+// change, repeating a command changes nothing, and a document parses to the same map.
 func TestApplyKeepsInvariants(t *testing.T) {
-	steps := map[PlanStep]int{}
+	reached := map[PlanStep]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		l, err := NewEven(rapid.IntRange(1, 6).Draw(t, "n"), [][]string{{"a", "b"}, {"c"}})
+		m, err := NewEven(rapid.IntRange(1, 6).Draw(t, "n"), [][]string{{"a", "b"}, {"c"}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		type kept struct {
-			l    *Map
-			text string
-		}
-		var old []kept
-		used := map[ShardID]Range{}
-		text := func(l *Map) string { b, _ := json.Marshal(l.Document()); return string(b) }
+		var earlier []snapshot
+		ranges := map[ShardID]Range{}
 		for range rapid.IntRange(5, 40).Draw(t, "commands") {
-			c := drawCommand(t, l)
-			next, err := l.Apply(c)
+			c := drawCommand(t, m)
+			next, err := m.Apply(c)
 			if err != nil {
 				continue
 			}
-			if err := next.Validate(); err != nil {
-				t.Fatalf("%+v: %v", c, err)
-			}
-			if next != l && next.version != l.version+1 {
-				t.Fatalf("version %d after %d", next.version, l.version)
-			}
+			checkApplied(t, m, next, c)
+			checkRangesUnchanged(t, next, ranges)
 			if c.Advance != nil {
-				if again, err := next.Apply(c); err != nil || again != next {
-					t.Fatalf("repeated %+v: %v", *c.Advance, err)
-				}
-				steps[c.Advance.Step]++
+				reached[c.Advance.Step]++
 			}
-			for _, s := range next.Shards() {
-				if r, ok := used[s.ID]; ok && r != s.Range {
-					t.Fatalf("slice %d was %s and is %s", s.ID, r, s.Range)
-				}
-				used[s.ID] = s.Range
-			}
-			old = append(old, kept{l, text(l)})
-			l = next
+			earlier = append(earlier, snapshot{m, documentText(m)})
+			m = next
 		}
-		for _, k := range old {
-			if text(k.l) != k.text {
-				t.Fatalf("version %d changed", k.l.version)
+		for _, s := range earlier {
+			if documentText(s.m) != s.text {
+				t.Fatalf("version %d changed", s.m.version)
 			}
 		}
-		var d Document
-		if err := json.Unmarshal([]byte(text(l)), &d); err != nil {
-			t.Fatal(err)
-		}
-		for _, from := range []*Map{nil, firstOr(old, l, func(k kept) *Map { return k.l })} {
-			if back, err := d.Map(from); err != nil || text(back) != text(l) {
-				t.Fatalf("read back: %v", err)
-			}
+		base := m
+		if len(earlier) > 0 {
+			base = earlier[0].m
 		}
+		checkParsesBack(t, m, base)
 	})
-	for _, s := range planSteps[1:] {
-		if steps[s] == 0 {
-			t.Errorf("no run came to %s", s)
+	for _, step := range planSteps[1:] {
+		if reached[step] == 0 {
+			t.Errorf("no run reached %s", step)
 		}
 	}
 }
 
-func firstOr[K any](old []K, otherwise *Map, of func(K) *Map) *Map {
-	if len(old) == 0 {
-		return otherwise
+// checkApplied checks the version after a command, and that an Advance can be repeated.
+func checkApplied(t *rapid.T, before, after *Map, c Command) {
+	if err := after.Validate(); err != nil {
+		t.Fatalf("%+v: %v", c, err)
+	}
+	if after != before && after.version != before.version+1 {
+		t.Fatalf("version %d after %d", after.version, before.version)
+	}
+	if c.Advance == nil {
+		return
+	}
+	if again, err := after.Apply(c); err != nil || again != after {
+		t.Fatalf("repeated %+v: %v", *c.Advance, err)
 	}
-	return of(old[0])
 }
 
-func mustApply(t *testing.T, l *Map, c Command) *Map {
+// checkRangesUnchanged checks that each shard has the range that it had in earlier
+// versions, and adds new shards to ranges.
+func checkRangesUnchanged(t *rapid.T, m *Map, ranges map[ShardID]Range) {
+	for _, s := range m.Shards() {
+		if r, ok := ranges[s.ID]; ok && r != s.Range {
+			t.Fatalf("shard %d was %s and is %s", s.ID, r, s.Range)
+		}
+		ranges[s.ID] = s.Range
+	}
+}
+
+// checkParsesBack checks that the document of m gives m again, with and without an
+// earlier version to share memory with.
+func checkParsesBack(t *rapid.T, m, earlier *Map) {
+	text := documentText(m)
+	var d Document
+	if err := json.Unmarshal([]byte(text), &d); err != nil {
+		t.Fatal(err)
+	}
+	for _, base := range []*Map{nil, earlier} {
+		if parsed, err := d.Map(base); err != nil || documentText(parsed) != text {
+			t.Fatalf("parsed again: %v", err)
+		}
+	}
+}
+
+func mustApply(t *testing.T, m *Map, c Command) *Map {
 	t.Helper()
-	next, err := l.Apply(c)
+	next, err := m.Apply(c)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return next
 }
 
-// Two changes ordered at once: the second is refused while the first is open, and the same
-// request on the version that both read is refused whatever it touches.
-func TestApplyRejectsConcurrentPlans(t *testing.T) {
-	l, _ := NewEven(4, [][]string{{"a"}, {"b"}})
-	one := Command{ExpectedVersion: l.Version(), Request: &PlanRequest{Kind: Split, Shards: []ShardID{FirstDynamicID}, Pieces: 2}}
-	next := mustApply(t, l, one)
-	if _, err := next.Apply(one); !errors.Is(err, ErrVersionConflict) {
-		t.Errorf("the same version twice: %v", err)
-	}
-	two := Command{Request: &PlanRequest{Kind: Merge, Shards: []ShardID{FirstDynamicID, FirstDynamicID + 1}}}
-	if _, err := next.Apply(two); !errors.Is(err, ErrPlanOverlap) {
-		t.Errorf("overlapping plans: %v", err)
-	}
-	ended := mustApply(t, next, Command{Abandon: &Abandon{Plan: 1}})
-	if _, err := ended.Apply(two); err != nil {
-		t.Errorf("after the first was abandoned: %v", err)
+// mustFail checks that a command fails with an error.
+func mustFail(t *testing.T, m *Map, c Command, want error) {
+	t.Helper()
+	if _, err := m.Apply(c); !errors.Is(err, want) {
+		t.Errorf("%+v: %v, want %v", c, err, want)
 	}
-	if _, err := ended.Apply(Command{Advance: &Advance{Plan: 1, Step: Copying}}); !errors.Is(err, ErrInvalidTransition) {
-		t.Errorf("an abandoned plan went on: %v", err)
+}
+
+// Of two plans requested at once the second is rejected while the first is open; the same
+// request on the version that both were made for is rejected whatever it touches.
+func TestApplyRejectsConcurrentPlans(t *testing.T) {
+	m, err := NewEven(4, [][]string{{"a"}, {"b"}})
+	if err != nil {
+		t.Fatal(err)
 	}
+	split := &PlanRequest{Kind: Split, Shards: []ShardID{FirstDynamicID}, Pieces: 2}
+	merge := &PlanRequest{Kind: Merge, Shards: []ShardID{FirstDynamicID, FirstDynamicID + 1}}
+	onVersion := Command{ExpectedVersion: m.Version(), Request: split}
+	open := mustApply(t, m, onVersion)
+	ended := mustApply(t, open, Command{Abandon: &Abandon{Plan: 1}})
+	t.Run("same version", func(t *testing.T) { mustFail(t, open, onVersion, ErrVersionConflict) })
+	t.Run("overlapping plan", func(t *testing.T) { mustFail(t, open, Command{Request: merge}, ErrPlanOverlap) })
+	t.Run("after abandonment", func(t *testing.T) { mustApply(t, ended, Command{Request: merge}) })
+	t.Run("advance of abandoned plan", func(t *testing.T) {
+		mustFail(t, ended, Command{Advance: &Advance{Plan: 1, Step: Copying}}, ErrInvalidTransition)
+	})
 }
 
-// A holder that dies between copy and switch is left out; with no other the switch is refused.
+// A replica lost between copy and switch is left out; without any other the switch fails.
 func TestSwitchNeedsCompleteReplica(t *testing.T) {
-	l, _ := NewEven(2, [][]string{{"a"}})
-	l = mustApply(t, l, Command{Request: &PlanRequest{Kind: Move, Shards: []ShardID{FirstDynamicID}, ReplicaSets: [][]string{{"b", "c"}}}})
-	l = mustApply(t, l, Command{Advance: &Advance{Plan: 1, Step: Copying}})
-	to := l.Plans()[0].To[0].ID
-	l = mustApply(t, l, Command{Advance: &Advance{Plan: 1, Step: Replicated, Replicas: map[ShardID][]string{to: {"b", "c"}}}})
-	if _, err := l.Apply(Command{Advance: &Advance{Plan: 1, Step: Switched, Replicas: map[ShardID][]string{to: {"x"}}}}); !errors.Is(err, ErrNoReplica) {
-		t.Errorf("switched to nobody: %v", err)
-	}
-	after := mustApply(t, l, Command{Advance: &Advance{Plan: 1, Step: Switched, Replicas: map[ShardID][]string{to: {"c"}}}})
-	if s, ok := after.Find(1); !ok || s.ID != to || !slices.Equal(s.Replicas, []string{"c"}) || s.Epoch != after.Version() {
-		t.Errorf("serves %+v", s)
+	m, err := NewEven(2, [][]string{{"a"}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	move := &PlanRequest{Kind: Move, Shards: []ShardID{FirstDynamicID}, ReplicaSets: [][]string{{"b", "c"}}}
+	m = mustApply(t, m, Command{Request: move})
+	to := m.Plans()[0].To[0].ID
+	advanceTo := func(step PlanStep, replicas ...string) Command {
+		return Command{Advance: &Advance{Plan: 1, Step: step, Replicas: map[ShardID][]string{to: replicas}}}
 	}
-	if _, ok := after.Resolve(FirstDynamicID); !ok {
-		t.Error("the old holder's data is given up before the plan is retired")
+	m = mustApply(t, m, advanceTo(Copying))
+	m = mustApply(t, m, advanceTo(Replicated, "b", "c"))
+	mustFail(t, m, advanceTo(Switched, "x"), ErrNoReplica)
+	switched := mustApply(t, m, advanceTo(Switched, "c"))
+	s, ok := switched.Find(1)
+	if !ok || s.ID != to || !slices.Equal(s.Replicas, []string{"c"}) || s.Epoch != switched.Version() {
+		t.Errorf("serves %+v", s)
 	}
-	if _, err := after.Apply(Command{Abandon: &Abandon{Plan: 1}}); !errors.Is(err, ErrInvalidTransition) {
-		t.Errorf("abandoned after the switch: %v", err)
+	if _, ok := switched.Resolve(FirstDynamicID); !ok {
+		t.Error("the old shard cannot be resolved before the plan is retired")
 	}
-	done := mustApply(t, after, Command{Advance: &Advance{Plan: 1, Step: Retired}})
-	if _, ok := done.Resolve(FirstDynamicID); ok {
-		t.Error("held after the plan was retired")
+	mustFail(t, switched, Command{Abandon: &Abandon{Plan: 1}}, ErrInvalidTransition)
+	retired := mustApply(t, switched, advanceTo(Retired))
+	if _, ok := retired.Resolve(FirstDynamicID); ok {
+		t.Error("the old shard can be resolved after the plan was retired")
 	}
 }
 
 func BenchmarkFind(b *testing.B) {
 	for _, n := range []int{10, 1000, 100_000} {
-		l, err := NewEven(n, [][]string{{"a", "b"}, {"c", "d"}})
+		m, err := NewEven(n, [][]string{{"a", "b"}, {"c", "d"}})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -197,25 +255,27 @@
 			key := uint64(1)
 			for b.Loop() {
 				key = key*0x9e3779b97f4a7c15 + 1
-				if _, ok := l.Find(key); !ok {
-					b.Fatal("no slice")
+				if _, ok := m.Find(key); !ok {
+					b.Fatal("no shard")
 				}
 			}
 		})
 	}
 }
 
-// A step's cost grows with the depth of the tree, not with the slices: versions share the rest.
+// The cost of a command grows with the depth of the tree, not with the number of shards:
+// versions share the rest.
 func BenchmarkApply(b *testing.B) {
 	for _, n := range []int{10, 1000, 100_000} {
-		l, err := NewEven(n, [][]string{{"a", "b"}, {"c", "d"}})
+		m, err := NewEven(n, [][]string{{"a", "b"}, {"c", "d"}})
 		if err != nil {
 			b.Fatal(err)
 		}
 		b.Run(fmt.Sprintf("slices=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := l.Apply(Command{Request: &PlanRequest{Kind: Split, Shards: []ShardID{FirstDynamicID}, Pieces: 2}}); err != nil {
+				split := &PlanRequest{Kind: Split, Shards: []ShardID{FirstDynamicID}, Pieces: 2}
+				if _, err := m.Apply(Command{Request: split}); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/shardmap/replan/replan_test.go
+++ b/internal/shardmap/replan/replan_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 
@@ -12,152 +13,178 @@
 	"linkpass/internal/shardmap/coverage"
 )
 
-// reshape carries one change through to its switch.
-func drawSwitchedPlan(t *rapid.T, l *shardmap.Map) *shardmap.Map {
-	all := l.Shards()
-	i := rapid.IntRange(0, len(all)-1).Draw(t, "slice")
-	o := shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{all[i].ID}, Pieces: rapid.IntRange(2, 3).Draw(t, "into")}
-	switch rapid.IntRange(0, 2).Draw(t, "kind") {
-	case 0:
-		if i+1 < len(all) {
-			o = shardmap.PlanRequest{Kind: shardmap.Merge, Shards: []shardmap.ShardID{all[i].ID, all[i+1].ID}}
-		}
-	case 1:
-		o = shardmap.PlanRequest{Kind: shardmap.Move, Shards: []shardmap.ShardID{all[i].ID}, ReplicaSets: [][]string{{"z"}}}
-	}
-	l, err := l.Apply(shardmap.Command{Request: &o})
+// drawSwitchedPlan draws a plan and carries it through to its end.
+func drawSwitchedPlan(t *rapid.T, m *shardmap.Map) *shardmap.Map {
+	request := drawPlanRequest(t, m.Shards())
+	m, err := m.Apply(shardmap.Command{Request: &request})
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := l.Plans()[len(l.Plans())-1]
-	a := shardmap.Advance{Plan: p.ID, Replicas: map[shardmap.ShardID][]string{}}
+	p := m.Plans()[len(m.Plans())-1]
+	advance := shardmap.Advance{Plan: p.ID, Replicas: map[shardmap.ShardID][]string{}}
 	for _, s := range p.To {
-		a.Replicas[s.ID] = s.Replicas
+		advance.Replicas[s.ID] = s.Replicas
 	}
-	for _, step := range []shardmap.PlanStep{shardmap.Copying, shardmap.Replicated, shardmap.Switched, shardmap.Retired} {
-		a.Step = step
-		if l, err = l.Apply(shardmap.Command{Advance: &a}); err != nil {
+	for _, step := range []shardmap.PlanStep{
+		shardmap.Copying, shardmap.Replicated, shardmap.Switched, shardmap.Retired,
+	} {
+		advance.Step = step
+		if m, err = m.Apply(shardmap.Command{Advance: &advance}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return l
+	return m
+}
+
+func drawPlanRequest(t *rapid.T, shards []shardmap.Shard) shardmap.PlanRequest {
+	i := rapid.IntRange(0, len(shards)-1).Draw(t, "shard")
+	ids := []shardmap.ShardID{shards[i].ID}
+	pieces := rapid.IntRange(2, 3).Draw(t, "into")
+	switch rapid.IntRange(0, 2).Draw(t, "kind") {
+	case 0:
+		if i+1 < len(shards) {
+			return shardmap.PlanRequest{Kind: shardmap.Merge, Shards: append(ids, shards[i+1].ID)}
+		}
+	case 1:
+		return shardmap.PlanRequest{Kind: shardmap.Move, Shards: ids, ReplicaSets: [][]string{{"z"}}}
+	}
+	return shardmap.PlanRequest{Kind: shardmap.Split, Shards: ids, Pieces: pieces}
 }
 
-// Whatever changes and whichever part is told so, the parts ask for every wanted key exactly
-// once at all times, each of one slice, in bounded rounds, and never in more parts than slices
-// that serve what was replaced.
+// Whatever changes and whichever part is replanned first, the parts request every key
+// exactly once at all times, each of one shard, in bounded rounds, and never in more parts
+// than there are shards that serve what was replaced.
 func TestReplanRequestsEveryKeyOnce(t *testing.T) {
-	joined := 0
+	merged := 0
 	rapid.Check(t, func(t *rapid.T) {
-		l, err := shardmap.NewEven(rapid.IntRange(1, 6).Draw(t, "n"), [][]string{{"a"}, {"b"}})
+		m, err := shardmap.NewEven(rapid.IntRange(1, 6).Draw(t, "n"), [][]string{{"a"}, {"b"}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		wanted := shardmap.FullRange.Split(7)[rapid.IntRange(0, 3).Draw(t, "from"):]
-		whole := shardmap.Range{First: wanted[0].First, Last: wanted[len(wanted)-1].Last}
-		parts := Plan(l, []shardmap.Range{whole})
-		rounds := 0
+		requested := shardmap.FullRange
+		requested.First = shardmap.FullRange.Split(7)[rapid.IntRange(0, 3).Draw(t, "from")].First
+		parts := Plan(m, []shardmap.Range{requested})
+		replanned := 0
 		for range rapid.IntRange(1, 8).Draw(t, "changes") {
-			l = drawSwitchedPlan(t, l)
-			for told := true; told; {
-				told = false
-				for i, p := range parts {
-					if s, ok := l.Shard(p.Shard); ok && s.Range.Covers(p.Range) || p.State == Answered {
-						continue
-					}
-					c, why := Replan(l, parts, i, time.Second, time.Millisecond)
-					if why == RoundsExhausted && p.Round >= MaxRounds {
-						continue
-					}
-					if why != Replanned {
-						t.Fatalf("part %+v: %s", p, why)
-					}
-					serving := 0
-					l.ForEach(p.Range, func(shardmap.Shard) bool { serving++; return true })
-					if len(c.Add) != serving {
-						t.Fatalf("%d parts for %d slices", len(c.Add), serving)
-					}
-					joined += len(c.Drop) - 1
-					parts, told = applyChange(parts, c), true
-					rounds++
+			m = drawSwitchedPlan(t, m)
+			for {
+				change, found := replanAny(t, m, parts)
+				if !found {
 					break
 				}
-				checkKeysRequestedOnce(t, parts, whole)
+				merged += len(change.Drop) - 1
+				replanned++
+				parts = applyChange(parts, change)
+				checkKeysRequestedOnce(t, parts, requested)
 			}
+			checkKeysRequestedOnce(t, parts, requested)
 			for i := range parts {
 				if parts[i].State == Pending {
-					parts[i].State = PartState(rapid.IntRange(0, 2).Draw(t, "standing"))
+					parts[i].State = PartState(rapid.IntRange(0, 2).Draw(t, "state"))
 				}
 			}
 		}
-		if rounds > 200 {
-			t.Fatalf("%d rounds", rounds)
+		if replanned > 200 {
+			t.Fatalf("replanned %d times", replanned)
 		}
 	})
-	if joined == 0 {
-		t.Error("no run joined a sibling")
+	if merged == 0 {
+		t.Error("no run merged a sibling")
 	}
 }
 
-func applyChange(parts []Part, c Change) (out []Part) {
+// replanAny replans the first part whose shard no longer serves its range and that has
+// rounds left; false if there is none.
+func replanAny(t *rapid.T, m *shardmap.Map, parts []Part) (Change, bool) {
 	for i, p := range parts {
-		keep := true
-		for _, d := range c.Drop {
-			keep = keep && d != i
+		if s, ok := m.Shard(p.Shard); ok && s.Range.Covers(p.Range) || p.State == Answered {
+			continue
+		}
+		change, reason := Replan(m, parts, i, time.Second, time.Millisecond)
+		if reason == RoundsExhausted && p.Round >= MaxRounds {
+			continue
 		}
-		if keep {
+		if reason != Replanned {
+			t.Fatalf("part %+v: %s", p, reason)
+		}
+		serving := 0
+		m.ForEach(p.Range, func(shardmap.Shard) bool {
+			serving++
+			return true
+		})
+		if len(change.Add) != serving {
+			t.Fatalf("%d parts for %d shards", len(change.Add), serving)
+		}
+		return change, true
+	}
+	return Change{}, false
+}
+
+func applyChange(parts []Part, change Change) (out []Part) {
+	for i, p := range parts {
+		if !slices.Contains(change.Drop, i) {
 			out = append(out, p)
 		}
 	}
-	return append(out, c.Add...)
+	return append(out, change.Add...)
 }
 
-func checkKeysRequestedOnce(t *rapid.T, parts []Part, whole shardmap.Range) {
-	ledger := coverage.NewTracker(whole)
+func checkKeysRequestedOnce(t *rapid.T, parts []Part, requested shardmap.Range) {
+	tracker := coverage.NewTracker(requested)
 	for _, p := range parts {
-		if !ledger.Record(p.Range) {
-			t.Fatalf("%s is asked for twice", p.Range)
+		if !tracker.Record(p.Range) {
+			t.Fatalf("%s is requested twice", p.Range)
 		}
 	}
-	if !ledger.Complete() {
-		t.Fatalf("nobody asks for %v", ledger.Missing())
+	if !tracker.Complete() {
+		t.Fatalf("%v is not requested", tracker.Missing())
 	}
 }
 
 func TestReplanReasons(t *testing.T) {
-	l, _ := shardmap.NewEven(2, [][]string{{"a"}})
-	gone := []Part{{Shard: 1, Range: shardmap.FullRange}}
-	for want, got := range map[Reason]func() (Change, Reason){
-		NoNewerMap:       func() (Change, Reason) { return Replan(nil, gone, 0, time.Second, 0) },
-		DeadlineTooClose: func() (Change, Reason) { return Replan(l, gone, 0, time.Millisecond, time.Millisecond) },
-		RoundsExhausted:  func() (Change, Reason) { return Replan(l, []Part{{Round: MaxRounds}}, 0, time.Second, 0) },
-		AlreadyAnswered:  func() (Change, Reason) { return Replan(l, []Part{{State: Answered}}, 0, time.Second, 0) },
-	} {
-		if _, why := got(); why != want {
-			t.Errorf("refused as %q, want %q", why, want)
-		}
+	m, err := shardmap.NewEven(2, [][]string{{"a"}})
+	if err != nil {
+		t.Fatal(err)
 	}
-	serving := Plan(l, []shardmap.Range{shardmap.FullRange})
-	if _, why := Replan(l, serving, 0, time.Second, 0); why != NoNewerMap {
-		t.Errorf("a slice that serves was replaced (%q): a server may claim a version that does not exist", why)
+	replaced := Part{Shard: 1, Range: shardmap.FullRange}
+	serving := Plan(m, []shardmap.Range{shardmap.FullRange})
+	for _, c := range []struct {
+		name                string
+		m                   *shardmap.Map
+		parts               []Part
+		remaining, required time.Duration
+		want                Reason
+	}{
+		{"no map", nil, []Part{replaced}, time.Second, 0, NoNewerMap},
+		{"deadline", m, []Part{replaced}, time.Millisecond, time.Millisecond, DeadlineTooClose},
+		{"rounds", m, []Part{{Round: MaxRounds}}, time.Second, 0, RoundsExhausted},
+		{"answered", m, []Part{{State: Answered}}, time.Second, 0, AlreadyAnswered},
+		// A server may claim that there is a version which does not exist.
+		{"shard serves", m, serving, time.Second, 0, NoNewerMap},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if _, reason := Replan(c.m, c.parts, 0, c.remaining, c.required); reason != c.want {
+				t.Errorf("reason %q, want %q", reason, c.want)
+			}
+		})
 	}
 }
 
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range []int{10, 1000, 100_000} {
-		l, err := shardmap.NewEven(n, [][]string{{"a", "b"}, {"c", "d"}})
+		m, err := shardmap.NewEven(n, [][]string{{"a", "b"}, {"c", "d"}})
 		if err != nil {
 			b.Fatal(err)
 		}
-		var wanted []shardmap.Range // eight keys, as a search with routing asks for
+		var requested []shardmap.Range // eight keys, as a search with routing requests
 		for i := range 8 {
 			k := shardmap.HashKey(fmt.Sprint(i))
-			wanted = append(wanted, shardmap.Range{First: k, Last: k})
+			requested = append(requested, shardmap.Range{First: k, Last: k})
 		}
 		b.Run(fmt.Sprintf("slices=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if len(Plan(l, wanted)) != 8 {
+				if len(Plan(m, requested)) != 8 {
 					b.Fatal("a part is missing")
 				}
 			}
