--- /dev/null
+++ b/internal/reshardexec/assignment_request.go
@@ -0,0 +1,22 @@
+package reshardexec
+
+import "linkpass/internal/shardmap/resharding"
+
+// AssignmentsPath is where a league server accepts its assignments and reports its shards.
+const AssignmentsPath = "/_layout"
+
+// AssignmentRequest is the body of a poll: all that the server is to store. A poll is idempotent.
+type AssignmentRequest struct {
+	Assignments []resharding.Assignment `json:"duties"`
+}
+
+// AssignmentResponse is the body of the response: what the server has stored, by index.
+type AssignmentResponse struct {
+	Indices map[string]IndexStatus `json:"indices"`
+}
+
+// IndexStatus is what a server has stored of one index, and the shard map's version that it knows.
+type IndexStatus struct {
+	Version uint64                   `json:"version"`
+	Shards  []resharding.ShardStatus `json:"holdings"`
+}
--- /dev/null
+++ b/internal/reshardexec/server_conn.go
@@ -0,0 +1,66 @@
+package reshardexec
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net"
+	"time"
+
+	"linkpass/internal/http1"
+)
+
+// maxResponse bounds a response, in bytes; the status of 100,000 shards fits.
+const maxResponse = 16 << 20
+
+// serverConn is the connection to a server, reused between polls.
+type serverConn struct {
+	addr   string
+	nc     net.Conn
+	reader *http1.Reader
+}
+
+// dialServer connects to a server.
+func dialServer(ctx context.Context, addr string, timeout time.Duration) (*serverConn, error) {
+	dialer := net.Dialer{Timeout: timeout}
+	nc, err := dialer.DialContext(ctx, "tcp", addr)
+	if err != nil {
+		return nil, fmt.Errorf("poll %s: %w", addr, err)
+	}
+	return &serverConn{addr: addr, nc: nc, reader: http1.NewReader(nc, maxResponse)}, nil
+}
+
+// exchange sends one request and reads its response. After an error the connection cannot be reused.
+func (c *serverConn) exchange(body []byte, timeout time.Duration) (AssignmentResponse, error) {
+	response, err := c.roundTrip(body, timeout)
+	if err != nil {
+		return response, fmt.Errorf("poll %s: PUT %s: %w", c.addr, AssignmentsPath, err)
+	}
+	return response, nil
+}
+
+func (c *serverConn) roundTrip(body []byte, timeout time.Duration) (response AssignmentResponse, err error) {
+	// The connection has a deadline of its own, so that background calls stay out of the queries' timers.
+	if err := c.nc.SetDeadline(time.Now().Add(timeout)); err != nil {
+		return response, err
+	}
+	if err := http1.WriteRequest(c.nc, "PUT", AssignmentsPath, "league-server", nil, body); err != nil {
+		return response, err
+	}
+	res, err := c.reader.Response()
+	if err != nil {
+		return response, err
+	}
+	if res.Status != 200 {
+		return response, fmt.Errorf("status %d", res.Status)
+	}
+	err = json.Unmarshal(res.Body, &response)
+	return response, err
+}
+
+// close closes the connection; a nil one is closed already.
+func (c *serverConn) close() {
+	if c != nil {
+		_ = c.nc.Close()
+	}
+}
--- /dev/null
+++ b/internal/reshardexec/server_poller.go
@@ -0,0 +1,131 @@
+package reshardexec
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"time"
+
+	"linkpass/internal/coordinator"
+	"linkpass/internal/eventlog"
+	"linkpass/internal/metrics"
+	"linkpass/internal/shardmap/resharding"
+)
+
+// maxConcurrentPolls bounds the polls in flight.
+const maxConcurrentPolls = 16
+
+// serverPoller sends servers their assignments and keeps their latest reports. One goroutine at a time uses it.
+type serverPoller struct {
+	timeout  time.Duration // of one poll
+	now      func() time.Duration
+	counters *metrics.Counters
+	failures *eventlog.RateLimited
+
+	conns   map[string]*serverConn
+	reports map[string]map[string]resharding.Report // by server and index
+	failing map[string]bool                         // servers whose latest poll failed
+}
+
+// pollResult is what came of one poll; conn is nil where no connection is left to reuse.
+type pollResult struct {
+	server   string
+	conn     *serverConn
+	response AssignmentResponse
+	err      error
+}
+
+// resetReports forgets the reports, as after a change of leader.
+func (p *serverPoller) resetReports() {
+	p.reports = map[string]map[string]resharding.Report{}
+	p.failing = map[string]bool{}
+}
+
+// closeConns closes all connections.
+func (p *serverPoller) closeConns() {
+	for _, conn := range p.conns {
+		conn.close()
+	}
+	clear(p.conns)
+}
+
+// pollAll polls every listed server once and returns when all polls have ended. A server without assignments is polled
+// too: it learns so that it may drop its shards.
+func (p *serverPoller) pollAll(ctx context.Context, endpoints map[string]coordinator.Endpoint,
+	assignments map[string][]resharding.Assignment) {
+	p.forgetUnlisted(endpoints)
+	results := make(chan pollResult, len(endpoints))
+	slots := make(chan struct{}, maxConcurrentPolls)
+	for name, endpoint := range endpoints {
+		conn := p.conns[name]
+		if conn != nil && conn.addr != endpoint.Addr {
+			conn.close()
+			conn = nil
+		}
+		request := AssignmentRequest{Assignments: assignments[name]}
+		go func() { // its result is awaited below; the timeout bounds it
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			conn, response, err := p.poll(ctx, conn, endpoint.Addr, request)
+			results <- pollResult{name, conn, response, err}
+		}()
+	}
+	for range endpoints {
+		p.record(<-results)
+	}
+}
+
+// forgetUnlisted drops what is known of servers that are no longer listed.
+func (p *serverPoller) forgetUnlisted(endpoints map[string]coordinator.Endpoint) {
+	for name, conn := range p.conns {
+		if _, listed := endpoints[name]; listed {
+			continue
+		}
+		conn.close()
+		delete(p.conns, name)
+		delete(p.reports, name)
+		delete(p.failing, name)
+	}
+}
+
+// poll makes one poll on a server's connection, or on a new one if conn is nil. It returns the connection to reuse.
+func (p *serverPoller) poll(ctx context.Context, conn *serverConn, addr string, request AssignmentRequest) (
+	*serverConn, AssignmentResponse, error) {
+	body, err := json.Marshal(request)
+	if err != nil {
+		return conn, AssignmentResponse{}, fmt.Errorf("poll %s: encode assignments: %w", addr, err)
+	}
+	if conn == nil {
+		if conn, err = dialServer(ctx, addr, p.timeout); err != nil {
+			return nil, AssignmentResponse{}, err
+		}
+	}
+	response, err := conn.exchange(body, p.timeout)
+	if err != nil {
+		conn.close()
+		return nil, response, err
+	}
+	return conn, response, nil
+}
+
+// record keeps the connection and the report of one poll. A failed poll leaves the report before it in place, whose age
+// the controller judges.
+func (p *serverPoller) record(result pollResult) {
+	if result.conn == nil {
+		delete(p.conns, result.server)
+	} else {
+		p.conns[result.server] = result.conn
+	}
+	if result.err != nil {
+		p.failing[result.server] = true
+		p.counters.Add("resharding_calls_failed", 1)
+		p.failures.Log(eventlog.AssignmentFailed, result.server, result.err)
+		return
+	}
+	delete(p.failing, result.server)
+	reports := map[string]resharding.Report{}
+	for index, status := range result.response.Indices {
+		reports[index] = resharding.Report{ReceivedAt: p.now(), Version: status.Version, Shards: status.Shards}
+	}
+	p.reports[result.server] = reports
+}
--- a/internal/reshardexec/wire_golden_test.go
+++ b/internal/reshardexec/wire_golden_test.go
@@ -15,20 +15,20 @@
 )
 
 var (
-	goldenCall = AssignmentRequest{Assignments: []resharding.Assignment{{Index: "players", Version: 3, Tasks: []resharding.Task{{Shard: shardmap.FirstDynamicID + 4,
+	goldenRequest = AssignmentRequest{Assignments: []resharding.Assignment{{Index: "players", Version: 3, Tasks: []resharding.Task{{Shard: shardmap.FirstDynamicID + 4,
 		Range: shardmap.Range{First: 1, Last: 0xff}, Sources: []resharding.Source{{Range: shardmap.Range{First: 2, Last: 0x7f}, Servers: []string{"s-1"}, Shard: shardmap.FirstDynamicID}}}}}}}
-	goldenReply = AssignmentResponse{Indices: map[string]IndexStatus{"players": {Version: 3,
+	goldenResponse = AssignmentResponse{Indices: map[string]IndexStatus{"players": {Version: 3,
 		Shards: []resharding.ShardStatus{{Shard: shardmap.FirstDynamicID + 4, Complete: true, Records: 9}, {Shard: shardmap.FirstDynamicID, Records: 10}}}}}
 )
 
-func TestStatusBodiesGolden(t *testing.T) {
-	t.Run("call", func(t *testing.T) { goldentest.JSON(t, "call.json", goldenCall) })
-	t.Run("reply", func(t *testing.T) { goldentest.JSON(t, "reply.json", goldenReply) })
+func TestAssignmentBodiesGolden(t *testing.T) {
+	t.Run("call", func(t *testing.T) { goldentest.JSON(t, "call.json", goldenRequest) })
+	t.Run("reply", func(t *testing.T) { goldentest.JSON(t, "reply.json", goldenResponse) })
 	t.Run("call without duties", func(t *testing.T) { goldentest.Encodes(t, "call_empty.json", AssignmentRequest{}) })
 }
 
-// One call at a server: the request's bytes, and the reply as it is read.
-func TestCallGolden(t *testing.T) {
+// One poll of a server: the bytes of the request, and the response as it is decoded.
+func TestPollGolden(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -50,12 +50,12 @@
 		got <- req
 		_ = http1.WriteResponse(nc, &http1.Response{Status: 200, Body: answer})
 	}()
-	s := New(Config{Timeout: 10 * time.Second})
-	l, reply, err := s.call(context.Background(), nil, ln.Addr().String(), goldenCall)
-	if err != nil || !reflect.DeepEqual(reply, goldenReply) {
-		t.Errorf("got %+v, %v; want %+v", reply, err, goldenReply)
+	e := New(Config{Timeout: 10 * time.Second})
+	conn, response, err := e.poller.poll(context.Background(), nil, ln.Addr().String(), goldenRequest)
+	if err != nil || !reflect.DeepEqual(response, goldenResponse) {
+		t.Errorf("got %+v, %v; want %+v", response, err, goldenResponse)
 	}
-	l.close()
+	conn.close()
 	req := <-got
 	if req == nil {
 		t.Fatal("no request came")
