--- /dev/null
+++ b/internal/adminapi/handler.go
@@ -0,0 +1,125 @@
+package adminapi
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"strings"
+	"time"
+
+	"linkpass/internal/eventlog"
+	"linkpass/internal/http1"
+)
+
+// Handler serves the API.
+type Handler struct{ Coordinator }
+
+// routes are the calls with a fixed path, by method and path below Version.
+var routes = map[string]func(Handler, *http1.Request) *http1.Response{
+	"GET status":         func(h Handler, _ *http1.Request) *http1.Response { return jsonResponse(h.Status()) },
+	"GET servers":        Handler.listServers,
+	"GET servers/agreed": Handler.replicatedState,
+	"PUT servers/order":  Handler.changeServer,
+	"PUT store/members":  Handler.changeMember,
+	"GET layouts":        func(h Handler, _ *http1.Request) *http1.Response { return jsonResponse(h.ShardMaps()) },
+	"PUT drain":          func(h Handler, _ *http1.Request) *http1.Response { return jsonResponse(stateBody{h.Drain()}) },
+	"PUT activate":       func(h Handler, _ *http1.Request) *http1.Response { return jsonResponse(stateBody{h.Activate()}) },
+	"GET config":         func(h Handler, _ *http1.Request) *http1.Response { return jsonResponse(h.Settings()) },
+	"PUT config/reload":  Handler.reload,
+	"GET log":            func(Handler, *http1.Request) *http1.Response { return jsonResponse(eventlog.Levels()) },
+	"GET store/document": Handler.readDocument,
+	"GET store/backup":   Handler.backUpDocument,
+	"PUT store/document": Handler.restoreDocument,
+}
+
+// stateBody is the response to a change of readiness.
+type stateBody struct {
+	State string `json:"state"`
+}
+
+// Serve answers one call.
+func (h Handler) Serve(ctx context.Context, began time.Duration, req *http1.Request) *http1.Response {
+	path, ok := strings.CutPrefix(req.Path, Version+"/")
+	if !ok {
+		return errorResponse(404, fmt.Errorf("no such call %.80q; this is version %s of the API", req.Path, Version))
+	}
+	if searchPath, ok := strings.CutPrefix(path, "search/"); ok {
+		return h.forwardToSearch(ctx, began, searchPath, req)
+	}
+	if serve, ok := routes[req.Method+" "+path]; ok {
+		return serve(h, req)
+	}
+	if component, ok := strings.CutPrefix(path, "log/"); ok && req.Method == "PUT" {
+		return setLogLevel(component, string(req.Body))
+	}
+	return errorResponse(404, fmt.Errorf("no such call: %s %.80q", req.Method, req.Path))
+}
+
+// forwardToSearch forwards a call to the search front.
+func (h Handler) forwardToSearch(ctx context.Context, began time.Duration, path string,
+	req *http1.Request) *http1.Response {
+	front := h.Search()
+	if front == nil {
+		return errorResponse(409, errors.New("there is no search front here"))
+	}
+	forwarded := *req
+	forwarded.Path = "/" + path
+	return front.Serve(ctx, began, &forwarded)
+}
+
+// setLogLevel sets a component's level and returns the levels of all.
+func setLogLevel(component, level string) *http1.Response {
+	if err := eventlog.SetLevel(component, level); err != nil {
+		return errorResponse(400, err)
+	}
+	eventlog.LogLevel.Log(component, level)
+	return jsonResponse(eventlog.Levels())
+}
+
+func (h Handler) listServers(*http1.Request) *http1.Response {
+	list, err := h.Servers()
+	if err != nil {
+		return errorResponse(503, err)
+	}
+	return jsonResponse(list)
+}
+
+func (h Handler) replicatedState(*http1.Request) *http1.Response {
+	state, err := h.ReplicatedState()
+	if err != nil {
+		return storeErrorResponse(err)
+	}
+	return jsonResponse(state)
+}
+
+func (h Handler) changeServer(req *http1.Request) *http1.Response {
+	var request ServerRequest
+	if err := json.Unmarshal(req.Body, &request); err != nil {
+		return errorResponse(400, fmt.Errorf("decode server request: %w", err))
+	}
+	response, err := h.ChangeServer(request)
+	if err != nil {
+		return storeErrorResponse(err)
+	}
+	return jsonResponse(response)
+}
+
+func (h Handler) changeMember(req *http1.Request) *http1.Response {
+	var request MemberRequest
+	if err := json.Unmarshal(req.Body, &request); err != nil {
+		return errorResponse(400, fmt.Errorf("decode member request: %w", err))
+	}
+	if err := h.ChangeMember(request); err != nil {
+		return storeErrorResponse(err)
+	}
+	return jsonResponse(request)
+}
+
+func (h Handler) reload(*http1.Request) *http1.Response {
+	result, err := h.Reload()
+	if err != nil {
+		return errorResponse(409, err)
+	}
+	return jsonResponse(result)
+}
--- /dev/null
+++ b/internal/adminapi/response.go
@@ -0,0 +1,68 @@
+package adminapi
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/textproto"
+
+	"linkpass/internal/endpoints"
+	"linkpass/internal/http1"
+	"linkpass/internal/store"
+)
+
+// errorBody is the body of an error response.
+type errorBody struct {
+	Error string `json:"error"`
+}
+
+// jsonResponse returns a 200 with v's JSON form.
+func jsonResponse(v any) *http1.Response {
+	data, err := json.Marshal(v)
+	if err != nil {
+		return errorResponse(500, err)
+	}
+	return rawJSONResponse(200, data)
+}
+
+// errorResponse returns a response with the error's text.
+func errorResponse(status int, err error) *http1.Response {
+	data, _ := json.Marshal(errorBody{err.Error()}) // a string always encodes
+	return rawJSONResponse(status, data)
+}
+
+// rawJSONResponse returns a response with a body that is JSON already.
+func rawJSONResponse(status int, data []byte) *http1.Response {
+	return &http1.Response{
+		Status: status,
+		Body:   data,
+		Header: textproto.MIMEHeader{"Content-Type": {"application/json"}},
+	}
+}
+
+// storeErrorResponse returns the response for an error of the replicated store.
+func storeErrorResponse(err error) *http1.Response {
+	var notLeader *store.NotLeader
+	if errors.As(err, &notLeader) {
+		return errorResponse(421, fmt.Errorf("%w; ask there", err))
+	}
+	return errorResponse(storeErrorStatus(err), err)
+}
+
+// storeErrorStatus returns the status for an error of the store other than store.NotLeader.
+func storeErrorStatus(err error) int {
+	var rejected *endpoints.RejectedError
+	switch {
+	case errors.As(err, &rejected),
+		errors.Is(err, ErrNoStore),
+		errors.Is(err, store.ErrUnknownMember),
+		errors.Is(err, store.ErrQuorumAtRisk),
+		errors.Is(err, store.ErrLearnerBehind):
+		return 409
+	case errors.Is(err, store.ErrTooLarge):
+		return 413
+	case errors.Is(err, store.ErrBusy):
+		return 429
+	}
+	return 503
+}
--- a/internal/adminapi/signature/seal_test.go
+++ b/internal/adminapi/signature/verifier_test.go
@@ -11,31 +11,35 @@
 	_ "linkpass/internal/seeded"
 )
 
-var began = time.UnixMilli(1_700_000_000_000)
+var verifierStart = time.UnixMilli(1_700_000_000_000)
 
-// A call is let in exactly if its key is known, nothing of it was changed, its time lies in the window and it is the
-// first of its number: whatever comes in whatever order, against a model that forgets nothing.
-func TestOnlyWhatWasSignedAndOnlyOnce(t *testing.T) {
+// A call is accepted exactly if its key is known, nothing of it was changed, its time lies in the window and its nonce is
+// new: random sequences of operations are compared with a model that forgets no nonce.
+func TestVerifierAcceptsSignedCallsOnce(t *testing.T) {
 	const window = 30 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
 		ring := Ring{"a": []byte("aaaaaaaaaaaaaaaa"), "b": []byte("bbbbbbbbbbbbbbbb")}
-		v := NewVerifier(ring, window, began)
-		now := began.Add(time.Minute)
-		type sent struct {
+		v := NewVerifier(ring, window, verifierStart)
+		now := verifierStart.Add(time.Minute)
+		type signedCall struct {
 			header string
 			call   Call
 			key    string
 			at     time.Time
 		}
-		var all []sent
-		taken := map[string]bool{}
+		var all []signedCall
+		accepted := map[string]bool{}
 		t.Repeat(map[string]func(*rapid.T){
 			"sign": func(t *rapid.T) {
-				c := Call{rapid.SampledFrom([]string{"GET", "PUT"}).Draw(t, "method"), "/v1/" + rapid.StringN(0, 9, 9).Draw(t, "target"), rapid.SliceOfN(rapid.Byte(), 0, 9).Draw(t, "body")}
+				c := Call{
+					Method: rapid.SampledFrom([]string{"GET", "PUT"}).Draw(t, "method"),
+					Target: "/v1/" + rapid.StringN(0, 9, 9).Draw(t, "target"),
+					Body:   rapid.SliceOfN(rapid.Byte(), 0, 9).Draw(t, "body"),
+				}
 				id := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key")
 				key := []byte(fmt.Sprintf("%[1]s%[1]s%[1]s%[1]s%[1]s%[1]s%[1]s%[1]s%[1]s%[1]s%[1]s%[1]s%[1]s%[1]s%[1]s%[1]s", id))
 				at := now.Add(time.Duration(rapid.IntRange(-70, 70).Draw(t, "off")) * time.Second)
-				all = append(all, sent{Sign(id, key, c, at, fmt.Sprint("n", len(all))), c, id, at})
+				all = append(all, signedCall{Sign(id, key, c, at, fmt.Sprint("n", len(all))), c, id, at})
 			},
 			"send": func(t *rapid.T) {
 				if len(all) == 0 {
@@ -43,12 +47,12 @@
 				}
 				s := rapid.SampledFrom(all).Draw(t, "call")
 				_, known := v.keys[s.key]
-				want := known && s.at.Sub(now).Abs() <= window && !taken[s.header]
+				want := known && s.at.Sub(now).Abs() <= window && !accepted[s.header]
 				id, err := v.Check(now, s.header, s.call)
 				if (err == nil) != want || want && id != s.key {
-					t.Fatalf("%s: %v, want in: %v", s.header, err, want)
+					t.Fatalf("%s: %v, want accepted: %v", s.header, err, want)
 				}
-				taken[s.header] = taken[s.header] || want
+				accepted[s.header] = accepted[s.header] || want
 			},
 			"change": func(t *rapid.T) {
 				if len(all) == 0 {
@@ -67,7 +71,7 @@
 					s.header = s.header[:i] + "~" + s.header[i+1:]
 				}
 				if id, err := v.Check(now, s.header, s.call); err == nil {
-					t.Fatalf("a changed call came in as %s: %q", id, s.header)
+					t.Fatalf("a changed call was accepted from %s: %q", id, s.header)
 				}
 			},
 			"wait": func(t *rapid.T) { now = now.Add(time.Duration(rapid.IntRange(1, 40).Draw(t, "s")) * time.Second) },
@@ -84,24 +88,30 @@
 	})
 }
 
-// A clock that is off by a minute is told so; what was signed before the start is not taken, as it may be a replay; and
-// with no room to remember calls none is let in unremembered, until the old ones have gone.
-func TestClocksRestartsAndRoom(t *testing.T) {
+// A call outside the window or from before the verifier's start, which may be a replay, is rejected with ErrClockSkew. With
+// the maximum of nonces kept no call is accepted, until the old nonces expire.
+func TestVerifierRejectsClockSkewAndFullNonceCache(t *testing.T) {
 	key := []byte("0123456789abcdef")
-	v := NewVerifier(Ring{"k": key}, 30*time.Second, began)
+	v := NewVerifier(Ring{"k": key}, 30*time.Second, verifierStart)
 	c := Call{"GET", "/v1/status", nil}
-	now := began.Add(10 * time.Second)
-	for off, want := range map[time.Duration]error{time.Minute: ErrTime, -time.Minute: ErrTime, 30 * time.Second: nil, -11 * time.Second: ErrTime, -10 * time.Second: nil} {
+	now := verifierStart.Add(10 * time.Second)
+	for off, want := range map[time.Duration]error{
+		time.Minute:       ErrClockSkew,
+		-time.Minute:      ErrClockSkew,
+		30 * time.Second:  nil,
+		-11 * time.Second: ErrClockSkew,
+		-10 * time.Second: nil,
+	} {
 		if _, err := v.Check(now, Sign("k", key, c, now.Add(off), off.String()), c); !errors.Is(err, want) {
 			t.Errorf("off by %s: %v", off, err)
 		}
 	}
 	var err error
 	n := 0
-	for ; err == nil && n < 2*MaxSeen; n++ {
+	for ; err == nil && n < 2*MaxNonces; n++ {
 		_, err = v.Check(now, Sign("k", key, c, now, fmt.Sprint(n)), c)
 	}
-	if !errors.Is(err, ErrCrowded) || len(v.seen) > MaxSeen {
+	if !errors.Is(err, ErrTooManyCalls) || len(v.nonces) > MaxNonces {
 		t.Errorf("%d calls: %v", n, err)
 	}
 	now = now.Add(2 * time.Minute)
@@ -110,10 +120,16 @@
 	}
 }
 
-func TestRingsThatCannotBe(t *testing.T) {
-	for _, r := range []Ring{nil, {"a b": make([]byte, 32)}, {"a": make([]byte, 15)}, {"a": make([]byte, 65)}, {"": make([]byte, 32)}} {
+func TestRingCheckRejectsInvalidRings(t *testing.T) {
+	for _, r := range []Ring{
+		nil,
+		{"a b": make([]byte, 32)},
+		{"a": make([]byte, 15)},
+		{"a": make([]byte, 65)},
+		{"": make([]byte, 32)},
+	} {
 		if r.Check() == nil {
-			t.Errorf("%v was taken", r)
+			t.Errorf("%v was accepted", r)
 		}
 	}
 	if err := (Ring{"a": make([]byte, 32)}).Check(); err != nil {
--- a/internal/adminapi/sealed.go
+++ b/internal/adminapi/signed_handler.go
@@ -11,29 +11,30 @@
 	"linkpass/internal/metrics"
 )
 
-// SignedHandler serves the API to signed calls alone.
+// SignedHandler serves the API to calls with a valid signature only.
 type SignedHandler struct {
 	Handler  http1.Handler
 	Check    func(header string, c signature.Call) error
 	Counters *metrics.Counters
 
-	lines eventlog.RateLimited
+	rejections eventlog.RateLimited
 }
 
-// Serve answers one call, after a look at its signature.
+// Serve verifies a call's signature and forwards the call to Handler.
 func (s *SignedHandler) Serve(ctx context.Context, began time.Duration, req *http1.Request) *http1.Response {
 	target := req.Path
 	if req.Query != "" {
 		target += "?" + req.Query
 	}
-	err := s.Check(req.Header.Get("Authorization"), signature.Call{Method: req.Method, Target: target, Body: req.Body})
+	call := signature.Call{Method: req.Method, Target: target, Body: req.Body}
+	err := s.Check(req.Header.Get("Authorization"), call)
 	if err == nil {
 		return s.Handler.Serve(ctx, began, req)
 	}
 	s.Counters.Add("admin_api_unsigned", 1)
-	s.lines.Log(eventlog.CallRejected, err)
-	if errors.Is(err, signature.ErrCrowded) {
-		return fail(429, err)
+	s.rejections.Log(eventlog.CallRejected, err)
+	if errors.Is(err, signature.ErrTooManyCalls) {
+		return errorResponse(429, err)
 	}
-	return fail(401, err)
+	return errorResponse(401, err)
 }
--- a/internal/adminapi/wire_golden_test.go
+++ b/internal/adminapi/wire_golden_test.go
@@ -36,39 +36,39 @@
 		Fronts: []string{"127.0.0.1:8080"}, AdminListen: "127.0.0.1:8090", ResidentKB: 41}
 	goldenServers = []Server{{Name: "s-1", State: "draining", Excluded: "slow", InFlight: 2, MedianMS: 1.25,
 		Health: map[string]float64{"league-table": 0.5, "team-lookup": 1}, WarmingUp: true, ConsecutiveProbeLosses: 3}}
-	goldenSlice  = shardmap.Shard{ID: shardmap.FirstDynamicID, Range: shardmap.Range{First: 1, Last: 0xff}, Epoch: 51, Replicas: []string{"s-1", "s-2"}}
-	goldenLayout = []IndexShardMap{{Index: "players", Version: 52, Total: 53, Shards: []shardmap.Shard{goldenSlice},
-		Plans: []shardmap.Plan{{ID: 54, Kind: shardmap.Split, Step: shardmap.Abandoned, From: []shardmap.Shard{goldenSlice},
+	goldenShard     = shardmap.Shard{ID: shardmap.FirstDynamicID, Range: shardmap.Range{First: 1, Last: 0xff}, Epoch: 51, Replicas: []string{"s-1", "s-2"}}
+	goldenShardMaps = []IndexShardMap{{Index: "players", Version: 52, Total: 53, Shards: []shardmap.Shard{goldenShard},
+		Plans: []shardmap.Plan{{ID: 54, Kind: shardmap.Split, Step: shardmap.Abandoned, From: []shardmap.Shard{goldenShard},
 			To:      []shardmap.Shard{{ID: shardmap.FirstDynamicID + 1, Range: shardmap.Range{First: 2, Last: 0x7f}, Epoch: 55, Replicas: []string{"s-3"}}},
 			Version: 56, Reason: "ordered"}}}}
-	goldenOrder  = restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: "a", Incarnation: 61}, Seq: 62}, Server: "s-1", Level: restriction.Draining, Force: true}
-	goldenSpec   = config.ServerSpec{Addr: "127.0.0.1:7001", Zone: "z1", Kind: "large", Cell: 2}
-	goldenAgreed = ReplicatedState{Version: 71, Hash: "c0ffee",
+	goldenRestriction     = restriction.Request{ID: restriction.ID{Origin: restriction.Origin{Instance: "a", Incarnation: 61}, Seq: 62}, Server: "s-1", Level: restriction.Draining, Force: true}
+	goldenSpec            = config.ServerSpec{Addr: "127.0.0.1:7001", Zone: "z1", Kind: "large", Cell: 2}
+	goldenReplicatedState = ReplicatedState{Version: 71, Hash: "c0ffee",
 		Servers: map[string]config.Server{"s-1": {Version: 72, Spec: &goldenSpec, Weight: 0.75, Restriction: restriction.Draining}},
-		Removed: []string{"s-9"}, Pending: []restriction.Request{goldenOrder},
-		Rejected: []config.RejectedRestriction{{Request: goldenOrder, Reason: config.NoReplicaLeft, Version: 73}}}
-	goldenServerOrder = ServerRequest{Server: "s-1", Action: "add", Force: true, Weight: 0.75, Spec: &goldenSpec, ExpectedVersion: 81, ClientID: "cli-1", Seq: 82}
-	goldenOrdered     = ServerResponse{Scope: "everywhere", RestrictionID: "a.61.62", Version: 83, UncoveredShards: []string{"slice 3"}}
-	goldenMemberOrder = MemberRequest{Action: "join", ID: "c", Raft: "127.0.0.1:9302", HTTP: "127.0.0.1:9202"}
-	goldenSettings    = []Setting{{Key: "reshape.moves", Value: "4", Source: "default"}}
-	goldenReloaded    = ReloadResult{Applied: []string{"reshape.moves"}, NeedsRestart: []string{"listen"}, Replicated: []string{"indices.players.class"}}
-	goldenDocument    = `{"revision":9,"search":{"max_result_window":50},"indices":{"players":{"class":"team-lookup","slices":[0,1]}}}`
-	goldenBackup      = Backup{Format: 1, Taken: time.Date(2026, 12, 2, 5, 0, 0, 123, time.UTC), Revision: 9,
-		Sum: sum([]byte(goldenDocument)), Document: json.RawMessage(goldenDocument)}
+		Removed: []string{"s-9"}, Pending: []restriction.Request{goldenRestriction},
+		Rejected: []config.RejectedRestriction{{Request: goldenRestriction, Reason: config.NoReplicaLeft, Version: 73}}}
+	goldenServerRequest  = ServerRequest{Server: "s-1", Action: "add", Force: true, Weight: 0.75, Spec: &goldenSpec, ExpectedVersion: 81, ClientID: "cli-1", Seq: 82}
+	goldenServerResponse = ServerResponse{Scope: "everywhere", RestrictionID: "a.61.62", Version: 83, UncoveredShards: []string{"slice 3"}}
+	goldenMemberRequest  = MemberRequest{Action: "join", ID: "c", Raft: "127.0.0.1:9302", HTTP: "127.0.0.1:9202"}
+	goldenSettings       = []Setting{{Key: "reshape.moves", Value: "4", Source: "default"}}
+	goldenReloadResult   = ReloadResult{Applied: []string{"reshape.moves"}, NeedsRestart: []string{"listen"}, Replicated: []string{"indices.players.class"}}
+	goldenDocument       = `{"revision":9,"search":{"max_result_window":50},"indices":{"players":{"class":"team-lookup","slices":[0,1]}}}`
+	goldenBackup         = Backup{Format: 1, Taken: time.Date(2026, 12, 2, 5, 0, 0, 123, time.UTC), Revision: 9,
+		Sum: checksum([]byte(goldenDocument)), Document: json.RawMessage(goldenDocument)}
 )
 
 func TestAdminBodiesGolden(t *testing.T) {
 	t.Run("status response", func(t *testing.T) { goldentest.JSON(t, "status_response.json", goldenStatus) })
 	t.Run("servers response", func(t *testing.T) { goldentest.JSON(t, "servers_response.json", goldenServers) })
-	t.Run("agreed response", func(t *testing.T) { goldentest.JSON(t, "agreed_response.json", goldenAgreed) })
-	t.Run("layouts response", func(t *testing.T) { goldentest.JSON(t, "layouts_response.json", goldenLayout) })
+	t.Run("agreed response", func(t *testing.T) { goldentest.JSON(t, "agreed_response.json", goldenReplicatedState) })
+	t.Run("layouts response", func(t *testing.T) { goldentest.JSON(t, "layouts_response.json", goldenShardMaps) })
 	t.Run("config response", func(t *testing.T) { goldentest.JSON(t, "config_response.json", goldenSettings) })
-	t.Run("reload response", func(t *testing.T) { goldentest.JSON(t, "reload_response.json", goldenReloaded) })
-	t.Run("server order request", func(t *testing.T) { goldentest.JSON(t, "server_order_request.json", goldenServerOrder) })
-	t.Run("server order response", func(t *testing.T) { goldentest.JSON(t, "server_order_response.json", goldenOrdered) })
-	t.Run("member order request", func(t *testing.T) { goldentest.JSON(t, "member_order_request.json", goldenMemberOrder) })
+	t.Run("reload response", func(t *testing.T) { goldentest.JSON(t, "reload_response.json", goldenReloadResult) })
+	t.Run("server order request", func(t *testing.T) { goldentest.JSON(t, "server_order_request.json", goldenServerRequest) })
+	t.Run("server order response", func(t *testing.T) { goldentest.JSON(t, "server_order_response.json", goldenServerResponse) })
+	t.Run("member order request", func(t *testing.T) { goldentest.JSON(t, "member_order_request.json", goldenMemberRequest) })
 	t.Run("backup", func(t *testing.T) { goldentest.JSON(t, "backup.json", goldenBackup) })
-	t.Run("error response", func(t *testing.T) { goldentest.JSON(t, "error_response.json", failure{Error: "no such server"}) })
+	t.Run("error response", func(t *testing.T) { goldentest.JSON(t, "error_response.json", errorBody{Error: "no such server"}) })
 }
 
 // The optional fields are left out where they have no value, and the others are not.
@@ -82,7 +82,7 @@
 	}
 }
 
-// fixedCoordinator answers with the golden values and keeps the orders that it was given.
+// fixedCoordinator answers with the golden values and keeps the requests that it was given.
 type fixedCoordinator struct {
 	err    error
 	server ServerRequest
@@ -90,15 +90,17 @@
 	store  *store.Store
 }
 
-func (*fixedCoordinator) Status() Status                              { return goldenStatus }
-func (c *fixedCoordinator) Servers() ([]Server, error)                { return goldenServers, c.err }
-func (*fixedCoordinator) Drain() string                               { return "drained" }
-func (*fixedCoordinator) Activate() string                            { return "serving" }
-func (*fixedCoordinator) Settings() []Setting                         { return goldenSettings }
-func (*fixedCoordinator) ShardMaps() []IndexShardMap                  { return goldenLayout }
-func (c *fixedCoordinator) ReplicatedState() (ReplicatedState, error) { return goldenAgreed, c.err }
-func (c *fixedCoordinator) Reload() (ReloadResult, error)             { return goldenReloaded, c.err }
-func (c *fixedCoordinator) Store() *store.Store                       { return c.store }
+func (*fixedCoordinator) Status() Status               { return goldenStatus }
+func (c *fixedCoordinator) Servers() ([]Server, error) { return goldenServers, c.err }
+func (*fixedCoordinator) Drain() string                { return "drained" }
+func (*fixedCoordinator) Activate() string             { return "serving" }
+func (*fixedCoordinator) Settings() []Setting          { return goldenSettings }
+func (*fixedCoordinator) ShardMaps() []IndexShardMap   { return goldenShardMaps }
+func (c *fixedCoordinator) ReplicatedState() (ReplicatedState, error) {
+	return goldenReplicatedState, c.err
+}
+func (c *fixedCoordinator) Reload() (ReloadResult, error) { return goldenReloadResult, c.err }
+func (c *fixedCoordinator) Store() *store.Store           { return c.store }
 func (*fixedCoordinator) Search() http1.Handler {
 	return http1.HandlerFunc(func(_ context.Context, _ time.Duration, req *http1.Request) *http1.Response {
 		return &http1.Response{Status: 200, Body: []byte(req.Method + " " + req.Path + "?" + req.Query + " " + string(req.Body))}
@@ -112,7 +114,7 @@
 
 func (c *fixedCoordinator) ChangeServer(o ServerRequest) (ServerResponse, error) {
 	c.server = o
-	return goldenOrdered, c.err
+	return goldenServerResponse, c.err
 }
 
 func serve(h http1.Handler, method, target string, body []byte) *http1.Response {
@@ -151,17 +153,17 @@
 				t.Errorf("content type %q", got)
 			}
 			goldentest.Bytes(t, c.response, res.Body)
-			if c.target == "/v1/servers/order" && !reflect.DeepEqual(k.server, goldenServerOrder) {
+			if c.target == "/v1/servers/order" && !reflect.DeepEqual(k.server, goldenServerRequest) {
 				t.Errorf("order received: %+v", k.server)
 			}
-			if c.target == "/v1/store/members" && k.member != goldenMemberOrder {
+			if c.target == "/v1/store/members" && k.member != goldenMemberRequest {
 				t.Errorf("order received: %+v", k.member)
 			}
 		})
 	}
 }
 
-// A log level is set by a plain body; the response lists the levels by part.
+// A log level is set by a plain body; the response lists the levels by component.
 func TestAdminLogLevelGolden(t *testing.T) {
 	before := string(serve(Handler{&fixedCoordinator{}}, "GET", "/v1/log", nil).Body)
 	var levels map[string]string
@@ -342,15 +344,15 @@
 	}{
 		{"status", "client_status.http", "status_response.json", func(c *Client) (any, error) { return c.Status() }, goldenStatus},
 		{"servers", "client_servers.http", "servers_response.json", func(c *Client) (any, error) { return c.Servers() }, goldenServers},
-		{"layouts", "client_layouts.http", "layouts_response.json", func(c *Client) (any, error) { return c.ShardMaps() }, goldenLayout},
+		{"layouts", "client_layouts.http", "layouts_response.json", func(c *Client) (any, error) { return c.ShardMaps() }, goldenShardMaps},
 		{"server order", "client_server_order.http", "server_order_response.json", func(c *Client) (any, error) {
-			body, err := json.Marshal(goldenServerOrder)
+			body, err := json.Marshal(goldenServerRequest)
 			if err != nil {
 				return nil, err
 			}
 			var out ServerResponse
 			return &out, c.Call("PUT", "/servers/order", body, &out)
-		}, &goldenOrdered},
+		}, &goldenServerResponse},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var got any
@@ -380,8 +382,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := exchange(t, &c.res, func(client *Client) error { return client.Call("GET", "/status", nil, nil) })
-			var refused *ResponseError
-			if !errors.As(err, &refused) || refused.Status != c.res.Status || refused.Reason != c.reason {
+			var rejected *ResponseError
+			if !errors.As(err, &rejected) || rejected.Status != c.res.Status || rejected.Reason != c.reason {
 				t.Errorf("got %#v", err)
 			}
 		})
@@ -397,13 +399,13 @@
 		t.Fatalf("%v, %v", header, err)
 	}
 	v := signature.NewVerifier(signature.Ring{"ops-1": key}, time.Minute, at)
-	sealed := &SignedHandler{Handler: Handler{&fixedCoordinator{store: &store.Store{}}}, Counters: metrics.NewCounters(),
+	signed := &SignedHandler{Handler: Handler{&fixedCoordinator{store: &store.Store{}}}, Counters: metrics.NewCounters(),
 		Check: func(header string, c signature.Call) error { _, err := v.Check(at, header, c); return err }}
 	req := &http1.Request{Method: "PUT", Path: "/v1/store/document", Query: "check=true", Header: header, Body: []byte("body")}
-	if res := sealed.Serve(context.Background(), 0, req); res.Status != 400 { // let in: the body is no backup
+	if res := signed.Serve(context.Background(), 0, req); res.Status != 400 { // admitted: the body is no backup
 		t.Errorf("status %d %s", res.Status, res.Body)
 	}
-	if res := sealed.Serve(context.Background(), 0, req); res.Status != 401 {
+	if res := signed.Serve(context.Background(), 0, req); res.Status != 401 {
 		t.Errorf("the same call again: status %d %s", res.Status, res.Body)
 	}
 	fields := strings.Split(strings.TrimPrefix(header.Get("Authorization"), "linkpass-v1 "), ",")
