--- /dev/null
+++ b/internal/handover/follower.go
@@ -0,0 +1,38 @@
+package handover
+
+import (
+	"bufio"
+	"net"
+
+	"linkpass/internal/eventlog"
+)
+
+// follow makes this process a follower; mu is locked.
+func (g *Group) follow(leader net.Conn) {
+	g.leader = leader
+	g.onShare(Share{Processes: 2, MaxOpen: g.maxOpen / 2}) // until the leader's first message
+	g.wg.Go(func() {
+		g.receiveShares(leader)
+		_ = leader.Close()
+		if err := g.enter(); err != nil {
+			eventlog.HandoverFailed.Log(err)
+		}
+	})
+}
+
+// receiveShares applies the leader's messages until the leader ends.
+func (g *Group) receiveShares(leader net.Conn) {
+	reader := bufio.NewReader(leader)
+	for {
+		message, err := reader.ReadString('\n')
+		if err != nil {
+			return
+		}
+		share, err := parseShare(message)
+		if err != nil {
+			eventlog.HandoverMessageInvalid.Log(message)
+			return
+		}
+		g.onShare(share)
+	}
+}
--- a/internal/handover/wire_golden_test.go
+++ b/internal/handover/wire_golden_test.go
@@ -15,8 +15,8 @@
 
 const ioLimit = 10 * time.Second // a guard against a hang; nothing is asserted on it
 
-// dialEldest connects to the eldest process as another version of the program would: by the socket's name.
-func dialEldest(t *testing.T, dir string) (net.Conn, *bufio.Reader) {
+// dialLeader connects to the leader process as another version of the program would: by the socket's name.
+func dialLeader(t *testing.T, dir string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	nc, err := net.Dial("unix", filepath.Join(dir, "linkpass-n1.sock"))
 	if err != nil {
@@ -38,41 +38,41 @@
 	return line
 }
 
-// The golden files hold every message that the first and the second younger process read, in order: the second joins,
-// the eldest begins to drain with 30 open, and the second leaves.
-func TestEldestMessagesGolden(t *testing.T) {
+// The golden files hold every message that the first and the second follower read, in order: the second joins,
+// the leader begins to drain with 30 open, and the second leaves.
+func TestLeaderMessagesGolden(t *testing.T) {
 	dir := t.TempDir()
-	eldest := join(t, dir)
+	leader := join(t, dir)
 	var first, second bytes.Buffer
-	_, r1 := dialEldest(t, dir)
+	_, r1 := dialLeader(t, dir)
 	first.WriteString(readLine(t, r1))
-	nc2, r2 := dialEldest(t, dir)
+	nc2, r2 := dialLeader(t, dir)
 	first.WriteString(readLine(t, r1))
 	second.WriteString(readLine(t, r2))
-	eldest.Retire(30)
+	leader.Retire(30)
 	first.WriteString(readLine(t, r1))
 	second.WriteString(readLine(t, r2))
 	if err := nc2.Close(); err != nil {
 		t.Fatal(err)
 	}
 	first.WriteString(readLine(t, r1))
-	eldest.Close()
+	leader.Close()
 	if rest, err := io.ReadAll(r1); err != nil || len(rest) > 0 {
-		t.Errorf("after the eldest closed: %q, %v", rest, err)
+		t.Errorf("after the leader closed: %q, %v", rest, err)
 	}
 	goldentest.Bytes(t, "eldest_to_first.txt", first.Bytes())
 	goldentest.Bytes(t, "eldest_to_second.txt", second.Bytes())
 }
 
-// A younger process takes the golden messages as shares and sends nothing itself.
-func TestYoungerReadsGoldenMessages(t *testing.T) {
+// A follower takes the golden messages as shares and sends nothing itself.
+func TestFollowerReadsGoldenMessages(t *testing.T) {
 	dir := t.TempDir()
 	ln, err := net.Listen("unix", filepath.Join(dir, "linkpass-n1.sock"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	younger := join(t, dir)
+	follower := join(t, dir)
 	nc, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -80,7 +80,7 @@
 	if err := nc.SetDeadline(time.Now().Add(ioLimit)); err != nil {
 		t.Fatal(err)
 	}
-	if s := <-younger.shares; s != (Share{Processes: 2, MaxOpen: 80}) {
+	if s := <-follower.shares; s != (Share{Processes: 2, MaxOpen: 80}) {
 		t.Errorf("share before the first message: %+v", s)
 	}
 	want := []Share{{Processes: 2, MaxOpen: 80}, {Processes: 3, MaxOpen: 53}, {Processes: 3, MaxOpen: 65}, {Processes: 2, MaxOpen: 130}}
@@ -92,14 +92,14 @@
 		if _, err := io.WriteString(nc, strings.TrimSuffix(message, "\n")+"\n"); err != nil {
 			t.Fatal(err)
 		}
-		if s := <-younger.shares; s != want[i] {
+		if s := <-follower.shares; s != want[i] {
 			t.Errorf("%q: share %+v, want %+v", message, s, want[i])
 		}
 	}
-	_ = ln.Close() // so that the younger one becomes the eldest instead of connecting again
-	go younger.Close()
+	_ = ln.Close() // so that the follower becomes the leader instead of connecting again
+	go follower.Close()
 	if sent, err := io.ReadAll(nc); err != nil || len(sent) > 0 {
-		t.Errorf("the younger process sent %q, %v", sent, err)
+		t.Errorf("the follower sent %q, %v", sent, err)
 	}
 	_ = nc.Close()
 }
