--- a/internal/admin/readiness.go
+++ b/internal/admin/readiness.go
@@ -89,7 +89,7 @@
 	return Serving
 }
 
-// draining tells whether the fronts drain; mu is locked. While the state is Starting they do not: a client that came early
+// draining tells whether the fronts drain; mu is locked. While the state is Starting they do not: a client that connected early
 // may keep its connection.
 func (r *Readiness) draining() bool { return r.drained || r.shuttingDown }
 
--- a/internal/adminapi/wire_golden_test.go
+++ b/internal/adminapi/wire_golden_test.go
@@ -154,10 +154,10 @@
 			}
 			goldentest.Bytes(t, c.response, res.Body)
 			if c.target == "/v1/servers/order" && !reflect.DeepEqual(k.server, goldenServerRequest) {
-				t.Errorf("order received: %+v", k.server)
+				t.Errorf("request received: %+v", k.server)
 			}
 			if c.target == "/v1/store/members" && k.member != goldenMemberRequest {
-				t.Errorf("order received: %+v", k.member)
+				t.Errorf("request received: %+v", k.member)
 			}
 		})
 	}
@@ -414,9 +414,9 @@
 	}
 }
 
-// A command's reason is told by the API and kept in the replicated state, whose hash instances of two versions compare: its
+// A command's reason is returned by the API and kept in the replicated state, whose hash instances of two versions compare: its
 // text is part of the format.
-func TestWithdrawnReasonsGolden(t *testing.T) {
+func TestRejectionReasonsGolden(t *testing.T) {
 	goldentest.Encodes(t, "reasons.json", []config.Reason{config.Applied, config.Conflict, config.ServerNotFound, config.ServerExists, config.ServerIDRetired, config.NoReplicaLeft,
 		config.AlreadySettled, config.StaleSequence, config.NotInitialized, config.LimitExceeded, config.Invalid})
 }
