--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -100,7 +100,7 @@
 		}
 		return nil
 	}
-	return lifecycle.Component{Name: "control", DependsOn: []string{"core"}, Deferred: true, Open: func() error {
+	return lifecycle.Component{Name: "control", DependsOn: []string{"core"}, Deferred: true, Start: func() error {
 		err := p.openControl(func(ln net.Listener, h http1.Handler, maxBody int64) {
 			open = append(open, &entrance{&http1.Server{Name: "control", Handler: h, Clock: p.core, Counters: p.count,
 				MaxConns: controlConns, MaxBody: maxBody}, ln})
@@ -115,7 +115,7 @@
 			all.Go(func() { e.run(ctx) })
 		}
 		all.Wait()
-	}, Close: giveBack}
+	}, Stop: giveBack}
 }
 
 // openControl takes what the API listens at.
--- a/internal/daemon/fronts.go
+++ b/internal/daemon/fronts.go
@@ -67,14 +67,14 @@
 // frontPart is a part whose entrance is one for clients, or nil after it has opened: it is off.
 func (p *Program) frontPart(part lifecycle.Component, open func() (*entrance, error), alsoClose func() error) lifecycle.Component {
 	var e *entrance
-	part.Open = func() (err error) { e, err = open(); return err }
+	part.Start = func() (err error) { e, err = open(); return err }
 	part.Run = func(ctx context.Context) {
 		if e != nil {
 			defer p.accepting.Done()
 			p.letIn(ctx, e)
 		}
 	}
-	part.Close = func() error {
+	part.Stop = func() error {
 		_ = e.close()
 		if alsoClose == nil {
 			return nil
@@ -122,7 +122,7 @@
 
 // doorPart is the operators' door on the platform's address.
 func (p *Program) doorPart() lifecycle.Component {
-	return lifecycle.Component{Name: "door", DependsOn: []string{"core"}, Open: func() error {
+	return lifecycle.Component{Name: "door", DependsOn: []string{"core"}, Start: func() error {
 		if p.cfg.operator == "" {
 			return nil
 		}
@@ -137,7 +137,7 @@
 		if p.door != nil {
 			p.door.run(ctx)
 		}
-	}, Close: func() error { return p.door.close() }}
+	}, Stop: func() error { return p.door.close() }}
 }
 
 // settle names the search settings that hold.
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -244,7 +244,7 @@
 			p.gate.MarkUsable()
 		case <-p.alone:
 			p.mu.Lock()
-			p.parts.OpenDeferred(func(name string, err error) {
+			p.parts.StartDeferred(func(name string, err error) {
 				switch name {
 				case "control":
 					eventlog.AdminAPIFailed.Log(err)
@@ -280,7 +280,7 @@
 	if p.parts, err = lifecycle.New(p.list()...); err == nil {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		err = p.parts.Open(!p.young())
+		err = p.parts.Start(!p.young())
 	}
 	if err != nil {
 		p.post.Close()
@@ -293,13 +293,13 @@
 // version may still listen comes late.
 func (p *Program) list() []lifecycle.Component {
 	return []lifecycle.Component{
-		{Name: "handover", Close: func() error { p.post.Close(); return nil }},
-		{Name: "core", DependsOn: []string{"handover"}, Open: p.openCore},
-		{Name: "bodies", DependsOn: []string{"core"}, Open: p.openBodies, Close: p.closeBodies},
-		{Name: "links", DependsOn: []string{"core"}, Open: p.openLinks, Close: func() error { p.links.Close(); return nil }},
-		{Name: "layouts", DependsOn: []string{"core"}, Open: p.openLayouts, Run: p.runSteward},
-		{Name: "agreement", DependsOn: []string{"links", "layouts"}, Open: p.openAgreement, Run: p.runAgreement},
-		{Name: "discovery", DependsOn: []string{"agreement"}, Open: p.openDiscovery, Run: func(ctx context.Context) { p.watcher.Run(ctx, p.cfg.known) }},
+		{Name: "handover", Stop: func() error { p.post.Close(); return nil }},
+		{Name: "core", DependsOn: []string{"handover"}, Start: p.openCore},
+		{Name: "bodies", DependsOn: []string{"core"}, Start: p.openBodies, Stop: p.closeBodies},
+		{Name: "links", DependsOn: []string{"core"}, Start: p.openLinks, Stop: func() error { p.links.Close(); return nil }},
+		{Name: "layouts", DependsOn: []string{"core"}, Start: p.openLayouts, Run: p.runSteward},
+		{Name: "agreement", DependsOn: []string{"links", "layouts"}, Start: p.openAgreement, Run: p.runAgreement},
+		{Name: "discovery", DependsOn: []string{"agreement"}, Start: p.openDiscovery, Run: func(ctx context.Context) { p.watcher.Run(ctx, p.cfg.known) }},
 		p.platformPart(),
 		p.doorPart(),
 		p.searchPart(),
--- /dev/null
+++ b/internal/lifecycle/group.go
@@ -0,0 +1,102 @@
+// Package lifecycle starts, runs and stops the components of a program. It owns the order: a component starts after
+// those it depends on, and all stop in reverse order; a start that fails is undone. It does not restart a component
+// whose Run returns, and it knows nothing of what a component does.
+package lifecycle
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"slices"
+)
+
+// Group is the ordered list of a program's components. It does no locking: its callers make one call at a time.
+type Group struct {
+	components []*running
+	running    bool
+	ctx        context.Context // Run's: a component that starts later runs under it too
+}
+
+// New makes a group that starts components in the given order. A duplicate name, and a dependency that does not
+// precede its dependent, are errors.
+func New(components ...Component) (*Group, error) {
+	g := &Group{}
+	for _, c := range components {
+		if g.find(c.Name) != nil {
+			return nil, fmt.Errorf("component %s is listed twice", c.Name)
+		}
+		for _, name := range c.DependsOn {
+			if g.find(name) == nil {
+				return nil, fmt.Errorf("component %s depends on %s, which does not precede it", c.Name, name)
+			}
+		}
+		g.components = append(g.components, &running{Component: c})
+	}
+	return g, nil
+}
+
+func (g *Group) find(name string) *running {
+	i := slices.IndexFunc(g.components, func(r *running) bool { return r.Name == name })
+	if i < 0 {
+		return nil
+	}
+	return g.components[i]
+}
+
+// Start starts, in order, every component that is not started yet; the deferred ones only if deferred is set. If one
+// fails, those that this call has started are stopped in reverse order, and the error names the component.
+func (g *Group) Start(deferred bool) error {
+	var started []*running
+	for _, r := range g.components {
+		if r.started || r.Deferred && !deferred {
+			continue
+		}
+		if err := r.start(g); err != nil {
+			for _, s := range slices.Backward(started) {
+				_ = s.stop() // the first error is the cause; this one would only hide it
+			}
+			return fmt.Errorf("%s: %w", r.Name, err)
+		}
+		started = append(started, r)
+	}
+	return nil
+}
+
+// StartDeferred starts the deferred components while the others run. A failure is reported to onError and affects
+// no other component, as the program goes on without the one that failed.
+func (g *Group) StartDeferred(onError func(name string, err error)) {
+	for _, r := range g.components {
+		if !r.Deferred || r.started {
+			continue
+		}
+		if err := r.start(g); err != nil {
+			onError(r.Name, err)
+		}
+	}
+}
+
+// Run runs every started component, and from now on each component as it starts. It does not block.
+func (g *Group) Run(ctx context.Context) {
+	g.running, g.ctx = true, ctx
+	for _, r := range g.components {
+		if r.started {
+			r.run(ctx)
+		}
+	}
+}
+
+// Stop stops all started components in reverse order, each within its timeout. One that does not stop in time is
+// abandoned and named in the error.
+func (g *Group) Stop() error {
+	var errs []error
+	for _, r := range slices.Backward(g.components) {
+		if !r.started {
+			continue
+		}
+		if err := r.stop(); err != nil {
+			errs = append(errs, fmt.Errorf("%s: %w", r.Name, err))
+		}
+	}
+	g.running = false
+	return errors.Join(errs...)
+}
--- /dev/null
+++ b/internal/lifecycle/group_test.go
@@ -0,0 +1,126 @@
+package lifecycle
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"testing/synctest"
+
+	"pgregory.net/rapid"
+
+	_ "linkpass/internal/seeded"
+)
+
+// Whichever component fails to start, those before it are stopped in reverse order and nothing else happens; if
+// none fails, all stop in reverse order.
+func TestStartRollsBackAndStopReverses(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		n := rapid.IntRange(1, 8).Draw(t, "components")
+		fails := rapid.IntRange(0, n).Draw(t, "fails") // n: none
+		firstDeferred := rapid.IntRange(0, n).Draw(t, "first deferred")
+		var log, want []string
+		var list []Component
+		for i := range n {
+			name := fmt.Sprint("p", i)
+			p := Component{Name: name, Deferred: i >= firstDeferred}
+			for j := range i {
+				if rapid.Bool().Draw(t, "depends on") {
+					p.DependsOn = append(p.DependsOn, fmt.Sprint("p", j))
+				}
+			}
+			p.Start = func() error {
+				if i == fails {
+					return errors.New("no room")
+				}
+				log = append(log, "+"+name)
+				return nil
+			}
+			p.Stop = func() error { log = append(log, "-"+name); return nil }
+			list = append(list, p)
+		}
+		g, err := New(list...)
+		if err != nil {
+			t.Fatal(err)
+		}
+		err = g.Start(false)
+		if err == nil {
+			err = g.Start(true)
+		}
+		stop := g.Stop()
+		opened := min(fails, n)
+		for i := range opened {
+			want = append(want, fmt.Sprint("+p", i))
+		}
+		for i := opened - 1; i >= 0; i-- {
+			want = append(want, fmt.Sprint("-p", i))
+		}
+		if !slices.Equal(log, want) || stop != nil || (err != nil) != (fails < n) ||
+			err != nil && err.Error() != fmt.Sprintf("p%d: no room", fails) {
+			t.Fatalf("%v, want %v; %v %v", log, want, err, stop)
+		}
+	})
+}
+
+// A component that does not stop is named and abandoned; the others stop all the same.
+func TestStopTimeoutDoesNotBlockOthers(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ended := 0
+		release := make(chan struct{})
+		untilDone := func(ctx context.Context) { <-ctx.Done(); ended++ }
+		g, err := New(
+			Component{Name: "a", Run: untilDone},
+			Component{Name: "b", Run: func(context.Context) { <-release }},
+			Component{Name: "c", Stop: func() error { <-release; return nil }},
+			Component{Name: "late", DependsOn: []string{"a"}, Deferred: true, Run: untilDone},
+		)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := g.Start(false); err != nil {
+			t.Fatal(err)
+		}
+		g.Run(context.Background())
+		g.StartDeferred(func(name string, err error) { t.Error(name, err) }) // runs at once: the group is running
+		err = g.Stop()
+		if !errors.Is(err, ErrStopTimeout) || !strings.Contains(err.Error(), "b: did not") || !strings.Contains(err.Error(), "c: did not") || ended != 2 {
+			t.Errorf("%v, %d ended", err, ended)
+		}
+		close(release)
+	})
+}
+
+// A list with a missing or duplicate dependency is rejected before anything starts.
+func TestInvalidOrderIsRejected(t *testing.T) {
+	for _, list := range [][]Component{
+		{{Name: "a", DependsOn: []string{"b"}}, {Name: "b"}},
+		{{Name: "a"}, {Name: "a"}},
+		{{Name: "a", DependsOn: []string{"a"}}},
+	} {
+		if _, err := New(list...); err == nil {
+			t.Errorf("%+v was accepted", list)
+		}
+	}
+	g, err := New(Component{Name: "a", Deferred: true}, Component{Name: "b", DependsOn: []string{"a"}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := g.Start(false); err == nil {
+		t.Error("a component started without its dependency")
+	}
+	g, err = New(
+		Component{Name: "a"},
+		Component{Name: "b", Deferred: true, Start: func() error { return errors.New("taken") }},
+		Component{Name: "c", Deferred: true},
+	)
+	if err != nil {
+		t.Fatal(err)
+	}
+	failed := ""
+	g.StartDeferred(func(name string, err error) { failed += name + err.Error() })
+	if failed != "btaken" || !g.components[2].started {
+		t.Errorf("%q, c started: %v", failed, g.components[2].started)
+	}
+}
--- /dev/null
+++ b/internal/lifecycle/running.go
@@ -0,0 +1,78 @@
+package lifecycle
+
+import (
+	"context"
+	"fmt"
+	"time"
+)
+
+// running is a component and its state within a group.
+type running struct {
+	Component
+	started bool
+	cancel  context.CancelFunc
+	done    chan struct{} // closed by run's goroutine once Run has returned; nil: Run was never called
+}
+
+// start starts one component, and runs it if the group is running already.
+func (r *running) start(g *Group) error {
+	for _, name := range r.DependsOn {
+		if !g.find(name).started {
+			return fmt.Errorf("depends on %s, which is not started", name)
+		}
+	}
+	if r.Start != nil {
+		if err := r.Start(); err != nil {
+			return err
+		}
+	}
+	r.started = true
+	if g.running {
+		r.run(g.ctx)
+	}
+	return nil
+}
+
+// run calls the component's Run in a goroutine that stop waits for.
+func (r *running) run(parent context.Context) {
+	if r.Run == nil {
+		return
+	}
+	ctx, cancel := context.WithCancel(parent)
+	r.cancel, r.done = cancel, make(chan struct{})
+	go func() {
+		defer close(r.done)
+		r.Run(ctx)
+	}()
+}
+
+// stop cancels Run, waits for it and calls Stop, all within StopTimeout.
+func (r *running) stop() error {
+	r.started = false
+	limit := r.StopTimeout
+	if limit <= 0 {
+		limit = DefaultStopTimeout
+	}
+	timeout := time.NewTimer(limit)
+	defer timeout.Stop()
+	if r.done != nil {
+		r.cancel()
+		select {
+		case <-r.done:
+			r.done = nil
+		case <-timeout.C:
+			return fmt.Errorf("%w: %s", ErrStopTimeout, limit)
+		}
+	}
+	if r.Stop == nil {
+		return nil
+	}
+	stopped := make(chan error, 1) // buffered: a Stop that outlasts the timeout must not leak its goroutine
+	go func() { stopped <- r.Stop() }()
+	select {
+	case err := <-stopped:
+		return err
+	case <-timeout.C:
+		return fmt.Errorf("%w: %s", ErrStopTimeout, limit)
+	}
+}
