--- /dev/null
+++ b/internal/daemon/admin_api.go
@@ -0,0 +1,136 @@
+package daemon
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"linkpass/internal/adminapi"
+	"linkpass/internal/http1"
+	"linkpass/internal/lifecycle"
+)
+
+// Operator says where the admin API listens: the section `operator` of the operators' file.
+type Operator struct {
+	Socket string `toml:"socket"` // of the API; "": there is none
+	Listen string `toml:"listen"` // of the API over TCP; "": not there
+	Keys   string `toml:"keys"`   // file of the keys that sign calls over TCP
+	Window string `toml:"window"`
+}
+
+const (
+	adminAPIName    = "adminapi" // of the component
+	adminAPIConns   = 8
+	maxAdminBody    = 16 << 20 // bytes: a backup
+	maxUnsignedBody = 1 << 20  // over TCP: a body lies in memory before its signature is verified
+)
+
+// adminAPI serves the admin API, at its socket and over TCP.
+type adminAPI struct {
+	*process
+	core    *queryCore
+	backend *adminBackend
+
+	keys    keyring      // that sign calls over TCP
+	tcpAddr atomic.Value // string: of the API over TCP
+	bound   []*boundServer
+}
+
+func newAdminAPI(p *process, core *queryCore) *adminAPI { return &adminAPI{process: p, core: core} }
+
+func (a *adminAPI) component() lifecycle.Component {
+	return lifecycle.Component{Name: adminAPIName, DependsOn: []string{"core"}, Deferred: true,
+		Start: a.start, Run: a.run, Stop: a.stop}
+}
+
+func (a *adminAPI) start() error {
+	err := a.listen()
+	if err != nil {
+		_ = a.stop()
+	}
+	return err
+}
+
+func (a *adminAPI) run(ctx context.Context) {
+	var serving sync.WaitGroup
+	for _, b := range a.bound {
+		serving.Go(func() { b.run(ctx) })
+	}
+	serving.Wait()
+}
+
+func (a *adminAPI) stop() error {
+	for _, b := range a.bound {
+		_ = b.close()
+	}
+	return nil
+}
+
+func (a *adminAPI) listen() error {
+	c := a.cfg.Search.Operator
+	handler := adminapi.Handler{Coordinator: a.backend}
+	if c.Socket != "" {
+		ln, err := listenSocket(c.Socket)
+		if err != nil {
+			return err
+		}
+		a.add(ln, handler, maxAdminBody)
+	}
+	if c.Listen == "" {
+		return nil
+	}
+	ring, err := ReadKeys(c.Keys)
+	if err != nil {
+		return err
+	}
+	a.keys.open(ring, Keys.Duration("operator.window", c.Window))
+	ln, err := net.Listen("tcp", c.Listen)
+	if err != nil {
+		return err
+	}
+	a.tcpAddr.Store(ln.Addr().String())
+	a.add(ln, &adminapi.SignedHandler{Handler: handler, Check: a.keys.check, Counters: a.counters}, maxUnsignedBody)
+	return nil
+}
+
+func (a *adminAPI) add(ln net.Listener, h http1.Handler, maxBody int64) {
+	a.bound = append(a.bound, &boundServer{&http1.Server{
+		Name:     "control",
+		Handler:  h,
+		Clock:    a.core.core,
+		Counters: a.counters,
+		MaxConns: adminAPIConns,
+		MaxBody:  maxBody,
+	}, ln})
+}
+
+// listenSocket listens at a Unix socket. A file that a crash left is replaced; one
+// that another process listens on is not.
+func listenSocket(path string) (net.Listener, error) {
+	if _, err := os.Stat(path); err == nil {
+		if conn, err := net.DialTimeout("unix", path, time.Second); err == nil {
+			_ = conn.Close()
+			return nil, fmt.Errorf("another process listens at %s", path)
+		}
+		if err := os.Remove(path); err != nil {
+			return nil, fmt.Errorf("remove the socket that a crash left: %w", err)
+		}
+	}
+	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
+		return nil, err
+	}
+	ln, err := net.Listen("unix", path)
+	if err != nil {
+		return nil, err
+	}
+	if err := os.Chmod(path, 0o600); err != nil {
+		_ = ln.Close()
+		return nil, err
+	}
+	return ln, nil
+}
--- /dev/null
+++ b/internal/daemon/admin_changes.go
@@ -0,0 +1,136 @@
+package daemon
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"strconv"
+	"time"
+
+	"linkpass/internal/adminapi"
+	"linkpass/internal/config"
+	"linkpass/internal/config/restriction"
+	"linkpass/internal/endpoints"
+	"linkpass/internal/store"
+)
+
+const memberTimeout = 2 * time.Second // for a learner to report its version, and for members to answer
+
+// ReplicatedState is what the log has decided of servers, and what is pending.
+func (b *adminBackend) ReplicatedState() (out adminapi.ReplicatedState, err error) {
+	st := b.Store()
+	if st == nil {
+		return out, adminapi.ErrNoStore
+	}
+	s := st.State()
+	out.Version, out.Servers = s.Version(), map[string]config.Server{}
+	for _, id := range s.ServerIDs() {
+		out.Servers[id], _ = s.Server(id)
+	}
+	out.Removed, out.Rejected = s.RemovedIDs(), s.RejectedRestrictions()
+	out.Pending = b.registry.registry.PendingRestrictions()
+	if out.Hash, err = s.Hash(); err != nil {
+		return out, err
+	}
+	return out, nil
+}
+
+// ChangeMember changes the members of the store.
+func (b *adminBackend) ChangeMember(r adminapi.MemberRequest) error {
+	st := b.Store()
+	if st == nil {
+		return adminapi.ErrNoStore
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), memberTimeout)
+	defer cancel()
+	switch r.Action {
+	case "join":
+		return st.AddLearner(store.Member{ID: r.ID, Raft: r.Raft, HTTP: r.HTTP})
+	case "promote":
+		return st.PromoteLearner(r.ID, func(m store.Member, version uint64) error {
+			return checkCaughtUp(ctx, m, version)
+		})
+	case "leave":
+		return st.RemoveMember(ctx, r.ID)
+	}
+	return fmt.Errorf("%w: no such order: %.40q", store.ErrUnknownMember, r.Action)
+}
+
+// checkCaughtUp tells whether a learner has the state of a version.
+func checkCaughtUp(ctx context.Context, m store.Member, version uint64) error {
+	text, err := callMember(ctx, m.HTTP, "GET", versionPath, nil)
+	if err != nil {
+		return err
+	}
+	if reached, err := strconv.ParseUint(string(text), 10, 64); err != nil || reached < version {
+		return fmt.Errorf("it is at version %.20q of %d", text, version)
+	}
+	return nil
+}
+
+// ChangeServer changes a server as an operator asks. Drains and removals take effect here at once and wait for no
+// quorum; all else takes effect once a majority has it.
+func (b *adminBackend) ChangeServer(r adminapi.ServerRequest) (adminapi.ServerResponse, error) {
+	st := b.Store()
+	if st == nil {
+		return adminapi.ServerResponse{}, adminapi.ErrNoStore
+	}
+	switch r.Action {
+	case "drain":
+		return b.restrict(r, restriction.Draining)
+	case "remove":
+		return b.restrict(r, restriction.Removed)
+	}
+	command, err := b.serverCommand(r)
+	if err != nil {
+		return adminapi.ServerResponse{}, err
+	}
+	result, err := st.Propose(command)
+	var notLeader *store.NotLeader
+	if err == nil && result.Reason != config.Applied {
+		err = &endpoints.RejectedError{Result: result}
+	} else if errors.As(err, &notLeader) {
+		err = fmt.Errorf("%w; ask there", err)
+	}
+	return adminapi.ServerResponse{Scope: "everywhere", Version: result.Version, UncoveredShards: result.UncoveredShards}, err
+}
+
+func (b *adminBackend) restrict(r adminapi.ServerRequest, level restriction.Level) (adminapi.ServerResponse, error) {
+	pending, err := b.registry.registry.Restrict(r.Server, level, r.Force)
+	if err != nil {
+		return adminapi.ServerResponse{}, err
+	}
+	return adminapi.ServerResponse{Scope: "here, and wherever it is heard; the log settles it",
+		RestrictionID: pending.ID.String()}, nil
+}
+
+// serverCommand is the command to propose for a request that needs a quorum.
+func (b *adminBackend) serverCommand(r adminapi.ServerRequest) (config.Command, error) {
+	c := config.Command{Server: r.Server, ClientID: r.ClientID, Seq: r.Seq, ExpectedVersion: r.ExpectedVersion}
+	switch r.Action {
+	case "undrain":
+		c.Kind = config.UndrainServer
+		for _, pending := range b.registry.registry.PendingRestrictions() {
+			if pending.Server == r.Server && pending.Level == restriction.Draining {
+				c.WithdrawnIDs = append(c.WithdrawnIDs, pending.ID)
+			}
+		}
+	case "add", "change":
+		c.Kind, c.Spec = config.AddServer, r.Spec
+		if r.Action == "change" {
+			c.Kind = config.UpdateServer
+		}
+		if r.Spec != nil && r.Spec.Cell >= b.cfg.module.Cells {
+			return c, invalidRequest("there are %d cells", b.cfg.module.Cells)
+		}
+	case "weight":
+		c.Kind, c.Weight = config.SetServerWeight, r.Weight
+	default:
+		return c, invalidRequest("no such order: %.40q", r.Action)
+	}
+	return c, nil
+}
+
+func invalidRequest(format string, args ...any) error {
+	return &endpoints.RejectedError{Result: config.Result{Reason: config.Invalid, Detail: fmt.Sprintf(format, args...)}}
+}
--- /dev/null
+++ b/internal/daemon/admin_listener.go
@@ -0,0 +1,51 @@
+package daemon
+
+import (
+	"context"
+	"net"
+
+	"linkpass/internal/admin"
+	"linkpass/internal/http1"
+	"linkpass/internal/lifecycle"
+)
+
+// adminListener serves readiness and totals at the platform's operator address.
+type adminListener struct {
+	*process
+	core *queryCore
+
+	bound *boundServer // nil: off
+}
+
+func newAdminListener(p *process, core *queryCore) *adminListener {
+	return &adminListener{process: p, core: core}
+}
+
+func (a *adminListener) component() lifecycle.Component {
+	return lifecycle.Component{Name: "admin", DependsOn: []string{"core"}, Start: a.start, Run: a.run,
+		Stop: func() error { return a.bound.close() }}
+}
+
+func (a *adminListener) start() error {
+	if a.cfg.operator == "" {
+		return nil
+	}
+	ln, err := net.Listen("tcp", a.cfg.operator)
+	if err != nil {
+		return err
+	}
+	a.bound = &boundServer{&http1.Server{
+		Name:     "operator",
+		Handler:  &admin.Handler{Readiness: &a.readiness, Totals: a.totals},
+		Clock:    a.core.core,
+		Counters: a.counters,
+		MaxConns: admin.MaxConns,
+	}, ln}
+	return nil
+}
+
+func (a *adminListener) run(ctx context.Context) {
+	if a.bound != nil {
+		a.bound.run(ctx)
+	}
+}
--- /dev/null
+++ b/internal/daemon/body_store.go
@@ -0,0 +1,108 @@
+package daemon
+
+import (
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"linkpass/internal/bodies"
+	"linkpass/internal/bodies/tier"
+	"linkpass/internal/eventlog"
+	"linkpass/internal/http1"
+	"linkpass/internal/lifecycle"
+	"linkpass/internal/opensearch"
+)
+
+const noRoomRetry = 500 * time.Millisecond
+
+// bodyStore is the store of queries' bodies.
+type bodyStore struct {
+	*process
+	core     *queryCore
+	settings *activeSettings
+
+	total tier.Limits   // of all processes together; guarded by process.mu
+	store *bodies.Store // nil: off
+}
+
+func newBodyStore(p *process, core *queryCore, settings *activeSettings) *bodyStore {
+	return &bodyStore{process: p, core: core, settings: settings}
+}
+
+func (b *bodyStore) component() lifecycle.Component {
+	return lifecycle.Component{Name: "bodies", DependsOn: []string{"core"}, Start: b.start, Stop: b.stop}
+}
+
+func (b *bodyStore) start() error {
+	limits, err := b.cfg.Search.Bodies.limits(b.cfg.memoryMB, b.cfg.host.Classes)
+	if err != nil {
+		return err
+	}
+	b.total = limits
+	if b.cfg.Search.Bodies.Off {
+		return nil
+	}
+	limits.Memory, limits.Files = b.shareOfTotal()
+	b.store = bodies.Open(bodies.Config{Limits: limits, Classes: b.cfg.host.Classes, Dir: b.cfg.Search.Bodies.Dir,
+		Now: b.core.core.Now, Counters: b.counters})
+	return nil
+}
+
+func (b *bodyStore) stop() error {
+	b.logUsage()
+	if b.store != nil {
+		b.store.Close()
+	}
+	return nil
+}
+
+// shareOfTotal is this process's share of the budgets.
+func (b *bodyStore) shareOfTotal() (memory, files int64) {
+	processes := int64(max(1, b.share.Processes))
+	return b.total.Memory / processes, b.total.Files / processes
+}
+
+// limit keeps the store to this process's share. The caller holds mu.
+func (b *bodyStore) limit() {
+	if b.store != nil {
+		b.store.Limit(b.shareOfTotal())
+	}
+}
+
+// setTotal replaces the budgets of all processes together. The caller holds mu.
+func (b *bodyStore) setTotal(limits tier.Limits) {
+	b.total = limits
+	b.limit()
+}
+
+// retryAfter is the Retry-After of a client whose body finds no room.
+func (b *bodyStore) retryAfter() string {
+	if !b.cfg.module.RetryAfter {
+		return ""
+	}
+	return strconv.FormatFloat(min(noRoomRetry, b.cfg.module.MaxRetryAfter).Seconds(), 'f', 3, 64)
+}
+
+// spool is where the large body of a search is written as it arrives; nil: it stays with its request.
+func (b *bodyStore) spool(req *http1.Request) http1.Spool {
+	name, rest, _ := strings.Cut(strings.TrimPrefix(req.Path, "/"), "/")
+	index, ok := b.settings.config().Indices[name]
+	class := slices.Index(b.cfg.host.Classes, index.Class)
+	if !ok || rest != "_search" || class < 0 {
+		return nil // a request that is no search is small, or rejected
+	}
+	return &opensearch.Arriving{
+		Writer:  b.store.Arrive(class, b.cfg.module.Classes[class].Worth),
+		Refused: &http1.Error{Status: 429, Reason: "no room for the search's body", RetryAfter: b.retryAfter()},
+	}
+}
+
+// logUsage logs what the store holds.
+func (b *bodyStore) logUsage() {
+	if b.store == nil {
+		return
+	}
+	f := b.store.Figures()
+	eventlog.Bodies.Log(f.Bodies, f.Shared, f.ArrivingBodies, f.WaitingBodies, f.Memory, f.Files, f.Disk)
+}
--- /dev/null
+++ b/internal/daemon/bound_server.go
@@ -0,0 +1,35 @@
+package daemon
+
+import (
+	"context"
+	"net"
+
+	"linkpass/internal/eventlog"
+	"linkpass/internal/http1"
+)
+
+// boundServer is a server and where it listens.
+type boundServer struct {
+	server   *http1.Server
+	listener net.Listener
+}
+
+// run serves until the context ends or the listener is closed.
+func (b *boundServer) run(ctx context.Context) {
+	stop := context.AfterFunc(ctx, func() { _ = b.listener.Close() })
+	defer stop()
+	eventlog.Listening.Log(b.server.Name, b.listener.Addr())
+	if err := b.server.Serve(b.listener); err != nil {
+		eventlog.FrontFailed.Log(b.server.Name, err)
+	}
+}
+
+// close closes the listener and all connections. A nil server has none.
+func (b *boundServer) close() error {
+	if b == nil {
+		return nil
+	}
+	_ = b.listener.Close() // it may be closed already
+	b.server.Close()
+	return nil
+}
--- a/internal/daemon/crossings_test.go
+++ b/internal/daemon/crossings_test.go
@@ -31,7 +31,7 @@
 	}
 	stopped := make(chan struct{})
 	go func() { defer close(stopped); b.stop() }()
-	for b.p.gate.Ready() {
+	for b.p.readiness.Ready() {
 		time.Sleep(time.Millisecond)
 	}
 	asked := make(chan struct{}, 1)
@@ -56,7 +56,7 @@
 		case <-time.After(10 * time.Second):
 			t.Fatal("nobody hears of a new configuration")
 		}
-		for b.p.count.Get("config_invalid") == 0 {
+		for b.p.counters.Get("config_invalid") == 0 {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -67,7 +67,7 @@
 		t.Errorf("what was taken ended with %d", status)
 	}
 	<-stopped
-	if n := b.p.count.Get("discovery_moved"); n != 1 {
+	if n := b.p.counters.Get("discovery_moved"); n != 1 {
 		t.Errorf("moved %d times", n)
 	}
 }
@@ -91,9 +91,9 @@
 		t.Fatal(err)
 	}
 	disk.Close()
-	b.p.reloading.Lock() // the reading has ended
-	defer b.p.reloading.Unlock()
-	if n := b.p.count.Get("config_reloaded"); n != 0 {
+	b.p.reloader.reloading.Lock() // the reading has ended
+	defer b.p.reloader.reloading.Unlock()
+	if n := b.p.counters.Get("config_reloaded"); n != 0 {
 		t.Errorf("reloaded %d times", n)
 	}
 }
@@ -143,12 +143,12 @@
 		t.Fatal(err)
 	}
 	held := heldListener{ln.(*net.TCPListener), make(chan struct{})}
-	server := &http1.Server{Name: "late", Clock: b.p.core, Counters: b.p.count, MaxConns: 9,
+	server := &http1.Server{Name: "late", Clock: b.p.core.core, Counters: b.p.counters, MaxConns: 9,
 		Handler: http1.HandlerFunc(func(context.Context, time.Duration, *http1.Request) *http1.Response {
 			return &http1.Response{Status: 200}
 		})}
 	done := make(chan struct{})
-	go func() { defer close(done); (&entrance{server, held}).run(t.Context()) }()
+	go func() { defer close(done); (&boundServer{server, held}).run(t.Context()) }()
 	var clients []*client
 	for range 3 {
 		c := connect(t, ln.Addr().String())
@@ -160,7 +160,7 @@
 	drawn := make(chan struct{})
 	go func() {
 		defer close(drawn)
-		closeAfter([]net.Listener{held.TCPListener}, nil, func() { close(held.let); <-done })
+		closeListeners([]net.Listener{held.TCPListener}, nil, func() { close(held.let); <-done })
 	}()
 	<-drawn
 	for _, c := range clients {
@@ -192,7 +192,7 @@
 	if err := p.Serve(term, nil); err != nil {
 		t.Error(err)
 	}
-	if p.gate.Ready() {
+	if p.readiness.Ready() {
 		t.Error("ready after its end")
 	}
 }
--- /dev/null
+++ b/internal/daemon/discovery_watcher.go
@@ -0,0 +1,60 @@
+package daemon
+
+import (
+	"context"
+
+	"linkpass"
+	"linkpass/internal/discovery"
+	"linkpass/internal/lifecycle"
+)
+
+// discoveryWatcher follows the endpoint list of the platform's discovery.
+type discoveryWatcher struct {
+	*process
+	core     *queryCore
+	names    *endpointNames
+	shards   *shardMaps
+	registry *endpointRegistry
+
+	watcher *discovery.Watcher
+}
+
+func newDiscoveryWatcher(p *process, core *queryCore, names *endpointNames, shards *shardMaps,
+	registry *endpointRegistry) *discoveryWatcher {
+	return &discoveryWatcher{process: p, core: core, names: names, shards: shards, registry: registry}
+}
+
+func (d *discoveryWatcher) component() lifecycle.Component {
+	return lifecycle.Component{Name: "discovery", DependsOn: []string{"endpoints"}, Start: d.start, Run: d.run}
+}
+
+func (d *discoveryWatcher) start() error {
+	var target discovery.Core = newEndpointFanout(d.core, d.names, d.shards)
+	if d.registry.registry != nil {
+		target = registryCore{d.core.core, d.registry.registry}
+	}
+	d.watcher = discovery.NewWatcher(d.cfg.discovery, newListReader(d.process, d.core), target, d.counters)
+	d.watcher.Seed = d.cfg.seed
+	d.watcher.Patience = watchPatience(d.cfg.module)
+	return nil
+}
+
+func (d *discoveryWatcher) run(ctx context.Context) { d.watcher.Run(ctx, d.cfg.known) }
+
+// newListReader parses discovery's documents as this coordinator is set up.
+func newListReader(p *process, core *queryCore) *discovery.Reader {
+	return &discovery.Reader{
+		Zones: p.cfg.host.Zones,
+		Kinds: p.cfg.host.Kinds,
+		Cells: p.cfg.module.Cells,
+		Clock: core.core.Clock,
+	}
+}
+
+// watchPatience is that with one service for all where changes have to be polled, and that with an agent otherwise.
+func watchPatience(set linkpass.Settings) discovery.Patience {
+	if set.Subscribe {
+		return discovery.Queued
+	}
+	return discovery.Pushed(set.DrainGrace)
+}
--- a/internal/daemon/effective.go
+++ b/internal/daemon/effective.go
@@ -37,10 +37,10 @@
 }
 
 // Settings are the keys as they hold, and where each came from.
-func (p *Program) Settings() (out []adminapi.Setting) {
-	p.mu.Lock()
-	c, processes := p.cfg, p.share.Processes
-	p.mu.Unlock()
+func (b *adminBackend) Settings() (out []adminapi.Setting) {
+	b.mu.Lock()
+	c, processes := b.cfg, b.share.Processes
+	b.mu.Unlock()
 	add := func(key string, value any, source string) {
 		out = append(out, adminapi.Setting{Key: key, Value: fmt.Sprint(value), Source: source})
 	}
--- /dev/null
+++ b/internal/daemon/endpoint_names.go
@@ -0,0 +1,41 @@
+package daemon
+
+import (
+	"strconv"
+	"sync"
+
+	"linkpass"
+	"linkpass/internal/coordinator"
+)
+
+// endpointNames maps the module's numbers of the listed servers to their names.
+type endpointNames struct {
+	mu    sync.Mutex // guards what follows
+	names map[linkpass.ServerID]string
+}
+
+// UpdateEndpoints follows the endpoint list.
+func (n *endpointNames) UpdateEndpoints(update coordinator.EndpointUpdate) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if update.Mode != linkpass.ListDelta || n.names == nil {
+		n.names = map[linkpass.ServerID]string{}
+	}
+	for _, endpoint := range update.Endpoints {
+		if endpoint.State == linkpass.Gone {
+			delete(n.names, endpoint.Server)
+		} else {
+			n.names[endpoint.Server] = endpoint.Name
+		}
+	}
+}
+
+// name is the server's name; the number in hexadecimal if it is not listed.
+func (n *endpointNames) name(id linkpass.ServerID) string {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if name, ok := n.names[id]; ok {
+		return name
+	}
+	return strconv.FormatUint(uint64(id), 16)
+}
--- /dev/null
+++ b/internal/daemon/endpoint_registry.go
@@ -0,0 +1,75 @@
+package daemon
+
+import (
+	"context"
+	"time"
+
+	"linkpass/internal/config"
+	"linkpass/internal/config/restriction"
+	"linkpass/internal/coordinator"
+	"linkpass/internal/discovery"
+	"linkpass/internal/endpoints"
+	"linkpass/internal/lifecycle"
+)
+
+// endpointRegistry merges discovery's endpoint list with what the instances of the store have replicated of it.
+type endpointRegistry struct {
+	*process
+	core   *queryCore
+	names  *endpointNames
+	shards *shardMaps
+	store  *replicatedStore
+
+	registry *endpoints.Registry // nil: no store
+}
+
+func newEndpointRegistry(p *process, core *queryCore, names *endpointNames, shards *shardMaps,
+	store *replicatedStore) *endpointRegistry {
+	return &endpointRegistry{process: p, core: core, names: names, shards: shards, store: store}
+}
+
+func (r *endpointRegistry) component() lifecycle.Component {
+	return lifecycle.Component{Name: "endpoints", DependsOn: []string{"upstreams", "shardmaps"}, Start: r.start, Run: r.run}
+}
+
+func (r *endpointRegistry) start() error {
+	c := r.cfg.Search.Store
+	if r.cfg.Search.Listen == "" || c.ID == "" {
+		return nil
+	}
+	broadcast := map[string]func(context.Context, []restriction.Request) error{}
+	for _, m := range c.Members {
+		if m.ID != c.ID {
+			broadcast[m.ID] = broadcastTo(c.ID, m.HTTP)
+		}
+	}
+	reader := newListReader(r.process, r.core)
+	r.registry = endpoints.New(endpoints.Config{
+		InstanceID:  c.ID,
+		Incarnation: uint64(time.Now().UnixNano()),
+		OnUpdate:    newEndpointFanout(r.core, r.names, r.shards).UpdateEndpoints,
+		Broadcast:   broadcast,
+		Counters:    r.counters,
+		ResolveEndpoint: func(id string, spec config.ServerSpec) (coordinator.Endpoint, error) {
+			return resolveEndpoint(reader, id, spec)
+		},
+	})
+	return nil
+}
+
+func (r *endpointRegistry) run(ctx context.Context) {
+	if r.registry != nil {
+		r.registry.Run(ctx)
+	}
+}
+
+// resolveEndpoint makes the endpoint of a server that the store has added, as if discovery had listed it.
+func resolveEndpoint(reader *discovery.Reader, id string, spec config.ServerSpec) (coordinator.Endpoint, error) {
+	server := discovery.Server{ID: id, Addr: spec.Addr, Zone: spec.Zone, Kind: spec.Kind, Cell: spec.Cell,
+		State: "in_service", Weight: 1}
+	list, err := reader.List(discovery.Document{Servers: []discovery.Server{server}})
+	if err != nil {
+		return coordinator.Endpoint{}, err
+	}
+	return list.Endpoints[0], nil
+}
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -31,9 +31,9 @@
 	return "", false
 }
 
-// Main runs the daemon until SIGTERM, and tells the exit code.
+// Main runs the daemon until SIGTERM, and returns the exit code.
 func Main(file string) (code int) {
-	news := ListenForNews()
+	signals := NotifySignals()
 	cfg, err := Load(os.Getenv)
 	if err == nil {
 		cfg.Search, err = LoadSearch(file)
@@ -50,7 +50,7 @@
 	defer stop()
 	p, err := Start(cfg)
 	if err == nil {
-		err = p.Serve(term, news)
+		err = p.Serve(term, signals)
 	}
 	if err != nil {
 		eventlog.Failed.Log(err)
--- /dev/null
+++ b/internal/daemon/member_calls.go
@@ -0,0 +1,77 @@
+package daemon
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"strings"
+
+	"linkpass/internal/config/restriction"
+	"linkpass/internal/config/rollback"
+	"linkpass/internal/http1"
+	"linkpass/internal/store"
+)
+
+// The paths at which the members of the store call each other, beside the log.
+const (
+	restrictionsPath = "/_linkpass/orders"  // broadcasts pending restrictions
+	versionPath      = "/_linkpass/version" // reads the version of the member's state
+	positionPath     = "/_linkpass/marks"   // reports how far the log of the caller is
+)
+
+// errConflict is a response 409; its body says why.
+var errConflict = errors.New("status 409")
+
+// reportPosition reports to another member how far this one is.
+func reportPosition(ctx context.Context, m store.Member, r rollback.Report) error {
+	body, err := json.Marshal(r)
+	if err != nil {
+		return fmt.Errorf("position report: %w", err)
+	}
+	reason, err := callMember(ctx, m.HTTP, "POST", positionPath, body)
+	if errors.Is(err, errConflict) {
+		err = fmt.Errorf("%w (%s)", rollback.ErrRolledBack, strings.TrimSpace(string(reason)))
+	}
+	return err
+}
+
+// broadcastTo makes the function that sends this instance's pending restrictions to the member at an address.
+func broadcastTo(instance, addr string) func(context.Context, []restriction.Request) error {
+	return func(ctx context.Context, pending []restriction.Request) error {
+		body, err := json.Marshal(pending)
+		if err != nil {
+			return fmt.Errorf("restrictions: %w", err)
+		}
+		_, err = callMember(ctx, addr, "POST", restrictionsPath+"?from="+instance, body)
+		return err
+	}
+}
+
+// callMember makes one call at another member within the context's deadline.
+func callMember(ctx context.Context, addr, method, path string, body []byte) ([]byte, error) {
+	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	defer conn.Close()
+	if deadline, ok := ctx.Deadline(); ok {
+		if err := conn.SetDeadline(deadline); err != nil {
+			return nil, fmt.Errorf("%s: %w", path, err)
+		}
+	}
+	if err := http1.WriteRequest(conn, method, path, addr, nil, body); err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	res, err := http1.NewReader(conn, 0).Response()
+	switch {
+	case err != nil:
+		return nil, fmt.Errorf("%s at %s: %w", path, addr, err)
+	case res.Status == 409:
+		return res.Body, fmt.Errorf("%s at %s: %w", path, addr, errConflict)
+	case res.Status != 200:
+		return nil, fmt.Errorf("%s at %s: status %d", path, addr, res.Status)
+	}
+	return res.Body, nil
+}
--- /dev/null
+++ b/internal/daemon/member_handler.go
@@ -0,0 +1,83 @@
+package daemon
+
+import (
+	"context"
+	"encoding/json"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"linkpass/internal/config/restriction"
+	"linkpass/internal/config/rollback"
+	"linkpass/internal/http1"
+	"linkpass/internal/store"
+)
+
+const maxRestrictionsBody = 64 << 10 // bytes of one call
+
+// memberHandler serves the calls of the store's other members, and hands all else to the search front.
+type memberHandler struct {
+	registry *endpointRegistry
+	front    http1.Handler
+}
+
+// Serve answers one request.
+func (h *memberHandler) Serve(ctx context.Context, began time.Duration, req *http1.Request) *http1.Response {
+	switch {
+	case h.registry.registry == nil:
+		return h.front.Serve(ctx, began, req)
+	case req.Path == versionPath && req.Method == "GET":
+		version := h.registry.store.get().State().Version()
+		return &http1.Response{Status: 200, Body: strconv.AppendUint(nil, version, 10)}
+	case req.Path == positionPath:
+		return h.receivePosition(req)
+	case req.Path == restrictionsPath:
+		return h.receiveRestrictions(req)
+	}
+	return h.front.Serve(ctx, began, req)
+}
+
+// receivePosition takes another member's report of how far its log is.
+func (h *memberHandler) receivePosition(req *http1.Request) *http1.Response {
+	var report rollback.Report
+	if err := json.Unmarshal(req.Body, &report); req.Method != "POST" || err != nil || report.ID == "" {
+		h.registry.counters.Add("position_reports_malformed", 1)
+		return &http1.Response{Status: 400, Body: []byte("this is no report\n")}
+	}
+	if err := h.registry.store.get().ObservePosition(report); err != nil {
+		h.registry.counters.Add("position_reports_rejected", 1)
+		return &http1.Response{Status: 409, Body: []byte(err.Error() + "\n")}
+	}
+	return &http1.Response{Status: 200}
+}
+
+// receiveRestrictions takes another member's broadcast of pending restrictions.
+func (h *memberHandler) receiveRestrictions(req *http1.Request) *http1.Response {
+	var pending []restriction.Request
+	err := json.Unmarshal(req.Body, &pending)
+	if req.Method != "POST" || err != nil || len(req.Body) > maxRestrictionsBody || len(pending) > restriction.MaxPending {
+		h.registry.counters.Add("restrictions_malformed", 1)
+		return &http1.Response{Status: 400, Body: []byte("these are no orders\n")}
+	}
+	members := h.registry.store.get().Members()
+	received := len(pending)
+	// A restriction of an instance that never was a member would stay in the state for good: what the log decides
+	// of each is kept.
+	pending = slices.DeleteFunc(pending, func(r restriction.Request) bool {
+		return !isMember(members, r.ID.Origin.Instance)
+	})
+	h.registry.counters.Add("restrictions_malformed", int64(received-len(pending)))
+	from := "another instance"
+	if id, ok := strings.CutPrefix(req.Query, "from="); ok && isMember(members, id) {
+		from = id
+	}
+	if err := h.registry.registry.ReceiveRestrictions(from, pending); err != nil {
+		return &http1.Response{Status: 503, Body: []byte(err.Error() + "\n")}
+	}
+	return &http1.Response{Status: 200}
+}
+
+func isMember(members []store.Member, id string) bool {
+	return slices.ContainsFunc(members, func(m store.Member) bool { return m.ID == id })
+}
--- /dev/null
+++ b/internal/daemon/platform_front.go
@@ -0,0 +1,64 @@
+package daemon
+
+import (
+	"fmt"
+	"net"
+	"os"
+
+	"linkpass/internal/lifecycle"
+	"linkpass/internal/platform"
+)
+
+// platformFront is the front that speaks the platform's protocol.
+type platformFront struct {
+	*process
+	core   *queryCore
+	bodies *bodyStore
+	fronts *clientFronts
+}
+
+func newPlatformFront(p *process, core *queryCore, bodies *bodyStore, fronts *clientFronts) *platformFront {
+	return &platformFront{process: p, core: core, bodies: bodies, fronts: fronts}
+}
+
+func (f *platformFront) component() lifecycle.Component {
+	c := lifecycle.Component{Name: "platform", DependsOn: []string{"core", "bodies", "upstreams"}}
+	return f.fronts.frontComponent(c, f.start)
+}
+
+func (f *platformFront) start() (*boundServer, error) {
+	handler := &platform.Front{
+		Core:     f.core.core,
+		Classes:  f.cfg.host.Classes,
+		Tenants:  f.cfg.host.Tenants,
+		Shards:   f.cfg.module.Shards,
+		Counters: f.counters,
+		Ready:    f.readiness.Ready,
+		Bodies:   f.bodies.store,
+		Retry:    f.bodies.retryAfter(),
+	}
+	for _, class := range f.cfg.module.Classes {
+		handler.Worth = append(handler.Worth, class.Worth)
+	}
+	ln, err := clientListener(f.cfg.listen, f.cfg.listenFD)
+	if err != nil {
+		return nil, err
+	}
+	return f.fronts.add("platform", ln, handler), nil
+}
+
+// clientListener is where clients connect: the platform's socket, if it holds one that
+// outlives this process, or a socket of our own. The platform's is only ever closed
+// here, never shut down: others accept on it too.
+func clientListener(addr string, fd int) (net.Listener, error) {
+	if fd == 0 {
+		return net.Listen("tcp", addr)
+	}
+	f := os.NewFile(uintptr(fd), "ROUTER_LISTEN_FD")
+	defer f.Close()
+	ln, err := net.FileListener(f)
+	if err != nil {
+		return nil, fmt.Errorf("ROUTER_LISTEN_FD %d: %w", fd, err)
+	}
+	return ln, nil
+}
--- /dev/null
+++ b/internal/daemon/program.go
@@ -0,0 +1,96 @@
+// Package daemon is the coordinator's program: it makes the components, each with its dependencies, and takes them from
+// start to stop. It owns the configuration and its reload, signals, and the order of a graceful shutdown. How queries
+// are routed, and what the components' own packages do, it does not decide.
+package daemon
+
+import (
+	"net"
+	"runtime"
+	"time"
+
+	"linkpass/internal/lifecycle"
+	"linkpass/internal/metrics"
+	"linkpass/internal/peer"
+)
+
+// Program is a coordinator that has started: its components, and those of them that Serve talks to.
+type Program struct {
+	*adminBackend
+	components *lifecycle.Group
+	limits     *limitsShare
+	discovery  *discoveryWatcher
+	admin      *adminListener
+	shutdown   *shutdown
+}
+
+// Start makes all components and starts them: all, or none and an error that names the component that failed. What
+// the process before this one may still own is started later, by Serve.
+func Start(cfg Config) (*Program, error) {
+	if cfg.cores > 0 {
+		runtime.GOMAXPROCS(max(1, int(cfg.cores)))
+	}
+	if cfg.sockets <= 0 {
+		cfg.sockets = defaultSockets
+	}
+	p, list := newProgram(cfg)
+	p.limits.join()
+	var err error
+	if p.components, err = lifecycle.New(list...); err == nil {
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		err = p.components.Start(!p.isSuccessor())
+	}
+	if err != nil {
+		p.limits.group.Close()
+		return nil, err
+	}
+	return p, nil
+}
+
+// newProgram makes the components, and lists them in the order of their start.
+func newProgram(cfg Config) (*Program, []lifecycle.Component) {
+	proc := &process{cfg: cfg, startedAt: time.Now(), counters: metrics.NewCounters(), totals: metrics.NewTotals(cfg.host.Classes)}
+	dials := peer.NewPlaces(0)
+	settings := newActiveSettings(&cfg.Search.Config) // a copy: a reload overwrites that of proc
+	st, names := &replicatedStore{}, &endpointNames{}
+
+	core := newQueryCore(proc)
+	bodies := newBodyStore(proc, core, settings)
+	fronts := newClientFronts(proc, core)
+	limits := newLimitsShare(proc, dials, core, bodies, fronts)
+	upstreams := newUpstreamLinks(proc, core, settings, dials)
+	shards := newShardMaps(proc, core, st)
+	registry := newEndpointRegistry(proc, core, names, shards, st)
+	watcher := newDiscoveryWatcher(proc, core, names, shards, registry)
+	platform := newPlatformFront(proc, core, bodies, fronts)
+	admin := newAdminListener(proc, core)
+	search := &searchFront{process: proc, core: core, bodies: bodies, fronts: fronts, settings: settings, shards: shards,
+		registry: registry, store: st}
+	api := newAdminAPI(proc, core)
+	reload := &reloader{process: proc, limits: limits, bodies: bodies, shards: shards, settings: settings,
+		discovery: watcher, api: api, requested: make(chan struct{}, 1)}
+	api.backend = &adminBackend{process: proc, core: core, bodies: bodies, fronts: fronts, settings: settings, names: names,
+		registry: registry, store: st, api: api, reloader: reload}
+
+	p := &Program{adminBackend: api.backend, limits: limits, discovery: watcher, admin: admin,
+		shutdown: &shutdown{process: proc, core: core, fronts: fronts, limits: limits}}
+	return p, []lifecycle.Component{
+		limits.component(),
+		core.component(),
+		bodies.component(),
+		upstreams.component(),
+		shards.component(),
+		registry.component(),
+		watcher.component(),
+		platform.component(),
+		admin.component(),
+		search.component(),
+		api.component(),
+	}
+}
+
+// Addrs are the addresses that the fronts listen on: the platform's first, then the search front's.
+func (p *Program) Addrs() []net.Addr { return p.fronts.addrs() }
+
+// Counters are the program's own.
+func (p *Program) Counters() *metrics.Counters { return p.counters }
--- /dev/null
+++ b/internal/daemon/query_core.go
@@ -0,0 +1,40 @@
+package daemon
+
+import (
+	"os"
+
+	"linkpass/internal/coordinator"
+	"linkpass/internal/lifecycle"
+)
+
+const mailboxSize = 1024
+
+// queryCore is the event loop that decides about queries. Serve runs it, as it outlasts the shutdown of the fronts.
+type queryCore struct {
+	*process
+	core *coordinator.Core // nil until it has started
+}
+
+func newQueryCore(p *process) *queryCore { return &queryCore{process: p} }
+
+func (c *queryCore) component() lifecycle.Component {
+	return lifecycle.Component{Name: "core", DependsOn: []string{"handover"}, Start: c.start}
+}
+
+func (c *queryCore) start() (err error) {
+	if c.isSuccessor() {
+		c.cfg.seed ^= uint64(os.Getpid()) * 0x9e3779b97f4a7c15 // random numbers and names apart from the other's
+	}
+	module := c.cfg.module
+	module.MaxOpen = c.share.MaxOpen
+	c.core, err = coordinator.New(coordinator.Config{
+		Settings:     module,
+		Seed:         c.cfg.seed,
+		ProbeTimeout: c.cfg.host.ConnectTimeout,
+		Counters:     c.counters,
+		Figures:      c.totals,
+		Mailbox:      mailboxSize,
+		KeepPlans:    c.cfg.Search.Reshape.Replan != nil && !*c.cfg.Search.Reshape.Replan,
+	})
+	return err
+}
--- a/internal/daemon/run_test.go
+++ b/internal/daemon/run_test.go
@@ -85,9 +85,9 @@
 		}
 	})
 	t.Cleanup(b.stop)
-	b.platform = connect(t, b.p.lns[0].Addr().String())
-	if len(b.p.lns) > 1 {
-		b.search = connect(t, b.p.lns[1].Addr().String())
+	b.platform = connect(t, b.p.fronts.listeners[0].Addr().String())
+	if len(b.p.fronts.listeners) > 1 {
+		b.search = connect(t, b.p.fronts.listeners[1].Addr().String())
 	}
 	<-b.told // the watch goes on from the known list
 	return b
@@ -179,7 +179,7 @@
 			b.t.Errorf("%s waits %v", p.name, p.wait)
 		}
 	}
-	count := b.p.count
+	count := b.p.counters
 	ended := count.Get("queries_answered") + count.Get("queries_refused") + count.Get("queries_failed")
 	if taken := count.Get("queries_taken"); taken != ended || taken == 0 {
 		b.t.Errorf("%d queries taken, %d ended", taken, ended)
@@ -329,12 +329,12 @@
 	b := newBench(t, 3)
 	b.servers["s-0a"].set("silent")
 	b.servers["s-0b"].set("silent")
-	leaving := connect(t, b.p.lns[1].Addr().String())
+	leaving := connect(t, b.p.fronts.listeners[1].Addr().String())
 	_, n := b.since(0)
 	if err := leaving.nc.Close(); err != nil {
 		t.Fatal(err)
 	}
-	again := connect(t, b.p.lns[1].Addr().String())
+	again := connect(t, b.p.fronts.listeners[1].Addr().String())
 	body := "POST /players/_search HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"
 	if _, err := again.nc.Write([]byte(body)); err != nil {
 		t.Fatal(err)
@@ -346,17 +346,17 @@
 		time.Sleep(time.Millisecond)
 	}
 	again.nc.Close()
-	for b.p.count.Get("clients_gone") == 0 {
+	for b.p.counters.Get("clients_gone") == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	if status, _ := b.query(b.platform, "whole", 15*time.Second, 1, 2); status != 200 {
 		t.Errorf("%d", status)
 	}
-	slow := connect(t, b.p.door.ln.Addr().String()) // a caller that never completes its call
+	slow := connect(t, b.p.admin.bound.listener.Addr().String()) // a caller that never completes its call
 	if _, err := slow.nc.Write([]byte("GET /v1")); err != nil {
 		t.Fatal(err)
 	}
-	for b.p.count.Get("operator_conns") == 0 {
+	for b.p.counters.Get("operator_conns") == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	b.stop() // ends, though servers and callers are silent, and leaves nothing unanswered
@@ -374,7 +374,7 @@
 	if res, err := b.platform.r.Response(); err != nil || res.Status != 400 || !res.Close {
 		t.Errorf("%+v %v", res, err)
 	}
-	if n := b.p.count.Get("platform_malformed"); n != 1 {
+	if n := b.p.counters.Get("platform_malformed"); n != 1 {
 		t.Errorf("counted %d", n)
 	}
 }
@@ -382,7 +382,7 @@
 // SIGHUP ends nothing: it brings a new configuration, whose address of discovery is
 // followed at once; one that can't be read leaves all as it was.
 func TestNewConfiguration(t *testing.T) {
-	news := ListenForNews()
+	news := NotifySignals()
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
@@ -412,7 +412,7 @@
 		b.news <- syscall.SIGHUP
 	}
 	write("{")
-	for b.p.count.Get("config_invalid") == 0 { // read before the next one is written
+	for b.p.counters.Get("config_invalid") == 0 { // read before the next one is written
 		time.Sleep(time.Millisecond)
 	}
 	write(`{"name":"n0","listen":"127.0.0.1:1","discovery":"` + moved + `","seed":"8c1f","known":{"servers":[]},"settings":` + settingsText + `}`)
@@ -429,8 +429,8 @@
 	if status, _ := b.query(b.platform, "whole", 15*time.Second, 0, 1, 2); status != 200 {
 		t.Errorf("%d", status)
 	}
-	if b.p.count.Get("config_invalid") != 1 || b.p.count.Get("config_reloaded") != 1 {
-		t.Error(b.p.count)
+	if b.p.counters.Get("config_invalid") != 1 || b.p.counters.Get("config_reloaded") != 1 {
+		t.Error(b.p.counters)
 	}
 	b.rules()
 }
@@ -490,7 +490,7 @@
 // Where changes are pushed, what the agent has counts as told: it is asked more often than a service for all.
 func TestPatienceWithDiscovery(t *testing.T) {
 	for asked, want := range map[bool]discovery.Patience{true: discovery.Queued, false: discovery.Pushed(2 * time.Second)} {
-		if got := listPatience(linkpass.Settings{Subscribe: asked, DrainGrace: 2 * time.Second}); got != want {
+		if got := watchPatience(linkpass.Settings{Subscribe: asked, DrainGrace: 2 * time.Second}); got != want {
 			t.Errorf("asked for: %v: %+v, want %+v", asked, got, want)
 		}
 	}
@@ -531,16 +531,16 @@
 		time.Sleep(time.Millisecond)
 	}
 	young := newBench(t, 3, here)
-	for !young.p.gate.Ready() {
+	for !young.p.readiness.Ready() {
 		time.Sleep(time.Millisecond)
 	}
-	if n := young.p.count.Get("probes_served"); n < 6 {
+	if n := young.p.counters.Get("probes_served"); n < 6 {
 		t.Errorf("says yes having heard of %d servers", n)
 	}
 	limits := func(p *Program) (processes, clients, room int) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return p.share.Processes, p.clients, p.share.MaxOpen
+		return p.share.Processes, p.fronts.maxConns, p.share.MaxOpen
 	}
 	for _, p := range []*Program{old.p, young.p} { // each keeps to its half
 		n, clients, room := limits(p)
@@ -553,7 +553,7 @@
 	}
 	stopped := make(chan struct{})
 	go func() { defer close(stopped); old.stop() }()
-	for !errors.Is(old.p.lns[0].(*net.TCPListener).SetDeadline(time.Time{}), net.ErrClosed) {
+	for !errors.Is(old.p.fronts.listeners[0].(*net.TCPListener).SetDeadline(time.Time{}), net.ErrClosed) {
 		time.Sleep(time.Millisecond)
 	}
 	next := connect(t, held.Addr().String())
@@ -574,8 +574,8 @@
 	}
 	for young.search == nil { // the search front comes up once the old process has gone
 		young.p.mu.Lock()
-		if len(young.p.lns) > 1 {
-			young.search = connect(t, young.p.lns[1].Addr().String())
+		if len(young.p.fronts.listeners) > 1 {
+			young.search = connect(t, young.p.fronts.listeners[1].Addr().String())
 		}
 		young.p.mu.Unlock()
 		time.Sleep(time.Millisecond)
@@ -590,7 +590,7 @@
 // figures asks for the figures at the door.
 func (b *bench) figures() map[string]int {
 	b.t.Helper()
-	res := connect(b.t, b.p.door.ln.Addr().String()).ask("GET", "/v1/metrics", "", nil)
+	res := connect(b.t, b.p.admin.bound.listener.Addr().String()).ask("GET", "/v1/metrics", "", nil)
 	out := map[string]int{}
 	for line := range strings.Lines(string(res.Body)) {
 		name, value, _ := strings.Cut(strings.TrimSpace(line), "=")
@@ -674,7 +674,7 @@
 	if cfg.module, cfg.host, err = settings.ParseJSON([]byte(settingsText)); err != nil {
 		t.Fatal(err)
 	}
-	if p, err := Start(cfg); err == nil || p != nil || !strings.Contains(err.Error(), "door: listen") {
+	if p, err := Start(cfg); err == nil || p != nil || !strings.Contains(err.Error(), "admin: listen") {
 		t.Fatalf("started on a taken address: %v", err)
 	}
 	cfg.operator = ""
@@ -682,7 +682,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.young() {
+	if p.isSuccessor() {
 		t.Error("the failed start still counts as a process")
 	}
 	term, stop := context.WithCancel(context.Background())
@@ -718,21 +718,21 @@
 			}
 		}
 	}
-	if b.p.count.Get("retries_won_whole") == 0 || b.p.count.Get("bodies_moved_file_too_large_whole") == 0 {
-		t.Errorf("no retry from a file: %s", b.p.count)
+	if b.p.counters.Get("retries_won_whole") == 0 || b.p.counters.Get("bodies_moved_file_too_large_whole") == 0 {
+		t.Errorf("no retry from a file: %s", b.p.counters)
 	}
 	for _, s := range b.servers {
 		s.set("wait")
 	}
 	go func() { // under way at the end
-		nc, err := net.Dial("tcp", b.p.lns[1].Addr().String())
+		nc, err := net.Dial("tcp", b.p.fronts.listeners[1].Addr().String())
 		if err == nil {
 			defer nc.Close()
 			_ = http1.WriteRequest(nc, "POST", "/players/_search?timeout=300ms", "x", nil, []byte(`{"query":`+query+`}`))
 			_, _ = http1.NewReader(nc, 0).Response()
 		}
 	}()
-	for b.p.bodies.Figures().Bodies == 0 {
+	for b.p.bodies.store.Figures().Bodies == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	for _, s := range b.servers {
@@ -796,7 +796,7 @@
 	socket := filepath.Join(t.TempDir(), "api.sock")
 	b := newBench(t, 3, func(c *Config) { c.operator, c.Search.Operator.Socket = "127.0.0.1:0", socket })
 	for range 3 * admin.MaxConns {
-		nc, err := net.Dial("tcp", b.p.door.ln.Addr().String())
+		nc, err := net.Dial("tcp", b.p.admin.bound.listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -807,7 +807,7 @@
 		t.Errorf("%+v %v", s, err)
 	}
 	// A caller that has begun keeps its place for a second; then it gives way.
-	for connect(t, b.p.door.ln.Addr().String()).ask("GET", "/v1/readyz", "", nil).Status != 200 {
+	for connect(t, b.p.admin.bound.listener.Addr().String()).ask("GET", "/v1/readyz", "", nil).Status != 200 {
 		time.Sleep(10 * time.Millisecond)
 	}
 }
--- a/internal/daemon/schema.go
+++ b/internal/daemon/schema.go
@@ -60,13 +60,6 @@
 
 var logLevels = []string{"trace", "debug", "info", "warn", "error", "off"}
 
-// Log says what is logged, and how.
-type Log struct {
-	Format string            `toml:"format"`
-	Level  string            `toml:"level"`
-	Levels map[string]string `toml:"levels"`
-}
-
 // DefaultSearchFile is the operators' file where none is named.
 const DefaultSearchFile = "deploy/opensearch.toml"
 
--- /dev/null
+++ b/internal/daemon/search_front.go
@@ -0,0 +1,99 @@
+package daemon
+
+import (
+	"net"
+	"strconv"
+
+	"linkpass/internal/http1"
+	"linkpass/internal/lifecycle"
+	"linkpass/internal/opensearch"
+	"linkpass/internal/store"
+)
+
+// searchFront is the search front, and the store where there is one. It is deferred: it has an address and files that
+// the process before this one may still hold.
+type searchFront struct {
+	*process
+	core     *queryCore
+	bodies   *bodyStore
+	fronts   *clientFronts
+	settings *activeSettings
+	shards   *shardMaps
+	registry *endpointRegistry
+	store    *replicatedStore
+}
+
+func (f *searchFront) component() lifecycle.Component {
+	c := f.fronts.frontComponent(lifecycle.Component{
+		Name:      "search",
+		DependsOn: []string{"core", "bodies", "upstreams", "shardmaps"},
+		Deferred:  true,
+	}, f.start)
+	closeFront := c.Stop
+	c.Stop = func() error {
+		_ = closeFront()
+		return f.store.close()
+	}
+	return c
+}
+
+func (f *searchFront) start() (*boundServer, error) {
+	if f.cfg.Search.Listen == "" {
+		return nil, nil
+	}
+	f.shards.publisher.publish(f.settings.fromFile.Load())
+	answers := opensearch.FixedSettings(f.settings.fromFile.Load)
+	if f.cfg.Search.Store.ID != "" {
+		s, err := f.openStore()
+		if err != nil {
+			return nil, err
+		}
+		answers = opensearch.StoreSettings(s)
+	}
+	ln, err := net.Listen("tcp", f.cfg.Search.Listen)
+	if err != nil {
+		_ = f.store.close()
+		return nil, err
+	}
+	front := f.fronts.add("search", ln, &memberHandler{registry: f.registry, front: f.handler(answers)})
+	front.server.MaxBody = Keys.Int("bodies.max_body_kib", f.cfg.Search.Bodies.MaxKiB) << 10
+	if f.bodies.store != nil {
+		front.server.Spools = f.bodies.spool
+	}
+	return front, nil
+}
+
+// openStore opens the store; from then on its settings are in force.
+func (f *searchFront) openStore() (*store.Store, error) {
+	c := f.cfg.Search.Store
+	c.InitialSettings, c.OnSettingsChanged = f.settings.fromFile.Load(), f.shards.publisher.publish
+	c.OnApplied, c.ReportPosition = f.registry.registry.LogApplied, reportPosition
+	s, err := store.Open(c)
+	if err != nil {
+		return nil, err
+	}
+	f.store.set(s)
+	f.registry.registry.Attach(s)
+	f.settings.setSource(s.Settings)
+	return s, nil
+}
+
+func (f *searchFront) handler(answers http1.Handler) *opensearch.Front {
+	front := &opensearch.Front{
+		Core:     f.core.core,
+		Shards:   f.cfg.module.Shards,
+		Counters: f.counters,
+		Catalog:  *f.settings.source.Load(),
+		Settings: answers,
+		Prefix:   strconv.FormatUint(f.cfg.seed, 16),
+		Bodies:   f.bodies.store,
+	}
+	if s := f.store.get(); s != nil {
+		front.Changes = s
+	}
+	for i, name := range f.cfg.host.Classes {
+		class := f.cfg.module.Classes[i]
+		front.Classes = append(front.Classes, opensearch.Class{Name: name, Deadline: class.Deadline, Worth: class.Worth})
+	}
+	return front
+}
--- /dev/null
+++ b/internal/daemon/shard_map_publisher.go
@@ -0,0 +1,35 @@
+package daemon
+
+import (
+	"sync"
+
+	"linkpass/internal/discovery"
+	"linkpass/internal/eventlog"
+	"linkpass/internal/searchconfig"
+)
+
+// shardMapPublisher notifies the core of what changes in the shard maps, one document after another.
+type shardMapPublisher struct {
+	core *queryCore
+
+	mu   sync.Mutex // guards what follows, and keeps the core's updates in order
+	last *searchconfig.Config
+}
+
+func (p *shardMapPublisher) publish(c *searchconfig.Config) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	changes := c.ShardMapChanges(p.last)
+	p.last = c
+	if len(changes) == 0 {
+		return
+	}
+	p.core.core.Reshape(changes, discovery.ServerID)
+	for _, change := range changes {
+		version := uint64(0)
+		if change.Map != nil {
+			version = change.Map.Version()
+		}
+		eventlog.ShardMapChanged.Log(change.Collection, version, len(change.Added), len(change.Removed))
+	}
+}
--- a/internal/daemon/wire_golden_test.go
+++ b/internal/daemon/wire_golden_test.go
@@ -81,12 +81,12 @@
 		file string
 		call func(ctx context.Context, addr string) error
 	}{
-		{"orders_request.http", func(ctx context.Context, addr string) error { return tellOrders("b", addr)(ctx, goldenOrders) }},
+		{"orders_request.http", func(ctx context.Context, addr string) error { return broadcastTo("b", addr)(ctx, goldenOrders) }},
 		{"marks_request.http", func(ctx context.Context, addr string) error {
-			return tellMark(ctx, store.Member{ID: "a", HTTP: addr}, goldenReport)
+			return reportPosition(ctx, store.Member{ID: "a", HTTP: addr}, goldenReport)
 		}},
 		{"version_request.http", func(ctx context.Context, addr string) error {
-			_, err := callPeer(ctx, addr, "GET", versionPath, nil)
+			_, err := callMember(ctx, addr, "GET", versionPath, nil)
 			return err
 		}},
 	} {
@@ -104,7 +104,7 @@
 func TestMarksConflictResponse(t *testing.T) {
 	for status, restored := range map[int]bool{409: true, 400: false, 503: false} {
 		_, err := peerCall(t, status, "an old disk\n", func(ctx context.Context, addr string) error {
-			return tellMark(ctx, store.Member{ID: "a", HTTP: addr}, goldenReport)
+			return reportPosition(ctx, store.Member{ID: "a", HTTP: addr}, goldenReport)
 		})
 		if err == nil || errors.Is(err, rollback.ErrRolledBack) != restored {
 			t.Errorf("status %d: %v", status, err)
@@ -113,7 +113,7 @@
 }
 
 // openPeer is an instance "a" of a store of one, whose members by the file are "a" alone: "b" is known once it has joined.
-func openPeer(t *testing.T, members ...store.Member) (*Program, http1.Handler) {
+func openPeer(t *testing.T, members ...store.Member) (*endpointRegistry, http1.Handler) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -125,22 +125,22 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = st.Close() })
-	p := &Program{count: metrics.NewCounters()}
-	p.opened.Store(st)
-	p.agreement = endpoints.New(endpoints.Config{InstanceID: "a", Incarnation: 9, OnUpdate: func(coordinator.EndpointUpdate) {}, Counters: p.count,
+	r := &endpointRegistry{process: &process{counters: metrics.NewCounters()}, store: &replicatedStore{}}
+	r.store.set(st)
+	r.registry = endpoints.New(endpoints.Config{InstanceID: "a", Incarnation: 9, OnUpdate: func(coordinator.EndpointUpdate) {}, Counters: r.counters,
 		ResolveEndpoint: func(id string, _ config.ServerSpec) (coordinator.Endpoint, error) {
 			return coordinator.Endpoint{Name: id}, nil
 		}})
-	p.agreement.Attach(st)
+	r.registry.Attach(st)
 	front := http1.HandlerFunc(func(context.Context, time.Duration, *http1.Request) *http1.Response {
 		return &http1.Response{Status: 299}
 	})
-	return p, p.hearing(front)
+	return r, &memberHandler{registry: r, front: front}
 }
 
 // The golden requests, as another instance sent them, are read in full.
 func TestPeerHandlerReadsGoldenRequests(t *testing.T) {
-	p, h := openPeer(t, store.Member{ID: "b", Raft: "127.0.0.1:1", HTTP: "127.0.0.1:1"})
+	r, h := openPeer(t, store.Member{ID: "b", Raft: "127.0.0.1:1", HTTP: "127.0.0.1:1"})
 	send := func(file string) *http1.Response {
 		t.Helper()
 		req, err := http1.NewReader(strings.NewReader(string(goldentest.Read(t, file))), 1<<20).Request()
@@ -158,7 +158,7 @@
 	if res := send("orders_request.http"); res.Status != 200 || len(res.Body) != 0 {
 		t.Errorf("orders: %d %q", res.Status, res.Body)
 	}
-	if got := p.agreement.PendingRestrictions(); !reflect.DeepEqual(got, goldenOrders) {
+	if got := r.registry.PendingRestrictions(); !reflect.DeepEqual(got, goldenOrders) {
 		t.Errorf("orders received: %+v, want %+v", got, goldenOrders)
 	}
 	// Of the report every field counts: a disk that begins before the reported state is an old one.
@@ -288,9 +288,10 @@
 		t.Fatal(err)
 	}
 	for file, search := range map[string]Search{"settings_shown.json": c, "settings_shown_default.json": {}} {
-		p := &Program{cfg: Config{name: "n1", listen: "127.0.0.1:8080", discovery: "127.0.0.1:8081", memoryMB: 256, sockets: 1024, Search: search}}
-		shown := p.Settings()
-		if c := p.cfg.Search; c.path != "" {
+		b := &adminBackend{process: &process{cfg: Config{name: "n1", listen: "127.0.0.1:8080", discovery: "127.0.0.1:8081", memoryMB: 256,
+			sockets: 1024, Search: search}}}
+		shown := b.Settings()
+		if c := b.cfg.Search; c.path != "" {
 			// A bool that is true by default and false in the file is shown as its default, which is a fault: no golden form.
 			shown = slices.DeleteFunc(shown, func(s adminapi.Setting) bool {
 				return s.Key == "reshape.replan" || s.Key == "search.default_allow_partial_results"
