--- a/internal/daemon/admin_backend.go
+++ b/internal/daemon/admin_backend.go
@@ -84,7 +84,8 @@
 	c := b.settings.config()
 	for name := range c.Indices {
 		if m := c.ShardMap(name); m != nil {
-			out = append(out, adminapi.ShardMapSummary{Index: name, Version: m.Version(), Shards: m.Len(), Plans: len(m.Plans())})
+			out = append(out, adminapi.ShardMapSummary{Index: name, Version: m.Version(), Shards: m.Len(),
+				Plans: len(m.Plans())})
 		}
 	}
 	slices.SortFunc(out, func(x, y adminapi.ShardMapSummary) int { return strings.Compare(x.Index, y.Index) })
--- a/internal/daemon/admin_changes.go
+++ b/internal/daemon/admin_changes.go
@@ -92,7 +92,8 @@
 	} else if errors.As(err, &notLeader) {
 		err = fmt.Errorf("%w; ask there", err)
 	}
-	return adminapi.ServerResponse{Scope: "everywhere", Version: result.Version, UncoveredShards: result.UncoveredShards}, err
+	return adminapi.ServerResponse{Scope: "everywhere", Version: result.Version,
+		UncoveredShards: result.UncoveredShards}, err
 }
 
 func (b *adminBackend) restrict(r adminapi.ServerRequest, level restriction.Level) (adminapi.ServerResponse, error) {
--- a/internal/daemon/body_config.go
+++ b/internal/daemon/body_config.go
@@ -11,12 +11,12 @@
 
 // Bodies configures the store of bodies: the section `bodies` of the operators' file.
 type Bodies struct {
-	MemoryKiB  int64                `toml:"memory_kib"`   // of bodies in memory; an eighth of the limit on memory if missing
-	LargestKiB int64                `toml:"largest_kib"`  // a body above this does not stay in memory
+	MemoryKiB  int64                `toml:"memory_kib"`   // of bodies in memory; 0: an eighth of the limit
+	LargestKiB int64                `toml:"largest_kib"`  // a larger body does not stay in memory
 	FilesKiB   int64                `toml:"files_kib"`    // of bodies in files; 0: there are none
 	Dir        string               `toml:"dir"`          // of these files
 	MaxKiB     int64                `toml:"max_body_kib"` // of a search's body
-	Off        bool                 `toml:"off"`          // every body lies in memory until its query ends, without a bound
+	Off        bool                 `toml:"off"`          // every body stays in memory, without a bound
 	Classes    map[string]ClassPart `toml:"classes"`
 }
 
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -6,19 +6,17 @@
 	"fmt"
 	"os"
 	"strconv"
+	"strings"
 
 	"linkpass"
 	"linkpass/internal/discovery"
-	"linkpass/internal/schema"
-	"linkpass/internal/searchconfig"
 	"linkpass/internal/settings"
-	"linkpass/internal/store"
 )
 
-// Config is what the program is told at its start.
+// Config is what the program is started with: the platform's configuration and the operators' file.
 type Config struct {
 	name, listen, discovery string
-	operator                string // "": no door
+	operator                string // "": no admin listener
 	listenFD                int    // 0: the process opens its own socket
 	seed                    uint64
 	memoryMB, sockets       int
@@ -28,23 +26,8 @@
 	host                    settings.Host
 	Search                  Search
 
-	fileDiscovery string              // what the file names, whatever goes before it
-	env           func(string) string // that named the file; nil: os.Getenv
-}
-
-// Search is the file of the search front.
-type Search struct {
-	Listen string `toml:"listen"`
-	searchconfig.Config
-	Store   store.Config `toml:"store"`
-	Reshape Reshape      `toml:"reshape"`
-	Bodies  Bodies       `toml:"bodies"`
-
-	Operator Operator `toml:"operator"`
-	Log      Log      `toml:"log"`
-
-	path   string         // of the file
-	values []schema.Value // as they stand in it
+	fileDiscovery string              // what the file names, whether the environment overrides it or not
+	env           func(string) string // the environment at the start; nil: os.Getenv
 }
 
 // document is the platform's configuration file.
@@ -83,28 +66,72 @@
 		}
 		return otherwise
 	}
-	c := Config{name: either("ROUTER_NAME", d.Name), listen: either("ROUTER_LISTEN", d.Listen),
-		discovery: either("ROUTER_DISCOVERY", d.Discovery), operator: either("ROUTER_OPERATOR", d.Operator), known: d.Known,
-		env: env, fileDiscovery: d.Discovery, memoryMB: d.Limits.MemoryMB, sockets: d.Limits.Sockets, cores: d.Limits.Cores}
+	c := Config{
+		name:          either("ROUTER_NAME", d.Name),
+		listen:        either("ROUTER_LISTEN", d.Listen),
+		discovery:     either("ROUTER_DISCOVERY", d.Discovery),
+		operator:      either("ROUTER_OPERATOR", d.Operator),
+		known:         d.Known,
+		env:           env,
+		fileDiscovery: d.Discovery,
+		memoryMB:      d.Limits.MemoryMB,
+		sockets:       d.Limits.Sockets,
+		cores:         d.Limits.Cores,
+	}
+	if err := c.parse(path, &d); err != nil {
+		return Config{}, err
+	}
+	return c, nil
+}
+
+// parse reads those values of the document at path that are not taken as they are.
+func (c *Config) parse(path string, d *document) (err error) {
 	if c.listen == "" || c.discovery == "" {
-		return Config{}, fmt.Errorf("configuration %s: listen or discovery is missing", path)
+		return fmt.Errorf("configuration %s: listen or discovery is missing", path)
 	}
-	if fd := env("ROUTER_LISTEN_FD"); fd != "" {
+	if fd := c.env("ROUTER_LISTEN_FD"); fd != "" {
 		if c.listenFD, err = strconv.Atoi(fd); err != nil || c.listenFD <= 2 {
-			return Config{}, fmt.Errorf("ROUTER_LISTEN_FD %q is no descriptor to listen on", fd)
+			return fmt.Errorf("ROUTER_LISTEN_FD %q is no descriptor to listen on", fd)
 		}
 	}
 	if c.seed, err = strconv.ParseUint(d.Seed, 16, 64); err != nil {
-		return Config{}, fmt.Errorf("configuration %s: seed: %w", path, err)
+		return fmt.Errorf("configuration %s: seed: %w", path, err)
 	}
 	if len(d.Settings) == 0 {
-		return Config{}, fmt.Errorf("configuration %s: settings are missing", path)
+		return fmt.Errorf("configuration %s: settings are missing", path)
 	}
 	if c.module, c.host, err = settings.ParseJSON(d.Settings); err != nil {
-		return Config{}, fmt.Errorf("configuration %s: %w", path, err)
+		return fmt.Errorf("configuration %s: %w", path, err)
 	}
 	if c.host.MaxStreams <= 0 || c.host.ConnectTimeout <= 0 || c.module.Tick <= 0 {
-		return Config{}, fmt.Errorf("configuration %s: max_streams, connect_timeout and tick must be above 0", path)
+		return fmt.Errorf("configuration %s: max_streams, connect_timeout and tick must be above 0", path)
 	}
-	return c, nil
+	return nil
+}
+
+// Check validates the two files against each other, as a start would.
+func (c Config) Check() error {
+	var errs []error
+	if _, err := c.Search.Bodies.limits(c.memoryMB, c.host.Classes); err != nil {
+		errs = append(errs, err)
+	}
+	seen := map[string]string{}
+	platform := map[string]string{"listen of the platform": c.listen, "operator of the platform": c.operator}
+	for key, addr := range platform {
+		if other, ok := seen[addr]; ok && addr != "" && !strings.HasSuffix(addr, ":0") {
+			errs = append(errs, fmt.Errorf("%s is the address of %s too: %s", max(key, other), min(key, other), addr))
+		}
+		seen[addr] = key
+	}
+	c.Search.addresses(func(key, addr string) {
+		if other, ok := seen[addr]; ok {
+			errs = append(errs, fmt.Errorf("%s is the address of the %s too: %s", key, other, addr))
+		}
+	})
+	if c.Search.Operator.Listen != "" && c.Search.Operator.Keys != "" {
+		if _, err := ReadKeys(c.Search.Operator.Keys); err != nil {
+			errs = append(errs, err)
+		}
+	}
+	return errors.Join(errs...)
 }
--- a/internal/daemon/endpoint_registry.go
+++ b/internal/daemon/endpoint_registry.go
@@ -29,7 +29,8 @@
 }
 
 func (r *endpointRegistry) component() lifecycle.Component {
-	return lifecycle.Component{Name: "endpoints", DependsOn: []string{"upstreams", "shardmaps"}, Start: r.start, Run: r.run}
+	return lifecycle.Component{Name: "endpoints", DependsOn: []string{"upstreams", "shardmaps"},
+		Start: r.start, Run: r.run}
 }
 
 func (r *endpointRegistry) start() error {
--- a/internal/daemon/keyring.go
+++ b/internal/daemon/keyring.go
@@ -12,12 +12,13 @@
 	"linkpass/internal/adminapi/signature"
 )
 
-// keyring checks the signed calls of the operators' API.
+// keyring verifies the signed calls of the admin API.
 type keyring struct {
-	mu       sync.Mutex
-	verifier *signature.Verifier // nil: nothing is let in
+	mu       sync.Mutex          // guards what follows
+	verifier *signature.Verifier // nil: every call is rejected
 }
 
+// set replaces the keys by those of a reload.
 func (k *keyring) set(ring signature.Ring) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -26,13 +27,14 @@
 	}
 }
 
+// open admits calls that ring signs from now on.
 func (k *keyring) open(ring signature.Ring, window time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.verifier = signature.NewVerifier(ring, window, time.Now())
 }
 
-// check lets a call in, or tells why not.
+// check returns why a call is rejected; nil: it is admitted.
 func (k *keyring) check(header string, c signature.Call) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -45,7 +47,8 @@
 
 const maxKeyFile = 64 << 10 // bytes
 
-// ReadKeys reads a file of keys: TOML, an id and a key in hexadecimal on each line. One that others may read is not taken.
+// ReadKeys reads a file of keys: TOML, an id and a key in hexadecimal on each line. A file that others may read is
+// rejected.
 func ReadKeys(path string) (signature.Ring, error) {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/daemon/limits_share.go
+++ b/internal/daemon/limits_share.go
@@ -31,8 +31,10 @@
 	alone chan struct{} // receives once no other process of this coordinator runs any more
 }
 
-func newLimitsShare(p *process, dials *peer.Places, core *queryCore, bodies *bodyStore, fronts *clientFronts) *limitsShare {
-	return &limitsShare{process: p, dials: dials, core: core, bodies: bodies, fronts: fronts, alone: make(chan struct{}, 1)}
+func newLimitsShare(p *process, dials *peer.Places, core *queryCore, bodies *bodyStore,
+	fronts *clientFronts) *limitsShare {
+	return &limitsShare{process: p, dials: dials, core: core, bodies: bodies, fronts: fronts,
+		alone: make(chan struct{}, 1)}
 }
 
 func (l *limitsShare) component() lifecycle.Component {
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -11,7 +11,7 @@
 )
 
 // Arguments reads a command line that does no more than start the daemon: nothing, or serve, and the operators' file in
-// any of the forms that were ever taken. Every other one is for linkpass-ctl.
+// any of the forms that were ever accepted. Every other one is for linkpass-ctl.
 func Arguments(args []string) (file string, ok bool) {
 	if len(args) > 0 && args[0] == "serve" {
 		args = args[1:]
@@ -19,12 +19,12 @@
 	if len(args) == 0 {
 		return DefaultSearchFile, true
 	}
-	flag, file, joined := strings.Cut(args[0], "=")
+	flag, value, joined := strings.Cut(args[0], "=")
 	switch {
 	case flag != "-opensearch" && flag != "--opensearch":
 		return "", false
 	case joined && len(args) == 1:
-		return file, true
+		return value, true
 	case !joined && len(args) == 2:
 		return args[1], true
 	}
--- a/internal/daemon/program.go
+++ b/internal/daemon/program.go
@@ -49,7 +49,12 @@
 
 // newProgram makes the components, and lists them in the order of their start.
 func newProgram(cfg Config) (*Program, []lifecycle.Component) {
-	proc := &process{cfg: cfg, startedAt: time.Now(), counters: metrics.NewCounters(), totals: metrics.NewTotals(cfg.host.Classes)}
+	proc := &process{
+		cfg:       cfg,
+		startedAt: time.Now(),
+		counters:  metrics.NewCounters(),
+		totals:    metrics.NewTotals(cfg.host.Classes),
+	}
 	dials := peer.NewPlaces(0)
 	settings := newActiveSettings(&cfg.Search.Config) // a copy: a reload overwrites that of proc
 	st, names := &replicatedStore{}, &endpointNames{}
@@ -64,13 +69,13 @@
 	watcher := newDiscoveryWatcher(proc, core, names, shards, registry)
 	platform := newPlatformFront(proc, core, bodies, fronts)
 	admin := newAdminListener(proc, core)
-	search := &searchFront{process: proc, core: core, bodies: bodies, fronts: fronts, settings: settings, shards: shards,
-		registry: registry, store: st}
+	search := &searchFront{process: proc, core: core, bodies: bodies, fronts: fronts, settings: settings,
+		shards: shards, registry: registry, store: st}
 	api := newAdminAPI(proc, core)
 	reload := &reloader{process: proc, limits: limits, bodies: bodies, shards: shards, settings: settings,
 		discovery: watcher, api: api, requested: make(chan struct{}, 1)}
-	api.backend = &adminBackend{process: proc, core: core, bodies: bodies, fronts: fronts, settings: settings, names: names,
-		registry: registry, store: st, api: api, reloader: reload}
+	api.backend = &adminBackend{process: proc, core: core, bodies: bodies, fronts: fronts, settings: settings,
+		names: names, registry: registry, store: st, api: api, reloader: reload}
 
 	p := &Program{adminBackend: api.backend, limits: limits, discovery: watcher, admin: admin,
 		shutdown: &shutdown{process: proc, core: core, fronts: fronts, limits: limits}}
--- a/internal/daemon/reloader.go
+++ b/internal/daemon/reloader.go
@@ -81,7 +81,8 @@
 		eventlog.KeysLoaded.Log(len(ring))
 	}
 	r.counters.Add("config_reloaded", 1)
-	eventlog.ConfigReloaded.Log(next.fileDiscovery, strings.Join(result.Applied, ","), strings.Join(result.NeedsRestart, ","))
+	eventlog.ConfigReloaded.Log(next.fileDiscovery, strings.Join(result.Applied, ","),
+		strings.Join(result.NeedsRestart, ","))
 	return result, nil
 }
 
