--- a/internal/daemon/admin_api.go
+++ b/internal/daemon/admin_api.go
@@ -15,8 +15,8 @@
 	"linkpass/internal/lifecycle"
 )
 
-// Operator says where the admin API listens: the section `operator` of the operators' file.
-type Operator struct {
+// AdminConfig says where the admin API listens: the section `operator` of the operators' file.
+type AdminConfig struct {
 	Socket string `toml:"socket"` // of the API; "": there is none
 	Listen string `toml:"listen"` // of the API over TCP; "": not there
 	Keys   string `toml:"keys"`   // file of the keys that sign calls over TCP
--- a/internal/daemon/body_config.go
+++ b/internal/daemon/body_config.go
@@ -9,19 +9,19 @@
 	"linkpass/internal/bodies/tier"
 )
 
-// Bodies configures the store of bodies: the section `bodies` of the operators' file.
-type Bodies struct {
-	MemoryKiB  int64                `toml:"memory_kib"`   // of bodies in memory; 0: an eighth of the limit
-	LargestKiB int64                `toml:"largest_kib"`  // a larger body does not stay in memory
-	FilesKiB   int64                `toml:"files_kib"`    // of bodies in files; 0: there are none
-	Dir        string               `toml:"dir"`          // of these files
-	MaxKiB     int64                `toml:"max_body_kib"` // of a search's body
-	Off        bool                 `toml:"off"`          // every body stays in memory, without a bound
-	Classes    map[string]ClassPart `toml:"classes"`
+// BodyConfig configures the store of bodies: the section `bodies` of the operators' file.
+type BodyConfig struct {
+	MemoryKiB  int64                      `toml:"memory_kib"`   // of bodies in memory; 0: an eighth of the limit
+	LargestKiB int64                      `toml:"largest_kib"`  // a larger body does not stay in memory
+	FilesKiB   int64                      `toml:"files_kib"`    // of bodies in files; 0: there are none
+	Dir        string                     `toml:"dir"`          // of these files
+	MaxKiB     int64                      `toml:"max_body_kib"` // of a search's body
+	Off        bool                       `toml:"off"`          // every body stays in memory, without a bound
+	Classes    map[string]BodyClassConfig `toml:"classes"`
 }
 
-// ClassPart is the budget of a class of queries.
-type ClassPart struct {
+// BodyClassConfig is the budget of a class of queries.
+type BodyClassConfig struct {
 	FloorKiB int64   `toml:"floor_kib"` // that other classes cannot take from it
 	Share    float64 `toml:"share"`     // of the memory that it may have at most; 0: all
 }
@@ -33,7 +33,7 @@
 )
 
 // check validates the section by itself.
-func (b Bodies) check() error {
+func (b BodyConfig) check() error {
 	if (b.FilesKiB > 0) != (b.Dir != "") {
 		return errors.New("bodies: files_kib and dir go together")
 	}
@@ -48,7 +48,7 @@
 }
 
 // limits are the budgets of a process that has a limit on memory and serves classes.
-func (b Bodies) limits(memoryMB int, classes []string) (tier.Limits, error) {
+func (b BodyConfig) limits(memoryMB int, classes []string) (tier.Limits, error) {
 	limit := int64(memoryMB) << 20
 	l := tier.Limits{
 		Memory:  b.MemoryKiB << 10,
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -24,7 +24,7 @@
 	known                   discovery.Document
 	module                  linkpass.Settings
 	host                    settings.Host
-	Search                  Search
+	Search                  SearchConfig
 
 	fileDiscovery string              // what the file names, whether the environment overrides it or not
 	env           func(string) string // the environment at the start; nil: os.Getenv
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -117,10 +117,10 @@
 }
 
 // goldenSearch is what testdata/operators.toml says.
-func goldenSearch(t *testing.T) Search {
+func goldenSearch(t *testing.T) SearchConfig {
 	t.Helper()
 	no := false
-	s := Search{
+	s := SearchConfig{
 		Listen: "127.0.0.1:9200",
 		Config: searchconfig.Config{
 			Search: searchconfig.Defaults{Timeout: "1500ms", AllowPartial: &no, MaxResultWindow: 10001},
@@ -136,11 +136,11 @@
 		},
 		Store: store.Config{ID: "a", Dir: "/var/lib/linkpass/store", Join: true, TimeScale: 1.5, Members: []store.Member{
 			{ID: "a", Raft: "127.0.0.1:9300", HTTP: "127.0.0.1:9200"}, {ID: "b", Raft: "127.0.0.1:9400", HTTP: "127.0.0.1:9401"}}},
-		Reshape: Reshape{Moves: 5, PerServer: 2, Poll: "1100ms", RetireAfter: "6s", Patience: "11m", Replan: &no},
-		Bodies: Bodies{MemoryKiB: 8193, LargestKiB: 1025, FilesKiB: 262145, Dir: "/var/lib/linkpass/bodies", MaxKiB: 65, Off: true,
-			Classes: map[string]ClassPart{"trade": {FloorKiB: 129, Share: 0.25}}},
-		Operator: Operator{Socket: "/run/linkpass/linkpass.sock", Listen: "127.0.0.1:9301", Keys: "/etc/linkpass/operator-keys.toml", Window: "31s"},
-		Log:      Log{Format: "json", Level: "debug", Levels: map[string]string{"peer": "warn"}},
+		Reshape: ReshardingConfig{Moves: 5, PerServer: 2, Poll: "1100ms", RetireAfter: "6s", Patience: "11m", Replan: &no},
+		Bodies: BodyConfig{MemoryKiB: 8193, LargestKiB: 1025, FilesKiB: 262145, Dir: "/var/lib/linkpass/bodies", MaxKiB: 65, Off: true,
+			Classes: map[string]BodyClassConfig{"trade": {FloorKiB: 129, Share: 0.25}}},
+		Operator: AdminConfig{Socket: "/run/linkpass/linkpass.sock", Listen: "127.0.0.1:9301", Keys: "/etc/linkpass/operator-keys.toml", Window: "31s"},
+		Log:      LogConfig{Format: "json", Level: "debug", Levels: map[string]string{"peer": "warn"}},
 	}
 	if err := s.Config.Validate(); err != nil { // it makes the layouts
 		t.Fatal(err)
--- a/internal/daemon/log_config.go
+++ b/internal/daemon/log_config.go
@@ -6,21 +6,21 @@
 	"linkpass/internal/eventlog"
 )
 
-// Log says what is logged, and how: the section `log` of the operators' file.
-type Log struct {
+// LogConfig says what is logged, and how: the section `log` of the operators' file.
+type LogConfig struct {
 	Format string            `toml:"format"`
 	Level  string            `toml:"level"`
 	Levels map[string]string `toml:"levels"`
 }
 
 // Apply lets the log be written to w as the file says.
-func (l Log) Apply(w io.Writer) {
+func (l LogConfig) Apply(w io.Writer) {
 	eventlog.SetOutput(w, l.Format == "json")
 	l.applyLevels()
 }
 
 // applyLevels sets the least level of each component's lines.
-func (l Log) applyLevels() {
+func (l LogConfig) applyLevels() {
 	level := l.Level
 	if level == "" {
 		level = Keys.MustKey("log.level").Default
--- a/internal/daemon/reloadable.go
+++ b/internal/daemon/reloadable.go
@@ -16,7 +16,7 @@
 
 // needsRestart tells which reloadable keys need a restart after all: files for bodies that would have to be created or
 // removed, and indices with a shard map, whose versions only the store can advance.
-func (c *Search) needsRestart(next *Search) func(key string) bool {
+func (c *SearchConfig) needsRestart(next *SearchConfig) func(key string) bool {
 	return func(key string) bool {
 		if key == "bodies.files_kib" {
 			return (c.Bodies.FilesKiB == 0) != (next.Bodies.FilesKiB == 0) || c.Bodies.Off
@@ -28,7 +28,7 @@
 }
 
 // hasShardMap tells whether an index has a shard map.
-func (c *Search) hasShardMap(name string) bool { return hasShardMap(c.Indices[name]) }
+func (c *SearchConfig) hasShardMap(name string) bool { return hasShardMap(c.Indices[name]) }
 
 func hasShardMap(index searchconfig.Index) bool {
 	return index.ShardMap != nil || index.InitialSharding != nil
--- a/internal/daemon/reloader.go
+++ b/internal/daemon/reloader.go
@@ -114,7 +114,7 @@
 }
 
 // applySearch applies those keys of a new operators' file that can be, and tells which. The caller holds mu.
-func (r *reloader) applySearch(next *Search) (result adminapi.ReloadResult) {
+func (r *reloader) applySearch(next *SearchConfig) (result adminapi.ReloadResult) {
 	running := &r.cfg.Search
 	needsRestart := running.needsRestart(next)
 	for _, c := range Keys.Changes(running.values, next.values) {
@@ -141,7 +141,7 @@
 }
 
 // notify hands the applied keys to the components that work by them. The caller holds mu.
-func (r *reloader) notify(next *Search) {
+func (r *reloader) notify(next *SearchConfig) {
 	running := &r.cfg.Search
 	replan := running.Reshape.Replan
 	running.Reshape = next.Reshape
@@ -166,7 +166,7 @@
 }
 
 // applySettings lets the file's search settings take effect where there is no store. The caller holds mu.
-func (r *reloader) applySettings(next *Search) {
+func (r *reloader) applySettings(next *SearchConfig) {
 	c, err := mergeSearchConfig(r.settings.fromFile.Load(), &next.Config)
 	if err != nil { // checked when the file was read
 		return
--- a/internal/daemon/resharding_config.go
+++ b/internal/daemon/resharding_config.go
@@ -6,8 +6,8 @@
 	"linkpass/internal/shardmap/resharding"
 )
 
-// Reshape paces resharding: the section `reshape` of the operators' file.
-type Reshape struct {
+// ReshardingConfig paces resharding: the section `reshape` of the operators' file.
+type ReshardingConfig struct {
 	Moves       int    `toml:"moves"`        // plans that copy at a time, in all
 	PerServer   int    `toml:"per_server"`   // and for one server
 	Poll        string `toml:"poll"`         // between two calls to every server
@@ -17,7 +17,7 @@
 }
 
 // limits reads the settings, with their defaults; maxDeadline is the longest deadline of a query.
-func (r Reshape) limits(maxDeadline time.Duration) (limits resharding.Limits, poll time.Duration) {
+func (r ReshardingConfig) limits(maxDeadline time.Duration) (limits resharding.Limits, poll time.Duration) {
 	poll = Keys.Duration("reshape.poll", r.Poll)
 	limits = resharding.Limits{
 		MaxMigrations: int(Keys.Int("reshape.moves", int64(r.Moves))),
--- a/internal/daemon/run_test.go
+++ b/internal/daemon/run_test.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.Search = Search{Listen: "127.0.0.1:0", Config: searchconfig.Config{Indices: map[string]searchconfig.Index{
+	cfg.Search = SearchConfig{Listen: "127.0.0.1:0", Config: searchconfig.Config{Indices: map[string]searchconfig.Index{
 		"players": {Class: "whole", Shards: []int{0, 1, 2}}, "tables": {Class: "share", Shards: []int{0, 1}}, "lost": {Class: "whole", Shards: []int{0, 77}}}},
 		Store: store.Config{ID: "a", Dir: t.TempDir(), TimeScale: 0.2, Listener: raft,
 			Members: []store.Member{{ID: "a", Raft: raft.Addr().String(), HTTP: "here"}}}}
@@ -697,7 +697,7 @@
 func TestLargeSearchesThroughFiles(t *testing.T) {
 	dir := t.TempDir()
 	b := newBench(t, 3, func(c *Config) {
-		c.Search.Bodies = Bodies{MemoryKiB: 64, LargestKiB: 8, FilesKiB: 4096, Dir: dir}
+		c.Search.Bodies = BodyConfig{MemoryKiB: 64, LargestKiB: 8, FilesKiB: 4096, Dir: dir}
 		c.Search.Servers = map[string]searchconfig.Server{"s-0a": {Protocol: "search"}, "s-0b": {Protocol: "search"}}
 	})
 	query := `{"terms":{"id":["` + strings.Repeat("x", 40_000) + `"]}}`
@@ -747,16 +747,16 @@
 // Budgets that do not add up are refused by name.
 func TestBodyBudgets(t *testing.T) {
 	classes := []string{"whole", "share"}
-	for text, b := range map[string]Bodies{"more than half": {MemoryKiB: 20 << 10}, "no such class": {Classes: map[string]ClassPart{"x": {}}},
-		"floors add up": {Classes: map[string]ClassPart{"whole": {FloorKiB: 3 << 10}, "share": {FloorKiB: 3 << 10}}}} {
+	for text, b := range map[string]BodyConfig{"more than half": {MemoryKiB: 20 << 10}, "no such class": {Classes: map[string]BodyClassConfig{"x": {}}},
+		"floors add up": {Classes: map[string]BodyClassConfig{"whole": {FloorKiB: 3 << 10}, "share": {FloorKiB: 3 << 10}}}} {
 		if _, err := b.limits(32, classes); err == nil || !strings.Contains(err.Error(), text) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
-	if l, err := (Bodies{}).limits(32, classes); err != nil || l.Memory != 4<<20 || l.Files != 0 {
+	if l, err := (BodyConfig{}).limits(32, classes); err != nil || l.Memory != 4<<20 || l.Files != 0 {
 		t.Errorf("the default in 32 MB: %+v %v", l, err)
 	}
-	for _, bad := range []Bodies{{FilesKiB: 5}, {Dir: "x"}, {MemoryKiB: 5, Classes: map[string]ClassPart{"a": {FloorKiB: 6}}}} {
+	for _, bad := range []BodyConfig{{FilesKiB: 5}, {Dir: "x"}, {MemoryKiB: 5, Classes: map[string]BodyClassConfig{"a": {FloorKiB: 6}}}} {
 		if bad.check() == nil {
 			t.Errorf("took %+v", bad)
 		}
--- a/internal/daemon/schema_test.go
+++ b/internal/daemon/schema_test.go
@@ -57,7 +57,7 @@
 			t.Errorf("the default of %s: %v", k.Name, faults)
 		}
 	}
-	read := fields("", reflect.TypeFor[Search]())
+	read := fields("", reflect.TypeFor[SearchConfig]())
 	slices.Sort(names)
 	slices.Sort(read)
 	if !slices.Equal(names, read) {
--- a/internal/daemon/search_config.go
+++ b/internal/daemon/search_config.go
@@ -18,16 +18,16 @@
 	"linkpass/internal/store"
 )
 
-// Search is the operators' file: the search front and all that goes with it.
-type Search struct {
+// SearchConfig is the operators' file: the search front and all that goes with it.
+type SearchConfig struct {
 	Listen string `toml:"listen"`
 	searchconfig.Config
-	Store   store.Config `toml:"store"`
-	Reshape Reshape      `toml:"reshape"`
-	Bodies  Bodies       `toml:"bodies"`
+	Store   store.Config     `toml:"store"`
+	Reshape ReshardingConfig `toml:"reshape"`
+	Bodies  BodyConfig       `toml:"bodies"`
 
-	Operator Operator `toml:"operator"`
-	Log      Log      `toml:"log"`
+	Operator AdminConfig `toml:"operator"`
+	Log      LogConfig   `toml:"log"`
 
 	path   string         // of the file
 	values []schema.Value // as the file gives them
@@ -38,15 +38,15 @@
 
 // LoadSearch reads the operators' file and reports all that is wrong with it at once, each with its
 // line and key. Without the default file everything is off.
-func LoadSearch(path string) (Search, error) {
+func LoadSearch(path string) (SearchConfig, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) && path == DefaultSearchFile {
-		return Search{path: path}, nil
+		return SearchConfig{path: path}, nil
 	}
 	if err != nil {
-		return Search{}, fmt.Errorf("operators' file: %w", err)
+		return SearchConfig{}, fmt.Errorf("operators' file: %w", err)
 	}
-	c := Search{path: path}
+	c := SearchConfig{path: path}
 	var errs []schema.Error
 	if c.values, errs = Keys.Read(path, string(text)); len(errs) > 0 {
 		return c, joinErrors(errs)
@@ -71,7 +71,7 @@
 }
 
 // validate reports what the keys contradict of each other; each by itself is valid.
-func (c *Search) validate(report func(key string, err error)) {
+func (c *SearchConfig) validate(report func(key string, err error)) {
 	if err := c.Config.Validate(); err != nil {
 		report("indices", err)
 	}
@@ -98,7 +98,7 @@
 	})
 }
 
-func (c *Search) validateStore(report func(key string, err error)) {
+func (c *SearchConfig) validateStore(report func(key string, err error)) {
 	if c.Store.ID == "" {
 		return
 	}
@@ -122,7 +122,7 @@
 
 // addresses calls f with each address that this instance, or another of the store, is to listen at; not with those
 // whose port the system picks.
-func (c *Search) addresses(f func(key, addr string)) {
+func (c *SearchConfig) addresses(f func(key, addr string)) {
 	visit := func(key, addr string) {
 		if _, port, err := net.SplitHostPort(addr); err == nil && port != "0" {
 			f(key, addr)
--- a/internal/daemon/shard_maps.go
+++ b/internal/daemon/shard_maps.go
@@ -60,7 +60,7 @@
 }
 
 // applyLimits lets reloaded limits take effect. The caller holds process.mu.
-func (s *shardMaps) applyLimits(r Reshape) {
+func (s *shardMaps) applyLimits(r ReshardingConfig) {
 	if s.executor != nil {
 		limits, poll := r.limits(s.maxDeadline())
 		s.executor.SetLimits(limits, poll)
--- a/internal/daemon/wire_golden_test.go
+++ b/internal/daemon/wire_golden_test.go
@@ -235,7 +235,7 @@
 	slice := func(n shardmap.ShardID, first, last uint64, holder string) shardmap.Shard {
 		return shardmap.Shard{ID: shardmap.FirstDynamicID + n, Range: shardmap.Range{First: first, Last: last}, Epoch: 1, Replicas: []string{holder}}
 	}
-	want := Search{Listen: "127.0.0.1:9200",
+	want := SearchConfig{Listen: "127.0.0.1:9200",
 		Config: searchconfig.Config{Search: searchconfig.Defaults{Timeout: "1500ms", AllowPartial: &no, MaxResultWindow: 500},
 			Indices: map[string]searchconfig.Index{"fixed": {Class: "team-lookup", Shards: []int{0, 1}},
 				"spread": {Class: "team-lookup", ShardMap: &spread},
@@ -244,11 +244,11 @@
 			Servers: map[string]searchconfig.Server{"s-1": {Protocol: "search"}}},
 		Store: store.Config{ID: "a", Dir: "/var/lib/linkpass/store", Join: true, TimeScale: 0.5, Members: []store.Member{
 			{ID: "a", Raft: "127.0.0.1:9300", HTTP: "127.0.0.1:9200"}, {ID: "b", Raft: "127.0.0.1:9301", HTTP: "127.0.0.1:9201"}}},
-		Reshape: Reshape{Moves: 5, PerServer: 2, Poll: "2s", RetireAfter: "3s", Patience: "4m", Replan: &no},
-		Bodies: Bodies{MemoryKiB: 4096, LargestKiB: 512, FilesKiB: 8192, Dir: "/var/lib/linkpass/bodies", MaxKiB: 128, Off: true,
-			Classes: map[string]ClassPart{"team-lookup": {FloorKiB: 64, Share: 0.25}}},
-		Operator: Operator{Socket: "/run/linkpass.sock", Listen: "127.0.0.1:9400", Keys: "/etc/linkpass/keys.toml", Window: "20s"},
-		Log:      Log{Format: "json", Level: "warn", Levels: map[string]string{"store": "debug"}}}
+		Reshape: ReshardingConfig{Moves: 5, PerServer: 2, Poll: "2s", RetireAfter: "3s", Patience: "4m", Replan: &no},
+		Bodies: BodyConfig{MemoryKiB: 4096, LargestKiB: 512, FilesKiB: 8192, Dir: "/var/lib/linkpass/bodies", MaxKiB: 128, Off: true,
+			Classes: map[string]BodyClassConfig{"team-lookup": {FloorKiB: 64, Share: 0.25}}},
+		Operator: AdminConfig{Socket: "/run/linkpass.sock", Listen: "127.0.0.1:9400", Keys: "/etc/linkpass/keys.toml", Window: "20s"},
+		Log:      LogConfig{Format: "json", Level: "warn", Levels: map[string]string{"store": "debug"}}}
 	for _, f := range []struct {
 		name      string
 		got, want any
@@ -287,7 +287,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for file, search := range map[string]Search{"settings_shown.json": c, "settings_shown_default.json": {}} {
+	for file, search := range map[string]SearchConfig{"settings_shown.json": c, "settings_shown_default.json": {}} {
 		b := &adminBackend{process: &process{cfg: Config{name: "n1", listen: "127.0.0.1:8080", discovery: "127.0.0.1:8081", memoryMB: 256,
 			sockets: 1024, Search: search}}}
 		shown := b.Settings()
