--- /dev/null
+++ b/internal/daemon/admin_api_test.go
@@ -0,0 +1,63 @@
+package daemon
+
+import (
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"linkpass/internal/admin"
+	"linkpass/internal/adminapi"
+)
+
+// A socket's file that a crash left is replaced; one that somebody listens on is not, and nor is what is no socket.
+func TestListenSocketReplacesStaleFile(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "deep", "linkpass.sock")
+	first, err := listenSocket(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
+		t.Errorf("%v %v", info, err)
+	}
+	if _, err := listenSocket(path); err == nil || !strings.Contains(err.Error(), "another process listens") {
+		t.Errorf("beside one that listens: %v", err)
+	}
+	first.(*net.UnixListener).SetUnlinkOnClose(false) // as a crash would
+	first.Close()
+	second, err := listenSocket(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	second.Close()
+	if err := os.MkdirAll(filepath.Join(path, "full"), 0o700); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := listenSocket(path); err == nil {
+		t.Error("a directory was taken for a socket")
+	}
+}
+
+// Slow callers that hold every place of the door keep nobody out of the operators' API, nor for long out of the door.
+func TestStatusWhileAdminListenerIsFlooded(t *testing.T) {
+	socket := filepath.Join(t.TempDir(), "api.sock")
+	b := newBench(t, 3, func(c *Config) { c.operator, c.Search.Operator.Socket = "127.0.0.1:0", socket })
+	for range 3 * admin.MaxConns {
+		nc, err := net.Dial("tcp", b.p.admin.bound.listener.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer nc.Close()
+		_, _ = io.WriteString(nc, "GET /v1/rea") // those that had to make room already can't
+	}
+	if s, err := (&adminapi.Client{Socket: socket, Limit: 10 * time.Second}).Status(); err != nil || s.State != "serving" {
+		t.Errorf("%+v %v", s, err)
+	}
+	// A caller that has begun keeps its place for a second; then it gives way.
+	for connect(t, b.p.admin.bound.listener.Addr().String()).ask("GET", "/v1/readyz", "", nil).Status != 200 {
+		time.Sleep(10 * time.Millisecond)
+	}
+}
--- /dev/null
+++ b/internal/daemon/bench_test.go
@@ -0,0 +1,194 @@
+package daemon
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net"
+	"os"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"linkpass/internal/discovery"
+	"linkpass/internal/searchconfig"
+	"linkpass/internal/settings"
+	"linkpass/internal/store"
+)
+
+const settingsText = `{"az":0,"bounds":{"cancel":true,"connect_timeout":250.0,"keepalive":30000.0,"max_attempts":3,"max_open":160,
+"max_retry_after":1000.0,"max_streams":32,"probes":true,"retry_after":true,"second_copies":true},"dcs":["ebene"],"kinds":["m2"],
+"extra":{"class_need":[1.0,1.0],"least_share":[1.0,0.5],"in_a_row":1,"parts_a_call":1,"places":3,"slabs":6},"peers_total":3,
+"report":{"fields":["active","avg_ms","waiting"],"how":"inline"},"tenants":[],"tick":5.0,
+"request_classes":[{"aim":8000.0,"hard_limit":20000.0,"idempotency":"free","importance":1.0,"late_share":0.3,"name":"whole"},
+{"aim":8000.0,"hard_limit":20000.0,"idempotency":"free","importance":1.0,"late_share":0.3,"name":"share"}],
+"rules":{"answer_slack":20.0,"cold":18000.0,"cold_from":0.17,"drain_grace":1000.0,"fall_multiple":2.0,"tip_after":3000.0}}`
+
+// bench is a whole coordinator between stand-ins.
+type bench struct {
+	*fleet
+	p        *Program
+	news     chan os.Signal
+	platform *client
+	search   *client
+	stop     func()
+	asked    int
+}
+
+func newBench(t *testing.T, cells int, changes ...func(*Config)) *bench {
+	t.Setenv("TMPDIR", t.TempDir())
+	b := &bench{fleet: newFleet(t), news: make(chan os.Signal)}
+	cfg := Config{name: "n0", listen: "127.0.0.1:0", operator: "127.0.0.1:0", discovery: b.addr, seed: 5, memoryMB: 192, sockets: 1024}
+	var err error
+	if cfg.module, cfg.host, err = settings.ParseJSON([]byte(settingsText)); err != nil {
+		t.Fatal(err)
+	}
+	cfg.known = discovery.Document{Version: 0, Full: true}
+	for cell := range cells {
+		for _, twin := range []string{"a", "b"} {
+			s := b.add(fmt.Sprintf("s-%d%s", cell, twin), cell)
+			cfg.known.Servers = append(cfg.known.Servers, s.line("in_service", 0))
+		}
+	}
+	raft, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	cfg.Search = SearchConfig{Listen: "127.0.0.1:0", Config: searchconfig.Config{Indices: map[string]searchconfig.Index{
+		"players": {Class: "whole", Shards: []int{0, 1, 2}}, "tables": {Class: "share", Shards: []int{0, 1}}, "lost": {Class: "whole", Shards: []int{0, 77}}}},
+		Store: store.Config{ID: "a", Dir: t.TempDir(), TimeScale: 0.2, Listener: raft,
+			Members: []store.Member{{ID: "a", Raft: raft.Addr().String(), HTTP: "here"}}}}
+	for _, change := range changes {
+		change(&cfg)
+	}
+	if b.p, err = Start(cfg); err != nil {
+		t.Fatal(err)
+	}
+	term, stop := context.WithCancel(context.Background())
+	done := make(chan error, 1)
+	go func() { done <- b.p.Serve(term, b.news) }()
+	b.stop = sync.OnceFunc(func() {
+		stop()
+		if err := <-done; err != nil {
+			t.Error(err)
+		}
+	})
+	t.Cleanup(b.stop)
+	b.platform = connect(t, b.p.fronts.listeners[0].Addr().String())
+	if len(b.p.fronts.listeners) > 1 {
+		b.search = connect(t, b.p.fronts.listeners[1].Addr().String())
+	}
+	<-b.told // the watch goes on from the known list
+	return b
+}
+
+// query asks in the platform's style.
+func (b *bench) query(c *client, class string, timeout time.Duration, shards ...int) (status int, out struct {
+	Exact bool
+	Rows  []struct {
+		ID   int
+		Data string
+	}
+}) {
+	b.t.Helper()
+	b.asked++
+	var parts []string
+	for _, s := range shards {
+		parts = append(parts, fmt.Sprintf(`{"id":%d,"w":%f}`, s, 1/float64(len(shards))))
+	}
+	res := c.ask("POST", "/"+class, `{"parts":[`+strings.Join(parts, ",")+`],"expr":"c41e"}`, map[string][]string{
+		"X-Request-Id": {fmt.Sprint("q", b.asked)}, "X-Timeout-Ms": {fmt.Sprint(timeout.Milliseconds())}, "X-Priority-Class": {class}})
+	if res.Status == 200 {
+		if err := json.Unmarshal(res.Body, &out); err != nil {
+			b.t.Fatal(err)
+		}
+	}
+	return res.Status, out
+}
+
+type found struct {
+	TimedOut bool `json:"timed_out"`
+	Shards   struct {
+		Total, Successful, Failed int
+		Failures                  []struct {
+			Shard  int
+			Reason struct{ Type, Reason string }
+		}
+	} `json:"_shards"`
+	Hits struct {
+		Total struct{ Value int }
+		Hits  []struct {
+			ID    string  `json:"_id"`
+			Score float64 `json:"_score"`
+		}
+	}
+	Error struct{ Type string }
+}
+
+// find asks in the search style.
+func (b *bench) find(index, body string) (status int, out found) {
+	b.t.Helper()
+	b.asked++
+	res := b.search.ask("POST", "/"+index+"/_search", body, nil)
+	if err := json.Unmarshal(res.Body, &out); err != nil {
+		b.t.Fatalf("%s: %v", res.Body, err)
+	}
+	return res.Status, out
+}
+
+// put changes the settings, once the store has a leader.
+func (b *bench) put(patch string) {
+	b.t.Helper()
+	for {
+		res := b.search.ask("PUT", "/_cluster/settings", `{"persistent":`+patch+`}`, nil)
+		if res.Status == 200 {
+			return
+		}
+		if res.Status != 503 {
+			b.t.Fatalf("%d %s", res.Status, res.Body)
+		}
+		time.Sleep(10 * time.Millisecond)
+	}
+}
+
+// rules holds for every part that ever reached a server: the server holds its
+// shard, no part has more attempts than it may, none outlives its query.
+func (b *bench) rules() {
+	b.t.Helper()
+	parts, _ := b.since(0)
+	tries := map[string]int{}
+	for _, p := range parts {
+		if b.servers[p.server].cell != p.shard%3 {
+			b.t.Errorf("shard %d went to %s", p.shard, p.server)
+		}
+		if tries[p.name]++; tries[p.name] > 3 {
+			b.t.Errorf("attempt %d of %s", tries[p.name], p.name)
+		}
+		if p.wait <= 0 || p.wait > 20*time.Second {
+			b.t.Errorf("%s waits %v", p.name, p.wait)
+		}
+	}
+	count := b.p.counters
+	ended := count.Get("queries_answered") + count.Get("queries_refused") + count.Get("queries_failed")
+	if taken := count.Get("queries_taken"); taken != ended || taken == 0 {
+		b.t.Errorf("%d queries taken, %d ended", taken, ended)
+	}
+}
+
+// figures asks for the figures at the door.
+func (b *bench) figures() map[string]int {
+	b.t.Helper()
+	res := connect(b.t, b.p.admin.bound.listener.Addr().String()).ask("GET", "/v1/metrics", "", nil)
+	out := map[string]int{}
+	for line := range strings.Lines(string(res.Body)) {
+		name, value, _ := strings.Cut(strings.TrimSpace(line), "=")
+		n, err := strconv.Atoi(value)
+		if err != nil || res.Status != 200 || !res.Close {
+			b.t.Fatalf("%d %q", res.Status, line)
+		}
+		out[name] = n
+	}
+	return out
+}
--- /dev/null
+++ b/internal/daemon/config_test.go
@@ -0,0 +1,49 @@
+package daemon
+
+import (
+	"errors"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+func TestInvalidConfigIsReported(t *testing.T) {
+	dir := t.TempDir()
+	write := func(name, text string) string {
+		path := filepath.Join(dir, name)
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		return path
+	}
+	good := `{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f","known":{"servers":[]},"settings":` + settingsText + `}`
+	env := func(path string) func(string) string {
+		return func(name string) string {
+			return map[string]string{"ROUTER_CONFIG": path, "ROUTER_LISTEN": "127.0.0.1:3"}[name]
+		}
+	}
+	c, err := Load(env(write("good", good)))
+	if err != nil || c.listen != "127.0.0.1:3" || c.seed != 0x8c1f || c.host.MaxStreams != 32 {
+		t.Fatalf("%+v %v", c, err)
+	}
+	for _, path := range []string{"", filepath.Join(dir, "none"), write("cut", good[:len(good)/2]),
+		write("seed", strings.Replace(good, "8c1f", "xyz", 1)), write("discovery", strings.Replace(good, `"discovery"`, `"d"`, 1)),
+		write("settings", strings.Replace(good, `"slabs":6`, `"slabs":"x"`, 1)), write("streams", strings.Replace(good, `"max_streams":32`, `"max_streams":0`, 1))} {
+		if _, err := Load(env(path)); err == nil || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: %v", path, err)
+		}
+	}
+	for text, ok := range map[string]bool{"listen = ''": true, "listen = ": false, "listen = 5": false, "unheard = 1": false,
+		"[store]\nid = 'a'": false, "[indices.players]\nclass = 'c'": false, "[servers.s-1]\nprotocol = 'telnet'": false} {
+		if _, err := LoadSearch(write("search.toml", text)); (err == nil) != ok {
+			t.Errorf("%q: %v", text, err)
+		}
+	}
+	if _, err := LoadSearch(filepath.Join(dir, "none")); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("a file that is named and missing: %v", err)
+	}
+	if c, err := LoadSearch("../../" + DefaultSearchFile); err != nil || c.Listen != "" {
+		t.Errorf("the file in the repository: %+v %v", c, err)
+	}
+}
--- a/internal/daemon/schema_test.go
+++ b/internal/daemon/key_schema_test.go
@@ -42,7 +42,7 @@
 }
 
 // The schema has every key that the program reads and no other, and each default is one that it would take.
-func TestTheSchemaIsWhatIsRead(t *testing.T) {
+func TestKeysMatchSearchConfig(t *testing.T) {
 	var names []string
 	for _, k := range Keys {
 		names = append(names, k.Name)
@@ -67,7 +67,7 @@
 
 // docs/settings.md has the table that the schema makes; UPDATE_DOCS=1 writes it. The file that comes with the program,
 // with every commented key in it too, is one that the schema takes.
-func TestTheReferenceIsCurrent(t *testing.T) {
+func TestConfigReferenceIsCurrent(t *testing.T) {
 	path := filepath.Join("..", "..", "docs", "settings.md")
 	page, err := os.ReadFile(path)
 	if err != nil {
--- /dev/null
+++ b/internal/daemon/platform_front_test.go
@@ -0,0 +1,18 @@
+package daemon
+
+import (
+	"testing"
+)
+
+func TestMalformedPlatformRequest(t *testing.T) {
+	b := newBench(t, 1)
+	if _, err := b.platform.nc.Write([]byte("POST /whole HTTP/1.1\r\nHost: x\r\nContent-Length: many\r\n\r\n")); err != nil {
+		t.Fatal(err)
+	}
+	if res, err := b.platform.r.Response(); err != nil || res.Status != 400 || !res.Close {
+		t.Errorf("%+v %v", res, err)
+	}
+	if n := b.p.counters.Get("platform_malformed"); n != 1 {
+		t.Errorf("counted %d", n)
+	}
+}
--- /dev/null
+++ b/internal/daemon/reloader_test.go
@@ -0,0 +1,125 @@
+package daemon
+
+import (
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"linkpass/internal/http1"
+)
+
+// SIGHUP ends nothing: it brings a new configuration, whose address of discovery is
+// followed at once; one that can't be read leaves all as it was.
+func TestReloadFollowsDiscoveryAddress(t *testing.T) {
+	news := NotifySignals()
+	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
+		t.Fatal(err)
+	}
+	if sig := <-news; sig != syscall.SIGHUP {
+		t.Errorf("took %v", sig)
+	}
+	b := newBench(t, 3)
+	path := filepath.Join(t.TempDir(), "config.json")
+	t.Setenv("ROUTER_CONFIG", path)
+	t.Setenv("ROUTER_DISCOVERY", b.addr) // stays what it was at the start
+	asked := make(chan string)
+	moved := listenLocal(t, func(nc net.Conn) {
+		r := http1.NewReader(nc, 0)
+		for {
+			req, err := r.Request()
+			if err != nil {
+				return
+			}
+			asked <- req.Query
+			_ = http1.WriteResponse(nc, &http1.Response{Status: 200, Body: []byte(`{"version":7,"full":false,"servers":[]}`)})
+		}
+	})
+	write := func(text string) {
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		b.news <- syscall.SIGHUP
+	}
+	write("{")
+	for b.p.counters.Get("config_invalid") == 0 { // read before the next one is written
+		time.Sleep(time.Millisecond)
+	}
+	write(`{"name":"n0","listen":"127.0.0.1:1","discovery":"` + moved + `","seed":"8c1f","known":{"servers":[]},"settings":` + settingsText + `}`)
+	if got := <-asked; got != "" {
+		t.Errorf("asked %q of the new address, not the whole list", got)
+	}
+	if got := <-asked; !strings.HasPrefix(got, "after=7&") {
+		t.Errorf("went on with %q", got)
+	}
+	go func() {
+		for range asked {
+		}
+	}()
+	if status, _ := b.query(b.platform, "whole", 15*time.Second, 0, 1, 2); status != 200 {
+		t.Errorf("%d", status)
+	}
+	if b.p.counters.Get("config_invalid") != 1 || b.p.counters.Get("config_reloaded") != 1 {
+		t.Error(b.p.counters)
+	}
+	b.rules()
+}
+
+// Crossing: SIGHUP names another discovery while the program ends. What was taken is still sent by the
+// list, so it goes on at the new address, and a file that can't be used changes nothing.
+func TestReloadDuringShutdown(t *testing.T) {
+	b := newBench(t, 3)
+	path := filepath.Join(t.TempDir(), "config.json")
+	t.Setenv("ROUTER_CONFIG", path)
+	b.servers["s-0a"].set("wait")
+	b.servers["s-0b"].set("wait")
+	answered := make(chan int)
+	go func() { status, _ := b.query(b.platform, "whole", 15*time.Second, 0); answered <- status }()
+	for n := 0; n == 0; _, n = b.since(0) {
+		time.Sleep(time.Millisecond)
+	}
+	stopped := make(chan struct{})
+	go func() { defer close(stopped); b.stop() }()
+	for b.p.readiness.Ready() {
+		time.Sleep(time.Millisecond)
+	}
+	asked := make(chan struct{}, 1)
+	moved := listenLocal(t, func(nc net.Conn) {
+		for r := http1.NewReader(nc, 0); ; {
+			if _, err := r.Request(); err != nil {
+				return
+			}
+			select {
+			case asked <- struct{}{}:
+			default:
+			}
+			_ = http1.WriteResponse(nc, &http1.Response{Status: 200, Body: []byte(`{"version":7,"full":false,"servers":[]}`), Close: true})
+		}
+	})
+	for _, text := range []string{"{", `{"name":"n0","listen":"127.0.0.1:1","discovery":"` + moved + `","seed":"8c1f","known":{"servers":[]},"settings":` + settingsText + `}`} {
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		select {
+		case b.news <- syscall.SIGHUP:
+		case <-time.After(10 * time.Second):
+			t.Fatal("nobody hears of a new configuration")
+		}
+		for b.p.counters.Get("config_invalid") == 0 {
+			time.Sleep(time.Millisecond)
+		}
+	}
+	<-asked
+	b.servers["s-0a"].set("go")
+	b.servers["s-0b"].set("go")
+	if status := <-answered; status != 200 {
+		t.Errorf("what was taken ended with %d", status)
+	}
+	<-stopped
+	if n := b.p.counters.Get("discovery_moved"); n != 1 {
+		t.Errorf("moved %d times", n)
+	}
+}
--- a/internal/daemon/crossings_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -16,65 +16,50 @@
 	"linkpass/internal/settings"
 )
 
-// Crossing: SIGHUP names another discovery while the program ends. What was taken is still sent by the
-// list, so it goes on at the new address, and a file that can't be used changes nothing.
-func TestANewConfigurationDuringTheEnd(t *testing.T) {
+func TestClientDisconnectAndGracefulShutdown(t *testing.T) {
 	b := newBench(t, 3)
-	path := filepath.Join(t.TempDir(), "config.json")
-	t.Setenv("ROUTER_CONFIG", path)
-	b.servers["s-0a"].set("wait")
-	b.servers["s-0b"].set("wait")
-	answered := make(chan int)
-	go func() { status, _ := b.query(b.platform, "whole", 15*time.Second, 0); answered <- status }()
-	for n := 0; n == 0; _, n = b.since(0) {
+	b.servers["s-0a"].set("silent")
+	b.servers["s-0b"].set("silent")
+	leaving := connect(t, b.p.fronts.listeners[1].Addr().String())
+	_, n := b.since(0)
+	if err := leaving.nc.Close(); err != nil {
+		t.Fatal(err)
+	}
+	again := connect(t, b.p.fronts.listeners[1].Addr().String())
+	body := "POST /players/_search HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"
+	if _, err := again.nc.Write([]byte(body)); err != nil {
+		t.Fatal(err)
+	}
+	for sent := 0; sent < 3; { // its parts are out
+		var list []seen
+		list, _ = b.since(n)
+		sent = len(list)
 		time.Sleep(time.Millisecond)
 	}
-	stopped := make(chan struct{})
-	go func() { defer close(stopped); b.stop() }()
-	for b.p.readiness.Ready() {
+	again.nc.Close()
+	for b.p.counters.Get("clients_gone") == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	asked := make(chan struct{}, 1)
-	moved := listenLocal(t, func(nc net.Conn) {
-		for r := http1.NewReader(nc, 0); ; {
-			if _, err := r.Request(); err != nil {
-				return
-			}
-			select {
-			case asked <- struct{}{}:
-			default:
-			}
-			_ = http1.WriteResponse(nc, &http1.Response{Status: 200, Body: []byte(`{"version":7,"full":false,"servers":[]}`), Close: true})
-		}
-	})
-	for _, text := range []string{"{", `{"name":"n0","listen":"127.0.0.1:1","discovery":"` + moved + `","seed":"8c1f","known":{"servers":[]},"settings":` + settingsText + `}`} {
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		select {
-		case b.news <- syscall.SIGHUP:
-		case <-time.After(10 * time.Second):
-			t.Fatal("nobody hears of a new configuration")
-		}
-		for b.p.counters.Get("config_invalid") == 0 {
-			time.Sleep(time.Millisecond)
-		}
+	if status, _ := b.query(b.platform, "whole", 15*time.Second, 1, 2); status != 200 {
+		t.Errorf("%d", status)
+	}
+	slow := connect(t, b.p.admin.bound.listener.Addr().String()) // a caller that never completes its call
+	if _, err := slow.nc.Write([]byte("GET /v1")); err != nil {
+		t.Fatal(err)
 	}
-	<-asked
-	b.servers["s-0a"].set("go")
-	b.servers["s-0b"].set("go")
-	if status := <-answered; status != 200 {
-		t.Errorf("what was taken ended with %d", status)
+	for b.p.counters.Get("operator_conns") == 0 {
+		time.Sleep(time.Millisecond)
 	}
-	<-stopped
-	if n := b.p.counters.Get("discovery_moved"); n != 1 {
-		t.Errorf("moved %d times", n)
+	b.stop() // ends, though servers and callers are silent, and leaves nothing unanswered
+	b.rules()
+	if _, err := b.platform.r.Response(); err == nil {
+		t.Error("an idle connection outlived the program")
 	}
 }
 
 // Crossing: SIGTERM comes while the configuration is read from a disk that does not answer. The end begins all
 // the same, and what is read after it changes nothing.
-func TestTheEndDoesNotWaitForAConfiguration(t *testing.T) {
+func TestShutdownDoesNotWaitForReload(t *testing.T) {
 	b := newBench(t, 3)
 	path := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv("ROUTER_CONFIG", path)
@@ -99,7 +84,7 @@
 }
 
 // SIGTERM twice ends the program once, in good order.
-func TestSIGTERMTwice(t *testing.T) {
+func TestRepeatedSIGTERM(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(`{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f","known":{"servers":[]},"settings":`+settingsText+`}`), 0o600); err != nil {
@@ -136,7 +121,7 @@
 
 // Crossing: clients have connected and asked, and the listener is to be closed before they were let in. They
 // are taken and answered; a close would have reset them.
-func TestThoseWhoWaitAtTheSocketAreTaken(t *testing.T) {
+func TestShutdownAcceptsListenBacklog(t *testing.T) {
 	b := newBench(t, 3)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -175,7 +160,7 @@
 }
 
 // SIGTERM before there is any list, and again, ends the program once, in good order.
-func TestTheEndBeforeTheStartIsDone(t *testing.T) {
+func TestShutdownBeforeFirstList(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	cfg := Config{name: fmt.Sprint("n", os.Getpid()), listen: "127.0.0.1:0", discovery: "127.0.0.1:1", seed: 5, memoryMB: 64, sockets: 256}
 	var err error
--- a/internal/daemon/wire_golden_test.go
+++ b/internal/daemon/wire_golden_test.go
@@ -76,7 +76,7 @@
 	return n, err
 }
 
-func TestPeerRequestsGolden(t *testing.T) {
+func TestMemberRequestsGolden(t *testing.T) {
 	for _, c := range []struct {
 		file string
 		call func(ctx context.Context, addr string) error
@@ -101,7 +101,7 @@
 }
 
 // A peer's 409 to a report means that it knows a later state of this instance's disk.
-func TestMarksConflictResponse(t *testing.T) {
+func TestPositionReportConflict(t *testing.T) {
 	for status, restored := range map[int]bool{409: true, 400: false, 503: false} {
 		_, err := peerCall(t, status, "an old disk\n", func(ctx context.Context, addr string) error {
 			return reportPosition(ctx, store.Member{ID: "a", HTTP: addr}, goldenReport)
@@ -139,7 +139,7 @@
 }
 
 // The golden requests, as another instance sent them, are read in full.
-func TestPeerHandlerReadsGoldenRequests(t *testing.T) {
+func TestMemberHandlerReadsGoldenRequests(t *testing.T) {
 	r, h := openPeer(t, store.Member{ID: "b", Raft: "127.0.0.1:1", HTTP: "127.0.0.1:1"})
 	send := func(file string) *http1.Response {
 		t.Helper()
