--- a/internal/daemon/admin_api_test.go
+++ b/internal/daemon/admin_api_test.go
@@ -13,7 +13,7 @@
 	"linkpass/internal/adminapi"
 )
 
-// A socket's file that a crash left is replaced; one that somebody listens on is not, and nor is what is no socket.
+// A socket's file that a crash left is replaced; one that a process listens on is not, nor is a file of another kind.
 func TestListenSocketReplacesStaleFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "deep", "linkpass.sock")
 	first, err := listenSocket(path)
@@ -41,7 +41,7 @@
 	}
 }
 
-// Slow callers that hold every place of the door keep nobody out of the operators' API, nor for long out of the door.
+// Slow callers on every connection of the admin listener block neither the admin API nor, for long, the listener.
 func TestStatusWhileAdminListenerIsFlooded(t *testing.T) {
 	socket := filepath.Join(t.TempDir(), "api.sock")
 	b := newBench(t, 3, func(c *Config) { c.operator, c.Search.Operator.Socket = "127.0.0.1:0", socket })
@@ -51,13 +51,13 @@
 			t.Fatal(err)
 		}
 		defer nc.Close()
-		_, _ = io.WriteString(nc, "GET /v1/rea") // those that had to make room already can't
+		_, _ = io.WriteString(nc, "GET /v1/rea") // fails on those that were evicted already
 	}
 	if s, err := (&adminapi.Client{Socket: socket, Limit: 10 * time.Second}).Status(); err != nil || s.State != "serving" {
 		t.Errorf("%+v %v", s, err)
 	}
-	// A caller that has begun keeps its place for a second; then it gives way.
-	for connect(t, b.p.admin.bound.listener.Addr().String()).ask("GET", "/v1/readyz", "", nil).Status != 200 {
+	// A caller that has begun keeps its connection for a second; then it is evicted.
+	for connect(t, b.p.admin.bound.listener.Addr().String()).do("GET", "/v1/readyz", "", nil).Status != 200 {
 		time.Sleep(10 * time.Millisecond)
 	}
 }
--- a/internal/daemon/admin_backend.go
+++ b/internal/daemon/admin_backend.go
@@ -164,7 +164,7 @@
 // Drain rejects clients from now on, and returns the state after that.
 func (b *adminBackend) Drain() string { return b.readiness.Drain().String() }
 
-// Activate takes clients again, and returns the state after that.
+// Activate admits clients again, and returns the state after that.
 func (b *adminBackend) Activate() string { return b.readiness.Activate().String() }
 
 // Store is the replicated store; nil: there is none.
@@ -173,7 +173,7 @@
 // Search is the search front's handler; nil: there is none.
 func (b *adminBackend) Search() http1.Handler { return b.fronts.handler("search") }
 
-// Reload reads the configuration again, and tells which keys are applied and which need a restart.
+// Reload reads the configuration again, and reports which keys are applied and which need a restart.
 func (b *adminBackend) Reload() (adminapi.ReloadResult, error) { return b.reloader.reload() }
 
 // residentKB is the memory that the process has resident; 0 where the system does not say.
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -26,20 +26,20 @@
 {"aim":8000.0,"hard_limit":20000.0,"idempotency":"free","importance":1.0,"late_share":0.3,"name":"share"}],
 "rules":{"answer_slack":20.0,"cold":18000.0,"cold_from":0.17,"drain_grace":1000.0,"fall_multiple":2.0,"tip_after":3000.0}}`
 
-// bench is a whole coordinator between stand-ins.
+// bench is a coordinator with emulated clients, league servers and discovery.
 type bench struct {
 	*fleet
 	p        *Program
-	news     chan os.Signal
+	signals  chan os.Signal
 	platform *client
 	search   *client
 	stop     func()
-	asked    int
+	queries  int
 }
 
 func newBench(t *testing.T, cells int, changes ...func(*Config)) *bench {
 	t.Setenv("TMPDIR", t.TempDir())
-	b := &bench{fleet: newFleet(t), news: make(chan os.Signal)}
+	b := &bench{fleet: newFleet(t), signals: make(chan os.Signal)}
 	cfg := Config{name: "n0", listen: "127.0.0.1:0", operator: "127.0.0.1:0", discovery: b.addr, seed: 5, memoryMB: 192, sockets: 1024}
 	var err error
 	if cfg.module, cfg.host, err = settings.ParseJSON([]byte(settingsText)); err != nil {
@@ -49,7 +49,7 @@
 	for cell := range cells {
 		for _, twin := range []string{"a", "b"} {
 			s := b.add(fmt.Sprintf("s-%d%s", cell, twin), cell)
-			cfg.known.Servers = append(cfg.known.Servers, s.line("in_service", 0))
+			cfg.known.Servers = append(cfg.known.Servers, s.entry("in_service", 0))
 		}
 	}
 	raft, err := net.Listen("tcp", "127.0.0.1:0")
@@ -68,7 +68,7 @@
 	}
 	term, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- b.p.Serve(term, b.news) }()
+	go func() { done <- b.p.Serve(term, b.signals) }()
 	b.stop = sync.OnceFunc(func() {
 		stop()
 		if err := <-done; err != nil {
@@ -80,11 +80,11 @@
 	if len(b.p.fronts.listeners) > 1 {
 		b.search = connect(t, b.p.fronts.listeners[1].Addr().String())
 	}
-	<-b.told // the watch goes on from the known list
+	<-b.watchedFrom // the watch goes on from the known list
 	return b
 }
 
-// query asks in the platform's style.
+// query sends a query by the platform's protocol.
 func (b *bench) query(c *client, class string, timeout time.Duration, shards ...int) (status int, out struct {
 	Exact bool
 	Rows  []struct {
@@ -93,13 +93,13 @@
 	}
 }) {
 	b.t.Helper()
-	b.asked++
+	b.queries++
 	var parts []string
 	for _, s := range shards {
 		parts = append(parts, fmt.Sprintf(`{"id":%d,"w":%f}`, s, 1/float64(len(shards))))
 	}
-	res := c.ask("POST", "/"+class, `{"parts":[`+strings.Join(parts, ",")+`],"expr":"c41e"}`, map[string][]string{
-		"X-Request-Id": {fmt.Sprint("q", b.asked)}, "X-Timeout-Ms": {fmt.Sprint(timeout.Milliseconds())}, "X-Priority-Class": {class}})
+	res := c.do("POST", "/"+class, `{"parts":[`+strings.Join(parts, ",")+`],"expr":"c41e"}`, map[string][]string{
+		"X-Request-Id": {fmt.Sprint("q", b.queries)}, "X-Timeout-Ms": {fmt.Sprint(timeout.Milliseconds())}, "X-Priority-Class": {class}})
 	if res.Status == 200 {
 		if err := json.Unmarshal(res.Body, &out); err != nil {
 			b.t.Fatal(err)
@@ -108,7 +108,7 @@
 	return res.Status, out
 }
 
-type found struct {
+type searchResponse struct {
 	TimedOut bool `json:"timed_out"`
 	Shards   struct {
 		Total, Successful, Failed int
@@ -127,22 +127,22 @@
 	Error struct{ Type string }
 }
 
-// find asks in the search style.
-func (b *bench) find(index, body string) (status int, out found) {
+// searchIndex sends a query by the search protocol.
+func (b *bench) searchIndex(index, body string) (status int, out searchResponse) {
 	b.t.Helper()
-	b.asked++
-	res := b.search.ask("POST", "/"+index+"/_search", body, nil)
+	b.queries++
+	res := b.search.do("POST", "/"+index+"/_search", body, nil)
 	if err := json.Unmarshal(res.Body, &out); err != nil {
 		b.t.Fatalf("%s: %v", res.Body, err)
 	}
 	return res.Status, out
 }
 
-// put changes the settings, once the store has a leader.
-func (b *bench) put(patch string) {
+// putSettings changes the settings, once the store has a leader.
+func (b *bench) putSettings(patch string) {
 	b.t.Helper()
 	for {
-		res := b.search.ask("PUT", "/_cluster/settings", `{"persistent":`+patch+`}`, nil)
+		res := b.search.do("PUT", "/_cluster/settings", `{"persistent":`+patch+`}`, nil)
 		if res.Status == 200 {
 			return
 		}
@@ -153,18 +153,18 @@
 	}
 }
 
-// rules holds for every part that ever reached a server: the server holds its
+// checkInvariants checks every part that ever reached a server: the server has a replica of its
 // shard, no part has more attempts than it may, none outlives its query.
-func (b *bench) rules() {
+func (b *bench) checkInvariants() {
 	b.t.Helper()
 	parts, _ := b.since(0)
-	tries := map[string]int{}
+	attempts := map[string]int{}
 	for _, p := range parts {
 		if b.servers[p.server].cell != p.shard%3 {
 			b.t.Errorf("shard %d went to %s", p.shard, p.server)
 		}
-		if tries[p.name]++; tries[p.name] > 3 {
-			b.t.Errorf("attempt %d of %s", tries[p.name], p.name)
+		if attempts[p.name]++; attempts[p.name] > 3 {
+			b.t.Errorf("attempt %d of %s", attempts[p.name], p.name)
 		}
 		if p.wait <= 0 || p.wait > 20*time.Second {
 			b.t.Errorf("%s waits %v", p.name, p.wait)
@@ -177,10 +177,10 @@
 	}
 }
 
-// figures asks for the figures at the door.
-func (b *bench) figures() map[string]int {
+// metrics reads the metrics at the admin listener.
+func (b *bench) metrics() map[string]int {
 	b.t.Helper()
-	res := connect(b.t, b.p.admin.bound.listener.Addr().String()).ask("GET", "/v1/metrics", "", nil)
+	res := connect(b.t, b.p.admin.bound.listener.Addr().String()).do("GET", "/v1/metrics", "", nil)
 	out := map[string]int{}
 	for line := range strings.Lines(string(res.Body)) {
 		name, value, _ := strings.Cut(strings.TrimSpace(line), "=")
--- a/internal/daemon/body_config.go
+++ b/internal/daemon/body_config.go
@@ -22,8 +22,8 @@
 
 // BodyClassConfig is the budget of a class of queries.
 type BodyClassConfig struct {
-	FloorKiB int64   `toml:"floor_kib"` // that other classes cannot take from it
-	Share    float64 `toml:"share"`     // of the memory that it may have at most; 0: all
+	FloorKiB int64   `toml:"floor_kib"` // reserved for the class
+	Share    float64 `toml:"share"`     // limit on its part of the memory; 0: all
 }
 
 const (
--- a/internal/daemon/body_store_test.go
+++ b/internal/daemon/body_store_test.go
@@ -11,8 +11,8 @@
 	"linkpass/internal/searchconfig"
 )
 
-// Large searches go through files to servers of both protocols, are repeated from there, and leave nothing
-// behind, not even at a SIGTERM with one under way.
+// Bodies of large searches go through files to servers of both protocols, are read again for a retry, and leave no
+// file behind, not even at a SIGTERM with one in flight.
 func TestLargeSearchBodiesInFiles(t *testing.T) {
 	dir := t.TempDir()
 	b := newBench(t, 3, func(c *Config) {
@@ -20,16 +20,16 @@
 		c.Search.Servers = map[string]searchconfig.Server{"s-0a": {Protocol: "search"}, "s-0b": {Protocol: "search"}}
 	})
 	query := `{"terms":{"id":["` + strings.Repeat("x", 40_000) + `"]}}`
-	b.servers["s-0a"].set("error")
-	b.servers["s-1a"].set("error")
-	b.servers["s-2a"].set("error")
+	b.servers["s-0a"].setMode("error")
+	b.servers["s-1a"].setMode("error")
+	b.servers["s-2a"].setMode("error")
 	n := 0
-	for range 8 { // each of the two holders of a slice is met first at some time
-		res := b.search.ask("POST", "/players/_search", `{"query":`+query+`}`, nil)
+	for range 8 { // each of the two replicas of a shard is tried first at some time
+		res := b.search.do("POST", "/players/_search", `{"query":`+query+`}`, nil)
 		if res.Status != 200 || !strings.Contains(string(res.Body), `"failed":0`) {
 			t.Fatalf("%d %s", res.Status, res.Body)
 		}
-		var parts []seen
+		var parts []receivedPart
 		parts, n = b.since(n)
 		for _, p := range parts {
 			if want := `{"from":0,"query":` + query + `,"size":10}`; p.text != want {
@@ -41,9 +41,9 @@
 		t.Errorf("no retry from a file: %s", b.p.counters)
 	}
 	for _, s := range b.servers {
-		s.set("wait")
+		s.setMode("wait")
 	}
-	go func() { // under way at the end
+	go func() { // in flight at the shutdown
 		nc, err := net.Dial("tcp", b.p.fronts.listeners[1].Addr().String())
 		if err == nil {
 			defer nc.Close()
@@ -55,7 +55,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	for _, s := range b.servers {
-		s.set("")
+		s.setMode("")
 	}
 	b.stop()
 	if left, _ := filepath.Glob(filepath.Join(dir, "*")); len(left) != 0 {
@@ -63,7 +63,7 @@
 	}
 }
 
-// Budgets that do not add up are refused by name.
+// Budgets that do not add up are rejected, with the key that is wrong.
 func TestBodyConfigLimits(t *testing.T) {
 	classes := []string{"whole", "share"}
 	for text, b := range map[string]BodyConfig{"more than half": {MemoryKiB: 20 << 10}, "no such class": {Classes: map[string]BodyClassConfig{"x": {}}},
--- a/internal/daemon/client_fronts.go
+++ b/internal/daemon/client_fronts.go
@@ -9,12 +9,12 @@
 	"linkpass/internal/lifecycle"
 )
 
-// clientFronts are the servers that take clients' requests: they admit clients, and stop to, all at the same time.
+// clientFronts are the servers of clients' requests. They admit clients, and stop admitting them, all at the same time.
 type clientFronts struct {
 	*process
 	core *queryCore
 
-	// Guarded by process.mu, and constant once the last front has started.
+	// Guarded by process.mu. Shutdown reads servers and listeners without it: no front starts any more then.
 	servers   []*http1.Server
 	listeners []net.Listener // of the servers, in their order
 	maxConns  int            // that each server may hold
--- a/internal/daemon/client_test.go
+++ b/internal/daemon/client_test.go
@@ -23,7 +23,7 @@
 	return &client{t, nc, http1.NewReader(nc, 1<<20)}
 }
 
-func (c *client) ask(method, path, body string, header map[string][]string) *http1.Response {
+func (c *client) do(method, path, body string, header map[string][]string) *http1.Response {
 	c.t.Helper()
 	if err := http1.WriteRequest(c.nc, method, path, "test", header, []byte(body)); err != nil {
 		c.t.Fatal(err)
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -84,7 +84,7 @@
 	return c, nil
 }
 
-// parse reads those values of the document at path that are not taken as they are.
+// parse reads the values of the document at path that need decoding, and validates all.
 func (c *Config) parse(path string, d *document) (err error) {
 	if c.listen == "" || c.discovery == "" {
 		return fmt.Errorf("configuration %s: listen or discovery is missing", path)
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -12,28 +12,30 @@
 	"linkpass/internal/http1"
 )
 
-// seen is one part that reached a league server.
-type seen struct {
+// receivedPart is one part that reached a league server.
+type receivedPart struct {
 	server, name, text, protocol string
 	shard                        int
 	wait                         time.Duration
 }
 
-// fleet is a set of stand-in league servers and the discovery that lists them.
+// fleet is a set of emulated league servers and the discovery that lists them.
 type fleet struct {
 	t       *testing.T
 	servers map[string]*leagueServer
 
-	mu      sync.Mutex
-	parts   []seen
-	version int64
-	changes []discovery.Document // by version, from 1
-	told    chan int64           // versions that the watch continues from
-	news    chan struct{}
-	addr    string
+	mu          sync.Mutex // guards parts, version and changes
+	parts       []receivedPart
+	version     int64
+	changes     []discovery.Document // by version, from 1
+	watchedFrom chan int64           // versions that the watch continues from
+	changed     chan struct{}
+	addr        string
 }
 
+// listenLocal serves connections at a free port until the test ends, and waits for all of them.
 func listenLocal(t *testing.T, serve func(net.Conn)) string {
+	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -66,8 +68,9 @@
 }
 
 func newFleet(t *testing.T) *fleet {
-	f := &fleet{t: t, servers: map[string]*leagueServer{}, told: make(chan int64, 64), news: make(chan struct{}, 64)}
-	f.addr = listenLocal(t, f.discover)
+	t.Helper()
+	f := &fleet{t: t, servers: map[string]*leagueServer{}, watchedFrom: make(chan int64, 64), changed: make(chan struct{}, 64)}
+	f.addr = listenLocal(t, f.serveDiscovery)
 	return f
 }
 
@@ -78,21 +81,21 @@
 	return s
 }
 
-// tell changes the list and returns once the coordinator's watch goes on from it:
-// whatever is asked of the coordinator after that comes behind the change.
-func (f *fleet) tell(lines ...discovery.Server) {
+// update changes the list and returns once the coordinator's watch continues from it:
+// a request to the coordinator after that follows the change.
+func (f *fleet) update(lines ...discovery.Server) {
 	f.mu.Lock()
 	f.version++
 	version := f.version
 	f.changes = append(f.changes, discovery.Document{Version: version, Servers: lines})
 	f.mu.Unlock()
-	f.news <- struct{}{}
-	for <-f.told != version {
+	f.changed <- struct{}{}
+	for <-f.watchedFrom != version {
 	}
 }
 
-// discover answers watches of one connection.
-func (f *fleet) discover(nc net.Conn) {
+// serveDiscovery answers watches of one connection.
+func (f *fleet) serveDiscovery(nc net.Conn) {
 	r := http1.NewReader(nc, 0)
 	for {
 		req, err := r.Request()
@@ -101,21 +104,21 @@
 		}
 		var after, wait int64
 		if _, err := fmt.Sscanf(req.Query, "after=%d&wait_ms=%d", &after, &wait); err != nil {
-			if f.t.Context().Err() != nil { // the watch broke with the end of the test
+			if f.t.Context().Err() != nil { // the test has ended, and the watch with it
 				return
 			}
 			f.t.Errorf("watch asks %q", req.Query)
 			return
 		}
-		f.told <- after
+		f.watchedFrom <- after
 		d := discovery.Document{Version: after}
 		select {
-		case <-f.news:
+		case <-f.changed:
 			f.mu.Lock()
 			d = f.changes[after]
 			f.mu.Unlock()
-		case <-time.After(time.Duration(wait) * time.Millisecond): // nothing new: the watch is renewed
-		case <-f.t.Context().Done(): // the test is over
+		case <-time.After(time.Duration(wait) * time.Millisecond): // no change: the watch is renewed
+		case <-f.t.Context().Done(): // the test has ended
 			return
 		}
 		body, err := json.Marshal(d)
@@ -125,9 +128,9 @@
 	}
 }
 
-// since is the parts that came after the first n, and how many there are now.
-func (f *fleet) since(n int) ([]seen, int) {
+// since returns the parts received after the first n, and how many there are now.
+func (f *fleet) since(n int) ([]receivedPart, int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]seen(nil), f.parts[n:]...), len(f.parts)
+	return append([]receivedPart(nil), f.parts[n:]...), len(f.parts)
 }
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -116,7 +116,7 @@
 	checkGolden(t, "keys.txt", got)
 }
 
-// goldenSearch is what testdata/operators.toml says.
+// goldenSearch is the content of testdata/operators.toml.
 func goldenSearch(t *testing.T) SearchConfig {
 	t.Helper()
 	no := false
@@ -142,7 +142,7 @@
 		Operator: AdminConfig{Socket: "/run/linkpass/linkpass.sock", Listen: "127.0.0.1:9301", Keys: "/etc/linkpass/operator-keys.toml", Window: "31s"},
 		Log:      LogConfig{Format: "json", Level: "debug", Levels: map[string]string{"peer": "warn"}},
 	}
-	if err := s.Config.Validate(); err != nil { // it makes the layouts
+	if err := s.Config.Validate(); err != nil { // it makes the shard maps
 		t.Fatal(err)
 	}
 	return s
--- a/internal/daemon/key_schema_test.go
+++ b/internal/daemon/key_schema_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// fields are the names of all keys that a type takes from a file.
+// fields are the names of all keys that a type reads from a file.
 func fields(name string, t reflect.Type) (out []string) {
-	if t.Name() == "Document" { // of a layout: its reader checks it
+	if t.Name() == "Document" { // of a shard map: its reader checks it
 		return []string{name}
 	}
 	switch t.Kind() {
@@ -41,7 +41,7 @@
 	return []string{name}
 }
 
-// The schema has every key that the program reads and no other, and each default is one that it would take.
+// The schema has every key that the program reads and no other, and each default is valid.
 func TestKeysMatchSearchConfig(t *testing.T) {
 	var names []string
 	for _, k := range Keys {
@@ -65,8 +65,8 @@
 	}
 }
 
-// docs/settings.md has the table that the schema makes; UPDATE_DOCS=1 writes it. The file that comes with the program,
-// with every commented key in it too, is one that the schema takes.
+// docs/settings.md has the table that the schema generates; UPDATE_DOCS=1 writes it. The file that comes with the program,
+// with every commented key in it too, is valid by the schema.
 func TestConfigReferenceIsCurrent(t *testing.T) {
 	path := filepath.Join("..", "..", "docs", "settings.md")
 	page, err := os.ReadFile(path)
--- a/internal/daemon/league_server_test.go
+++ b/internal/daemon/league_server_test.go
@@ -21,33 +21,42 @@
 	name  string
 	cell  int
 	addr  string
-	mu    sync.Mutex
-	mode  string // "", "error", "full", "silent", "reset", "wait" (for another), "plain only"
+	mu    sync.Mutex // guards mode
+	mode  string     // "", "error", "full", "silent", "reset", "wait" (for another), "plain only"
 	delay time.Duration
 }
 
-func (s *leagueServer) set(mode string) { s.mu.Lock(); s.mode = mode; s.mu.Unlock() }
+func (s *leagueServer) setMode(mode string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.mode = mode
+}
 
-func (s *leagueServer) how() string { s.mu.Lock(); defer s.mu.Unlock(); return s.mode }
+func (s *leagueServer) currentMode() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.mode
+}
 
-func (s *leagueServer) line(state string, started int64) discovery.Server {
+// entry is the server's entry in the endpoint list.
+func (s *leagueServer) entry(state string, started int64) discovery.Server {
 	return discovery.Server{ID: s.name, Addr: s.addr, Zone: "ebene", Kind: "m2", Cell: s.cell, State: state, Weight: 1, StartedMS: started}
 }
 
-// note keeps a part and tells how to answer it.
-func (s *leagueServer) note(p seen) (mode string) {
+// record keeps a part and returns the mode in which to answer it.
+func (s *leagueServer) record(p receivedPart) (mode string) {
 	p.server = s.name
 	s.fleet.mu.Lock()
 	s.fleet.parts = append(s.fleet.parts, p)
 	s.fleet.mu.Unlock()
-	time.Sleep(s.delay) // its work
-	for s.how() == "wait" {
+	time.Sleep(s.delay) // the work of the part
+	for s.currentMode() == "wait" {
 		time.Sleep(time.Millisecond)
 	}
-	return s.how()
+	return s.currentMode()
 }
 
-// serve tells the protocol of a connection by its first byte: a length or a method.
+// serve detects the protocol of a connection by its first byte: a length or a method.
 func (s *leagueServer) serve(nc net.Conn) {
 	r := bufio.NewReader(nc)
 	first, err := r.Peek(1)
@@ -55,7 +64,7 @@
 		return
 	}
 	if first[0] == 'P' || first[0] == 'G' {
-		s.search(nc, r)
+		s.serveSearch(nc, r)
 		return
 	}
 	var write sync.Mutex
@@ -76,7 +85,7 @@
 			send(letter, "active=1,avg_ms=5,waiting=0")
 		case frame.Call:
 			line, text, _ := strings.Cut(string(rest), "\n")
-			var p seen
+			var p receivedPart
 			var ms, size int
 			if _, err := fmt.Sscanf(line, "%s %d d=%d %d", &p.name, &p.shard, &ms, &size); err != nil || size != len(text) {
 				s.fleet.t.Errorf("call %q", rest)
@@ -84,7 +93,7 @@
 			}
 			p.text, p.protocol, p.wait = text, "plain", time.Duration(ms)*time.Millisecond
 			wg.Go(func() {
-				switch s.note(p) {
+				switch s.record(p) {
 				case "error":
 					send(frame.Answer, p.name+" 500 0 -\n")
 				case "full":
@@ -100,19 +109,19 @@
 	}
 }
 
-// search answers one connection that speaks searches.
-func (s *leagueServer) search(nc net.Conn, buffered *bufio.Reader) {
+// serveSearch serves one connection of the search protocol.
+func (s *leagueServer) serveSearch(nc net.Conn, buffered *bufio.Reader) {
 	r := http1.NewReader(buffered, 0)
 	for {
 		req, err := r.Request()
-		if err != nil || s.how() == "plain only" {
+		if err != nil || s.currentMode() == "plain only" {
 			return
 		}
 		res := &http1.Response{Status: 200, Header: map[string][]string{"X-Server-Load": {"active=1,avg_ms=5,waiting=0"}}}
 		if req.Path == "/" {
 			res.Body = []byte(`{"name":"` + s.name + `"}`)
 		} else {
-			p := seen{name: req.Header.Get("X-Opaque-Id"), text: string(req.Body), protocol: "search"}
+			p := receivedPart{name: req.Header.Get("X-Opaque-Id"), text: string(req.Body), protocol: "search"}
 			rest, _ := strings.CutPrefix(req.Query, "preference=_shards:")
 			shard, limit, _ := strings.Cut(rest, "&timeout=")
 			var err error
@@ -120,7 +129,7 @@
 				s.fleet.t.Errorf("search asks %q", req.Query)
 			}
 			p.wait, _ = time.ParseDuration(limit)
-			switch s.note(p) {
+			switch s.record(p) {
 			case "error":
 				res.Status = 500
 			case "full":
--- a/internal/daemon/limits_share_test.go
+++ b/internal/daemon/limits_share_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// However few descriptors there are, clients and league servers have theirs apart.
+// However few descriptors there are, clients and league servers have separate shares.
 func TestShareSockets(t *testing.T) {
 	for _, sockets := range []int{64, 256, 384, 1024} {
 		for fronts := 1; fronts <= 2; fronts++ {
@@ -20,16 +20,16 @@
 	}
 }
 
-// A new version takes the listening socket that the platform holds. The old one stops
-// accepting at once, answers all that it accepted, and leaves the socket as it was.
+// A successor takes over the listening socket that the platform owns. The predecessor stops
+// accepting at once, answers all that it accepted, and leaves the socket open.
 func TestHandoverOfListeningSocket(t *testing.T) {
-	held, err := net.Listen("tcp", "127.0.0.1:0")
+	socket, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held.Close()
-	fd := func() int { // as the platform hands it to each process
-		f, err := held.(*net.TCPListener).File()
+	defer socket.Close()
+	fd := func() int { // as the platform passes it to each process
+		f, err := socket.(*net.TCPListener).File()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -41,24 +41,24 @@
 		return n
 	}
 	dir := t.TempDir()
-	here := func(c *Config) { t.Setenv("TMPDIR", dir); c.listenFD = fd() }
-	old := newBench(t, 3, here)
-	kept := connect(t, held.Addr().String())
-	if status, _ := old.query(kept, "whole", 15*time.Second, 0); status != 200 {
+	sameSocket := func(c *Config) { t.Setenv("TMPDIR", dir); c.listenFD = fd() }
+	predecessor := newBench(t, 3, sameSocket)
+	conn := connect(t, socket.Addr().String())
+	if status, _ := predecessor.query(conn, "whole", 15*time.Second, 0); status != 200 {
 		t.Fatal(status)
 	}
-	old.servers["s-0a"].set("wait")
-	old.servers["s-0b"].set("wait")
+	predecessor.servers["s-0a"].setMode("wait")
+	predecessor.servers["s-0b"].setMode("wait")
 	answered := make(chan int)
-	go func() { status, _ := old.query(kept, "whole", 15*time.Second, 0); answered <- status }()
-	for n := 0; n < 2; _, n = old.since(0) {
+	go func() { status, _ := predecessor.query(conn, "whole", 15*time.Second, 0); answered <- status }()
+	for n := 0; n < 2; _, n = predecessor.since(0) {
 		time.Sleep(time.Millisecond)
 	}
-	young := newBench(t, 3, here)
-	for !young.p.readiness.Ready() {
+	successor := newBench(t, 3, sameSocket)
+	for !successor.p.readiness.Ready() {
 		time.Sleep(time.Millisecond)
 	}
-	if n := young.p.counters.Get("probes_served"); n < 6 {
+	if n := successor.p.counters.Get("probes_served"); n < 6 {
 		t.Errorf("says yes having heard of %d servers", n)
 	}
 	limits := func(p *Program) (processes, clients, room int) {
@@ -66,47 +66,47 @@
 		defer p.mu.Unlock()
 		return p.share.Processes, p.fronts.maxConns, p.share.MaxOpen
 	}
-	for _, p := range []*Program{old.p, young.p} { // each keeps to its half
+	for _, p := range []*Program{predecessor.p, successor.p} { // each has half of the limits
 		n, clients, room := limits(p)
 		if most, _ := shareSockets(p.cfg.sockets/2, 2); n != 2 || clients != most || room != p.cfg.module.MaxOpen/2 {
 			t.Errorf("%d processes, %d clients, room for %d", n, clients, room)
 		}
 	}
-	if young.p.cfg.seed == old.p.cfg.seed {
+	if successor.p.cfg.seed == predecessor.p.cfg.seed {
 		t.Error("two processes of one seed")
 	}
 	stopped := make(chan struct{})
-	go func() { defer close(stopped); old.stop() }()
-	for !errors.Is(old.p.fronts.listeners[0].(*net.TCPListener).SetDeadline(time.Time{}), net.ErrClosed) {
+	go func() { defer close(stopped); predecessor.stop() }()
+	for !errors.Is(predecessor.p.fronts.listeners[0].(*net.TCPListener).SetDeadline(time.Time{}), net.ErrClosed) {
 		time.Sleep(time.Millisecond)
 	}
-	next := connect(t, held.Addr().String())
-	if status, _ := young.query(next, "whole", 15*time.Second, 0); status != 200 {
+	next := connect(t, socket.Addr().String())
+	if status, _ := successor.query(next, "whole", 15*time.Second, 0); status != 200 {
 		t.Error(status)
 	}
-	old.servers["s-0a"].set("go")
-	old.servers["s-0b"].set("go")
+	predecessor.servers["s-0a"].setMode("go")
+	predecessor.servers["s-0b"].setMode("go")
 	if status := <-answered; status != 200 {
 		t.Errorf("what the old process had taken ended with %d", status)
 	}
 	<-stopped
-	for n, open := 0, 0; n != 1 || open != young.p.cfg.module.MaxOpen; n, _, open = limits(young.p) { // alone: all of it
+	for n, open := 0, 0; n != 1 || open != successor.p.cfg.module.MaxOpen; n, _, open = limits(successor.p) { // alone: all of it
 		time.Sleep(time.Millisecond)
 	}
-	if status, _ := young.query(connect(t, held.Addr().String()), "whole", 15*time.Second, 1); status != 200 {
+	if status, _ := successor.query(connect(t, socket.Addr().String()), "whole", 15*time.Second, 1); status != 200 {
 		t.Error(status)
 	}
-	for young.search == nil { // the search front comes up once the old process has gone
-		young.p.mu.Lock()
-		if len(young.p.fronts.listeners) > 1 {
-			young.search = connect(t, young.p.fronts.listeners[1].Addr().String())
+	for successor.search == nil { // the search front starts once the predecessor has ended
+		successor.p.mu.Lock()
+		if len(successor.p.fronts.listeners) > 1 {
+			successor.search = connect(t, successor.p.fronts.listeners[1].Addr().String())
 		}
-		young.p.mu.Unlock()
+		successor.p.mu.Unlock()
 		time.Sleep(time.Millisecond)
 	}
-	if status, got := young.find("players", ""); status != 200 || got.Shards.Successful != 3 {
+	if status, got := successor.searchIndex("players", ""); status != 200 || got.Shards.Successful != 3 {
 		t.Errorf("%d %+v", status, got)
 	}
-	old.rules()
-	young.rules()
+	predecessor.checkInvariants()
+	successor.checkInvariants()
 }
--- a/internal/daemon/program.go
+++ b/internal/daemon/program.go
@@ -24,7 +24,7 @@
 }
 
 // Start makes all components and starts them: all, or none and an error that names the component that failed. What
-// the process before this one may still own is started later, by Serve.
+// a predecessor may still own is started later, by Serve.
 func Start(cfg Config) (*Program, error) {
 	if cfg.cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(cfg.cores)))
--- a/internal/daemon/program_test.go
+++ b/internal/daemon/program_test.go
@@ -11,7 +11,7 @@
 	"linkpass/internal/settings"
 )
 
-// A start that fails gives back what it had taken, and says why: it used to end in a panic.
+// A start that fails releases what it has acquired, and says why: it used to end in a panic.
 func TestFailedStartReleasesAll(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -27,7 +27,7 @@
 		t.Fatalf("started on a taken address: %v", err)
 	}
 	cfg.operator = ""
-	p, err := Start(cfg) // the handover's place was given back
+	p, err := Start(cfg) // the place in the handover was released
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,12 +42,12 @@
 }
 
 // TestPlainAndSearchProtocolsTogether mixes plain and search clients with plain and search servers and
-// holds every rule over all of it.
+// checks the invariants over all of it.
 func TestPlainAndSearchProtocolsTogether(t *testing.T) {
 	b := newBench(t, 3)
-	b.put(`{"servers":{"s-0a":{"protocol":"search"},"s-0b":{"protocol":"search"}}}`)
+	b.putSettings(`{"servers":{"s-0a":{"protocol":"search"},"s-0b":{"protocol":"search"}}}`)
 
-	// Whole answers, whichever protocol each part came by.
+	// Complete answers, whichever protocol each part was sent by.
 	status, out := b.query(b.platform, "whole", 15*time.Second, 0, 1, 2, 3)
 	if status != 200 || !out.Exact || len(out.Rows) != 4 {
 		t.Fatalf("%d %+v", status, out)
@@ -57,30 +57,30 @@
 			t.Errorf("row %+v", row)
 		}
 	}
-	status, got := b.find("players", `{"query":{"match":{"name":"li"}},"size":3}`)
+	status, got := b.searchIndex("players", `{"query":{"match":{"name":"li"}},"size":3}`)
 	if status != 200 || got.Shards.Total != 3 || got.Shards.Successful != 3 || got.TimedOut || got.Hits.Total.Value != 4 ||
 		len(got.Hits.Hits) != 3 || got.Hits.Hits[0].Score != 102 || got.Hits.Hits[2].ID != "0-a" {
 		t.Fatalf("%d %+v", status, got)
 	}
-	if res := b.search.ask("GET", "/_cluster/settings", "", nil); res.Status != 200 || !strings.Contains(string(res.Body), `"s-0a":{"protocol":"search"}`) {
+	if res := b.search.do("GET", "/_cluster/settings", "", nil); res.Status != 200 || !strings.Contains(string(res.Body), `"s-0a":{"protocol":"search"}`) {
 		t.Errorf("%d %s", res.Status, res.Body)
 	}
 
-	// A slice that the coordinator does not know: its error, and nothing sent.
+	// A shard that the coordinator does not know: its error, and nothing sent.
 	_, n := b.since(0)
-	if status, got := b.find("lost", ``); status != 404 || got.Error.Type != "shard_not_found_exception" {
+	if status, got := b.searchIndex("lost", ``); status != 404 || got.Error.Type != "shard_not_found_exception" {
 		t.Errorf("%d %+v", status, got)
 	}
 	if sent, _ := b.since(n); len(sent) != 0 {
 		t.Errorf("sent %+v", sent)
 	}
 
-	// A server goes over to the plain protocol: later parts come in it.
-	b.servers["s-0a"].set("plain only")
-	b.servers["s-0b"].set("plain only")
-	b.put(`{"servers":{"s-0a":{"protocol":"plain"},"s-0b":null}}`)
+	// A server changes to the plain protocol: later parts are sent in it.
+	b.servers["s-0a"].setMode("plain only")
+	b.servers["s-0b"].setMode("plain only")
+	b.putSettings(`{"servers":{"s-0a":{"protocol":"plain"},"s-0b":null}}`)
 	_, n = b.since(0)
-	if status, got := b.find("players", ``); status != 200 || got.Shards.Successful != 3 || got.Hits.Total.Value != 3 {
+	if status, got := b.searchIndex("players", ``); status != 200 || got.Shards.Successful != 3 || got.Hits.Total.Value != 3 {
 		t.Errorf("%d %+v", status, got)
 	}
 	sent, _ := b.since(n)
@@ -93,14 +93,14 @@
 		t.Errorf("sent %+v", sent)
 	}
 
-	// Drains: nothing new after the coordinator was told.
-	b.tell(b.servers["s-1a"].line("terminating", 0), b.servers["s-2b"].line("terminated", 0))
+	// Draining: no new part once the coordinator is notified.
+	b.update(b.servers["s-1a"].entry("terminating", 0), b.servers["s-2b"].entry("terminated", 0))
 	_, n = b.since(0)
 	for range 5 {
 		if status, out := b.query(b.platform, "whole", 15*time.Second, 1, 2, 4); status != 200 || !out.Exact {
 			t.Errorf("%d %+v", status, out)
 		}
-		b.find("players", ``)
+		b.searchIndex("players", ``)
 	}
 	sent, _ = b.since(n)
 	for _, p := range sent {
@@ -109,42 +109,42 @@
 		}
 	}
 
-	// Servers that fail: whichever holders the module tries, the answer is whole or it is
-	// none, and says so; it is never a part passed off as the whole.
+	// Servers that fail: whichever replicas the module tries, the answer is complete or an
+	// error; a partial answer never passes for a complete one.
 	for _, mode := range []string{"error", "reset", "full"} {
-		b.servers["s-0a"].set(mode)
+		b.servers["s-0a"].setMode(mode)
 		if status, out := b.query(b.platform, "whole", 15*time.Second, 0, 3); status == 200 && (!out.Exact || len(out.Rows) != 2) {
 			t.Errorf("%s: %d %+v", mode, status, out)
 		}
-		status, got := b.find("players", ``)
+		status, got := b.searchIndex("players", ``)
 		if whole := got.Shards.Successful == 3 && got.Shards.Failed == 0; (status == 200) != whole || got.Shards.Total != 3 {
 			t.Errorf("%s: %d %+v", mode, status, got)
 		}
 	}
 
-	// No holder of a slice answers. A class that needs all of it gets no answer; one that
-	// needs half is answered, told what is missing, and not marked whole.
-	b.servers["s-0a"].set("error")
-	b.servers["s-0b"].set("error")
+	// No replica of a shard answers. A class that needs all shards gets no answer; one that
+	// needs half is answered, with what is missing, and not marked complete.
+	b.servers["s-0a"].setMode("error")
+	b.servers["s-0b"].setMode("error")
 	if status, _ := b.query(b.platform, "whole", 15*time.Second, 0, 1); status == 200 {
 		t.Error("an answer without a part it needs")
 	}
-	if status, got := b.find("players", ``); status == 200 || got.Error.Type == "" || got.Shards.Failed == 0 || len(got.Shards.Failures) != got.Shards.Failed {
+	if status, got := b.searchIndex("players", ``); status == 200 || got.Error.Type == "" || got.Shards.Failed == 0 || len(got.Shards.Failures) != got.Shards.Failed {
 		t.Errorf("%d %+v", status, got)
 	}
-	b.rules()
+	b.checkInvariants()
 }
 
 func TestPartialAnswersAreNotMarkedComplete(t *testing.T) {
 	b := newBench(t, 3)
-	b.servers["s-0a"].set("silent")
-	b.servers["s-0b"].set("silent")
-	// Class "share" needs half: what is in is enough, and what is missing is told.
-	status, got := b.find("tables", `{"timeout":"2s"}`)
+	b.servers["s-0a"].setMode("silent")
+	b.servers["s-0b"].setMode("silent")
+	// Class "share" needs half: what has arrived is enough, and what is missing is reported.
+	status, got := b.searchIndex("tables", `{"timeout":"2s"}`)
 	if status != 200 || !got.TimedOut || got.Shards.Successful != 1 || got.Shards.Failed != 1 || got.Shards.Failures[0].Shard != 0 {
 		t.Errorf("%d %+v", status, got)
 	}
-	if status, got := b.find("players", `{"timeout":"300ms"}`); status != 504 || !got.TimedOut || got.Shards.Failed == 0 {
+	if status, got := b.searchIndex("players", `{"timeout":"300ms"}`); status != 504 || !got.TimedOut || got.Shards.Failed == 0 {
 		t.Errorf("%d %+v", status, got)
 	}
 	if status, out := b.query(b.platform, "share", 2*time.Second, 0, 1); status != 200 || out.Exact || len(out.Rows) != 1 {
@@ -153,21 +153,21 @@
 	if status, _ := b.query(b.platform, "whole", 300*time.Millisecond, 0, 1); status == 200 {
 		t.Error("an answer without a part it needs")
 	}
-	b.rules()
+	b.checkInvariants()
 }
 
-// A server that has just started takes less than its warm twin, from all fronts
-// together: without the cold allowance the two would share alike.
+// A server that has just started gets less than its warm replica, from all fronts
+// together: without slow start both would get the same.
 func TestWarmingServerGetsLessFromBothFronts(t *testing.T) {
 	b := newBench(t, 3)
 	for _, s := range b.servers {
 		s.delay = 15 * time.Millisecond
 	}
-	b.tell(b.servers["s-0a"].line("in_service", time.Now().UnixMilli()))
+	b.update(b.servers["s-0a"].entry("in_service", time.Now().UnixMilli()))
 	_, n := b.since(0)
 	for range 25 {
 		b.query(b.platform, "whole", 15*time.Second, 0)
-		b.find("players", `{"size":1}`)
+		b.searchIndex("players", `{"size":1}`)
 	}
 	sent, _ := b.since(n)
 	got := map[string]int{}
@@ -177,5 +177,5 @@
 	if got["s-0a"]*2 >= got["s-0b"] {
 		t.Errorf("the cold server got %d parts, its warm twin %d", got["s-0a"], got["s-0b"])
 	}
-	b.rules()
+	b.checkInvariants()
 }
--- a/internal/daemon/query_core_test.go
+++ b/internal/daemon/query_core_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The figures hold what crossed the sockets: every answer that a client read, every
+// The totals count what crossed the sockets: every answer that a client read, every
 // attempt that reached a server, once each and by class.
 func TestTotalsMatchTraffic(t *testing.T) {
 	b := newBench(t, 3)
@@ -21,7 +21,7 @@
 		t.Helper()
 		sent, _ := b.since(0)
 		want["app.attempts"] = len(sent)
-		for got := b.figures(); !maps.Equal(got, want); got = b.figures() { // servers known and avoided may lag
+		for got := b.metrics(); !maps.Equal(got, want); got = b.metrics() { // servers known and excluded may lag
 			for name, n := range got {
 				if !strings.HasPrefix(name, "app.league_servers") && n != want[name] || len(got) != len(want) {
 					t.Fatalf("%s: %s=%d of %v, want %v", when, name, n, got, want)
@@ -36,9 +36,9 @@
 	hold("at the start")
 	for i := range 12 {
 		class := []string{"whole", "share"}[i%2]
-		if i == 6 { // from here on some are refused: a slice has no holder that can
-			b.servers["s-0a"].set("full")
-			b.servers["s-0b"].set("full")
+		if i == 6 { // from here on some are rejected: a shard has no replica with capacity
+			b.servers["s-0a"].setMode("full")
+			b.servers["s-0b"].setMode("full")
 		}
 		status, _ := b.query(b.platform, class, 15*time.Second, 0, 1)
 		count(class, status)
@@ -47,21 +47,21 @@
 		t.Errorf("the mix is none: %v", want)
 	}
 	hold("after a mix")
-	b.servers["s-1a"].set("wait")
-	b.servers["s-1b"].set("wait")
+	b.servers["s-1a"].setMode("wait")
+	b.servers["s-1b"].setMode("wait")
 	done := make(chan int)
 	_, n := b.since(0)
 	go func() { status, _ := b.query(b.platform, "whole", 15*time.Second, 1); done <- status }()
 	for now := n; now == n; _, now = b.since(0) {
 		time.Sleep(time.Millisecond)
 	}
-	if got := b.figures()["app.in_flight"]; got != 1 {
+	if got := b.metrics()["app.in_flight"]; got != 1 {
 		t.Errorf("in flight %d", got)
 	}
-	b.servers["s-1a"].set("")
-	b.servers["s-1b"].set("")
+	b.servers["s-1a"].setMode("")
+	b.servers["s-1b"].setMode("")
 	count("whole", <-done)
-	b.tell(b.servers["s-1a"].line("terminating", 0), b.servers["s-2b"].line("terminated", 0))
+	b.update(b.servers["s-1a"].entry("terminating", 0), b.servers["s-2b"].entry("terminated", 0))
 	want["app.league_servers_known"], want["app.league_servers_excluded"] = 5, 1
 	hold("after a drain")
 }
--- a/internal/daemon/reloader.go
+++ b/internal/daemon/reloader.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// reload reads all files again, and tells which keys are applied and which need a restart. A file that can't be used
+// reload reads all files again, and reports which keys are applied and which need a restart. A file that can't be used
 // changes nothing: a coordinator must not end over it.
 func (r *reloader) reload() (adminapi.ReloadResult, error) {
 	r.reloading.Lock()
@@ -113,7 +113,7 @@
 	return next, ring, err
 }
 
-// applySearch applies those keys of a new operators' file that can be, and tells which. The caller holds mu.
+// applySearch applies those keys of a new operators' file that can be, and reports which. The caller holds mu.
 func (r *reloader) applySearch(next *SearchConfig) (result adminapi.ReloadResult) {
 	running := &r.cfg.Search
 	needsRestart := running.needsRestart(next)
@@ -136,12 +136,12 @@
 		}
 	}
 	running.values = values
-	r.notify(next)
+	r.apply(next)
 	return result
 }
 
-// notify hands the applied keys to the components that work by them. The caller holds mu.
-func (r *reloader) notify(next *SearchConfig) {
+// apply passes the applied keys to the components that use them. The caller holds mu.
+func (r *reloader) apply(next *SearchConfig) {
 	running := &r.cfg.Search
 	replan := running.Reshape.Replan
 	running.Reshape = next.Reshape
--- a/internal/daemon/reloader_test.go
+++ b/internal/daemon/reloader_test.go
@@ -12,14 +12,14 @@
 	"linkpass/internal/http1"
 )
 
-// SIGHUP ends nothing: it brings a new configuration, whose address of discovery is
-// followed at once; one that can't be read leaves all as it was.
+// SIGHUP does not end the program: it reloads the configuration, whose address of discovery takes
+// effect at once; one that can't be read changes nothing.
 func TestReloadFollowsDiscoveryAddress(t *testing.T) {
-	news := NotifySignals()
+	signals := NotifySignals()
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	if sig := <-news; sig != syscall.SIGHUP {
+	if sig := <-signals; sig != syscall.SIGHUP {
 		t.Errorf("took %v", sig)
 	}
 	b := newBench(t, 3)
@@ -42,7 +42,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		b.news <- syscall.SIGHUP
+		b.signals <- syscall.SIGHUP
 	}
 	write("{")
 	for b.p.counters.Get("config_invalid") == 0 { // read before the next one is written
@@ -65,17 +65,17 @@
 	if b.p.counters.Get("config_invalid") != 1 || b.p.counters.Get("config_reloaded") != 1 {
 		t.Error(b.p.counters)
 	}
-	b.rules()
+	b.checkInvariants()
 }
 
-// Crossing: SIGHUP names another discovery while the program ends. What was taken is still sent by the
-// list, so it goes on at the new address, and a file that can't be used changes nothing.
+// SIGHUP names another discovery during the shutdown. Requests in flight are still routed by the
+// list, so the watch continues at the new address, and a file that can't be used changes nothing.
 func TestReloadDuringShutdown(t *testing.T) {
 	b := newBench(t, 3)
 	path := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv("ROUTER_CONFIG", path)
-	b.servers["s-0a"].set("wait")
-	b.servers["s-0b"].set("wait")
+	b.servers["s-0a"].setMode("wait")
+	b.servers["s-0b"].setMode("wait")
 	answered := make(chan int)
 	go func() { status, _ := b.query(b.platform, "whole", 15*time.Second, 0); answered <- status }()
 	for n := 0; n == 0; _, n = b.since(0) {
@@ -104,7 +104,7 @@
 			t.Fatal(err)
 		}
 		select {
-		case b.news <- syscall.SIGHUP:
+		case b.signals <- syscall.SIGHUP:
 		case <-time.After(10 * time.Second):
 			t.Fatal("nobody hears of a new configuration")
 		}
@@ -113,8 +113,8 @@
 		}
 	}
 	<-asked
-	b.servers["s-0a"].set("go")
-	b.servers["s-0b"].set("go")
+	b.servers["s-0a"].setMode("go")
+	b.servers["s-0b"].setMode("go")
 	if status := <-answered; status != 200 {
 		t.Errorf("what was taken ended with %d", status)
 	}
--- a/internal/daemon/replicated_store.go
+++ b/internal/daemon/replicated_store.go
@@ -8,7 +8,7 @@
 	"linkpass/internal/store"
 )
 
-// replicatedStore is the store for those that are made before the search front opens it.
+// replicatedStore is the replicated store for the components that are made before the search front opens it.
 type replicatedStore struct{ opened atomic.Pointer[store.Store] }
 
 // get is the store; nil: it is off, or not open yet.
--- a/internal/daemon/search_front.go
+++ b/internal/daemon/search_front.go
@@ -10,8 +10,8 @@
 	"linkpass/internal/store"
 )
 
-// searchFront is the search front, and the store where there is one. It is deferred: it has an address and files that
-// the process before this one may still hold.
+// searchFront is the search front, and the store where there is one. It is deferred, as it has an address and files
+// that the predecessor of this process may still use.
 type searchFront struct {
 	*process
 	core     *queryCore
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -9,7 +9,7 @@
 
 const (
 	grace          = 450 * time.Millisecond // after SIGTERM new connections are still accepted
-	acceptBacklog  = 50 * time.Millisecond  // past that, what the machine has accepted meanwhile is taken in
+	acceptBacklog  = 50 * time.Millisecond  // past that, for the connections that wait in the backlog
 	idleGrace      = 600 * time.Millisecond // after SIGTERM idle connections are kept
 	killAfter      = 3 * time.Second
 	killMargin     = 350 * time.Millisecond // of the 700 past that: for the last answers
@@ -26,7 +26,7 @@
 
 // run admits clients for the grace period, then finishes the requests in flight. Where the platform holds
 // the socket another process accepts on it, and this one stops at once. Elsewhere nobody
-// else would take what waits at the socket: it is closed only once that has been taken in.
+// else would accept what waits in the backlog: the socket is closed only once that is accepted.
 func (s *shutdown) run() {
 	s.readiness.Shutdown()
 	wait := grace
@@ -53,7 +53,7 @@
 }
 
 // closeListeners draws the line behind which no client is admitted. Listeners shared with other processes are closed
-// at once; at those of our own all that the machine has accepted is admitted first. accepted waits until that is done.
+// at once; for our own all of the backlog is accepted first. accepted waits until that is done.
 func closeListeners(own, shared []net.Listener, accepted func()) {
 	for _, ln := range shared {
 		_ = ln.Close()
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -18,25 +18,25 @@
 
 func TestClientDisconnectAndGracefulShutdown(t *testing.T) {
 	b := newBench(t, 3)
-	b.servers["s-0a"].set("silent")
-	b.servers["s-0b"].set("silent")
-	leaving := connect(t, b.p.fronts.listeners[1].Addr().String())
+	b.servers["s-0a"].setMode("silent")
+	b.servers["s-0b"].setMode("silent")
+	first := connect(t, b.p.fronts.listeners[1].Addr().String())
 	_, n := b.since(0)
-	if err := leaving.nc.Close(); err != nil {
+	if err := first.nc.Close(); err != nil {
 		t.Fatal(err)
 	}
-	again := connect(t, b.p.fronts.listeners[1].Addr().String())
+	second := connect(t, b.p.fronts.listeners[1].Addr().String())
 	body := "POST /players/_search HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"
-	if _, err := again.nc.Write([]byte(body)); err != nil {
+	if _, err := second.nc.Write([]byte(body)); err != nil {
 		t.Fatal(err)
 	}
-	for sent := 0; sent < 3; { // its parts are out
-		var list []seen
+	for sent := 0; sent < 3; { // until its parts are sent
+		var list []receivedPart
 		list, _ = b.since(n)
 		sent = len(list)
 		time.Sleep(time.Millisecond)
 	}
-	again.nc.Close()
+	second.nc.Close()
 	for b.p.counters.Get("clients_gone") == 0 {
 		time.Sleep(time.Millisecond)
 	}
@@ -50,14 +50,14 @@
 	for b.p.counters.Get("operator_conns") == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	b.stop() // ends, though servers and callers are silent, and leaves nothing unanswered
-	b.rules()
+	b.stop() // ends, though servers and callers are silent, with every query answered
+	b.checkInvariants()
 	if _, err := b.platform.r.Response(); err == nil {
 		t.Error("an idle connection outlived the program")
 	}
 }
 
-// Crossing: SIGTERM comes while the configuration is read from a disk that does not answer. The end begins all
+// SIGTERM while the configuration is read from a disk that does not answer: the shutdown begins all
 // the same, and what is read after it changes nothing.
 func TestShutdownDoesNotWaitForReload(t *testing.T) {
 	b := newBench(t, 3)
@@ -66,7 +66,7 @@
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	b.news <- syscall.SIGHUP
+	b.signals <- syscall.SIGHUP
 	disk, err := os.OpenFile(path, os.O_WRONLY, 0) // opens once it is being read
 	if err != nil {
 		t.Fatal(err)
@@ -76,7 +76,7 @@
 		t.Fatal(err)
 	}
 	disk.Close()
-	b.p.reloader.reloading.Lock() // the reading has ended
+	b.p.reloader.reloading.Lock() // the reload has ended
 	defer b.p.reloader.reloading.Unlock()
 	if n := b.p.counters.Get("config_reloaded"); n != 0 {
 		t.Errorf("reloaded %d times", n)
@@ -106,34 +106,34 @@
 			if ended = true; got != 0 {
 				t.Errorf("exit code %d", got)
 			}
-		case <-time.After(100 * time.Millisecond): // again, at each step of its start and its end
+		case <-time.After(100 * time.Millisecond): // again, at each step of its start and its shutdown
 		}
 	}
 }
 
-// heldListener is a listener whose connections wait at the socket until the test lets them in.
-type heldListener struct {
+// blockedListener is a listener whose connections wait in the backlog until the test releases them.
+type blockedListener struct {
 	*net.TCPListener
-	let chan struct{}
+	release chan struct{}
 }
 
-func (l heldListener) Accept() (net.Conn, error) { <-l.let; return l.TCPListener.Accept() }
+func (l blockedListener) Accept() (net.Conn, error) { <-l.release; return l.TCPListener.Accept() }
 
-// Crossing: clients have connected and asked, and the listener is to be closed before they were let in. They
-// are taken and answered; a close would have reset them.
+// Clients have connected and sent a request, and the listener is to be closed before they were accepted. They
+// are accepted and answered; a close would have reset them.
 func TestShutdownAcceptsListenBacklog(t *testing.T) {
 	b := newBench(t, 3)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	held := heldListener{ln.(*net.TCPListener), make(chan struct{})}
+	blocked := blockedListener{ln.(*net.TCPListener), make(chan struct{})}
 	server := &http1.Server{Name: "late", Clock: b.p.core.core, Counters: b.p.counters, MaxConns: 9,
 		Handler: http1.HandlerFunc(func(context.Context, time.Duration, *http1.Request) *http1.Response {
 			return &http1.Response{Status: 200}
 		})}
 	done := make(chan struct{})
-	go func() { defer close(done); (&boundServer{server, held}).run(t.Context()) }()
+	go func() { defer close(done); (&boundServer{server, blocked}).run(t.Context()) }()
 	var clients []*client
 	for range 3 {
 		c := connect(t, ln.Addr().String())
@@ -145,7 +145,7 @@
 	drawn := make(chan struct{})
 	go func() {
 		defer close(drawn)
-		closeListeners([]net.Listener{held.TCPListener}, nil, func() { close(held.let); <-done })
+		closeListeners([]net.Listener{blocked.TCPListener}, nil, func() { close(blocked.release); <-done })
 	}()
 	<-drawn
 	for _, c := range clients {
@@ -159,7 +159,7 @@
 	server.Stop()
 }
 
-// SIGTERM before there is any list, and again, ends the program once, in good order.
+// SIGTERM before there is any endpoint list, and again, ends the program once, in good order.
 func TestShutdownBeforeFirstList(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	cfg := Config{name: fmt.Sprint("n", os.Getpid()), listen: "127.0.0.1:0", discovery: "127.0.0.1:1", seed: 5, memoryMB: 64, sockets: 256}
--- a/internal/daemon/wire_golden_test.go
+++ b/internal/daemon/wire_golden_test.go
@@ -36,9 +36,9 @@
 	goldenOrders = []restriction.Request{{ID: restriction.ID{Origin: restriction.Origin{Instance: "b", Incarnation: 8}, Seq: 1}, Server: "s-1", Level: restriction.Draining, Force: true}}
 )
 
-// peerCall makes one call to another instance, which answers with a status and a body, and returns the request's bytes. The
+// memberCall makes one call to another member, which answers with a status and a body, and returns the request's bytes. The
 // Host header, whose port the system picks, is replaced.
-func peerCall(t *testing.T, status int, body string, call func(ctx context.Context, addr string) error) (request []byte, err error) {
+func memberCall(t *testing.T, status int, body string, call func(ctx context.Context, addr string) error) (request []byte, err error) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -64,7 +64,7 @@
 	return []byte(strings.ReplaceAll(string(<-got), ln.Addr().String(), "PEER")), err
 }
 
-// readRecorder keeps what is read.
+// readRecorder records what is read.
 type readRecorder struct {
 	net.Conn
 	read *[]byte
@@ -91,7 +91,7 @@
 		}},
 	} {
 		t.Run(c.file, func(t *testing.T) {
-			request, err := peerCall(t, 200, "", c.call)
+			request, err := memberCall(t, 200, "", c.call)
 			if err != nil {
 				t.Error(err)
 			}
@@ -100,10 +100,10 @@
 	}
 }
 
-// A peer's 409 to a report means that it knows a later state of this instance's disk.
+// A member's 409 to a report means that it knows a later state of this instance's disk.
 func TestPositionReportConflict(t *testing.T) {
 	for status, restored := range map[int]bool{409: true, 400: false, 503: false} {
-		_, err := peerCall(t, status, "an old disk\n", func(ctx context.Context, addr string) error {
+		_, err := memberCall(t, status, "an old disk\n", func(ctx context.Context, addr string) error {
 			return reportPosition(ctx, store.Member{ID: "a", HTTP: addr}, goldenReport)
 		})
 		if err == nil || errors.Is(err, rollback.ErrRolledBack) != restored {
@@ -112,8 +112,8 @@
 	}
 }
 
-// openPeer is an instance "a" of a store of one, whose members by the file are "a" alone: "b" is known once it has joined.
-func openPeer(t *testing.T, members ...store.Member) (*endpointRegistry, http1.Handler) {
+// openMember is an instance "a" of a store of one, whose members by the file are "a" alone: "b" is known once it has joined.
+func openMember(t *testing.T, members ...store.Member) (*endpointRegistry, http1.Handler) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -138,9 +138,9 @@
 	return r, &memberHandler{registry: r, front: front}
 }
 
-// The golden requests, as another instance sent them, are read in full.
+// The golden requests, as another member sent them, are decoded completely.
 func TestMemberHandlerReadsGoldenRequests(t *testing.T) {
-	r, h := openPeer(t, store.Member{ID: "b", Raft: "127.0.0.1:1", HTTP: "127.0.0.1:1"})
+	r, h := openMember(t, store.Member{ID: "b", Raft: "127.0.0.1:1", HTTP: "127.0.0.1:1"})
 	send := func(file string) *http1.Response {
 		t.Helper()
 		req, err := http1.NewReader(strings.NewReader(string(goldentest.Read(t, file))), 1<<20).Request()
@@ -227,7 +227,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	even, err := shardmap.NewEven(4, [][]string{{"s-1"}, {"s-2", "s-3"}}) // what the spread stands for
+	even, err := shardmap.NewEven(4, [][]string{{"s-1"}, {"s-2", "s-3"}}) // what the spread expands to
 	if err != nil {
 		t.Fatal(err)
 	}
