--- a/internal/daemon/wire_golden_test.go
+++ b/internal/daemon/wire_golden_test.go
@@ -36,9 +36,9 @@
 	goldenOrders = []restriction.Request{{ID: restriction.ID{Origin: restriction.Origin{Instance: "b", Incarnation: 8}, Seq: 1}, Server: "s-1", Level: restriction.Draining, Force: true}}
 )
 
-// peerCall makes one call to another instance, which answers with a status and a body, and returns the request's bytes. The
+// memberCall makes one call to another member, which answers with a status and a body, and returns the request's bytes. The
 // Host header, whose port the system picks, is replaced.
-func peerCall(t *testing.T, status int, body string, call func(ctx context.Context, addr string) error) (request []byte, err error) {
+func memberCall(t *testing.T, status int, body string, call func(ctx context.Context, addr string) error) (request []byte, err error) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -64,7 +64,7 @@
 	return []byte(strings.ReplaceAll(string(<-got), ln.Addr().String(), "PEER")), err
 }
 
-// readRecorder keeps what is read.
+// readRecorder records what is read.
 type readRecorder struct {
 	net.Conn
 	read *[]byte
@@ -76,22 +76,22 @@
 	return n, err
 }
 
-func TestPeerRequestsGolden(t *testing.T) {
+func TestMemberRequestsGolden(t *testing.T) {
 	for _, c := range []struct {
 		file string
 		call func(ctx context.Context, addr string) error
 	}{
-		{"orders_request.http", func(ctx context.Context, addr string) error { return tellOrders("b", addr)(ctx, goldenOrders) }},
+		{"orders_request.http", func(ctx context.Context, addr string) error { return broadcastTo("b", addr)(ctx, goldenOrders) }},
 		{"marks_request.http", func(ctx context.Context, addr string) error {
-			return tellMark(ctx, store.Member{ID: "a", HTTP: addr}, goldenReport)
+			return reportPosition(ctx, store.Member{ID: "a", HTTP: addr}, goldenReport)
 		}},
 		{"version_request.http", func(ctx context.Context, addr string) error {
-			_, err := callPeer(ctx, addr, "GET", versionPath, nil)
+			_, err := callMember(ctx, addr, "GET", versionPath, nil)
 			return err
 		}},
 	} {
 		t.Run(c.file, func(t *testing.T) {
-			request, err := peerCall(t, 200, "", c.call)
+			request, err := memberCall(t, 200, "", c.call)
 			if err != nil {
 				t.Error(err)
 			}
@@ -100,11 +100,11 @@
 	}
 }
 
-// A peer's 409 to a report means that it knows a later state of this instance's disk.
-func TestMarksConflictResponse(t *testing.T) {
+// A member's 409 to a report means that it knows a later state of this instance's disk.
+func TestPositionReportConflict(t *testing.T) {
 	for status, restored := range map[int]bool{409: true, 400: false, 503: false} {
-		_, err := peerCall(t, status, "an old disk\n", func(ctx context.Context, addr string) error {
-			return tellMark(ctx, store.Member{ID: "a", HTTP: addr}, goldenReport)
+		_, err := memberCall(t, status, "an old disk\n", func(ctx context.Context, addr string) error {
+			return reportPosition(ctx, store.Member{ID: "a", HTTP: addr}, goldenReport)
 		})
 		if err == nil || errors.Is(err, rollback.ErrRolledBack) != restored {
 			t.Errorf("status %d: %v", status, err)
@@ -112,8 +112,8 @@
 	}
 }
 
-// openPeer is an instance "a" of a store of one, whose members by the file are "a" alone: "b" is known once it has joined.
-func openPeer(t *testing.T, members ...store.Member) (*Program, http1.Handler) {
+// openMember is an instance "a" of a store of one, whose members by the file are "a" alone: "b" is known once it has joined.
+func openMember(t *testing.T, members ...store.Member) (*endpointRegistry, http1.Handler) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -125,22 +125,22 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = st.Close() })
-	p := &Program{count: metrics.NewCounters()}
-	p.opened.Store(st)
-	p.agreement = endpoints.New(endpoints.Config{InstanceID: "a", Incarnation: 9, OnUpdate: func(coordinator.EndpointUpdate) {}, Counters: p.count,
+	r := &endpointRegistry{process: &process{counters: metrics.NewCounters()}, store: &replicatedStore{}}
+	r.store.set(st)
+	r.registry = endpoints.New(endpoints.Config{InstanceID: "a", Incarnation: 9, OnUpdate: func(coordinator.EndpointUpdate) {}, Counters: r.counters,
 		ResolveEndpoint: func(id string, _ config.ServerSpec) (coordinator.Endpoint, error) {
 			return coordinator.Endpoint{Name: id}, nil
 		}})
-	p.agreement.Attach(st)
+	r.registry.Attach(st)
 	front := http1.HandlerFunc(func(context.Context, time.Duration, *http1.Request) *http1.Response {
 		return &http1.Response{Status: 299}
 	})
-	return p, p.hearing(front)
+	return r, &memberHandler{registry: r, front: front}
 }
 
-// The golden requests, as another instance sent them, are read in full.
-func TestPeerHandlerReadsGoldenRequests(t *testing.T) {
-	p, h := openPeer(t, store.Member{ID: "b", Raft: "127.0.0.1:1", HTTP: "127.0.0.1:1"})
+// The golden requests, as another member sent them, are decoded completely.
+func TestMemberHandlerReadsGoldenRequests(t *testing.T) {
+	r, h := openMember(t, store.Member{ID: "b", Raft: "127.0.0.1:1", HTTP: "127.0.0.1:1"})
 	send := func(file string) *http1.Response {
 		t.Helper()
 		req, err := http1.NewReader(strings.NewReader(string(goldentest.Read(t, file))), 1<<20).Request()
@@ -158,7 +158,7 @@
 	if res := send("orders_request.http"); res.Status != 200 || len(res.Body) != 0 {
 		t.Errorf("orders: %d %q", res.Status, res.Body)
 	}
-	if got := p.agreement.PendingRestrictions(); !reflect.DeepEqual(got, goldenOrders) {
+	if got := r.registry.PendingRestrictions(); !reflect.DeepEqual(got, goldenOrders) {
 		t.Errorf("orders received: %+v, want %+v", got, goldenOrders)
 	}
 	// Of the report every field counts: a disk that begins before the reported state is an old one.
@@ -227,7 +227,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	even, err := shardmap.NewEven(4, [][]string{{"s-1"}, {"s-2", "s-3"}}) // what the spread stands for
+	even, err := shardmap.NewEven(4, [][]string{{"s-1"}, {"s-2", "s-3"}}) // what the spread expands to
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -235,7 +235,7 @@
 	slice := func(n shardmap.ShardID, first, last uint64, holder string) shardmap.Shard {
 		return shardmap.Shard{ID: shardmap.FirstDynamicID + n, Range: shardmap.Range{First: first, Last: last}, Epoch: 1, Replicas: []string{holder}}
 	}
-	want := Search{Listen: "127.0.0.1:9200",
+	want := SearchConfig{Listen: "127.0.0.1:9200",
 		Config: searchconfig.Config{Search: searchconfig.Defaults{Timeout: "1500ms", AllowPartial: &no, MaxResultWindow: 500},
 			Indices: map[string]searchconfig.Index{"fixed": {Class: "team-lookup", Shards: []int{0, 1}},
 				"spread": {Class: "team-lookup", ShardMap: &spread},
@@ -244,11 +244,11 @@
 			Servers: map[string]searchconfig.Server{"s-1": {Protocol: "search"}}},
 		Store: store.Config{ID: "a", Dir: "/var/lib/linkpass/store", Join: true, TimeScale: 0.5, Members: []store.Member{
 			{ID: "a", Raft: "127.0.0.1:9300", HTTP: "127.0.0.1:9200"}, {ID: "b", Raft: "127.0.0.1:9301", HTTP: "127.0.0.1:9201"}}},
-		Reshape: Reshape{Moves: 5, PerServer: 2, Poll: "2s", RetireAfter: "3s", Patience: "4m", Replan: &no},
-		Bodies: Bodies{MemoryKiB: 4096, LargestKiB: 512, FilesKiB: 8192, Dir: "/var/lib/linkpass/bodies", MaxKiB: 128, Off: true,
-			Classes: map[string]ClassPart{"team-lookup": {FloorKiB: 64, Share: 0.25}}},
-		Operator: Operator{Socket: "/run/linkpass.sock", Listen: "127.0.0.1:9400", Keys: "/etc/linkpass/keys.toml", Window: "20s"},
-		Log:      Log{Format: "json", Level: "warn", Levels: map[string]string{"store": "debug"}}}
+		Reshape: ReshardingConfig{Moves: 5, PerServer: 2, Poll: "2s", RetireAfter: "3s", Patience: "4m", Replan: &no},
+		Bodies: BodyConfig{MemoryKiB: 4096, LargestKiB: 512, FilesKiB: 8192, Dir: "/var/lib/linkpass/bodies", MaxKiB: 128, Off: true,
+			Classes: map[string]BodyClassConfig{"team-lookup": {FloorKiB: 64, Share: 0.25}}},
+		Operator: AdminConfig{Socket: "/run/linkpass.sock", Listen: "127.0.0.1:9400", Keys: "/etc/linkpass/keys.toml", Window: "20s"},
+		Log:      LogConfig{Format: "json", Level: "warn", Levels: map[string]string{"store": "debug"}}}
 	for _, f := range []struct {
 		name      string
 		got, want any
@@ -287,10 +287,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for file, search := range map[string]Search{"settings_shown.json": c, "settings_shown_default.json": {}} {
-		p := &Program{cfg: Config{name: "n1", listen: "127.0.0.1:8080", discovery: "127.0.0.1:8081", memoryMB: 256, sockets: 1024, Search: search}}
-		shown := p.Settings()
-		if c := p.cfg.Search; c.path != "" {
+	for file, search := range map[string]SearchConfig{"settings_shown.json": c, "settings_shown_default.json": {}} {
+		b := &adminBackend{process: &process{cfg: Config{name: "n1", listen: "127.0.0.1:8080", discovery: "127.0.0.1:8081", memoryMB: 256,
+			sockets: 1024, Search: search}}}
+		shown := b.Settings()
+		if c := b.cfg.Search; c.path != "" {
 			// A bool that is true by default and false in the file is shown as its default, which is a fault: no golden form.
 			shown = slices.DeleteFunc(shown, func(s adminapi.Setting) bool {
 				return s.Key == "reshape.replan" || s.Key == "search.default_allow_partial_results"
