--- a/internal/eventlog/event_test.go
+++ b/internal/eventlog/log_test.go
@@ -22,7 +22,7 @@
 }
 
 // However many bad requests a second come, the log has one line a second for them.
-func TestLinesAreBounded(t *testing.T) {
+func TestRateLimitedBoundsLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		got := written(false, func() {
 			var lines RateLimited
@@ -38,7 +38,7 @@
 }
 
 // What comes from outside cannot forge a line, as text or as JSON.
-func TestALineStaysALine(t *testing.T) {
+func TestLogEscapesLineBreaks(t *testing.T) {
 	err := errors.Join(errors.New("one"), errors.New("event=stopped"))
 	log := func() { EndpointListInvalid.Log(err); QueryRejected.Log("platform", 400, "a\r\nb \"c\"") }
 	text := written(false, log)
@@ -56,7 +56,7 @@
 }
 
 // Levels hold by part, at once, and through a change of the output.
-func TestLevelsByPart(t *testing.T) {
+func TestSetLevelPerComponent(t *testing.T) {
 	defer func() { _ = SetLevel("all", "info"); _ = SetLevel(raftPart, "warn") }()
 	if SetLevel("peer", "loud") == nil || SetLevel("nobody", "warn") == nil {
 		t.Error("nonsense was taken")
@@ -80,7 +80,7 @@
 }
 
 // docs/oncall.md has the table that the registry makes; UPDATE_DOCS=1 writes it.
-func TestTheTableOfEventsIsCurrent(t *testing.T) {
+func TestOncallEventTableMatchesRegistry(t *testing.T) {
 	path := filepath.Join("..", "..", "docs", "oncall.md")
 	page, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/metrics/counters_test.go
+++ b/internal/metrics/counters_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestCountersAddUpAndAreListedByName(t *testing.T) {
+func TestCountersSumConcurrentAdds(t *testing.T) {
 	s := NewCounters()
 	var wg sync.WaitGroup
 	for range 8 {
--- a/internal/schema/schema_test.go
+++ b/internal/schema/schema_test.go
@@ -39,7 +39,7 @@
 }
 
 // Whatever is wrong is told, all of it at once, each at its line; and nothing else is.
-func TestEveryFaultAtItsLine(t *testing.T) {
+func TestReadReportsEveryErrorAtItsLine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var text strings.Builder
 		want := map[string]bool{}
@@ -74,7 +74,7 @@
 }
 
 // A text that is no TOML has one fault, with its line, and never a panic.
-func TestTextsThatAreNoTOML(t *testing.T) {
+func TestReadInvalidTOML(t *testing.T) {
 	if _, faults := table.Read("f", "on = true\n[pace\nwait = 5"); len(faults) != 1 || faults[0].Line < 2 {
 		t.Error(faults)
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -20,7 +20,7 @@
 // Reports on the sockets use the settings' own words (active, avg_ms, waiting),
 // not those of the protocol's example: read by others every report is dropped,
 // and the module chooses without any.
-func TestReportNamesAreThoseOfTheSettings(t *testing.T) {
+func TestParseJSONReportNames(t *testing.T) {
 	set, host, err := ParseJSON([]byte(object))
 	if err != nil {
 		t.Fatal(err)
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestSettingsFromAnything(t *testing.T) {
+func TestParseGarbageNeverPanics(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		data := []byte(rapid.String().Draw(t, "garbage"))
 		if rapid.Bool().Draw(t, "cut") {
