--- /dev/null
+++ b/internal/eventlog/events_fronts.go
@@ -0,0 +1,59 @@
+package eventlog
+
+import "github.com/hashicorp/go-hclog"
+
+// Events of the listeners for clients, and of the requests and queries that come in there.
+var (
+	Listening = register(Event{
+		Component: "fronts", Name: "listening", Level: hclog.Info,
+		Fields:  []string{"front", "addr"},
+		Meaning: "a front (`platform`, `search`) or the admin listener (`operator`) accepts connections",
+		Action: "on the platform only `platform` and `operator` may show; " +
+			"if `search` does, empty `listen` in `deploy/opensearch.toml`",
+	})
+	FrontFailed = register(Event{
+		Component: "fronts", Name: "front_failed", Level: hclog.Error,
+		Fields:  []string{"front", "err"},
+		Meaning: "a listener failed",
+		Action:  "restart the coordinator",
+	})
+	AcceptFailed = register(Event{
+		Component: "fronts", Name: "accept_failed", Level: hclog.Warn,
+		Fields:  []string{"front", "err"},
+		Meaning: "no connection could be accepted, most often for want of file descriptors",
+		Action:  "compare open descriptors with the limit; see `platform_conns_over`",
+	})
+	RequestMalformed = register(Event{
+		Component: "fronts", Name: "request_malformed", Level: hclog.Warn,
+		Fields: []string{"front", "status", "reason"},
+		Meaning: "a client sent invalid HTTP, or its request timed out (408: 2.5 s from connecting; 2 s for a later one); " +
+			"its connection was closed",
+		Action: "if frequent, find the client; no query is affected",
+	})
+	QueryRejected = register(Event{
+		Component: "platform", Name: "query_rejected", Level: hclog.Warn,
+		Fields: []string{"front", "status", "err"},
+		Meaning: "a valid HTTP request that is no valid query, names a tenant that is not in the settings, or has the name " +
+			"of a query that is in flight (409); answered 4xx",
+		Action: "the line says what is wrong with it",
+	})
+	SearchFailed = register(Event{
+		Component: "search", Name: "search_failed", Level: hclog.Error,
+		Fields:  []string{"err"},
+		Meaning: "the search front or the store could not start after the other process had ended",
+		Action:  "free their address and files, then restart",
+	})
+	SearchRejected = register(Event{
+		Component: "search", Name: "search_rejected", Level: hclog.Warn,
+		Fields:  []string{"status", "type", "reason"},
+		Meaning: "a search that can't be served (unknown index or shard, unsupported query); no part of it was sent",
+		Action: "for `index_not_found_exception` and `shard_not_found_exception` compare the settings' indices " +
+			"with the deployment's shards",
+	})
+	QueryOverdue = register(Event{
+		Component: "core", Name: "query_overdue", Level: hclog.Error,
+		Fields:  []string{"query", "class"},
+		Meaning: "the policy module did not end a query by its deadline; the core failed it",
+		Action:  "a fault of the program: keep the log, tell the developers",
+	})
+)
--- /dev/null
+++ b/internal/eventlog/events_handover.go
@@ -0,0 +1,28 @@
+package eventlog
+
+import "github.com/hashicorp/go-hclog"
+
+// Events of the handover between two processes of one coordinator.
+var (
+	HandoverShare = register(Event{
+		Component: "handover", Name: "handover_share", FormerName: "share", Level: hclog.Info,
+		Fields: []string{"processes", "open"},
+		Meaning: "`processes` processes of this coordinator run and share the limits; " +
+			"this one may have `open` queries and parts in flight",
+		Action: "nothing; `processes=1` follows once the other has ended",
+	})
+	HandoverFailed = register(Event{
+		Component: "handover", Name: "handover_failed", Level: hclog.Warn,
+		Fields: []string{"err"},
+		Meaning: "`$TMPDIR` can't be used to find another process of this coordinator, or that one sent a malformed " +
+			"message",
+		Action: "the program serves with the whole limits; " +
+			"see that `$TMPDIR` can be written before the next change of version",
+	})
+	HandoverMessageInvalid = register(Event{
+		Component: "handover", Name: "handover_message_invalid", FormerName: "handover_bad", Level: hclog.Warn,
+		Fields:  []string{"line"},
+		Meaning: "another process of this coordinator sent a malformed message",
+		Action:  "bring both to one version",
+	})
+)
--- /dev/null
+++ b/internal/eventlog/events_store.go
@@ -0,0 +1,55 @@
+package eventlog
+
+import "github.com/hashicorp/go-hclog"
+
+// Events of the replicated store: settings, and restrictions (drains and removals) of league servers.
+var (
+	StoreFailed = register(Event{
+		Component: "store", Name: "store_failed", Level: hclog.Warn,
+		Fields:  []string{"err"},
+		Meaning: "a read or a change of the settings failed",
+		Action: "`no leader` or `a majority did not confirm`: see that a quorum of the members runs and that they reach " +
+			"each other; searches go on with the settings last known",
+	})
+	StoreHalted = register(Event{
+		Component: "store", Name: "store_halted", Level: hclog.Error,
+		Fields: []string{"index", "err"},
+		Meaning: "a log entry has a format of a later version of the program; this instance applies no further entry, " +
+			"and the state that it has stays in force here",
+		Action: "bring this instance to the others' version and restart it; searches go on meanwhile",
+	})
+	StoreRolledBack = register(Event{
+		Component: "store", Name: "store_rolled_back", FormerName: "store_restored", Level: hclog.Error,
+		Fields: []string{"err"},
+		Meaning: "another instance has seen this one at a later position than its disk has: the disk is an old image or a " +
+			"copy; this instance votes no more, and the state that it has stays in force here",
+		Action: "stop it, remove it from the members (`linkpass store leave ID`), empty its directory, let it join under a " +
+			"new id: see [raft.md](raft.md)",
+	})
+	SettingsChanged = register(Event{
+		Component: "store", Name: "settings_changed", Level: hclog.Info,
+		Fields:  []string{"index"},
+		Meaning: "the store applied a change of the search settings",
+		Action:  "nothing",
+	})
+	SettingsRejected = register(Event{
+		Component: "store", Name: "settings_rejected", FormerName: "settings_bad", Level: hclog.Warn,
+		Fields:  []string{"index", "err"},
+		Meaning: "a log entry was rejected; the replicated state stays as it was",
+		Action:  "the line says why: most often two changes raced",
+	})
+	RestrictionReceived = register(Event{
+		Component: "store", Name: "restriction_received", FormerName: "order_heard", Level: hclog.Info,
+		Fields:       []string{"restriction", "server", "level", "from"},
+		FormerFields: []Rename{{"order", "restriction"}, {"kind", "level"}},
+		Meaning:      "a drain or a removal of a league server is in force here from now on, before the log has committed it",
+		Action:       "nothing; see [raft.md](raft.md)",
+	})
+	RestrictionRejected = register(Event{
+		Component: "store", Name: "restriction_rejected", FormerName: "order_withdrawn", Level: hclog.Warn,
+		Fields:       []string{"restriction", "server", "level", "reason"},
+		FormerFields: []Rename{{"order", "restriction"}, {"kind", "level"}, {"why", "reason"}},
+		Meaning:      "the log rejected a request for a restriction; it is no longer in force anywhere",
+		Action:       "see `reason`; request it again, with force if it is meant",
+	})
+)
--- /dev/null
+++ b/internal/eventlog/events_upstream.go
@@ -0,0 +1,38 @@
+package eventlog
+
+import "github.com/hashicorp/go-hclog"
+
+// Events of the connections to league servers.
+var (
+	DialFailed = register(Event{
+		Component: "peer", Name: "dial_failed", Level: hclog.Warn,
+		Fields:       []string{"server", "addr", "outcome"},
+		FormerFields: []Rename{{"end", "outcome"}},
+		Meaning: "no connection to a league server: `dial_refused` (no process), `dial_timeout` (machine down or network " +
+			"partition), `dial_failed`",
+		Action: "if one server: look at it; if all of a data centre: look at the links",
+	})
+	ConnLost = register(Event{
+		Component: "peer", Name: "conn_lost", Level: hclog.Warn,
+		Fields:       []string{"server", "outcome", "parts", "probes"},
+		FormerFields: []Rename{{"end", "outcome"}},
+		Meaning: "a connection ended with requests in flight: `broken` (reset), `closed`, `garbled` (malformed response), " +
+			"`rejected` (the server could not use what it got). `silent` (timeout) is not logged: a health check got no " +
+			"response for a fifth of the connect timeout, and nothing else was in flight or the server answered on " +
+			"another connection meanwhile",
+		Action: "`broken` follows a server's death; the policy module retries the parts on other replicas",
+	})
+	MessageMalformed = register(Event{
+		Component: "peer", Name: "message_malformed", FormerName: "message_bad", Level: hclog.Warn,
+		Fields:       []string{"server", "outcome", "err"},
+		FormerFields: []Rename{{"end", "outcome"}},
+		Meaning:      "a league server sent a malformed message; the connection was closed",
+		Action:       "if it goes on, the server speaks another protocol than the settings say, or another version",
+	})
+	ProtocolChanged = register(Event{
+		Component: "peer", Name: "protocol_changed", Level: hclog.Info,
+		Fields:  []string{"server", "from", "to"},
+		Meaning: "later parts to that server are sent in the new protocol",
+		Action:  "nothing, if the settings were changed on purpose",
+	})
+)
--- a/internal/eventlog/log_test.go
+++ b/internal/eventlog/log_test.go
@@ -31,7 +31,7 @@
 				time.Sleep(10 * time.Millisecond)
 			}
 		})
-		if n := strings.Count(got, "event=endpoint_list_invalid"); n <= linesAtOnce || n > linesAtOnce+10 {
+		if n := strings.Count(got, "event=endpoint_list_invalid"); n <= burst || n > burst+10 {
 			t.Errorf("%d lines", n)
 		}
 	})
@@ -57,7 +57,7 @@
 
 // Levels hold by part, at once, and through a change of the output.
 func TestSetLevelPerComponent(t *testing.T) {
-	defer func() { _ = SetLevel("all", "info"); _ = SetLevel(raftPart, "warn") }()
+	defer func() { _ = SetLevel("all", "info"); _ = SetLevel(raftComponent, "warn") }()
 	if SetLevel("peer", "loud") == nil || SetLevel("nobody", "warn") == nil {
 		t.Error("nonsense was taken")
 	}
--- /dev/null
+++ b/internal/eventlog/oncall_renames_test.go
@@ -0,0 +1,271 @@
+package eventlog_test
+
+import (
+	"bytes"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"linkpass/internal/eventlog"
+	"linkpass/internal/metrics"
+)
+
+// The renames stand in docs/oncall.md between these lines, under this header.
+const (
+	renamesBegin  = "<!-- renames -->\n"
+	renamesEnd    = "<!-- end -->\n"
+	renamesHeader = "| kind | old name | new name |\n| --- | --- | --- |\n"
+)
+
+// renameRow is a row of the page's table.
+type renameRow struct{ kind, old, new string }
+
+// readPage returns docs/oncall.md, as the text before the table of renames, the table, and the text after it.
+func readPage(t *testing.T) (before, table, after string) {
+	t.Helper()
+	page, err := os.ReadFile(oncallPath())
+	if err != nil {
+		t.Fatal(err)
+	}
+	before, rest, begins := strings.Cut(string(page), renamesBegin)
+	table, after, ends := strings.Cut(rest, renamesEnd)
+	if !begins || !ends {
+		t.Fatal("docs/oncall.md has no lines that mark the table of renames")
+	}
+	return before, table, after
+}
+
+func oncallPath() string { return filepath.Join("..", "..", "docs", "oncall.md") }
+
+// readRenames returns the rows of the page's table, as a reader of the page sees them.
+func readRenames(t *testing.T) []renameRow {
+	t.Helper()
+	_, table, _ := readPage(t)
+	var rows []renameRow
+	for line := range strings.Lines(strings.TrimPrefix(table, renamesHeader)) {
+		cells := strings.Split(strings.Trim(strings.TrimSpace(line), "|"), " | ")
+		if len(cells) != 3 {
+			t.Fatalf("a row of %d cells: %s", len(cells), line)
+		}
+		for i, c := range cells {
+			cells[i] = strings.TrimSpace(c)
+		}
+		rows = append(rows, renameRow{cells[0], strings.Trim(cells[1], "`"), strings.Trim(cells[2], "`")})
+	}
+	return rows
+}
+
+// newName returns what the page's table gives for the old name of that kind; where it has no row, the old name.
+func newName(rows []renameRow, kind, old string) string {
+	i := slices.IndexFunc(rows, func(r renameRow) bool { return r.kind == kind && r.old == old })
+	if i < 0 {
+		return old
+	}
+	return rows[i].new
+}
+
+// readLines returns the lines of a file under testdata.
+func readLines(t *testing.T, file string) []string {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", file))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return strings.Split(strings.TrimSpace(string(text)), "\n")
+}
+
+// eventByName returns the registered event, nil if there is none.
+func eventByName(name string) *eventlog.Event {
+	for _, e := range eventlog.Events() {
+		if e.Name == name {
+			return e
+		}
+	}
+	return nil
+}
+
+// sourceStrings returns every string literal of the program, without its tests, the registry of events and the list of
+// renamed counters.
+func sourceStrings(t *testing.T) map[string]bool {
+	t.Helper()
+	literals := map[string]bool{}
+	visit := func(path string, d fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		if d.IsDir() {
+			if slices.Contains([]string{"testdata", "eventlog"}, d.Name()) {
+				return filepath.SkipDir
+			}
+			return nil
+		}
+		isSource := strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go")
+		if !isSource || strings.HasSuffix(filepath.ToSlash(path), "metrics/renames.go") {
+			return nil
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+		if err != nil {
+			return err
+		}
+		ast.Inspect(file, func(n ast.Node) bool {
+			if lit, ok := n.(*ast.BasicLit); ok && lit.Kind == token.STRING {
+				text, _ := strconv.Unquote(lit.Value) // the parser has checked it
+				literals[text] = true
+			}
+			return true
+		})
+		return nil
+	}
+	for _, root := range []string{"internal", "cmd"} {
+		if err := filepath.WalkDir(filepath.Join("..", "..", root), visit); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return literals
+}
+
+// The page has a row for each rename that the registries know, and no other; UPDATE_DOCS=1 writes the table.
+func TestOncallRenameTableMatchesRegistries(t *testing.T) {
+	before, table, after := readPage(t)
+	want := renamesHeader + eventlog.MarkdownRenames() + metrics.MarkdownRenames()
+	if os.Getenv("UPDATE_DOCS") != "" {
+		page := before + renamesBegin + want + renamesEnd + after
+		if err := os.WriteFile(oncallPath(), []byte(page), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	if table != want {
+		t.Errorf("docs/oncall.md has other renames than the registries "+
+			"(UPDATE_DOCS=1 go test ./internal/eventlog writes them)\ngot\n%s\nwant\n%s", table, want)
+	}
+}
+
+// A new name is one that the program logs or counts under, an old one is not, and none has two rows.
+func TestRenamesLeadToRegisteredNames(t *testing.T) {
+	literals := sourceStrings(t)
+	seen := map[renameRow]bool{}
+	for _, row := range readRenames(t) {
+		t.Run(row.kind+" "+row.old, func(t *testing.T) {
+			key := renameRow{kind: row.kind, old: row.old}
+			if seen[key] {
+				t.Error("a second row")
+			}
+			seen[key] = true
+			if row.old == row.new {
+				t.Error("old and new name are the same")
+			}
+			checkRow(t, row, literals)
+		})
+	}
+}
+
+func checkRow(t *testing.T, row renameRow, literals map[string]bool) {
+	t.Helper()
+	ofEvent, isField := strings.CutPrefix(row.kind, "field of ")
+	switch {
+	case row.kind == "event":
+		if eventByName(strings.TrimPrefix(row.new, "event=")) == nil {
+			t.Errorf("%s is not registered", row.new)
+		}
+		if eventByName(strings.TrimPrefix(row.old, "event=")) != nil {
+			t.Errorf("%s is still registered", row.old)
+		}
+	case isField:
+		e := eventByName(strings.TrimPrefix(strings.Trim(ofEvent, "`"), "event="))
+		if e == nil {
+			t.Fatalf("%s is not registered", ofEvent)
+		}
+		if !slices.Contains(e.Fields, strings.TrimSuffix(row.new, "=")) {
+			t.Errorf("%s has no field %s", ofEvent, row.new)
+		}
+		if slices.Contains(e.Fields, strings.TrimSuffix(row.old, "=")) {
+			t.Errorf("%s still has a field %s", ofEvent, row.old)
+		}
+	case row.kind == "counter" || row.kind == "counters that begin with":
+		if !literals[row.new] {
+			t.Errorf("nothing counts %s", row.new)
+		}
+		if literals[row.old] {
+			t.Errorf("something still counts %s", row.old)
+		}
+	default:
+		t.Errorf("unknown kind %q", row.kind)
+	}
+}
+
+// An alert of the release before looks for event=NAME, or for a field of that line. testdata/former_events.txt has all
+// events of that release with their fields; whoever follows the page's table finds the line that the program logs now.
+func TestFormerEventLinesFoundByRenameTable(t *testing.T) {
+	rows := readRenames(t)
+	found := map[string]bool{}
+	for _, former := range readLines(t, "former_events.txt") {
+		words := strings.Fields(former)
+		t.Run(words[0], func(t *testing.T) {
+			pattern := newName(rows, "event", "event="+words[0])
+			e := eventByName(strings.TrimPrefix(pattern, "event="))
+			if e == nil {
+				t.Fatalf("the page leads to %s, which is not registered", pattern)
+			}
+			found[e.Name] = true
+			var fields []string
+			for _, field := range words[1:] {
+				fields = append(fields, strings.TrimSuffix(newName(rows, "field of `"+pattern+"`", field+"="), "="))
+			}
+			if !slices.Equal(fields, e.Fields) {
+				t.Errorf("the page leads to the fields %v, the line has %v", fields, e.Fields)
+			}
+			if line := logged(e); !strings.Contains(line+" ", " "+pattern+" ") {
+				t.Errorf("%s is not in the line %q", pattern, line)
+			}
+		})
+	}
+	for _, e := range eventlog.Events() {
+		if e.FormerName != "" && !found[e.Name] {
+			t.Errorf("event=%s has the former name %s, which that release did not log", e.Name, e.FormerName)
+		}
+	}
+}
+
+// logged returns the text line of the event, without the line break.
+func logged(e *eventlog.Event) string {
+	var out bytes.Buffer
+	eventlog.SetOutput(&out, false)
+	defer eventlog.SetOutput(os.Stderr, false)
+	values := make([]any, len(e.Fields))
+	for i := range values {
+		values[i] = i
+	}
+	e.Log(values...)
+	return strings.TrimSuffix(out.String(), "\n")
+}
+
+// testdata/former_counters.txt has the names and prefixes under which the release before counted; each is still counted
+// under, or the page's table has the name that took its place.
+func TestFormerCountersFoundByRenameTable(t *testing.T) {
+	rows, literals := readRenames(t), sourceStrings(t)
+	former := readLines(t, "former_counters.txt")
+	for _, old := range former {
+		t.Run(old, func(t *testing.T) {
+			name := newName(rows, "counter", old)
+			if strings.HasSuffix(old, "_") {
+				name = newName(rows, "counters that begin with", old)
+			}
+			if !literals[name] {
+				t.Errorf("the page leads to %s, under which nothing is counted", name)
+			}
+		})
+	}
+	for _, r := range metrics.Renames() {
+		if !slices.Contains(former, r.Old) || r.IsPrefix != strings.HasSuffix(r.Old, "_") {
+			t.Errorf("%+v is no counter of that release, or a prefix that is not marked as one", r)
+		}
+	}
+}
--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -1,4 +1,8 @@
-// Package metrics counts what the program takes in, sends and answers.
+// Package metrics counts what the program receives, sends and answers.
+//
+// Counters are made at first use, by name; docs/oncall.md explains each. Totals are the few figures that the admin API
+// and the dashboard read all the time. The package does not export to any monitoring system: the counters are one line
+// of the log, on SIGUSR1 and at exit.
 package metrics
 
 import (
@@ -12,70 +16,57 @@
 	"linkpass/internal/eventlog"
 )
 
-// Counters is a group of named counters. Its methods may be called from anywhere.
+// Counters is a set of named counters. Its methods are safe for concurrent use.
 type Counters struct {
-	mu     sync.Mutex
+	mu     sync.Mutex // guards the map, not the values
 	counts map[string]*atomic.Int64
 }
 
-// NewCounters makes an empty set.
+// NewCounters returns an empty set.
 func NewCounters() *Counters { return &Counters{counts: map[string]*atomic.Int64{}} }
 
-// Add counts n under a name.
-func (s *Counters) Add(name string, n int64) { s.counter(name).Add(n) }
+// Add adds n to the counter.
+func (c *Counters) Add(name string, n int64) { c.counter(name).Add(n) }
 
-// Get is the count under a name.
-func (s *Counters) Get(name string) int64 { return s.counter(name).Load() }
+// Get returns the counter's value.
+func (c *Counters) Get(name string) int64 { return c.counter(name).Load() }
 
-func (s *Counters) counter(name string) *atomic.Int64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	c := s.counts[name]
-	if c == nil {
-		c = new(atomic.Int64)
-		s.counts[name] = c
+// counter returns the counter of that name, made where there is none yet.
+func (c *Counters) counter(name string) *atomic.Int64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	count := c.counts[name]
+	if count == nil {
+		count = new(atomic.Int64)
+		c.counts[name] = count
 	}
-	return c
+	return count
 }
 
-// String lists the counters as key=value, by name.
-func (s *Counters) String() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// each calls f with every counter, sorted by name.
+func (c *Counters) each(f func(name string, n int64)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, name := range slices.Sorted(maps.Keys(c.counts)) {
+		f(name, c.counts[name].Load())
+	}
+}
+
+// String lists the counters as name=value, sorted by name and separated by spaces.
+func (c *Counters) String() string {
 	var b strings.Builder
-	for i, name := range slices.Sorted(maps.Keys(s.counts)) {
-		if i > 0 {
+	c.each(func(name string, n int64) {
+		if b.Len() > 0 {
 			b.WriteByte(' ')
 		}
-		b.WriteString(name + "=" + strconv.FormatInt(s.counts[name].Load(), 10))
-	}
+		b.WriteString(name + "=" + strconv.FormatInt(n, 10))
+	})
 	return b.String()
 }
 
-// Log logs every counter in one line.
-func (s *Counters) Log(why string) {
-	values := []any{why}
-	s.mu.Lock()
-	for _, name := range slices.Sorted(maps.Keys(s.counts)) {
-		values = append(values, name, s.counts[name].Load())
-	}
-	s.mu.Unlock()
+// Log logs every counter in one line, with the reason for it.
+func (c *Counters) Log(reason string) {
+	values := []any{reason}
+	c.each(func(name string, n int64) { values = append(values, name, n) })
 	eventlog.Counters.Log(values...)
 }
-
-// Totals are what the operators read. Each is changed in one place: where the thing
-// that it counts happens.
-type Totals struct {
-	Classes                       []string
-	Served, Rejected, Failed      []atomic.Int64 // final answers, by class
-	Attempts                      atomic.Int64   // written whole to league servers
-	InFlight                      atomic.Int64   // queries taken and not yet ended
-	ServersKnown, ServersExcluded atomic.Int64   // servers listed, and those of them avoided now
-}
-
-// NewTotals makes figures for classes of these names, all 0.
-func NewTotals(classes []string) *Totals {
-	n := len(classes)
-	return &Totals{Classes: classes, Served: make([]atomic.Int64, n), Rejected: make([]atomic.Int64, n),
-		Failed: make([]atomic.Int64, n)}
-}
--- /dev/null
+++ b/internal/metrics/totals.go
@@ -0,0 +1,26 @@
+package metrics
+
+import "sync/atomic"
+
+// Totals are the figures that operators read most. Each is changed in one place: where that which it counts happens.
+type Totals struct {
+	Classes         []string
+	Served          []atomic.Int64 // final answers, by class
+	Rejected        []atomic.Int64 // by class
+	Failed          []atomic.Int64 // by class
+	Attempts        atomic.Int64   // attempts written completely to league servers
+	InFlight        atomic.Int64   // queries admitted and not yet ended
+	ServersKnown    atomic.Int64   // servers in the endpoint list
+	ServersExcluded atomic.Int64   // those of them that get no work now
+}
+
+// NewTotals returns totals for classes of these names, all 0.
+func NewTotals(classes []string) *Totals {
+	n := len(classes)
+	return &Totals{
+		Classes:  classes,
+		Served:   make([]atomic.Int64, n),
+		Rejected: make([]atomic.Int64, n),
+		Failed:   make([]atomic.Int64, n),
+	}
+}
