--- a/internal/eventlog/log_test.go
+++ b/internal/eventlog/log_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// written takes what is logged meanwhile.
-func written(asJSON bool, log func()) string {
+// capture returns what log writes.
+func capture(asJSON bool, log func()) string {
 	var out bytes.Buffer
 	SetOutput(&out, asJSON)
 	defer SetOutput(os.Stderr, false)
@@ -24,7 +24,7 @@
 // However many bad requests a second come, the log has one line a second for them.
 func TestRateLimitedBoundsLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		got := written(false, func() {
+		got := capture(false, func() {
 			var lines RateLimited
 			for range 1000 { // ten seconds
 				lines.Log(EndpointListInvalid, "x")
@@ -40,41 +40,52 @@
 // What comes from outside cannot forge a line, as text or as JSON.
 func TestLogEscapesLineBreaks(t *testing.T) {
 	err := errors.Join(errors.New("one"), errors.New("event=stopped"))
-	log := func() { EndpointListInvalid.Log(err); QueryRejected.Log("platform", 400, "a\r\nb \"c\"") }
-	text := written(false, log)
-	for _, want := range []string{`discovery: endpoint list invalid: event=endpoint_list_invalid err="one; event=stopped"`, "front=platform status=400"} {
+	log := func() {
+		EndpointListInvalid.Log(err)
+		QueryRejected.Log("platform", 400, "a\r\nb \"c\"")
+	}
+	text := capture(false, log)
+	for _, want := range []string{
+		`discovery: endpoint list invalid: event=endpoint_list_invalid err="one; event=stopped"`,
+		"front=platform status=400",
+	} {
 		if !strings.Contains(text, want) || strings.Count(text, "\n") != 2 {
 			t.Errorf("%q lacks %q", text, want)
 		}
 	}
-	for _, line := range strings.Split(strings.TrimSpace(written(true, log)), "\n") {
+	for _, line := range strings.Split(strings.TrimSpace(capture(true, log)), "\n") {
 		var v map[string]any
-		if err := json.Unmarshal([]byte(line), &v); err != nil || v["event"] == nil || v["@level"] != "warn" || v["@module"] == "" {
+		err := json.Unmarshal([]byte(line), &v)
+		if err != nil || v["event"] == nil || v["@level"] != "warn" || v["@module"] == "" {
 			t.Errorf("%s: %v", line, err)
 		}
 	}
 }
 
-// Levels hold by part, at once, and through a change of the output.
+// A component's level is in force at once, for that component alone, and stays when the output changes.
 func TestSetLevelPerComponent(t *testing.T) {
-	defer func() { _ = SetLevel("all", "info"); _ = SetLevel(raftComponent, "warn") }()
+	defer func() {
+		_ = SetLevel("all", "info")
+		_ = SetLevel(raftComponent, "warn")
+	}()
 	if SetLevel("peer", "loud") == nil || SetLevel("nobody", "warn") == nil {
-		t.Error("nonsense was taken")
+		t.Error("an unknown level or component was accepted")
 	}
 	if err := SetLevel("discovery", "error"); err != nil {
 		t.Fatal(err)
 	}
-	got := written(false, func() {
+	got := capture(false, func() {
 		EndpointListInvalid.Log("x")
 		Stopped.Log()
 		RaftLogger().Info("talk")
 		RaftLogger().Warn("lost")
 	})
-	if strings.Contains(got, "endpoint_list_invalid") || strings.Contains(got, "talk") || !strings.Contains(got, "event=stopped") ||
-		!strings.Contains(got, "lost: event=raft") || Levels()["discovery"] != "error" {
+	if strings.Contains(got, "endpoint_list_invalid") || strings.Contains(got, "talk") ||
+		!strings.Contains(got, "event=stopped") || !strings.Contains(got, "lost: event=raft") ||
+		Levels()["discovery"] != "error" {
 		t.Error(got)
 	}
-	if err := SetLevel("all", "off"); err != nil || written(false, func() { Failed.Log("x") }) != "" {
+	if err := SetLevel("all", "off"); err != nil || capture(false, func() { Failed.Log("x") }) != "" {
 		t.Error("off is not off", err)
 	}
 }
@@ -86,17 +97,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const from, to = "<!-- events -->\n", "<!-- end -->\n"
-	before, rest, ok := strings.Cut(string(page), from)
-	_, after, also := strings.Cut(rest, to)
-	if !ok || !also {
-		t.Fatal("the table has no place")
+	const begin, end = "<!-- events -->\n", "<!-- end -->\n"
+	before, rest, begins := strings.Cut(string(page), begin)
+	_, after, ends := strings.Cut(rest, end)
+	if !begins || !ends {
+		t.Fatal("docs/oncall.md has no lines that mark the table of events")
 	}
-	want := before + from + MarkdownTable() + to + after
+	want := before + begin + MarkdownTable() + end + after
 	if os.Getenv("UPDATE_DOCS") != "" {
 		err = os.WriteFile(path, []byte(want), 0o644)
 	}
 	if err != nil || want != string(page) && os.Getenv("UPDATE_DOCS") == "" {
-		t.Errorf("docs/oncall.md is not what the registry says (UPDATE_DOCS=1 go test ./internal/eventlog writes it): %v", err)
+		t.Errorf("docs/oncall.md is not what the registry says "+
+			"(UPDATE_DOCS=1 go test ./internal/eventlog writes it): %v", err)
 	}
 }
