--- /dev/null
+++ b/internal/eventlog/log_test.go
@@ -0,0 +1,114 @@
+package eventlog
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// capture returns what log writes.
+func capture(asJSON bool, log func()) string {
+	var out bytes.Buffer
+	SetOutput(&out, asJSON)
+	defer SetOutput(os.Stderr, false)
+	log()
+	return out.String()
+}
+
+// However many bad requests a second come, the log has one line a second for them.
+func TestRateLimitedBoundsLines(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		got := capture(false, func() {
+			var lines RateLimited
+			for range 1000 { // ten seconds
+				lines.Log(EndpointListInvalid, "x")
+				time.Sleep(10 * time.Millisecond)
+			}
+		})
+		if n := strings.Count(got, "event=endpoint_list_invalid"); n <= burst || n > burst+10 {
+			t.Errorf("%d lines", n)
+		}
+	})
+}
+
+// What comes from outside cannot forge a line, as text or as JSON.
+func TestLogEscapesLineBreaks(t *testing.T) {
+	err := errors.Join(errors.New("one"), errors.New("event=stopped"))
+	log := func() {
+		EndpointListInvalid.Log(err)
+		QueryRejected.Log("platform", 400, "a\r\nb \"c\"")
+	}
+	text := capture(false, log)
+	for _, want := range []string{
+		`discovery: endpoint list invalid: event=endpoint_list_invalid err="one; event=stopped"`,
+		"front=platform status=400",
+	} {
+		if !strings.Contains(text, want) || strings.Count(text, "\n") != 2 {
+			t.Errorf("%q lacks %q", text, want)
+		}
+	}
+	for _, line := range strings.Split(strings.TrimSpace(capture(true, log)), "\n") {
+		var v map[string]any
+		err := json.Unmarshal([]byte(line), &v)
+		if err != nil || v["event"] == nil || v["@level"] != "warn" || v["@module"] == "" {
+			t.Errorf("%s: %v", line, err)
+		}
+	}
+}
+
+// A component's level is in force at once, for that component alone, and stays when the output changes.
+func TestSetLevelPerComponent(t *testing.T) {
+	defer func() {
+		_ = SetLevel("all", "info")
+		_ = SetLevel(raftComponent, "warn")
+	}()
+	if SetLevel("peer", "loud") == nil || SetLevel("nobody", "warn") == nil {
+		t.Error("an unknown level or component was accepted")
+	}
+	if err := SetLevel("discovery", "error"); err != nil {
+		t.Fatal(err)
+	}
+	got := capture(false, func() {
+		EndpointListInvalid.Log("x")
+		Stopped.Log()
+		RaftLogger().Info("talk")
+		RaftLogger().Warn("lost")
+	})
+	if strings.Contains(got, "endpoint_list_invalid") || strings.Contains(got, "talk") ||
+		!strings.Contains(got, "event=stopped") || !strings.Contains(got, "lost: event=raft") ||
+		Levels()["discovery"] != "error" {
+		t.Error(got)
+	}
+	if err := SetLevel("all", "off"); err != nil || capture(false, func() { Failed.Log("x") }) != "" {
+		t.Error("off is not off", err)
+	}
+}
+
+// docs/oncall.md has the table that the registry makes; UPDATE_DOCS=1 writes it.
+func TestOncallEventTableMatchesRegistry(t *testing.T) {
+	path := filepath.Join("..", "..", "docs", "oncall.md")
+	page, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	const begin, end = "<!-- events -->\n", "<!-- end -->\n"
+	before, rest, begins := strings.Cut(string(page), begin)
+	_, after, ends := strings.Cut(rest, end)
+	if !begins || !ends {
+		t.Fatal("docs/oncall.md has no lines that mark the table of events")
+	}
+	want := before + begin + MarkdownTable() + end + after
+	if os.Getenv("UPDATE_DOCS") != "" {
+		err = os.WriteFile(path, []byte(want), 0o644)
+	}
+	if err != nil || want != string(page) && os.Getenv("UPDATE_DOCS") == "" {
+		t.Errorf("docs/oncall.md is not what the registry says "+
+			"(UPDATE_DOCS=1 go test ./internal/eventlog writes it): %v", err)
+	}
+}
