--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -32,7 +32,7 @@
 	Address string // for TCP; "": the socket
 	KeyID   string
 	Key     []byte
-	Limit   time.Duration    // of one call, its retries included
+	Timeout time.Duration    // of one call, its retries included
 	Now     func() time.Time // nil: time.Now
 }
 
@@ -69,7 +69,7 @@
 // Raw makes one call and returns the response's body. Until the client's limit it retries a call that was certainly not
 // processed, and an idempotent one whose connection was reset.
 func (c *Client) Raw(method, path string, body []byte) ([]byte, error) {
-	deadline := time.Now().Add(c.Limit)
+	deadline := time.Now().Add(c.Timeout)
 	for {
 		data, err := c.attempt(method, path, body)
 		if !retryable(method, err) || time.Now().Add(retryPause).After(deadline) {
@@ -97,12 +97,12 @@
 		return nil, err
 	}
 	network, addr := c.endpoint()
-	nc, err := net.DialTimeout(network, addr, c.Limit)
+	nc, err := net.DialTimeout(network, addr, c.Timeout)
 	if err != nil {
 		return nil, fmt.Errorf("%w at %s: %w", ErrUnreachable, addr, err)
 	}
 	defer nc.Close()
-	if err := nc.SetDeadline(time.Now().Add(c.Limit)); err != nil {
+	if err := nc.SetDeadline(time.Now().Add(c.Timeout)); err != nil {
 		return nil, fmt.Errorf("%s: set deadline: %w", addr, err)
 	}
 	if err := http1.WriteRequest(nc, method, target, "linkpass", header, body); err != nil {
@@ -110,7 +110,7 @@
 	}
 	res, err := http1.NewReader(nc, maxResponse).Response()
 	if err != nil {
-		return nil, fmt.Errorf("%w at %s within %s: %w", ErrUnreachable, addr, c.Limit, err)
+		return nil, fmt.Errorf("%w at %s within %s: %w", ErrUnreachable, addr, c.Timeout, err)
 	}
 	if res.Status/100 != 2 {
 		return nil, newResponseError(res)
--- a/internal/adminapi/response.go
+++ b/internal/adminapi/response.go
@@ -42,14 +42,14 @@
 
 // storeErrorResponse returns the response for an error of the replicated store.
 func storeErrorResponse(err error) *http1.Response {
-	var notLeader *store.NotLeader
+	var notLeader *store.NotLeaderError
 	if errors.As(err, &notLeader) {
 		return errorResponse(421, fmt.Errorf("%w; ask there", err))
 	}
 	return errorResponse(storeErrorStatus(err), err)
 }
 
-// storeErrorStatus returns the status for an error of the store other than store.NotLeader.
+// storeErrorStatus returns the status for an error of the store other than store.NotLeaderError.
 func storeErrorStatus(err error) int {
 	var rejected *endpoints.RejectedError
 	switch {
--- a/internal/adminapi/signature/key_ring.go
+++ b/internal/adminapi/signature/key_ring.go
@@ -22,11 +22,11 @@
 // ErrInvalidRing says that a ring has too few or too many keys, or an invalid one.
 var ErrInvalidRing = errors.New("invalid key ring")
 
-// Ring is keys by their ids.
-type Ring map[string][]byte
+// KeyRing is keys by their ids.
+type KeyRing map[string][]byte
 
-// Check returns an error that wraps ErrInvalidRing if the ring cannot be used.
-func (r Ring) Check() error {
+// Validate returns an error that wraps ErrInvalidRing if the ring cannot be used.
+func (r KeyRing) Validate() error {
 	if len(r) == 0 || len(r) > MaxKeys {
 		return fmt.Errorf("%w: %d keys: from 1 to %d are needed", ErrInvalidRing, len(r), MaxKeys)
 	}
--- a/internal/adminapi/signature/verifier.go
+++ b/internal/adminapi/signature/verifier.go
@@ -15,16 +15,16 @@
 
 // Why a call is rejected.
 var (
-	ErrUnsigned     = errors.New("the call is not signed")
-	ErrForged       = errors.New("the signature is none of a key known here") // or of a call that was changed
-	ErrClockSkew    = errors.New("the call's time is off")
-	ErrReplayed     = errors.New("the call was made before")
-	ErrTooManyCalls = errors.New("too many signed calls at a time")
+	ErrUnsigned         = errors.New("the call is not signed")
+	ErrInvalidSignature = errors.New("the signature is none of a key known here") // or of a call that was changed
+	ErrClockSkew        = errors.New("the call's time is off")
+	ErrReplayed         = errors.New("the call was made before")
+	ErrTooManyCalls     = errors.New("too many signed calls at a time")
 )
 
 // Verifier verifies signatures. One goroutine at a time uses it.
 type Verifier struct {
-	keys   Ring
+	keys   KeyRing
 	window time.Duration
 	start  time.Time
 	nonces map[string]time.Time // by key id and nonce, when the call's time will have left the window
@@ -32,21 +32,21 @@
 
 // NewVerifier returns a verifier that accepts calls whose time differs from its own by window at most. It accepts none
 // from before start, as it does not know which nonces were seen then.
-func NewVerifier(keys Ring, window time.Duration, start time.Time) *Verifier {
+func NewVerifier(keys KeyRing, window time.Duration, start time.Time) *Verifier {
 	return &Verifier{keys: keys, window: window, start: start, nonces: map[string]time.Time{}}
 }
 
-// Keys replaces the keys; calls signed with a key that is not among them are rejected from now on.
-func (v *Verifier) Keys(keys Ring) { v.keys = keys }
+// SetKeys replaces the keys; calls signed with a key that is not among them are rejected from now on.
+func (v *Verifier) SetKeys(keys KeyRing) { v.keys = keys }
 
-// Check verifies a call, which it accepts once, and returns the id of the key that signed it.
-func (v *Verifier) Check(now time.Time, header string, c Call) (keyID string, err error) {
+// Verify verifies a call, which it accepts once, and returns the id of the key that signed it.
+func (v *Verifier) Verify(now time.Time, header string, c Call) (keyID string, err error) {
 	fields, ok := parseHeader(header)
 	if !ok {
 		return "", ErrUnsigned
 	}
 	if !v.authentic(fields, c) {
-		return "", ErrForged
+		return "", ErrInvalidSignature
 	}
 	ms, err := strconv.ParseInt(fields.ms, 10, 64)
 	if err != nil {
--- a/internal/adminapi/signature/verifier_test.go
+++ b/internal/adminapi/signature/verifier_test.go
@@ -18,7 +18,7 @@
 func TestVerifierAcceptsSignedCallsOnce(t *testing.T) {
 	const window = 30 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
-		ring := Ring{"a": []byte("aaaaaaaaaaaaaaaa"), "b": []byte("bbbbbbbbbbbbbbbb")}
+		ring := KeyRing{"a": []byte("aaaaaaaaaaaaaaaa"), "b": []byte("bbbbbbbbbbbbbbbb")}
 		v := NewVerifier(ring, window, verifierStart)
 		now := verifierStart.Add(time.Minute)
 		type signedCall struct {
@@ -48,7 +48,7 @@
 				s := rapid.SampledFrom(all).Draw(t, "call")
 				_, known := v.keys[s.key]
 				want := known && s.at.Sub(now).Abs() <= window && !accepted[s.header]
-				id, err := v.Check(now, s.header, s.call)
+				id, err := v.Verify(now, s.header, s.call)
 				if (err == nil) != want || want && id != s.key {
 					t.Fatalf("%s: %v, want accepted: %v", s.header, err, want)
 				}
@@ -70,19 +70,19 @@
 					i := rapid.IntRange(0, len(s.header)-1).Draw(t, "at")
 					s.header = s.header[:i] + "~" + s.header[i+1:]
 				}
-				if id, err := v.Check(now, s.header, s.call); err == nil {
+				if id, err := v.Verify(now, s.header, s.call); err == nil {
 					t.Fatalf("a changed call was accepted from %s: %q", id, s.header)
 				}
 			},
 			"wait": func(t *rapid.T) { now = now.Add(time.Duration(rapid.IntRange(1, 40).Draw(t, "s")) * time.Second) },
 			"keys": func(t *rapid.T) {
-				next := Ring{}
+				next := KeyRing{}
 				for id, key := range ring {
 					if rapid.Bool().Draw(t, id) {
 						next[id] = key
 					}
 				}
-				v.Keys(next)
+				v.SetKeys(next)
 			},
 		})
 	})
@@ -92,7 +92,7 @@
 // the maximum of nonces kept no call is accepted, until the old nonces expire.
 func TestVerifierRejectsClockSkewAndFullNonceCache(t *testing.T) {
 	key := []byte("0123456789abcdef")
-	v := NewVerifier(Ring{"k": key}, 30*time.Second, verifierStart)
+	v := NewVerifier(KeyRing{"k": key}, 30*time.Second, verifierStart)
 	c := Call{"GET", "/v1/status", nil}
 	now := verifierStart.Add(10 * time.Second)
 	for off, want := range map[time.Duration]error{
@@ -102,37 +102,37 @@
 		-11 * time.Second: ErrClockSkew,
 		-10 * time.Second: nil,
 	} {
-		if _, err := v.Check(now, Sign("k", key, c, now.Add(off), off.String()), c); !errors.Is(err, want) {
+		if _, err := v.Verify(now, Sign("k", key, c, now.Add(off), off.String()), c); !errors.Is(err, want) {
 			t.Errorf("off by %s: %v", off, err)
 		}
 	}
 	var err error
 	n := 0
 	for ; err == nil && n < 2*MaxNonces; n++ {
-		_, err = v.Check(now, Sign("k", key, c, now, fmt.Sprint(n)), c)
+		_, err = v.Verify(now, Sign("k", key, c, now, fmt.Sprint(n)), c)
 	}
 	if !errors.Is(err, ErrTooManyCalls) || len(v.nonces) > MaxNonces {
 		t.Errorf("%d calls: %v", n, err)
 	}
 	now = now.Add(2 * time.Minute)
-	if _, err := v.Check(now, Sign("k", key, c, now, "later"), c); err != nil {
+	if _, err := v.Verify(now, Sign("k", key, c, now, "later"), c); err != nil {
 		t.Error(err)
 	}
 }
 
 func TestRingCheckRejectsInvalidRings(t *testing.T) {
-	for _, r := range []Ring{
+	for _, r := range []KeyRing{
 		nil,
 		{"a b": make([]byte, 32)},
 		{"a": make([]byte, 15)},
 		{"a": make([]byte, 65)},
 		{"": make([]byte, 32)},
 	} {
-		if r.Check() == nil {
+		if r.Validate() == nil {
 			t.Errorf("%v was accepted", r)
 		}
 	}
-	if err := (Ring{"a": make([]byte, 32)}).Check(); err != nil {
+	if err := (KeyRing{"a": make([]byte, 32)}).Validate(); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/adminapi/signature/wire_golden_test.go
+++ b/internal/adminapi/signature/wire_golden_test.go
@@ -41,12 +41,12 @@
 	for _, c := range goldenCalls {
 		t.Run(c.file, func(t *testing.T) {
 			header := string(goldentest.Read(t, c.file))
-			v := NewVerifier(Ring{goldenKeyID: goldenKey}, time.Minute, goldenTime)
-			id, err := v.Check(goldenTime.Add(time.Second), header, c.call)
+			v := NewVerifier(KeyRing{goldenKeyID: goldenKey}, time.Minute, goldenTime)
+			id, err := v.Verify(goldenTime.Add(time.Second), header, c.call)
 			if err != nil || id != goldenKeyID {
 				t.Fatalf("id %q, error %v", id, err)
 			}
-			if _, err := v.Check(goldenTime.Add(time.Second), header, c.call); !errors.Is(err, ErrReplayed) {
+			if _, err := v.Verify(goldenTime.Add(time.Second), header, c.call); !errors.Is(err, ErrReplayed) {
 				t.Errorf("second use: %v", err)
 			}
 		})
@@ -63,19 +63,19 @@
 		call   Call
 		want   error
 	}{
-		{"other method", header, Call{"POST", call.Target, call.Body}, ErrForged},
-		{"other target", header, Call{call.Method, call.Target + "?", call.Body}, ErrForged},
-		{"other body", header, Call{call.Method, call.Target, append([]byte(" "), call.Body...)}, ErrForged},
-		{"other time", strings.Replace(header, "123,", "124,", 1), call, ErrForged},
-		{"other nonce", strings.Replace(header, "once=00", "once=01", 1), call, ErrForged},
-		{"other key id", strings.Replace(header, "id=ops-1", "id=ops-2", 1), call, ErrForged},
+		{"other method", header, Call{"POST", call.Target, call.Body}, ErrInvalidSignature},
+		{"other target", header, Call{call.Method, call.Target + "?", call.Body}, ErrInvalidSignature},
+		{"other body", header, Call{call.Method, call.Target, append([]byte(" "), call.Body...)}, ErrInvalidSignature},
+		{"other time", strings.Replace(header, "123,", "124,", 1), call, ErrInvalidSignature},
+		{"other nonce", strings.Replace(header, "once=00", "once=01", 1), call, ErrInvalidSignature},
+		{"other key id", strings.Replace(header, "id=ops-1", "id=ops-2", 1), call, ErrInvalidSignature},
 		{"other scheme", strings.Replace(header, "linkpass-v1", "linkpass-v2", 1), call, ErrUnsigned},
 		{"no nonce", strings.Replace(header, ",once="+goldenNonce, "", 1), call, ErrUnsigned},
 		{"renamed field", strings.Replace(header, "once=", "nonce=", 1), call, ErrUnsigned},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			v := NewVerifier(Ring{goldenKeyID: goldenKey}, time.Minute, goldenTime)
-			if _, err := v.Check(goldenTime, c.header, c.call); !errors.Is(err, c.want) {
+			v := NewVerifier(KeyRing{goldenKeyID: goldenKey}, time.Minute, goldenTime)
+			if _, err := v.Verify(goldenTime, c.header, c.call); !errors.Is(err, c.want) {
 				t.Errorf("got %v, want %v", err, c.want)
 			}
 		})
--- a/internal/adminapi/signed_handler.go
+++ b/internal/adminapi/signed_handler.go
@@ -14,7 +14,7 @@
 // SignedHandler serves the API to calls with a valid signature only.
 type SignedHandler struct {
 	Handler  http1.Handler
-	Check    func(header string, c signature.Call) error
+	Verify   func(header string, c signature.Call) error
 	Counters *metrics.Counters
 
 	rejections eventlog.RateLimited
@@ -27,7 +27,7 @@
 		target += "?" + req.Query
 	}
 	call := signature.Call{Method: req.Method, Target: target, Body: req.Body}
-	err := s.Check(req.Header.Get("Authorization"), call)
+	err := s.Verify(req.Header.Get("Authorization"), call)
 	if err == nil {
 		return s.Handler.Serve(ctx, began, req)
 	}
--- a/internal/adminapi/wire_golden_test.go
+++ b/internal/adminapi/wire_golden_test.go
@@ -188,7 +188,7 @@
 		err    error
 		status int
 	}{
-		{"not the leader", &store.NotLeader{Leader: store.Member{ID: "b", HTTP: "127.0.0.1:9200"}}, 421},
+		{"not the leader", &store.NotLeaderError{Leader: store.Member{ID: "b", HTTP: "127.0.0.1:9200"}}, 421},
 		{"refused by the log", &endpoints.RejectedError{Result: config.Result{Reason: config.ServerNotFound}}, 409},
 		{"no store", ErrNoStore, 409}, {"member", store.ErrUnknownMember, 409}, {"majority", store.ErrQuorumAtRisk, 409}, {"behind", store.ErrLearnerBehind, 409},
 		{"too large", store.ErrTooLarge, 413}, {"busy", store.ErrBusy, 429}, {"no quorum", store.ErrNoQuorum, 503}, {"no leader", store.ErrNoLeader, 503},
@@ -320,7 +320,7 @@
 			_ = http1.WriteResponse(nc, response)
 		}
 	}()
-	err = call(&Client{Socket: socket, Limit: 10 * time.Second})
+	err = call(&Client{Socket: socket, Timeout: 10 * time.Second})
 	return <-done, err
 }
 
@@ -398,9 +398,9 @@
 	if err != nil || len(header) != 1 {
 		t.Fatalf("%v, %v", header, err)
 	}
-	v := signature.NewVerifier(signature.Ring{"ops-1": key}, time.Minute, at)
+	v := signature.NewVerifier(signature.KeyRing{"ops-1": key}, time.Minute, at)
 	signed := &SignedHandler{Handler: Handler{&fixedCoordinator{store: &store.Store{}}}, Counters: metrics.NewCounters(),
-		Check: func(header string, c signature.Call) error { _, err := v.Check(at, header, c); return err }}
+		Verify: func(header string, c signature.Call) error { _, err := v.Verify(at, header, c); return err }}
 	req := &http1.Request{Method: "PUT", Path: "/v1/store/document", Query: "check=true", Header: header, Body: []byte("body")}
 	if res := signed.Serve(context.Background(), 0, req); res.Status != 400 { // admitted: the body is no backup
 		t.Errorf("status %d %s", res.Status, res.Body)
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -45,7 +45,7 @@
 			note("environment", err)
 		}
 	}
-	search, err := daemon.LoadSearch(c.OpenSearch)
+	search, err := daemon.LoadSearchConfig(c.OpenSearch)
 	if err != nil {
 		note(c.OpenSearch, err)
 	}
@@ -108,7 +108,7 @@
 	if _, err := rand.Read(key); err != nil {
 		return fmt.Errorf("a fresh key: %w", err)
 	}
-	if err := (signature.Ring{c.ID: key}).Check(); err != nil {
+	if err := (signature.KeyRing{c.ID: key}).Validate(); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintf(e.out, "%q = %q\n", c.ID, hex.EncodeToString(key))
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -111,7 +111,7 @@
 
 // client is who asks the coordinator that the command line names.
 func (c *commands) client() (*adminapi.Client, error) {
-	client := &adminapi.Client{Socket: c.Socket, Address: c.Address, Limit: c.Timeout}
+	client := &adminapi.Client{Socket: c.Socket, Address: c.Address, Timeout: c.Timeout}
 	if c.Address == "" {
 		return client, nil
 	}
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -103,7 +103,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	clients := []*adminapi.Client{{Socket: d.Socket, Limit: 5 * time.Second}, {Address: d.Operator, KeyID: "demo", Key: ring["demo"], Limit: 5 * time.Second}}
+	clients := []*adminapi.Client{{Socket: d.Socket, Timeout: 5 * time.Second}, {Address: d.Operator, KeyID: "demo", Key: ring["demo"], Timeout: 5 * time.Second}}
 	var wg sync.WaitGroup
 	for i, c := range clients {
 		wg.Go(func() {
@@ -138,7 +138,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &adminapi.Client{Address: d.Operator, KeyID: "demo", Key: ring["demo"], Limit: 5 * time.Second}
+	c := &adminapi.Client{Address: d.Operator, KeyID: "demo", Key: ring["demo"], Timeout: 5 * time.Second}
 	for _, off := range []time.Duration{time.Minute, -time.Minute} {
 		c.Now = func() time.Time { return time.Now().Add(off) }
 		var no *adminapi.ResponseError
--- a/internal/cli/store.go
+++ b/internal/cli/store.go
@@ -111,7 +111,7 @@
 
 // Run works on the files of an instance that is stopped; no coordinator is asked.
 func (c storeRecover) Run(e *env) error {
-	search, err := daemon.LoadSearch(c.OpenSearch)
+	search, err := daemon.LoadSearchConfig(c.OpenSearch)
 	if err != nil {
 		return err
 	}
--- a/internal/daemon/admin_api.go
+++ b/internal/daemon/admin_api.go
@@ -94,7 +94,7 @@
 		return err
 	}
 	a.tcpAddr.Store(ln.Addr().String())
-	a.add(ln, &adminapi.SignedHandler{Handler: handler, Check: a.keys.check, Counters: a.counters}, maxUnsignedBody)
+	a.add(ln, &adminapi.SignedHandler{Handler: handler, Verify: a.keys.check, Counters: a.counters}, maxUnsignedBody)
 	return nil
 }
 
--- a/internal/daemon/admin_api_test.go
+++ b/internal/daemon/admin_api_test.go
@@ -53,7 +53,7 @@
 		defer nc.Close()
 		_, _ = io.WriteString(nc, "GET /v1/rea") // fails on those that were evicted already
 	}
-	if s, err := (&adminapi.Client{Socket: socket, Limit: 10 * time.Second}).Status(); err != nil || s.State != "serving" {
+	if s, err := (&adminapi.Client{Socket: socket, Timeout: 10 * time.Second}).Status(); err != nil || s.State != "serving" {
 		t.Errorf("%+v %v", s, err)
 	}
 	// A caller that has begun keeps its connection for a second; then it is evicted.
--- a/internal/daemon/admin_changes.go
+++ b/internal/daemon/admin_changes.go
@@ -86,7 +86,7 @@
 		return adminapi.ServerResponse{}, err
 	}
 	result, err := st.Propose(command)
-	var notLeader *store.NotLeader
+	var notLeader *store.NotLeaderError
 	if err == nil && result.Reason != config.Applied {
 		err = &endpoints.RejectedError{Result: result}
 	} else if errors.As(err, &notLeader) {
--- a/internal/daemon/config_test.go
+++ b/internal/daemon/config_test.go
@@ -36,14 +36,14 @@
 	}
 	for text, ok := range map[string]bool{"listen = ''": true, "listen = ": false, "listen = 5": false, "unheard = 1": false,
 		"[store]\nid = 'a'": false, "[indices.players]\nclass = 'c'": false, "[servers.s-1]\nprotocol = 'telnet'": false} {
-		if _, err := LoadSearch(write("search.toml", text)); (err == nil) != ok {
+		if _, err := LoadSearchConfig(write("search.toml", text)); (err == nil) != ok {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
-	if _, err := LoadSearch(filepath.Join(dir, "none")); !errors.Is(err, os.ErrNotExist) {
+	if _, err := LoadSearchConfig(filepath.Join(dir, "none")); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("a file that is named and missing: %v", err)
 	}
-	if c, err := LoadSearch("../../" + DefaultSearchFile); err != nil || c.Listen != "" {
+	if c, err := LoadSearchConfig("../../" + DefaultSearchFile); err != nil || c.Listen != "" {
 		t.Errorf("the file in the repository: %+v %v", c, err)
 	}
 }
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -150,7 +150,7 @@
 
 func TestOperatorsFileGolden(t *testing.T) {
 	path := filepath.Join("testdata", "operators.toml")
-	got, err := LoadSearch(path)
+	got, err := LoadSearchConfig(path)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/keyring.go
+++ b/internal/daemon/keyring.go
@@ -19,16 +19,16 @@
 }
 
 // set replaces the keys by those of a reload.
-func (k *keyring) set(ring signature.Ring) {
+func (k *keyring) set(ring signature.KeyRing) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.verifier != nil {
-		k.verifier.Keys(ring)
+		k.verifier.SetKeys(ring)
 	}
 }
 
 // open admits calls that ring signs from now on.
-func (k *keyring) open(ring signature.Ring, window time.Duration) {
+func (k *keyring) open(ring signature.KeyRing, window time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.verifier = signature.NewVerifier(ring, window, time.Now())
@@ -39,9 +39,9 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.verifier == nil {
-		return signature.ErrForged
+		return signature.ErrInvalidSignature
 	}
-	_, err := k.verifier.Check(time.Now(), header, c)
+	_, err := k.verifier.Verify(time.Now(), header, c)
 	return err
 }
 
@@ -49,7 +49,7 @@
 
 // ReadKeys reads a file of keys: TOML, an id and a key in hexadecimal on each line. A file that others may read is
 // rejected.
-func ReadKeys(path string) (signature.Ring, error) {
+func ReadKeys(path string) (signature.KeyRing, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
@@ -64,13 +64,13 @@
 	if _, err := toml.DecodeFile(path, &texts); err != nil {
 		return nil, fmt.Errorf("keys %s: %w", path, err)
 	}
-	ring := signature.Ring{}
+	ring := signature.KeyRing{}
 	for id, text := range texts {
 		if ring[id], err = hex.DecodeString(text); err != nil {
 			return nil, fmt.Errorf("keys %s: key %.80q is not in hexadecimal", path, id)
 		}
 	}
-	if err := ring.Check(); err != nil {
+	if err := ring.Validate(); err != nil {
 		return nil, fmt.Errorf("keys %s: %w", path, err)
 	}
 	return ring, nil
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -36,7 +36,7 @@
 	signals := NotifySignals()
 	cfg, err := Load(os.Getenv)
 	if err == nil {
-		cfg.Search, err = LoadSearch(file)
+		cfg.Search, err = LoadSearchConfig(file)
 	}
 	if err == nil {
 		cfg.Search.Log.Apply(os.Stderr)
--- a/internal/daemon/reloader.go
+++ b/internal/daemon/reloader.go
@@ -87,7 +87,7 @@
 }
 
 // read reads all files and validates them.
-func (r *reloader) read() (next Config, ring signature.Ring, err error) {
+func (r *reloader) read() (next Config, ring signature.KeyRing, err error) {
 	env := r.cfg.env
 	if env == nil {
 		env = os.Getenv
@@ -100,7 +100,7 @@
 	r.mu.Unlock()
 	next.Search = running
 	if running.path != "" {
-		if next.Search, err = LoadSearch(running.path); err != nil {
+		if next.Search, err = LoadSearchConfig(running.path); err != nil {
 			return next, nil, err
 		}
 	}
--- a/internal/daemon/search_config.go
+++ b/internal/daemon/search_config.go
@@ -36,9 +36,9 @@
 // DefaultSearchFile is the operators' file where none is named.
 const DefaultSearchFile = "deploy/opensearch.toml"
 
-// LoadSearch reads the operators' file and reports all that is wrong with it at once, each with its
+// LoadSearchConfig reads the operators' file and reports all that is wrong with it at once, each with its
 // line and key. Without the default file everything is off.
-func LoadSearch(path string) (SearchConfig, error) {
+func LoadSearchConfig(path string) (SearchConfig, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) && path == DefaultSearchFile {
 		return SearchConfig{path: path}, nil
--- a/internal/daemon/wire_golden_test.go
+++ b/internal/daemon/wire_golden_test.go
@@ -223,7 +223,7 @@
 
 // The golden file sets every key of the operators' file, each to a value that is not its default, and each reaches its field.
 func TestOperatorsFileFieldsGolden(t *testing.T) {
-	c, err := LoadSearch(filepath.Join("testdata", "wire", "all_settings.toml"))
+	c, err := LoadSearchConfig(filepath.Join("testdata", "wire", "all_settings.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -283,7 +283,7 @@
 
 // The keys as `linkpass config show` and GET /v1/config give them, of the golden file: their names, values and sources.
 func TestSettingsShownGolden(t *testing.T) {
-	c, err := LoadSearch(filepath.Join("testdata", "wire", "all_settings.toml"))
+	c, err := LoadSearchConfig(filepath.Join("testdata", "wire", "all_settings.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
-	go func() { _ = page.Serve(ctx, ln, &adminapi.Client{Socket: d.Socket, Limit: time.Second}) }()
+	go func() { _ = page.Serve(ctx, ln, &adminapi.Client{Socket: d.Socket, Timeout: time.Second}) }()
 	fmt.Printf(`six stand-in servers, discovery and a coordinator, ready after %d ms. Try, in another terminal:
 
   a browser at http://%[6]s/
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -210,7 +210,7 @@
 	byLeader := func(verb, server string) {
 		t.Helper()
 		for i := 0; ; i++ {
-			var other *store.NotLeader
+			var other *store.NotLeaderError
 			if err := order(w.nodes[i%3], verb, server, false); err == nil {
 				return
 			} else if !errors.As(err, &other) && !errors.Is(err, store.ErrNoLeader) || t.Context().Err() != nil {
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -198,7 +198,7 @@
 		return ""
 	})
 	if err == nil {
-		cfg.Search, err = daemon.LoadSearch(filepath.Join(w.dir, fmt.Sprintf("n%d-search.toml", i)))
+		cfg.Search, err = daemon.LoadSearchConfig(filepath.Join(w.dir, fmt.Sprintf("n%d-search.toml", i)))
 	}
 	if err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
--- a/internal/opensearch/opensearch_test.go
+++ b/internal/opensearch/opensearch_test.go
@@ -285,7 +285,7 @@
 		err    error
 		status int
 	}{
-		{&store.NotLeader{Leader: store.Member{ID: "b", HTTP: "127.0.0.1:9201"}}, 307},
+		{&store.NotLeaderError{Leader: store.Member{ID: "b", HTTP: "127.0.0.1:9201"}}, 307},
 		{store.ErrNoLeader, 503}, {store.ErrNoQuorum, 503}, {searchconfig.ErrInvalid, 400}, {errors.New("odd"), 503},
 	} {
 		r.err = c.err
--- a/internal/opensearch/settings.go
+++ b/internal/opensearch/settings.go
@@ -74,7 +74,7 @@
 
 // storeError words why the store could not answer. A follower names the leader.
 func storeError(err error, path string) *http1.Response {
-	var other *store.NotLeader
+	var other *store.NotLeaderError
 	c := &cause{Type: "cluster_manager_not_discovered_exception", Reason: err.Error(), Status: 503}
 	switch {
 	case errors.As(err, &other):
--- a/internal/opensearch/wire_golden_test.go
+++ b/internal/opensearch/wire_golden_test.go
@@ -259,7 +259,7 @@
 		{"store_settings_transient.http", "PUT", "/_cluster/settings", `{"transient":{"a":1}}`, nil},
 		{"store_settings_method.http", "POST", "/_cluster/settings", "", nil},
 		{"store_settings_follower.http", "PUT", "/_cluster/settings", `{"persistent":{"a":1}}`,
-			&store.NotLeader{Leader: store.Member{ID: "b", Raft: "127.0.0.1:9301", HTTP: "127.0.0.1:9201"}}},
+			&store.NotLeaderError{Leader: store.Member{ID: "b", Raft: "127.0.0.1:9301", HTTP: "127.0.0.1:9201"}}},
 	} {
 		t.Run(c.file, func(t *testing.T) {
 			r := &replicated{err: c.err}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -187,7 +187,7 @@
 	if name == "" || len(f.Tenants) == 0 {
 		return 0, nil
 	}
-	i := slices.Index(f.Tenants, settings.Name(name))
+	i := slices.Index(f.Tenants, settings.EncodeName(name))
 	if i < 0 {
 		return 0, fmt.Errorf("unknown tenant %.40q", name)
 	}
--- a/internal/settings/flatten.go
+++ b/internal/settings/flatten.go
@@ -54,14 +54,14 @@
 	case nil:
 		return ""
 	case string:
-		return Name(v)
+		return EncodeName(v)
 	case float64:
 		return strconv.FormatFloat(v, 'g', -1, 64)
 	}
 	return fmt.Sprint(v)
 }
 
-// Name returns a name as the simulator's lines have it, where a space separates fields and a comma the items of a list.
-func Name(s string) string { return nameReplacer.Replace(s) }
+// EncodeName returns a name as the simulator's lines have it, where a space separates fields and a comma the items of a list.
+func EncodeName(s string) string { return nameReplacer.Replace(s) }
 
 var nameReplacer = strings.NewReplacer(" ", "_", ",", "_")
--- a/internal/settings/module.go
+++ b/internal/settings/module.go
@@ -95,8 +95,8 @@
 	var out []linkpass.Class
 	for i := range n {
 		out = append(out, linkpass.Class{
-			Aim:        Duration(r.required(item(list, i, "aim"))),
-			Deadline:   Duration(r.required(item(list, i, "hard_limit"))),
+			Aim:        FromMilliseconds(r.required(item(list, i, "aim"))),
+			Deadline:   FromMilliseconds(r.required(item(list, i, "hard_limit"))),
 			Window:     r.milliseconds(item(list, i, "dedup_window")),
 			Worth:      r.number(item(list, i, "importance")),
 			LateShare:  r.number(item(list, i, "late_share")),
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -50,7 +50,7 @@
 }
 
 // milliseconds returns the time of an optional key.
-func (r *reader) milliseconds(key string) time.Duration { return Duration(r.number(key)) }
+func (r *reader) milliseconds(key string) time.Duration { return FromMilliseconds(r.number(key)) }
 
 // flag returns whether the key is true.
 func (r *reader) flag(key string) bool { return r.values[key] == "true" }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -49,8 +49,8 @@
 // maxMilliseconds is about 31 years; longer times count as that.
 const maxMilliseconds = 1e12
 
-// Duration converts milliseconds, rounded to the microsecond. NaN counts as 0, values out of range as the nearest in it.
-func Duration(ms float64) time.Duration {
+// FromMilliseconds converts milliseconds, rounded to the microsecond. NaN counts as 0, values out of range as the nearest in it.
+func FromMilliseconds(ms float64) time.Duration {
 	if math.IsNaN(ms) {
 		return 0
 	}
--- a/internal/store/leader.go
+++ b/internal/store/leader.go
@@ -16,11 +16,11 @@
 	ErrNoQuorum = errors.New("store: a majority did not confirm in time")
 )
 
-// NotLeader is the error of an operation that another instance has to be asked for: the leader.
-type NotLeader struct{ Leader Member }
+// NotLeaderError is the error of an operation that another instance has to be asked for: the leader.
+type NotLeaderError struct{ Leader Member }
 
 // Error names the leader.
-func (e *NotLeader) Error() string {
+func (e *NotLeaderError) Error() string {
 	return fmt.Sprintf("store: %s at %s is the leader", e.Leader.ID, e.Leader.HTTP)
 }
 
@@ -33,7 +33,7 @@
 	return string(id)
 }
 
-// checkLeader returns an error unless this instance is the leader as far as it knows: *NotLeader where another one is,
+// checkLeader returns an error unless this instance is the leader as far as it knows: *NotLeaderError where another one is,
 // ErrNoLeader where none is known, or the cause for which this instance has halted.
 func (s *Store) checkLeader() error {
 	if err := s.fsm.haltedErr(); err != nil {
@@ -47,7 +47,7 @@
 	if id == "" || id == s.config.ID {
 		return ErrNoLeader
 	}
-	return &NotLeader{Leader: Member{ID: id, Raft: string(address), HTTP: s.httpAddress(id)}}
+	return &NotLeaderError{Leader: Member{ID: id, Raft: string(address), HTTP: s.httpAddress(id)}}
 }
 
 // verifyLeader confirms with a quorum that this instance is still the leader.
--- a/internal/store/read_test.go
+++ b/internal/store/read_test.go
@@ -47,7 +47,7 @@
 			got = readAll(s, time.Minute)
 			return !errors.Is(got.stale, ErrStale)
 		})
-		var notLeader *NotLeader
+		var notLeader *NotLeaderError
 		if !errors.As(got.linearizable, &notLeader) || !errors.As(got.lease, &notLeader) {
 			t.Errorf("follower: %+v, want redirects", got)
 		}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -23,7 +23,7 @@
 		if i == leader {
 			continue
 		}
-		var notLeader *NotLeader
+		var notLeader *NotLeaderError
 		c.eventually("a follower that names the leader", func() bool {
 			_, err := s.PatchSettings([]byte(windowPatch(8)))
 			return errors.As(err, &notLeader)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -100,7 +100,7 @@
 	if math.IsNaN(ms) || ms < 0 || ms > 1e12 {
 		return 0, fmt.Errorf("batch header: clock %v is out of range", ms)
 	}
-	return settings.Duration(ms), nil
+	return settings.FromMilliseconds(ms), nil
 }
 
 // record reads fields at fixed places of one event record or entry.
@@ -117,7 +117,7 @@
 	return float64(math.Float32frombits(r.u32(at)))
 }
 func (r *record) ms(at int) time.Duration {
-	return settings.Duration(math.Float64frombits(r.u64(at)))
+	return settings.FromMilliseconds(math.Float64frombits(r.u64(at)))
 }
 
 // server packs four address bytes, first byte first, and the port.
