--- a/internal/daemon/admin_api_test.go
+++ b/internal/daemon/admin_api_test.go
@@ -45,6 +45,7 @@
 func TestStatusWhileAdminListenerIsFlooded(t *testing.T) {
 	socket := filepath.Join(t.TempDir(), "api.sock")
 	b := newBench(t, 3, func(c *Config) { c.operator, c.Search.Operator.Socket = "127.0.0.1:0", socket })
+	b.awaitReady()
 	for range 3 * admin.MaxConns {
 		nc, err := net.Dial("tcp", b.p.admin.bound.listener.Addr().String())
 		if err != nil {
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -84,6 +84,16 @@
 	return b
 }
 
+// awaitReady waits until the program has taken in discovery's first answer, which newBench only sees being sent.
+func (b *bench) awaitReady() {
+	b.t.Helper()
+	for deadline := time.Now().Add(10 * time.Second); !b.p.readiness.Ready(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			b.t.Fatalf("not ready: %s", b.p.readiness.State())
+		}
+	}
+}
+
 // query sends a query by the platform's protocol.
 func (b *bench) query(c *client, class string, timeout time.Duration, shards ...int) (status int, out struct {
 	Exact bool
