--- a/internal/schema/changes.go
+++ b/internal/schema/changes.go
@@ -6,34 +6,33 @@
 	"slices"
 )
 
-// Change is a key whose value differs between two texts.
+// Change is a key whose value differs between two versions of a file.
 type Change struct {
-	Key        string
+	Key        string // dotted name
 	Reloadable bool
 }
 
-// Changes are the keys that differ between two lists of leaves, by name.
-func (t Table) Changes(before, after []Value) (out []Change) {
-	index := func(list []Value) map[string]string {
-		m := map[string]string{}
-		for _, v := range list {
-			m[v.Name] = fmt.Sprintf("%T %[1]v", v.Any)
+// Changes returns the keys that were added, removed or changed between two lists of values, sorted by name.
+func (t Table) Changes(before, after []Value) []Change {
+	old, updated := valuesByName(before), valuesByName(after)
+	names := maps.Clone(old)
+	maps.Copy(names, updated)
+	var changes []Change
+	for _, name := range slices.Sorted(maps.Keys(names)) {
+		if old[name] == updated[name] {
+			continue
 		}
-		return m
+		k, _ := t.find(name)
+		changes = append(changes, Change{Key: name, Reloadable: k.Reloadable})
 	}
-	a, b := index(before), index(after)
-	names := slices.Collect(maps.Keys(a))
-	for name := range b {
-		if _, ok := a[name]; !ok {
-			names = append(names, name)
-		}
-	}
-	slices.Sort(names)
-	for _, name := range names {
-		if a[name] != b[name] {
-			k, _ := t.find(name)
-			out = append(out, Change{name, k.Reloadable})
-		}
+	return changes
+}
+
+// valuesByName maps names to type and value as text, since lists and tables are not comparable.
+func valuesByName(values []Value) map[string]string {
+	byName := make(map[string]string, len(values))
+	for _, v := range values {
+		byName[v.Name] = fmt.Sprintf("%T %[1]v", v.Any)
 	}
-	return out
+	return byName
 }
--- a/internal/schema/check.go
+++ b/internal/schema/check.go
@@ -8,91 +8,152 @@
 	"time"
 )
 
-// check tells what is wrong with a value.
+// check returns what is wrong with a decoded value of the key, nil if nothing is. The error does not name the key.
 func (k Key) check(v any) error {
-	wrong := fmt.Errorf("is %s, not a value of type %s", word(v), k.Type)
 	switch k.Type {
 	case Opaque:
 		return nil
 	case Bool:
 		if _, ok := v.(bool); !ok {
-			return wrong
+			return k.wrongType(v)
 		}
 		return nil
 	case Int, Float:
-		n, ok := v.(int64)
-		f, isFloat := v.(float64)
-		if !ok && !(isFloat && k.Type == Float) {
-			return wrong
-		}
-		if ok {
-			f = float64(n)
-		}
-		return k.within(f, func(s string) float64 { b, _ := strconv.ParseFloat(s, 64); return b })
+		return k.checkNumber(v)
 	case Strings, Ints, Sets:
-		return k.list(v, wrong)
+		return k.checkList(v)
+	case Duration:
+		if _, ok := v.(int64); ok {
+			return fmt.Errorf("is the number %v: %w, such as \"%vs\"", v, ErrMissingUnit, v)
+		}
 	}
 	s, ok := v.(string)
 	if !ok {
-		if _, number := v.(int64); number && k.Type == Duration {
-			return fmt.Errorf("is the number %v: a time has a unit, such as \"%vs\"", v, v)
+		return k.wrongType(v)
+	}
+	return k.checkString(s)
+}
+
+// checkNumber checks a value of type Int or Float. A Float may be written without a decimal point.
+func (k Key) checkNumber(v any) error {
+	switch n := v.(type) {
+	case int64:
+		return k.checkRange(float64(n), parseNumber)
+	case float64:
+		if k.Type == Float {
+			return k.checkRange(n, parseNumber)
 		}
-		return wrong
 	}
-	return k.text(s)
+	return k.wrongType(v)
 }
 
-// text checks what stands as a string.
-func (k Key) text(s string) error {
+// checkString checks a value that is written as a string. The empty string counts as a key that is not set.
+func (k Key) checkString(s string) error {
 	switch {
 	case s == "":
-		return nil // as if it were not there
+		return nil
 	case k.Type == Duration:
-		d, err := time.ParseDuration(s)
-		if err != nil {
-			return fmt.Errorf("%q is no time such as \"1.5s\"", s)
-		}
-		return k.within(float64(d), func(s string) float64 { b, _ := time.ParseDuration(s); return float64(b) })
+		return k.checkDuration(s)
 	case k.Type == Address:
-		host, port, ok := strings.Cut(s, ":")
-		if i := strings.LastIndex(s, ":"); ok {
-			host, port = s[:i], s[i+1:]
-		}
-		if n, err := strconv.ParseUint(port, 10, 16); !ok || err != nil || host == "" && n == 0 {
-			return fmt.Errorf("%q is no address such as \"127.0.0.1:9200\"", s)
-		}
+		return checkAddress(s)
 	case len(k.OneOf) > 0 && !slices.Contains(k.OneOf, s):
-		return fmt.Errorf("%q is none of %s", s, strings.Join(k.OneOf, ", "))
+		return fmt.Errorf("%q %w %s", s, ErrNotAllowed, strings.Join(k.OneOf, ", "))
+	}
+	return nil
+}
+
+func (k Key) checkDuration(s string) error {
+	d, err := time.ParseDuration(s)
+	if err != nil {
+		return fmt.Errorf("%q %w", s, ErrInvalidDuration)
+	}
+	return k.checkRange(float64(d), parseNanoseconds)
+}
+
+// checkAddress accepts host:port. The host may be empty, unless the port is 0.
+func checkAddress(s string) error {
+	i := strings.LastIndex(s, ":")
+	if i < 0 {
+		return fmt.Errorf("%q %w", s, ErrInvalidAddress)
+	}
+	host := s[:i]
+	port, err := strconv.ParseUint(s[i+1:], 10, 16)
+	if err != nil || host == "" && port == 0 {
+		return fmt.Errorf("%q %w", s, ErrInvalidAddress)
 	}
 	return nil
 }
 
-func (k Key) list(v any, wrong error) error {
-	all, ok := v.([]any)
+// checkList checks a value of type Strings, Ints or Sets.
+func (k Key) checkList(v any) error {
+	var isElement func(any) bool
+	switch k.Type {
+	case Strings:
+		isElement = isString
+	case Ints:
+		isElement = isInt
+	case Sets:
+		isElement = isStringList
+	}
+	if !isListOf(v, isElement) {
+		return k.wrongType(v)
+	}
+	return nil
+}
+
+func isString(v any) bool {
+	_, ok := v.(string)
+	return ok
+}
+
+func isInt(v any) bool {
+	_, ok := v.(int64)
+	return ok
+}
+
+func isStringList(v any) bool { return isListOf(v, isString) }
+
+func isListOf(v any, isElement func(any) bool) bool {
+	list, ok := v.([]any)
 	if !ok {
-		return wrong
+		return false
 	}
-	for _, e := range all {
-		_, isString := e.(string)
-		_, isInt := e.(int64)
-		set, isList := e.([]any)
-		fits := k.Type == Strings && isString || k.Type == Ints && isInt ||
-			k.Type == Sets && isList && !slices.ContainsFunc(set, func(m any) bool { _, ok := m.(string); return !ok })
-		if !fits {
-			return wrong
+	for _, element := range list {
+		if !isElement(element) {
+			return false
 		}
 	}
-	return nil
+	return true
 }
 
-func (k Key) within(f float64, read func(string) float64) error {
-	if k.Min != "" && f < read(k.Min) || k.Max != "" && f > read(k.Max) {
-		return fmt.Errorf("is out of its range, %s", k.Range())
+// checkRange compares a number with the bounds of the key, which parse converts to the unit of the number.
+func (k Key) checkRange(n float64, parse func(string) float64) error {
+	tooLow := k.Min != "" && n < parse(k.Min)
+	tooHigh := k.Max != "" && n > parse(k.Max)
+	if tooLow || tooHigh {
+		return fmt.Errorf("%w, %s", ErrOutOfRange, k.Range())
 	}
 	return nil
 }
 
-func word(v any) string {
+// parseNumber converts a bound of the table, which is a constant of the program.
+func parseNumber(s string) float64 {
+	n, _ := strconv.ParseFloat(s, 64)
+	return n
+}
+
+// parseNanoseconds converts a bound of a Duration, which is a constant of the program too.
+func parseNanoseconds(s string) float64 {
+	d, _ := time.ParseDuration(s)
+	return float64(d)
+}
+
+func (k Key) wrongType(v any) error {
+	return fmt.Errorf("is %s, %w %s", describe(v), ErrWrongType, k.Type)
+}
+
+// describe formats a value for an error. Lists and tables are not written out, as they may be long.
+func describe(v any) string {
 	switch v := v.(type) {
 	case string:
 		return strconv.Quote(v)
--- a/internal/schema/key.go
+++ b/internal/schema/key.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// Type is what a key holds.
+// Type is the type of a key's value. Its text stands in the reference and in errors.
 type Type string
 
-// The types.
+// The types that a key can have.
 const (
 	String   Type = "string"
 	Bool     Type = "bool"
@@ -16,22 +16,22 @@
 	Strings  Type = "list of strings"
 	Ints     Type = "list of integers"
 	Sets     Type = "list of lists of strings"
-	Opaque   Type = "document" // checked by who reads it
+	Opaque   Type = "document" // not checked here, nor are the keys below it
 )
 
-// Key is one key. A step of its name that is * stands for any name, or for a place in an array of tables.
+// Key describes one key of a file.
 type Key struct {
-	Name       string
+	Name       string // dotted; a segment * matches any name, or an index in an array of tables
 	Type       Type
-	Default    string // as it would stand in the file, without quotes; "": none, or as Doc says
-	Min, Max   string // for Int, Float and Duration; "": no bound
+	Default    string // as written in the file, without quotes; "": none, or as Doc says
+	Min, Max   string // bounds for Int, Float and Duration, inclusive; "": no bound
 	OneOf      []string
 	Unit       string
-	Reloadable bool // takes hold with a reload; others wait for a start
+	Reloadable bool // a reload applies a new value; other keys need a restart
 	Doc        string
 }
 
-// Range words the bounds; "": there are none.
+// Range describes the allowed values, "" where all are.
 func (k Key) Range() string {
 	switch {
 	case len(k.OneOf) > 0:
@@ -45,3 +45,20 @@
 	}
 	return ""
 }
+
+// matches reports whether the segments of a dotted name are this key, or lie below it where it is opaque.
+func (k Key) matches(segments []string) bool {
+	pattern := strings.Split(k.Name, ".")
+	if len(segments) < len(pattern) {
+		return false
+	}
+	if len(segments) > len(pattern) && k.Type != Opaque {
+		return false
+	}
+	for i, p := range pattern {
+		if p != "*" && p != segments[i] {
+			return false
+		}
+	}
+	return true
+}
--- a/internal/schema/line_numbers.go
+++ b/internal/schema/line_numbers.go
@@ -5,58 +5,77 @@
 	"strings"
 )
 
-// LineNumbers are the lines on which names stand.
+// LineNumbers maps the dotted names of sections and keys to their lines, counted from 1.
 type LineNumbers map[string]int
 
-// ParseLineNumbers finds where a TOML text names its sections and keys. A text that is no TOML may lead to wrong lines, never
-// to a panic.
+// ParseLineNumbers finds the lines of the sections and keys of a TOML text, which the TOML decoder does not keep. It
+// looks at one line at a time: a text that is not TOML, or a string of several lines, may lead to wrong lines, never to
+// a panic.
 func ParseLineNumbers(text string) LineNumbers {
-	at := LineNumbers{}
+	lines := LineNumbers{}
 	section := ""
-	arrays := map[string]int{}
+	tables := map[string]int{} // tables so far of each array of tables
 	for i, line := range strings.Split(text, "\n") {
+		number := i + 1
 		line = strings.TrimSpace(line)
-		if strings.HasPrefix(line, "[") && !strings.Contains(line, "=") {
-			inner, _, _ := strings.Cut(strings.Trim(strings.TrimLeft(line, "["), " "), "]")
-			section = plain(inner)
+		if isHeader(line) {
+			section = headerName(line)
 			if strings.HasPrefix(line, "[[") {
-				n := arrays[section]
-				arrays[section]++
-				at.note(section, i+1)
-				section += "." + strconv.Itoa(n)
+				lines.add(section, number)
+				index := tables[section]
+				tables[section]++
+				section += "." + strconv.Itoa(index)
 			}
-			at.note(section, i+1)
+			lines.add(section, number)
 			continue
 		}
-		if name, _, ok := strings.Cut(line, "="); ok && !strings.HasPrefix(line, "#") {
-			at.note(strings.TrimPrefix(section+"."+plain(name), "."), i+1)
+		if key, _, ok := strings.Cut(line, "="); ok && !strings.HasPrefix(line, "#") {
+			lines.add(joinName(section, normalizeName(key)), number)
 		}
 	}
-	return at
+	return lines
 }
 
-// note keeps the first line of a name.
-func (p LineNumbers) note(name string, line int) {
-	if _, ok := p[name]; !ok {
-		p[name] = line
+// Of returns the line of a name, or else of the nearest section or key above it; 1 where there is none.
+func (l LineNumbers) Of(name string) int {
+	for name != "" {
+		if line, ok := l[name]; ok {
+			return line
+		}
+		name = parentName(name)
 	}
+	return 1
 }
 
-// plain is a dotted name without quotes and blanks.
-func plain(name string) string {
-	steps := strings.Split(name, ".")
-	for i, s := range steps {
-		steps[i] = strings.Trim(strings.TrimSpace(s), `"'`)
+// add sets the line of a name unless it has one: the first counts.
+func (l LineNumbers) add(name string, line int) {
+	if _, ok := l[name]; !ok {
+		l[name] = line
 	}
-	return strings.Join(steps, ".")
 }
 
-// Of is the line of a name, or of the nearest that it lies under; 1 where none is known.
-func (p LineNumbers) Of(name string) int {
-	for ; name != ""; name = name[:max(0, strings.LastIndex(name, "."))] {
-		if line, ok := p[name]; ok {
-			return line
-		}
+// isHeader reports whether a line starts a table. A line with = is part of a list of several lines.
+func isHeader(line string) bool {
+	return strings.HasPrefix(line, "[") && !strings.Contains(line, "=")
+}
+
+// headerName returns the name in a line such as [name] or [[name]].
+func headerName(line string) string {
+	inner := strings.Trim(strings.TrimLeft(line, "["), " ")
+	name, _, _ := strings.Cut(inner, "]")
+	return normalizeName(name)
+}
+
+// normalizeName removes quotes and blanks around the segments of a dotted name.
+func normalizeName(name string) string {
+	segments := strings.Split(name, ".")
+	for i, s := range segments {
+		segments[i] = strings.Trim(strings.TrimSpace(s), `"'`)
 	}
-	return 1
+	return strings.Join(segments, ".")
+}
+
+// parentName returns a dotted name without its last segment, "" for a name of one segment.
+func parentName(name string) string {
+	return name[:max(0, strings.LastIndex(name, "."))]
 }
--- a/internal/schema/markdown.go
+++ b/internal/schema/markdown.go
@@ -5,23 +5,30 @@
 	"strings"
 )
 
-// Markdown is the reference of the table.
+const markdownHeader = "| key | type | default | range | takes hold | |\n| --- | --- | --- | --- | --- | --- |\n"
+
+// Markdown returns the reference of the keys, as a table of one row a key.
 func (t Table) Markdown() string {
 	var b strings.Builder
-	b.WriteString("| key | type | default | range | takes hold | |\n| --- | --- | --- | --- | --- | --- |\n")
+	b.WriteString(markdownHeader)
 	for _, k := range t {
-		def, hold := "", "start"
-		if k.Default != "" {
-			def = "`" + k.Default + "`"
-		}
-		if k.Reloadable {
-			hold = "reload"
-		}
-		unit := string(k.Type)
-		if k.Unit != "" {
-			unit += ", " + k.Unit
-		}
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s |\n", k.Name, unit, def, k.Range(), hold, k.Doc)
+		b.WriteString(k.markdownRow())
 	}
 	return b.String()
 }
+
+func (k Key) markdownRow() string {
+	typeAndUnit := string(k.Type)
+	if k.Unit != "" {
+		typeAndUnit += ", " + k.Unit
+	}
+	def := ""
+	if k.Default != "" {
+		def = "`" + k.Default + "`"
+	}
+	appliedBy := "start"
+	if k.Reloadable {
+		appliedBy = "reload"
+	}
+	return fmt.Sprintf("| `%s` | %s | %s | %s | %s | %s |\n", k.Name, typeAndUnit, def, k.Range(), appliedBy, k.Doc)
+}
--- a/internal/schema/read.go
+++ b/internal/schema/read.go
@@ -11,57 +11,75 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Value is a leaf of a file.
+// Value is one value of a file.
 type Value struct {
-	Name string
-	Any  any
+	Name string // dotted name of its key
+	Any  any    // as the TOML decoder returns it
 	Line int
 }
 
-// Read takes a text apart into its leaves by name and checks each against the table. A text that is no TOML
-// has one fault.
+// Read parses a text into its values, sorted by name within each table, and checks each of them against the table of
+// keys. It returns all errors; just one where the text is not TOML.
 func (t Table) Read(file, text string) ([]Value, []Error) {
 	var tree map[string]any
 	if _, err := toml.Decode(text, &tree); err != nil {
-		var syntax toml.ParseError
-		if errors.As(err, &syntax) {
-			return nil, []Error{{file, syntax.Position.Line, errors.New(syntax.Message)}}
-		}
-		return nil, []Error{{file, 1, err}}
+		return nil, []Error{parseError(file, err)}
 	}
 	lines := ParseLineNumbers(text)
-	var leaves []Value
-	var faults []Error
+	var values []Value
+	var errs []Error
 	t.walk("", tree, func(name string, v any) {
 		line := lines.Of(name)
-		leaves = append(leaves, Value{name, v, line})
-		k, ok := t.find(name)
-		if !ok {
-			faults = append(faults, Error{file, line, fmt.Errorf("unknown key %s", name)})
-		} else if err := k.check(v); err != nil {
-			faults = append(faults, Error{file, line, fmt.Errorf("%s %w", name, err)})
+		values = append(values, Value{Name: name, Any: v, Line: line})
+		if err := t.check(name, v); err != nil {
+			errs = append(errs, Error{File: file, Line: line, Key: name, Err: err})
 		}
 	})
-	return leaves, faults
+	return values, errs
+}
+
+// parseError gives an error of the TOML decoder the form of the others: its own text repeats the position.
+func parseError(file string, err error) Error {
+	var syntax toml.ParseError
+	if errors.As(err, &syntax) {
+		return Error{File: file, Line: syntax.Position.Line, Err: errors.New(syntax.Message)}
+	}
+	return Error{File: file, Line: 1, Err: err}
+}
+
+// check checks the value of a dotted name.
+func (t Table) check(name string, v any) error {
+	k, ok := t.find(name)
+	if !ok {
+		return fmt.Errorf("%w %s", ErrUnknownKey, name)
+	}
+	if err := k.check(v); err != nil {
+		return fmt.Errorf("%s %w", name, err)
+	}
+	return nil
 }
 
-// walk calls f with the leaves under a name, in order.
-func (t Table) walk(name string, v any, f func(string, any)) {
-	join := func(step string) string { return strings.TrimPrefix(name+"."+step, ".") }
+// walk calls visit with every value below a name, in sorted order. An opaque key is one value, whatever it contains.
+func (t Table) walk(name string, v any, visit func(name string, v any)) {
 	if k, ok := t.find(name); ok && k.Type == Opaque {
-		f(name, v)
+		visit(name, v)
 		return
 	}
 	switch v := v.(type) {
 	case map[string]any:
 		for _, key := range slices.Sorted(maps.Keys(v)) {
-			t.walk(join(key), v[key], f)
+			t.walk(joinName(name, key), v[key], visit)
 		}
 	case []map[string]any:
 		for i, inner := range v {
-			t.walk(join(strconv.Itoa(i)), inner, f)
+			t.walk(joinName(name, strconv.Itoa(i)), inner, visit)
 		}
 	default:
-		f(name, v)
+		visit(name, v)
 	}
 }
+
+// joinName appends a segment to a dotted name, which may be empty.
+func joinName(name, segment string) string {
+	return strings.TrimPrefix(name+"."+segment, ".")
+}
--- a/internal/schema/table.go
+++ b/internal/schema/table.go
@@ -1,5 +1,9 @@
-// Package schema knows the keys of a TOML file: their types, defaults, ranges and units, in one table. It reads a text
-// against the table and tells all that is wrong with it, each with its line.
+// Package schema describes the keys of a TOML file in one table: type, default, range, unit and whether a reload
+// applies them. From the table it parses and checks a file, reporting every error at once with its line, compares two
+// versions of a file, and writes the reference of the keys.
+//
+// The package neither opens files nor decodes them into structs, and it does not check keys against each other; its
+// callers do.
 package schema
 
 import (
@@ -9,35 +13,21 @@
 	"time"
 )
 
-// Table is the keys of a file.
+// Table lists the keys of a file. Where several patterns match a name, the first counts.
 type Table []Key
 
-// find is the key that a dotted name falls under.
+// find returns the key that matches a dotted name.
 func (t Table) find(name string) (Key, bool) {
-	steps := strings.Split(name, ".")
+	segments := strings.Split(name, ".")
 	for _, k := range t {
-		pattern := strings.Split(k.Name, ".")
-		opaque := k.Type == Opaque && len(steps) > len(pattern)
-		if len(pattern) != len(steps) && !opaque {
-			continue
-		}
-		if match(pattern, steps) {
+		if k.matches(segments) {
 			return k, true
 		}
 	}
 	return Key{}, false
 }
 
-func match(pattern, steps []string) bool {
-	for i, p := range pattern {
-		if p != "*" && p != steps[i] {
-			return false
-		}
-	}
-	return true
-}
-
-// MustKey is the key of that very name; one that is not in the table is a fault of the program.
+// MustKey returns the key that matches a name. It panics where there is none: names are constants of the program.
 func (t Table) MustKey(name string) Key {
 	k, ok := t.find(name)
 	if !ok {
@@ -46,13 +36,13 @@
 	return k
 }
 
-// Duration is what a key of type Duration holds: the text, or the default where that is empty.
+// Duration returns the value of a key of type Duration, given as text; its default where the text is empty.
 func (t Table) Duration(name, text string) time.Duration {
-	d, _ := time.ParseDuration(cmp.Or(text, t.MustKey(name).Default)) // checked when it was read
+	d, _ := time.ParseDuration(cmp.Or(text, t.MustKey(name).Default)) // Read has checked the text
 	return d
 }
 
-// Int is what a key of type Int holds: the number, or the default where that is 0.
+// Int returns the value of a key of type Int; its default where the value is 0.
 func (t Table) Int(name string, n int64) int64 {
 	def, _ := strconv.ParseInt(t.MustKey(name).Default, 10, 64)
 	return cmp.Or(n, def)
