--- a/internal/schema/table_test.go
+++ b/internal/schema/table_test.go
@@ -8,23 +8,63 @@
 )
 
 var table = Table{
-	{Name: "listen", Type: Address}, {Name: "on", Type: Bool, Default: "true", Reloadable: true},
+	{Name: "listen", Type: Address},
+	{Name: "on", Type: Bool, Default: "true", Reloadable: true},
 	{Name: "pace.wait", Type: Duration, Default: "1s", Min: "10ms", Max: "1m", Reloadable: true},
 	{Name: "pace.moves", Type: Int, Default: "4", Min: "1", Max: "9"},
-	{Name: "share.*.part", Type: Float, Min: "0", Max: "1"}, {Name: "share.*.kind", Type: String, OneOf: []string{"a", "b"}},
-	{Name: "who.*.id", Type: String}, {Name: "sets", Type: Sets}, {Name: "names", Type: Strings}, {Name: "rest", Type: Opaque},
+	{Name: "share.*.part", Type: Float, Min: "0", Max: "1"},
+	{Name: "share.*.kind", Type: String, OneOf: []string{"a", "b"}},
+	{Name: "who.*.id", Type: String},
+	{Name: "sets", Type: Sets},
+	{Name: "names", Type: Strings},
+	{Name: "rest", Type: Opaque},
 }
 
 func TestDefaultsAndChanges(t *testing.T) {
-	if table.Duration("pace.wait", "") != time.Second || table.Duration("pace.wait", "2s") != 2*time.Second || table.Int("pace.moves", 0) != 4 || table.Int("pace.moves", 7) != 7 {
-		t.Error("a default does not hold, or holds where a value is set")
-	}
-	before, _ := table.Read("a", "on = true\nnames = [\"a\"]\n[pace]\nmoves = 2")
-	after, _ := table.Read("b", "names = [\"a\"]\n[pace]\nmoves = 3\nwait = \"2s\"")
-	if got := fmt.Sprint(table.Changes(before, after)); got != "[{on true} {pace.moves false} {pace.wait true}]" {
-		t.Error(got)
-	}
-	if md := table.Markdown(); !strings.Contains(md, "| `pace.wait` | time | `1s` | 10ms to 1m | reload |") {
-		t.Error(md)
+	t.Run("default of a duration", func(t *testing.T) {
+		if got := table.Duration("pace.wait", ""); got != time.Second {
+			t.Error(got)
+		}
+	})
+	t.Run("duration set", func(t *testing.T) {
+		if got := table.Duration("pace.wait", "2s"); got != 2*time.Second {
+			t.Error(got)
+		}
+	})
+	t.Run("default of an integer", func(t *testing.T) {
+		if got := table.Int("pace.moves", 0); got != 4 {
+			t.Error(got)
+		}
+	})
+	t.Run("integer set", func(t *testing.T) {
+		if got := table.Int("pace.moves", 7); got != 7 {
+			t.Error(got)
+		}
+	})
+	t.Run("changes", func(t *testing.T) {
+		before, _ := table.Read("a", "on = true\nnames = [\"a\"]\n[pace]\nmoves = 2")
+		after, _ := table.Read("b", "names = [\"a\"]\n[pace]\nmoves = 3\nwait = \"2s\"")
+		got := fmt.Sprint(table.Changes(before, after))
+		if got != "[{on true} {pace.moves false} {pace.wait true}]" {
+			t.Error(got)
+		}
+	})
+	t.Run("reference", func(t *testing.T) {
+		md := table.Markdown()
+		if !strings.Contains(md, "| `pace.wait` | time | `1s` | 10ms to 1m | reload |") {
+			t.Error(md)
+		}
+	})
+}
+
+func TestMustKeyPanicsForUnknownKey(t *testing.T) {
+	if k := table.MustKey("share.x.kind"); k.Name != "share.*.kind" {
+		t.Errorf("%+v", k)
 	}
+	defer func() {
+		if got := recover(); got != "schema: no key share.x" {
+			t.Errorf("panic %v", got)
+		}
+	}()
+	table.MustKey("share.x")
 }
