--- a/internal/schema/check.go
+++ b/internal/schema/check.go
@@ -152,15 +152,14 @@
 	return fmt.Errorf("is %s, %w %s", describe(v), ErrWrongType, k.Type)
 }
 
-// describe formats a value for an error. Lists and tables are not written out, as they may be long.
+// describe formats a value for an error. A list is not written out, as it may be long; tables never come here, because
+// walk descends into them.
 func describe(v any) string {
 	switch v := v.(type) {
 	case string:
 		return strconv.Quote(v)
-	case []any, []map[string]any:
+	case []any:
 		return "a list"
-	case map[string]any:
-		return "a table"
 	}
 	return fmt.Sprint(v)
 }
--- a/internal/schema/read_test.go
+++ b/internal/schema/read_test.go
@@ -110,3 +110,10 @@
 		table.Read("f", text)
 	})
 }
+
+func TestReadAcceptsEmptyStrings(t *testing.T) {
+	_, errs := table.Read("f", "listen = \"\"\n[pace]\nwait = \"\"\n[share.x]\nkind = \"\"")
+	if len(errs) != 0 {
+		t.Error(errs)
+	}
+}
