--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -156,7 +156,7 @@
 	}
 	var read []string
 	for _, v := range got.values {
-		read = append(read, fmt.Sprintf("%s = %v", v.Name, v.Any))
+		read = append(read, fmt.Sprintf("%s = %v", v.Name, v.Raw))
 	}
 	slices.Sort(read)
 	checkGolden(t, "operators_values.txt", read)
--- a/internal/daemon/search_config.go
+++ b/internal/daemon/search_config.go
@@ -56,7 +56,7 @@
 	}
 	lines := schema.ParseLineNumbers(string(text))
 	c.validate(func(key string, err error) {
-		errs = append(errs, schema.Error{File: path, Line: lines.Of(key), Err: err})
+		errs = append(errs, schema.Error{File: path, Line: lines.Line(key), Key: key, Err: err})
 	})
 	return c, joinErrors(errs)
 }
--- a/internal/schema/changes.go
+++ b/internal/schema/changes.go
@@ -32,7 +32,7 @@
 func valuesByName(values []Value) map[string]string {
 	byName := make(map[string]string, len(values))
 	for _, v := range values {
-		byName[v.Name] = fmt.Sprintf("%T %[1]v", v.Any)
+		byName[v.Name] = fmt.Sprintf("%T %[1]v", v.Raw)
 	}
 	return byName
 }
--- a/internal/schema/check.go
+++ b/internal/schema/check.go
@@ -20,7 +20,7 @@
 		return nil
 	case Int, Float:
 		return k.checkNumber(v)
-	case Strings, Ints, Sets:
+	case StringList, IntList, StringLists:
 		return k.checkList(v)
 	case Duration:
 		if _, ok := v.(int64); ok {
@@ -84,15 +84,15 @@
 	return nil
 }
 
-// checkList checks a value of type Strings, Ints or Sets.
+// checkList checks a value of type StringList, IntList or StringLists.
 func (k Key) checkList(v any) error {
 	var isElement func(any) bool
 	switch k.Type {
-	case Strings:
+	case StringList:
 		isElement = isString
-	case Ints:
+	case IntList:
 		isElement = isInt
-	case Sets:
+	case StringLists:
 		isElement = isStringList
 	}
 	if !isListOf(v, isElement) {
--- a/internal/schema/error_test.go
+++ b/internal/schema/error_test.go
@@ -12,7 +12,7 @@
 	table := append(slices.Clone(table),
 		Key{Name: "low", Type: Int, Min: "2"},
 		Key{Name: "high", Type: Float, Max: "2.5"},
-		Key{Name: "ints", Type: Ints},
+		Key{Name: "ints", Type: IntList},
 	)
 	for _, c := range []struct {
 		name, text, want string
--- a/internal/schema/key.go
+++ b/internal/schema/key.go
@@ -7,16 +7,16 @@
 
 // The types that a key can have.
 const (
-	String   Type = "string"
-	Bool     Type = "bool"
-	Int      Type = "integer"
-	Float    Type = "number"
-	Duration Type = "time"    // a string such as "1.5s"
-	Address  Type = "address" // host:port
-	Strings  Type = "list of strings"
-	Ints     Type = "list of integers"
-	Sets     Type = "list of lists of strings"
-	Opaque   Type = "document" // not checked here, nor are the keys below it
+	String      Type = "string"
+	Bool        Type = "bool"
+	Int         Type = "integer"
+	Float       Type = "number"
+	Duration    Type = "time"    // a string such as "1.5s"
+	Address     Type = "address" // host:port
+	StringList  Type = "list of strings"
+	IntList     Type = "list of integers"
+	StringLists Type = "list of lists of strings"
+	Opaque      Type = "document" // not checked here, nor are the keys below it
 )
 
 // Key describes one key of a file.
--- a/internal/schema/line_numbers.go
+++ b/internal/schema/line_numbers.go
@@ -36,8 +36,8 @@
 	return lines
 }
 
-// Of returns the line of a name, or else of the nearest section or key above it; 1 where there is none.
-func (l LineNumbers) Of(name string) int {
+// Line returns the line of a name, or else of the nearest section or key above it; 1 where there is none.
+func (l LineNumbers) Line(name string) int {
 	for name != "" {
 		if line, ok := l[name]; ok {
 			return line
--- a/internal/schema/line_numbers_test.go
+++ b/internal/schema/line_numbers_test.go
@@ -31,7 +31,7 @@
 		{"", 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := lines.Of(c.name); got != c.want {
+			if got := lines.Line(c.name); got != c.want {
 				t.Errorf("line %d, want %d", got, c.want)
 			}
 		})
--- a/internal/schema/read.go
+++ b/internal/schema/read.go
@@ -14,7 +14,7 @@
 // Value is one value of a file.
 type Value struct {
 	Name string // dotted name of its key
-	Any  any    // as the TOML decoder returns it
+	Raw  any    // as the TOML decoder returns it
 	Line int
 }
 
@@ -29,8 +29,8 @@
 	var values []Value
 	var errs []Error
 	t.walk("", tree, func(name string, v any) {
-		line := lines.Of(name)
-		values = append(values, Value{Name: name, Any: v, Line: line})
+		line := lines.Line(name)
+		values = append(values, Value{Name: name, Raw: v, Line: line})
 		if err := t.check(name, v); err != nil {
 			errs = append(errs, Error{File: file, Line: line, Key: name, Err: err})
 		}
--- a/internal/schema/table_test.go
+++ b/internal/schema/table_test.go
@@ -15,8 +15,8 @@
 	{Name: "share.*.part", Type: Float, Min: "0", Max: "1"},
 	{Name: "share.*.kind", Type: String, OneOf: []string{"a", "b"}},
 	{Name: "who.*.id", Type: String},
-	{Name: "sets", Type: Sets},
-	{Name: "names", Type: Strings},
+	{Name: "sets", Type: StringLists},
+	{Name: "names", Type: StringList},
 	{Name: "rest", Type: Opaque},
 }
 
