--- /dev/null
+++ b/trace_attempt_test.go
@@ -0,0 +1,149 @@
+package linkpass_test
+
+import "time"
+
+// sendPart takes an attempt to its server and plans its outcome.
+func (w *world) sendPart(id, server uint64, timeout, until time.Duration) {
+	p := w.parts[id]
+	a := &simAttempt{part: p, number: len(p.attempts), server: w.servers[server-1], sent: w.now}
+	p.attempts = append(p.attempts, a)
+	written := w.now + w.between(200*time.Microsecond, time.Millisecond)
+	if w.set.WriteLag > 0 && w.chance(10) {
+		written += w.between(0, w.set.WriteLag)
+	}
+	if w.chance(200) || written >= until {
+		w.end(a, written, "moot")
+		return
+	}
+	if next, moved := w.moved[p.shard]; moved {
+		w.at(written+time.Millisecond, func() []event { return w.stale(a, next) })
+		return
+	}
+	due, code := w.fate(a, written)
+	if limit := w.now + timeout; due > limit {
+		due, code = limit, "timed-out"
+	}
+	w.end(a, due, code)
+	if w.chance(50) {
+		w.at(w.now+time.Millisecond, func() []event { return []event{startedEvent(a)} })
+	}
+}
+
+// fate is when and how an attempt ends at its server.
+func (w *world) fate(a *simAttempt, written time.Duration) (due time.Duration, code string) {
+	s := a.server
+	never := w.now + time.Hour
+	switch {
+	case s.unreachable || s.state == "gone":
+		return written + w.between(time.Millisecond, 20*time.Millisecond), "connect-failed"
+	case s.silent:
+		return never, "timed-out"
+	case s.jammed:
+		return written + time.Millisecond, "full"
+	case w.random.Float64() < s.failing:
+		return written + 5*time.Millisecond, "errored"
+	}
+	work := time.Duration(float64(a.part.query.work) * (0.6 + 0.8*w.random.Float64()))
+	end, accepted := s.serve(written, work)
+	if !accepted {
+		return written + time.Millisecond, "full"
+	}
+	if w.chance(300) {
+		return end - work/2, "reset"
+	}
+	return end + w.between(200*time.Microsecond, 2*time.Millisecond), "ok"
+}
+
+// end plans the outcome of an attempt, unless it is closed before that.
+func (w *world) end(a *simAttempt, due time.Duration, code string) {
+	w.at(due, func() []event {
+		if a.closed {
+			return nil
+		}
+		return []event{w.outcome(a, code)}
+	})
+}
+
+// outcome closes an attempt. What a server itself answered may bring its load report.
+func (w *world) outcome(a *simAttempt, code string) event {
+	a.closed = true
+	w.counts["outcome "+code]++
+	var report []float64
+	answered := code == "ok" || code == "errored" || code == "full"
+	if answered && (w.site.Tier[0].Report.How == "answers" || w.chance(20)) {
+		report = a.server.load(w.now, w.set.ReportFields, w.random)
+	}
+	return outcomeEvent(a, code, w.now-a.sent, report)
+}
+
+// cancelAttempt calls an attempt back; an answer on its way may come before that.
+func (w *world) cancelAttempt(part uint64, number int) {
+	a := w.attempt(part, number)
+	if a == nil || a.closed || w.chance(5) {
+		return
+	}
+	w.end(a, w.now+w.between(500*time.Microsecond, 3*time.Millisecond), "cancelled")
+}
+
+// attempt finds an attempt by its part, which may belong to a query that has ended.
+func (w *world) attempt(part uint64, number int) *simAttempt {
+	p := w.parts[part]
+	if p == nil {
+		p = w.ended[part]
+	}
+	if p == nil || number >= len(p.attempts) {
+		return nil
+	}
+	return p.attempts[number]
+}
+
+// stale is the outcome of an attempt whose shard has moved, with the parts that take the place of its own.
+func (w *world) stale(a *simAttempt, next int) []event {
+	if a.closed {
+		return nil
+	}
+	out := []event{w.outcome(a, "stale")}
+	p := a.part
+	if w.parts[p.id] == nil {
+		return out
+	}
+	in := 0.0
+	if w.chance(3) {
+		in = p.weight / 4
+	}
+	rest := p.weight - in
+	heirs := []*simPart{w.newPart(p.query, next, rest/2), w.newPart(p.query, next, rest/2)}
+	w.retire(p)
+	return append(out, replacedEvent(p, in, heirs))
+}
+
+// retire keeps a part that is no longer open for what its attempts may still bring.
+func (w *world) retire(p *simPart) {
+	delete(w.parts, p.id)
+	w.ended[p.id] = p
+}
+
+// checkHealth takes a probe to its server and plans its reply.
+func (w *world) checkHealth(server uint64) {
+	s := w.servers[server-1]
+	sent := w.now
+	took := w.between(400*time.Microsecond, 6*time.Millisecond)
+	code := "ok"
+	switch {
+	case s.unreachable || s.state == "gone":
+		code = "connect-failed"
+	case s.silent || w.random.Float64() < s.lossy:
+		took = w.site.Tier[0].Probe.Timeout.milliseconds()
+		code = "timed-out"
+	case w.chance(4):
+		took += w.between(0, 25*time.Millisecond)
+	}
+	w.at(sent+took, func() []event {
+		var report []float64
+		if code == "ok" && (w.site.Tier[0].Report.How == "probes" || w.chance(3)) {
+			report = s.load(w.now, w.set.ReportFields, w.random)
+		}
+		w.counts["probed "+code]++
+		return []event{probedEvent(server, code, w.now-sent, report)}
+	})
+}
--- /dev/null
+++ b/trace_client_test.go
@@ -0,0 +1,143 @@
+package linkpass_test
+
+import (
+	"slices"
+	"time"
+)
+
+// pickClass draws the class of a query by the shares.
+func (w *world) pickClass() int {
+	sum := 0.0
+	for _, c := range w.site.Class {
+		sum += float64(c.Share)
+	}
+	draw := w.random.Float64() * sum
+	for i, c := range w.site.Class {
+		draw -= float64(c.Share)
+		if draw < 0 {
+			return i
+		}
+	}
+	return 0
+}
+
+// newQuery is the arrival of a query and of its parts.
+func (w *world) newQuery(again int) []event {
+	class := w.pickClass()
+	w.nextID++
+	q := &simQuery{
+		id:     w.nextID,
+		number: w.nextID,
+		class:  class,
+		count:  int(w.site.Fam.Class[class].Parts) + w.random.IntN(3),
+		work:   w.site.Class[class].Work.milliseconds(),
+		again:  again,
+	}
+	if w.chance(150) {
+		q.count = 0
+	}
+	if len(w.set.Tenants) > 0 {
+		q.tenant = w.random.IntN(len(w.set.Tenants) + 1) // the last is unknown
+	}
+	deadline := w.set.Classes[class].Deadline
+	q.left = w.between(deadline*7/10, deadline)
+	w.queries = append(w.queries, q)
+	w.open[q.id] = q
+	out := []event{arrivalOfQuery(q, again > 0)}
+	for _, weight := range w.weights(q.count) {
+		out = append(out, arrivalOfPart(w.newPart(q, w.pickShard(), weight)))
+	}
+	if w.chance(300) {
+		stranger := &simQuery{number: 1 << 40, left: time.Second}
+		out = append(out, arrivalOfPart(&simPart{id: 1 << 40, query: stranger, weight: 1}))
+	}
+	return out
+}
+
+func (w *world) newPart(q *simQuery, shard int, weight float64) *simPart {
+	w.nextID++
+	p := &simPart{id: w.nextID, query: q, shard: shard, weight: weight}
+	w.parts[p.id] = p
+	q.parts = append(q.parts, p)
+	return p
+}
+
+// weights shares a query out over its parts. The sum may be a little short of 1, as sums of rounded weights are.
+func (w *world) weights(count int) []float64 {
+	out := make([]float64, count)
+	sum := 0.0
+	for i := range out {
+		out[i] = 0.5 + w.random.Float64()
+		sum += out[i]
+	}
+	total := 1.0
+	if w.chance(4) {
+		total -= 3e-4 * w.random.Float64()
+	}
+	for i := range out {
+		out[i] *= total / sum
+	}
+	return out
+}
+
+// pickShard draws a shard; some are asked for more than others, and some have moved.
+func (w *world) pickShard() int {
+	draw := w.random.Float64()
+	shard := int(draw * draw * float64(w.set.Shards))
+	for {
+		next, moved := w.moved[shard]
+		if !moved {
+			return shard
+		}
+		shard = next
+	}
+}
+
+// closeQuery forgets a query that has ended.
+func (w *world) closeQuery(id uint64) {
+	q := w.open[id]
+	if q == nil {
+		return
+	}
+	delete(w.open, id)
+	w.queries = slices.DeleteFunc(w.queries, func(o *simQuery) bool { return o == q })
+	for _, p := range q.parts {
+		w.retire(p)
+	}
+}
+
+// rejected lets the client come again, some the sooner for the advice and some with no heed to it.
+func (w *world) rejected(id uint64, after time.Duration) {
+	q := w.open[id]
+	w.closeQuery(id)
+	if q == nil || q.again > 2 || w.chance(2) {
+		return
+	}
+	wait := w.between(40*time.Millisecond, 300*time.Millisecond)
+	if !w.chance(4) {
+		wait = max(wait, after)
+	}
+	w.at(w.now+wait, func() []event { return w.newQuery(q.again + 1) })
+}
+
+// clientEvents are a client that leaves, a body that is gone, and events that concern nobody.
+func (w *world) clientEvents() []event {
+	var out []event
+	if len(w.queries) > 0 && w.chance(60) {
+		q := w.queries[w.random.IntN(len(w.queries))]
+		w.closeQuery(q.id)
+		out = append(out, clientGoneEvent(q.id))
+	}
+	if len(w.queries) > 0 && w.chance(60) {
+		q := w.queries[w.random.IntN(len(w.queries))]
+		for _, p := range q.parts {
+			if w.chance(2) {
+				out = append(out, bareEvent(p.id))
+			}
+		}
+	}
+	if w.chance(100) {
+		out = append(out, peerMessageEvent(), bareEvent(1<<40), clientGoneEvent(1<<40))
+	}
+	return out
+}
--- /dev/null
+++ b/trace_server_test.go
@@ -0,0 +1,117 @@
+package linkpass_test
+
+import (
+	"math"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"linkpass"
+)
+
+// simServer is a server of the simulated world: a queue before some cores.
+type simServer struct {
+	id         uint64
+	zone       int
+	kind       int
+	cell       int
+	size       int
+	state      string
+	since      time.Duration
+	queueLimit int
+
+	coldFrom float64
+	cold     time.Duration
+
+	cores    []time.Duration // when each is free
+	finishes []time.Duration // of the requests in hand
+	service  float64         // recent service time, ns
+	report   []float64
+	reportAt time.Duration
+
+	slow        float64 // multiple of the service time
+	failing     float64 // share of requests
+	lossy       float64 // share of probes
+	unreachable bool
+	silent      bool
+	jammed      bool
+}
+
+// warmth is the share of its capacity that a server has at a time.
+func (s *simServer) warmth(at time.Duration) float64 {
+	if s.since == 0 || at >= s.since+s.cold {
+		return 1
+	}
+	return s.coldFrom + (1-s.coldFrom)*float64(at-s.since)/float64(s.cold)
+}
+
+// trim forgets the requests that are done.
+func (s *simServer) trim(at time.Duration) {
+	s.finishes = slices.DeleteFunc(s.finishes, func(end time.Duration) bool { return end <= at })
+}
+
+// serve queues a request and tells when it is done; not if the queue is full.
+func (s *simServer) serve(at, work time.Duration) (end time.Duration, accepted bool) {
+	s.trim(at)
+	if len(s.finishes) >= s.size+s.queueLimit {
+		return 0, false
+	}
+	took := time.Duration(float64(work) * s.slow / s.warmth(at))
+	core := 0
+	for i := range s.cores {
+		if s.cores[i] < s.cores[core] {
+			core = i
+		}
+	}
+	end = max(at, s.cores[core]) + took
+	s.cores[core] = end
+	s.finishes = append(s.finishes, end)
+	s.service += 0.2 * (float64(took) - s.service)
+	return end, true
+}
+
+// pause holds all cores up.
+func (s *simServer) pause(at, length time.Duration) {
+	for i := range s.cores {
+		s.cores[i] = max(at, s.cores[i]) + length
+	}
+}
+
+// load is a report of the server, in the order of the fields, as measured a while ago.
+func (s *simServer) load(at time.Duration, fields []linkpass.ReportField, random *rand.Rand) []float64 {
+	if len(s.report) > 0 && at < s.reportAt+150*time.Millisecond {
+		return s.report
+	}
+	s.trim(at)
+	hand := float64(len(s.finishes))
+	busy := min(hand, float64(s.size))
+	rate := busy / s.service * float64(time.Second)
+	values := map[linkpass.ReportField]float64{
+		siteFields["inflight"]:   hand,
+		siteFields["queue"]:      hand - busy,
+		siteFields["util"]:       busy / float64(s.size),
+		siteFields["service_ms"]: s.service / float64(time.Millisecond),
+		siteFields["qps"]:        rate,
+		siteFields["errors"]:     rate * s.failing,
+	}
+	s.reportAt = at
+	s.report = nil
+	for _, field := range fields {
+		value := values[field] * (0.97 + 0.06*random.Float64())
+		if random.IntN(200) == 0 {
+			value = math.NaN()
+		}
+		s.report = append(s.report, value)
+	}
+	return s.report
+}
+
+// recover ends all troubles of a server.
+func (s *simServer) recover() {
+	s.slow = 1
+	s.failing = 0
+	s.lossy = 0
+	s.unreachable = false
+	s.silent = false
+	s.jammed = false
+}
--- /dev/null
+++ b/trace_settings_test.go
@@ -0,0 +1,195 @@
+package linkpass_test
+
+import (
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/BurntSushi/toml"
+
+	"linkpass"
+)
+
+// span is a figure of a site file, or the low end of a range of them.
+type span float64
+
+// UnmarshalTOML implements toml.Unmarshaler.
+func (s *span) UnmarshalTOML(value any) error {
+	if list, ok := value.([]any); ok {
+		value = list[0]
+	}
+	switch v := value.(type) {
+	case int64:
+		*s = span(v)
+	case float64:
+		*s = span(v)
+	}
+	return nil
+}
+
+func (s span) milliseconds() time.Duration {
+	return time.Duration(float64(s) * float64(time.Millisecond))
+}
+
+// site is what the trace reads of a site file.
+type site struct {
+	Day struct {
+		Tick span `toml:"tick_ms"`
+	}
+	Scale struct{ Servers, Balancers span }
+	Net   struct{ Zones []string }
+	Allow struct {
+		Probes       bool
+		Cancel       bool
+		SecondCopies bool `toml:"second_copies"`
+		RetryAfter   bool `toml:"retry_after"`
+		MaxAttempts  int  `toml:"max_attempts"`
+	}
+	Clients struct {
+		MaxRetryAfter span `toml:"max_retry_after_ms"`
+	}
+	Rules struct {
+		DrainGrace   span `toml:"drain_grace_ms"`
+		BudgetShare  span `toml:"budget_share"`
+		BudgetFree   span `toml:"budget_free"`
+		Budget       span `toml:"budget_ms"`
+		FallMultiple span `toml:"fall_multiple"`
+	}
+	Discovery struct{ Mode string }
+	Prices    struct {
+		CrossZone span `toml:"cross_zone"`
+	}
+	Tier   []siteTier
+	Class  []siteClass
+	Tenant []struct{ Share float64 }
+	Fam    struct {
+		Replicas      span
+		Layout        string
+		ShardsPerCell span `toml:"shards_per_cell"`
+		Batch         span
+		CallMicros    span `toml:"call_us"`
+		Class         []struct{ Parts, Need, Floor, Partial span }
+	}
+}
+
+type siteTier struct {
+	Weights string
+	Report  struct {
+		How    string
+		Fields []string
+	}
+	Probe struct {
+		Timeout span `toml:"timeout_ms"`
+	}
+	Kind []struct {
+		Cores    span
+		Queue    span `toml:"queue_per_core"`
+		ColdFrom span `toml:"cold_from"`
+		Cold     span `toml:"cold_s"`
+	}
+}
+
+type siteClass struct {
+	Share     span
+	Work      span `toml:"work_ms"`
+	Aim       span `toml:"aim_ms"`
+	Deadline  span `toml:"deadline_ms"`
+	Worth     float64
+	LateWorth float64 `toml:"late_worth"`
+	Effect    string
+}
+
+var siteEffects = map[string]linkpass.Effect{
+	"safe":   linkpass.Safe,
+	"keyed":  linkpass.Keyed,
+	"unsafe": linkpass.Unsafe,
+}
+
+var siteFields = map[string]linkpass.ReportField{
+	"inflight":   linkpass.FieldInflight,
+	"queue":      linkpass.FieldQueue,
+	"util":       linkpass.FieldUtil,
+	"service_ms": linkpass.FieldServiceTime,
+	"qps":        linkpass.FieldRate,
+	"errors":     linkpass.FieldErrorRate,
+	"other":      linkpass.FieldUnknown,
+}
+
+func readSite(t *testing.T, name string) *site {
+	t.Helper()
+	var out site
+	if _, err := toml.DecodeFile(filepath.Join("deploy", "sites", name+".toml"), &out); err != nil {
+		t.Fatal(err)
+	}
+	return &out
+}
+
+// settings maps a site to the settings of one of its front nodes.
+func (s *site) settings() linkpass.Settings {
+	kind := s.Tier[0].Kind[0]
+	out := linkpass.Settings{
+		Tick:          s.Day.Tick.milliseconds(),
+		Peers:         int(s.Scale.Balancers),
+		CrossCost:     float64(s.Prices.CrossZone),
+		Subscribe:     s.Discovery.Mode == "ask",
+		Sized:         s.Tier[0].Weights == "nominal",
+		CallParts:     int(s.Fam.Batch),
+		CallCost:      (s.Fam.CallMicros / 1000).milliseconds(),
+		MaxAttempts:   s.Allow.MaxAttempts,
+		MaxRetryAfter: s.Clients.MaxRetryAfter.milliseconds(),
+		Cancel:        s.Allow.Cancel,
+		Probes:        s.Allow.Probes,
+		SecondCopies:  s.Allow.SecondCopies,
+		RetryAfter:    s.Allow.RetryAfter,
+		DrainGrace:    s.Rules.DrainGrace.milliseconds(),
+		ColdFrom:      float64(kind.ColdFrom),
+		Cold:          (1000 * kind.Cold).milliseconds(),
+		FallMultiple:  float64(s.Rules.FallMultiple),
+		BudgetWindow:  s.Rules.Budget.milliseconds(),
+		BudgetFree:    float64(s.Rules.BudgetFree),
+		BudgetShare:   float64(s.Rules.BudgetShare),
+	}
+	s.layout(&out)
+	s.classes(&out)
+	for _, tenant := range s.Tenant {
+		out.Tenants = append(out.Tenants, linkpass.Tenant{Share: tenant.Share})
+	}
+	for _, name := range s.Tier[0].Report.Fields {
+		out.ReportFields = append(out.ReportFields, siteFields[name])
+	}
+	return out
+}
+
+// layout spreads the shards: in a ring a cell is one server, in sets it is all that hold the same.
+func (s *site) layout(out *linkpass.Settings) {
+	out.Cells = int(s.Scale.Servers)
+	out.Reach = int(s.Fam.Replicas)
+	if s.Fam.Layout == "sets" {
+		out.Cells /= out.Reach
+		out.Reach = 1
+	}
+	out.Shards = out.Cells * int(s.Fam.ShardsPerCell)
+}
+
+func (s *site) classes(out *linkpass.Settings) {
+	for i, c := range s.Class {
+		need := float64(s.Fam.Class[i].Need)
+		if need == 0 {
+			need = 1
+		}
+		floor := float64(s.Fam.Class[i].Floor)
+		if floor == 0 {
+			floor = need
+		}
+		out.Classes = append(out.Classes, linkpass.Class{
+			Effect:    siteEffects[c.Effect],
+			Aim:       c.Aim.milliseconds(),
+			Deadline:  c.Deadline.milliseconds(),
+			Worth:     c.Worth,
+			LateShare: c.LateWorth,
+			Need:      need,
+			Floor:     floor,
+			Partial:   float64(s.Fam.Class[i].Partial),
+		})
+	}
+}
--- /dev/null
+++ b/trace_test.go
@@ -0,0 +1,146 @@
+package linkpass_test
+
+import (
+	"bytes"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+var updateTrace = flag.Bool("update", false, "write the golden files under testdata/trace anew")
+
+// turnsPerHash is how many turns a line of a golden file stands for.
+const turnsPerHash = 50
+
+// traced is what one variant did, in ranges of turns.
+type traced struct {
+	hashes  []string
+	texts   [][]byte
+	counts  map[string]int
+	actions int
+}
+
+// trace plays all phases on a variant.
+func trace(t *testing.T, v variant) traced {
+	t.Helper()
+	s := readSite(t, v.site)
+	set := s.settings()
+	v.change(&set)
+	w, err := newWorld(s, set, xxhash.Sum64String(v.name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	out := traced{counts: w.counts}
+	w.at(w.now, func() []event { return w.list("cached", w.ready()...) })
+	turn := 0
+	for _, p := range phases {
+		w.begin(p)
+		for range p.turns {
+			w.play(turn)
+			turn++
+			if turn%turnsPerHash == 0 {
+				out.cut(w, turn)
+			}
+		}
+	}
+	out.cut(w, turn)
+	for _, word := range []string{"send", "cancel", "reject", "fail", "answer", "timer", "health-check", "subscribe"} {
+		out.actions += w.counts["action "+word]
+	}
+	return out
+}
+
+// cut ends a range of turns.
+func (x *traced) cut(w *world, turn int) {
+	line := fmt.Sprintf("turns before %d: %016x", turn, xxhash.Sum64(w.text))
+	x.hashes = append(x.hashes, line)
+	x.texts = append(x.texts, w.text)
+	w.text = nil
+}
+
+// compare tells where a trace leaves the golden one.
+func (x *traced) compare(t *testing.T, file string) {
+	t.Helper()
+	golden, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := strings.Split(strings.TrimSpace(string(golden)), "\n")
+	if len(want) != len(x.hashes) {
+		t.Errorf("%d ranges of turns, want %d", len(x.hashes), len(want))
+	}
+	for i, line := range x.hashes {
+		if i < len(want) && line != want[i] {
+			t.Errorf("other actions than in %s:\ngot  %s\nwant %s", file, line, want[i])
+			t.Logf("this range begins:\n%s", firstLines(x.texts[i], 40))
+			return
+		}
+	}
+}
+
+func firstLines(text []byte, count int) []byte {
+	lines := bytes.SplitAfterN(text, []byte("\n"), count+1)
+	return bytes.Join(lines[:min(count, len(lines))], nil)
+}
+
+func (x *traced) update(t *testing.T, file string) {
+	t.Helper()
+	if err := os.MkdirAll(filepath.Dir(file), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	text := strings.Join(x.hashes, "\n") + "\n"
+	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// happened are the words that must be counted over all variants, lest the trace turn empty.
+var happened = strings.Fields(`
+	action:send action:cancel action:reject action:fail action:answer action:timer action:health-check action:subscribe
+	action:belief action:health action:listed
+	event:list event:arrival event:started event:outcome event:client-gone event:alarm event:probed event:room
+	event:warm event:placed event:replaced event:bare event:peer-message
+	outcome:ok outcome:errored outcome:full outcome:timed-out outcome:connect-failed outcome:reset outcome:cancelled
+	outcome:moot outcome:stale
+	probed:ok probed:timed-out probed:connect-failed
+	list:delta list:full list:cached list:failed
+	listed:ready listed:draining listed:gone listed:cold`)
+
+// leastActions is how many actions the trace of a variant has at least.
+const leastActions = 2500
+
+// The same seeded events bring the same actions at the same times as when the golden files were written.
+func TestDecisionsAreThoseOfTheGoldenTrace(t *testing.T) {
+	counts := map[string]int{}
+	played := 0
+	for _, v := range variants {
+		t.Run(v.name, func(t *testing.T) {
+			got := trace(t, v)
+			played++
+			file := filepath.Join("testdata", "trace", v.name+".txt")
+			if *updateTrace {
+				got.update(t, file)
+			}
+			got.compare(t, file)
+			if got.actions < leastActions {
+				t.Errorf("%d actions, want at least %d", got.actions, leastActions)
+			}
+			for word, n := range got.counts {
+				counts[word] += n
+			}
+		})
+	}
+	if played < len(variants) {
+		return // a -run pattern chose some
+	}
+	for _, word := range happened {
+		if counts[strings.Replace(word, ":", " ", 1)] == 0 {
+			t.Errorf("%s never occurred", word)
+		}
+	}
+}
--- /dev/null
+++ b/trace_trouble_test.go
@@ -0,0 +1,160 @@
+package linkpass_test
+
+import "time"
+
+// phase is a stretch of turns of one kind.
+type phase struct {
+	name        string
+	turns       int
+	step        time.Duration // mean time between turns
+	load        float64       // share of the fleet's capacity
+	slow        int           // servers that are slow
+	failing     int
+	lossy       int // servers that lose probes
+	unreachable int
+	silent      int
+	jammed      int
+	pauses      int  // a pause of the whole fleet each so many turns; 0: none
+	news        int  // news of the list each so many turns
+	moves       int  // a shard moves each so many turns; 0: none
+	outage      bool // discovery fails
+}
+
+const millisecond = time.Millisecond
+
+// phases are those of every run.
+var phases = []phase{
+	{name: "quiet", turns: 100, step: 9 * millisecond, load: 0.3, news: 60},
+	{name: "trouble", turns: 300, step: 12 * millisecond, load: 0.45, news: 25, moves: 60,
+		slow: 1, failing: 1, lossy: 2, unreachable: 1, jammed: 1},
+	{name: "overload", turns: 200, step: 6 * millisecond, load: 2.5, news: 80},
+	{name: "recovery", turns: 120, step: 20 * millisecond, load: 0.35, news: 30},
+	{name: "pauses", turns: 200, step: 10 * millisecond, load: 0.4, news: 60, pauses: 60, silent: 2},
+	{name: "outage", turns: 200, step: 300 * millisecond, load: 0.2, news: 20, outage: true, failing: 1, unreachable: 1},
+	{name: "overload in trouble", turns: 200, step: 8 * millisecond, load: 1.3, news: 40, moves: 50,
+		slow: 2, lossy: 1, silent: 1, failing: 1, pauses: 90},
+	{name: "quiet again", turns: 80, step: 12 * millisecond, load: 0.3, news: 30},
+}
+
+// begin starts a phase: the troubles of the one before end, and others are drawn.
+func (w *world) begin(p phase) {
+	w.phase = p
+	for _, s := range w.servers {
+		s.recover()
+	}
+	list := w.ready()
+	w.random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
+	take := func(count int, trouble func(*simServer)) {
+		for range min(count, len(list)-1) {
+			trouble(list[0])
+			list = list[1:]
+		}
+	}
+	take(p.slow, func(s *simServer) { s.slow = 3 + 5*w.random.Float64() })
+	take(p.failing, func(s *simServer) { s.failing = 0.3 + 0.6*w.random.Float64() })
+	take(p.lossy, func(s *simServer) { s.lossy = 0.4 + 0.5*w.random.Float64() })
+	take(p.unreachable, func(s *simServer) { s.unreachable = true })
+	take(p.silent, func(s *simServer) { s.silent = true })
+	take(p.jammed, func(s *simServer) { s.jammed = true })
+}
+
+// incidents are the events of a turn that the queries did not cause.
+func (w *world) incidents() []event {
+	out := w.clientEvents()
+	if w.phase.pauses > 0 && w.chance(w.phase.pauses) {
+		length := w.between(300*millisecond, 900*millisecond)
+		for _, s := range w.servers {
+			s.pause(w.now, length)
+		}
+	}
+	if w.chance(w.phase.news) {
+		out = append(out, w.listNews()...)
+	}
+	if w.phase.moves > 0 && w.chance(w.phase.moves) {
+		out = append(out, w.move()...)
+	}
+	if w.chance(80) {
+		out = append(out, warmEvent())
+	}
+	if w.set.MaxOpen > 0 && w.chance(40) {
+		out = append(out, roomEvent(w.set.MaxOpen/2+w.random.IntN(w.set.MaxOpen)))
+	}
+	return out
+}
+
+// list is news of the server list.
+func (w *world) list(mode string, servers ...*simServer) []event {
+	w.counts["list "+mode]++
+	for _, s := range servers {
+		w.counts["listed "+s.state]++
+		if s.since > 0 {
+			w.counts["listed cold"]++
+		}
+	}
+	return []event{listEvent(mode, servers)}
+}
+
+// listNews is one change of the fleet and how discovery tells of it.
+func (w *world) listNews() []event {
+	if w.phase.outage && !w.chance(6) {
+		return w.list("failed")
+	}
+	list := w.ready()
+	s := list[w.random.IntN(len(list))]
+	switch w.random.IntN(6) {
+	case 0:
+		return w.drain(s)
+	case 1:
+		s.since = w.now - w.between(0, 200*millisecond)
+		return w.list("delta", s)
+	case 2:
+		w.addServer(s.cell)
+		return w.list("full", w.ready()...)
+	case 3:
+		return w.list("cached", list[:len(list)-w.random.IntN(2)]...)
+	case 4:
+		return w.list("failed")
+	}
+	return w.list("full", list...)
+}
+
+// drain takes a server out of service, and starts another in its place.
+func (w *world) drain(s *simServer) []event {
+	s.state = "draining"
+	w.at(w.now+w.set.DrainGrace, func() []event {
+		s.state = "gone"
+		return w.list("delta", s)
+	})
+	w.at(w.now+2*w.set.DrainGrace, func() []event { return w.list("delta", w.addServer(s.cell)) })
+	return w.list("delta", s)
+}
+
+// subscribed answers a subscription, with the list or with a failure.
+func (w *world) subscribed() {
+	w.at(w.now+w.between(2*millisecond, 30*millisecond), func() []event {
+		if w.phase.outage && !w.chance(6) {
+			return w.list("failed")
+		}
+		return w.list("full", w.ready()...)
+	})
+}
+
+// move takes a shard to servers named for it; some time after it goes back, and for a while nobody has it.
+func (w *world) move() []event {
+	shard := w.random.IntN(w.set.Shards)
+	if _, moved := w.moved[shard]; moved {
+		return nil
+	}
+	target := w.set.Shards + shard
+	var holders []uint64
+	for range 2 {
+		list := w.ready()
+		holders = append(holders, list[w.random.IntN(len(list))].id)
+	}
+	w.moved[shard] = target
+	w.at(w.now+w.between(400*millisecond, 900*millisecond), func() []event {
+		delete(w.moved, shard)
+		return []event{placedEvent(target, nil)}
+	})
+	return []event{placedEvent(target, holders)}
+}
--- /dev/null
+++ b/trace_world_test.go
@@ -0,0 +1,220 @@
+package linkpass_test
+
+import (
+	"cmp"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"linkpass"
+)
+
+// simQuery is an open query of the simulated clients.
+type simQuery struct {
+	id     uint64
+	number uint64
+	class  int
+	tenant int
+	count  int
+	left   time.Duration
+	work   time.Duration // of a part
+	parts  []*simPart
+	again  int // times that it was asked before
+}
+
+type simPart struct {
+	id       uint64
+	query    *simQuery
+	shard    int
+	weight   float64
+	attempts []*simAttempt
+}
+
+// simAttempt is one attempt of a part, from its send to its outcome.
+type simAttempt struct {
+	part   *simPart
+	number int
+	server *simServer
+	sent   time.Duration
+	closed bool
+}
+
+// delivery is what reaches the front node at a time.
+type delivery struct {
+	due    time.Duration
+	order  int
+	events func() []event
+}
+
+// world is a simulated fleet with its clients, as one front node meets them.
+type world struct {
+	site     *site
+	set      linkpass.Settings
+	random   *rand.Rand
+	router   router
+	now      time.Duration
+	lastStep time.Duration
+	phase    phase
+	servers  []*simServer // also those that are gone
+	pending  []delivery   // by due time
+	order    int
+	nextID   uint64
+	queries  []*simQuery
+	open     map[uint64]*simQuery
+	parts    map[uint64]*simPart // of open queries
+	ended    map[uint64]*simPart // of others
+	moved    map[int]int         // shards that have moved, and where to
+	counts   map[string]int
+	text     []byte // of the actions since the last cut
+}
+
+func newWorld(s *site, set linkpass.Settings, seed uint64) (*world, error) {
+	r, err := newRouter(set, seed)
+	if err != nil {
+		return nil, err
+	}
+	w := &world{
+		site:   s,
+		set:    set,
+		random: rand.New(rand.NewPCG(seed, 11)),
+		router: r,
+		now:    time.Minute,
+		open:   map[uint64]*simQuery{},
+		parts:  map[uint64]*simPart{},
+		ended:  map[uint64]*simPart{},
+		moved:  map[int]int{},
+		counts: map[string]int{},
+	}
+	for i := range int(s.Scale.Servers) {
+		w.addServer(i % set.Cells)
+	}
+	return w, nil
+}
+
+// addServer starts a server; after the first second it comes cold.
+func (w *world) addServer(cell int) *simServer {
+	kind := w.site.Tier[0].Kind[0]
+	size := int(kind.Cores)
+	s := &simServer{
+		id:         uint64(1 + len(w.servers)),
+		zone:       len(w.servers) / 2 % max(1, len(w.site.Net.Zones)),
+		kind:       len(w.servers) % 2,
+		cell:       cell,
+		size:       size + len(w.servers)%2,
+		state:      "ready",
+		queueLimit: size * int(kind.Queue),
+		coldFrom:   w.set.ColdFrom,
+		cold:       w.set.Cold,
+		service:    float64(70 * time.Millisecond),
+	}
+	if w.now > time.Minute {
+		s.since = w.now
+	}
+	s.cores = make([]time.Duration, s.size)
+	s.recover()
+	w.servers = append(w.servers, s)
+	return s
+}
+
+// at plans a delivery.
+func (w *world) at(due time.Duration, events func() []event) {
+	w.order++
+	d := delivery{due, w.order, events}
+	i, _ := slices.BinarySearchFunc(w.pending, d, func(a, b delivery) int {
+		return cmp.Or(cmp.Compare(a.due, b.due), cmp.Compare(a.order, b.order))
+	})
+	w.pending = slices.Insert(w.pending, i, d)
+}
+
+// due takes the events that have fallen due.
+func (w *world) due() []event {
+	var out []event
+	n := 0
+	for n < len(w.pending) && w.pending[n].due <= w.now {
+		out = append(out, w.pending[n].events()...)
+		n++
+	}
+	w.pending = slices.Delete(w.pending, 0, n)
+	return out
+}
+
+// write adds a line to the trace and counts its word.
+func (w *world) write(word, format string, values ...any) {
+	w.counts["action "+word]++
+	w.text = fmt.Appendf(w.text, "%s ", word)
+	w.text = fmt.Appendf(w.text, format, values...)
+	w.text = append(w.text, '\n')
+}
+
+// chance is true once in so many times.
+func (w *world) chance(times int) bool { return w.random.IntN(times) == 0 }
+
+// between draws a time.
+func (w *world) between(least, most time.Duration) time.Duration {
+	return least + time.Duration(w.random.Int64N(int64(most-least)+1))
+}
+
+// play plays one turn.
+func (w *world) play(turn int) {
+	w.lastStep = w.between(w.phase.step/2, w.phase.step*3/2)
+	w.now += w.lastStep
+	w.backgroundLoad()
+	events := w.due()
+	events = append(events, w.newQueries()...)
+	events = append(events, w.incidents()...)
+	w.text = fmt.Appendf(w.text, "turn %d (%s) at %d\n", turn, w.phase.name, w.now)
+	w.countEvents(events)
+	w.router.play(w, events)
+	if turn%10 == 0 {
+		w.router.show(w)
+	}
+}
+
+func (w *world) countEvents(events []event) {
+	for _, e := range events {
+		w.counts["event "+eventWord(e)]++
+	}
+}
+
+// ready lists the servers that take part.
+func (w *world) ready() []*simServer {
+	return slices.DeleteFunc(slices.Clone(w.servers), func(s *simServer) bool { return s.state != "ready" })
+}
+
+// backgroundLoad brings the servers what the other front nodes send them.
+func (w *world) backgroundLoad() {
+	list := w.ready()
+	for range w.arrivals(float64(w.set.Peers-1) * 3) {
+		s := list[w.random.IntN(len(list))]
+		if other := list[w.random.IntN(len(list))]; len(other.finishes) < len(s.finishes) {
+			s = other
+		}
+		s.serve(w.now-w.between(0, w.lastStep), w.between(50*time.Millisecond, 100*time.Millisecond))
+	}
+}
+
+// arrivals draws how many arrive in a turn, of what is a third part of this node's load.
+func (w *world) arrivals(multiple float64) int {
+	cores := 2.5 * float64(w.site.Scale.Servers)
+	each := 3 * 75 * float64(time.Millisecond) * float64(w.set.Peers)
+	mean := multiple * w.phase.load * cores / each * float64(min(w.lastStep, 40*time.Millisecond))
+	n := int(mean)
+	if w.random.Float64() < mean-float64(n) {
+		n++
+	}
+	return n
+}
+
+// newQueries brings the queries of a turn; some come in bursts.
+func (w *world) newQueries() []event {
+	count := w.arrivals(1)
+	if count > 0 && w.chance(12) {
+		count += 4
+	}
+	var out []event
+	for range count {
+		out = append(out, w.newQuery(0)...)
+	}
+	return out
+}
