--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,6 @@
 # The tasks of the project; .ci/run calls the same test command.
 # The decisions; deploy/balancer.toml names the same files.
-POLICY = internal/routing/router.go internal/routing/window.go
+POLICY = $(filter-out %_test.go,$(wildcard internal/routing/*.go))
 
 # Packages that decide and touch no I/O, clock or goroutine; lint holds them to it.
 PURE = internal/routing internal/bodies/tier internal/config internal/config/restriction internal/config/rollback internal/config/endpointmerge internal/adminapi/signature internal/shardmap internal/shardmap/coverage internal/shardmap/replan internal/shardmap/resharding internal/schema
@@ -31,7 +31,7 @@
 		if [ -n "$$bad" ]; then echo "$$p is listed as pure: $$bad"; exit 1; fi; done
 	@bare=$$(grep -rlE '^[[:space:]]*"log(/slog)?"$$' --include=*.go . | grep -v '^./internal/eventlog/'); if [ -n "$$bare" ]; then \
 		echo "lines are logged by internal/eventlog alone: $$bare"; exit 1; fi
-	@head -n 1 internal/routing/router.go | grep -q 'api\.go' || { echo "router.go must point to api.go first"; exit 1; }
+	@grep -q 'Events are in events.go, actions in actions.go' internal/routing/doc.go || { echo "doc.go must point to the interface"; exit 1; }
 
 test: lint build
 	LINKPASS_BUILT=$(CURDIR)/bin go run ./tools/knownred -race -count=1 -timeout 180s
--- /dev/null
+++ b/internal/routing/attempts.go
@@ -0,0 +1,108 @@
+package routing
+
+import "time"
+
+// resultRecorder learns from the results of attempts.
+type resultRecorder struct {
+	latencies *latencyStats
+	load      *loadEstimator
+	outliers  *outlierDetector
+}
+
+func newResultRecorder(settings *Settings) *resultRecorder {
+	latencies := newLatencyStats(settings)
+	return &resultRecorder{
+		latencies: latencies,
+		load:      newLoadEstimator(settings, latencies),
+		outliers:  newOutlierDetector(latencies),
+	}
+}
+
+// update follows how often this coordinator gets a result from one of the servers.
+func (r *resultRecorder) update(now time.Duration, servers int) {
+	interval := r.latencies.sampleInterval(now, servers)
+	r.outliers.update(interval)
+	r.load.update(interval)
+}
+
+// record takes the result of an attempt: latency, health and load of its server, and its backoff after an
+// overload.
+func (r *resultRecorder) record(now time.Duration, a *attempt, result AttemptResult) {
+	s, class := a.server, a.part.query.classIndex
+	r.load.learn(now, s, result.LoadReport)
+	switch result.Code {
+	case OK:
+		r.recordSuccess(now, a, max(1, float64(result.Latency)))
+	case ServerError, ConnReset:
+		r.outliers.recordFailure(now, s, class)
+	case Overloaded, ConnectFailed:
+		s.backoff.start(now, r.latencies.classMedian(now, class), result.Code == ConnectFailed)
+	case TimedOut:
+		r.outliers.recordOverdue(now, a)
+	case Canceled, NotSent, ShardMoved: // they say nothing about the server
+	}
+}
+
+// recordSuccess takes the latency of an attempt that succeeded, in nanoseconds.
+func (r *resultRecorder) recordSuccess(now time.Duration, a *attempt, latency float64) {
+	s, class := a.server, a.part.query.classIndex
+	r.outliers.recordSuccess(now, s, class, latency) // against the median without it
+	s.latency.add(now, latency)
+	r.latencies.add(now, class, latency, a.load)
+	s.checks.consecutiveFailures = 0
+	s.backoff.reset()
+}
+
+// send opens the next attempt of a part, if it is still allowed: much may have happened while the part
+// waited.
+func (r *Router) send(p *part, s *server) {
+	isHedge := len(p.inFlight) > 0
+	p.race = nil
+	if !r.retries.allows(r.now, p, isHedge) || isHedge && !r.settings.Hedging {
+		p.stopWaiting()
+		return
+	}
+	p.state = partInFlight
+	if len(p.servers) > 0 {
+		r.retries.countFurtherAttempt(r.now)
+	}
+	r.slowStart.sent(r.now, s, p.query.classIndex)
+	if !p.mayHaveRun && !isHedge {
+		p.retryableUntil = p.query.class.retryableUntil(r.now)
+	}
+	r.queries.addAttempt(r.now, p, s, r.results.load.load(r.now, s))
+	r.selector.partsSent[s]++
+	r.actions.add(Send{
+		ID:          p.id,
+		Server:      s.id,
+		Timeout:     p.query.endsAt - r.now,
+		WriteBefore: p.retryableUntil,
+	})
+}
+
+// endAttempt takes the result of an attempt. A part that has no other in flight waits for a retry, or has
+// failed.
+func (r *Router) endAttempt(result AttemptResult) {
+	a := r.queries.removeAttempt(result.ID, result.Attempt)
+	if a == nil {
+		return
+	}
+	r.results.record(r.now, a, result)
+	p := a.part
+	p.mayHaveRun = p.mayHaveRun || result.Code.mayHaveRun()
+	if !r.queries.isOpen(p) {
+		return
+	}
+	if result.Code == OK {
+		p.state = partAnswered
+		r.queries.cancelAttempts(p)
+		return
+	}
+	if len(p.inFlight) > 0 || p.state == partWaiting {
+		return
+	}
+	p.state, p.race = partFailed, nil
+	if r.retries.allows(r.now, p, false) {
+		p.wait()
+	}
+}
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -43,9 +43,9 @@
 }
 
 func (b *bed) turn(events ...Event) []Action {
-	for _, s := range b.r.order {
+	for _, s := range b.r.endpoints.listed {
 		if !b.lasting {
-			s.replyUntil = 0
+			s.checks.validUntil = 0
 		}
 	}
 	b.last = slices.Clone(b.r.Turn(b.now, events))
@@ -199,11 +199,12 @@
 	for i, took := range []time.Duration{90 * ms, 30 * ms} {
 		b.known(RequestID(100+10*i), took, ServerID(2*i+1))
 	}
-	p := &part{id: 201, query: &query{Arrival: Arrival{ID: 200}, class: &b.r.set.Classes[0], ends: b.now + time.Second}, wants: true}
-	b.r.holders[0] = b.r.order
-	b.r.fallback(p, []*server{b.r.servers[1], b.r.servers[2]}) // 3 may not be used
-	if p.tried[0].id != 2 {
-		t.Errorf("went to %d, want the unheard 2 (60 ms on average) before 1 (90 ms)", p.tried[0].id)
+	p := &part{id: 201, query: &query{id: 200, class: &b.r.settings.Classes[0], endsAt: b.now + time.Second}}
+	b.r.endpoints.replicas[0] = b.r.endpoints.listed
+	servers := b.r.endpoints.servers
+	chosen := b.r.selector.chooseByLatency(b.now, p, []*server{servers[1], servers[2]}) // 3 may not be used
+	if chosen.id != 2 {
+		t.Errorf("went to %d, want the unheard 2 (60 ms on average) before 1 (90 ms)", chosen.id)
 	}
 }
 
@@ -317,11 +318,11 @@
 			b.after(200 * ms)
 		}
 		b.after(2 * time.Second)
-		if n := b.r.extras.count(b.now); n == 0 || n > copiesFree+int(copiesShare*80) {
-			t.Errorf("lag %v: %d copies of 40 parts within %v", lag, n, latencyWindow)
+		if n := b.r.retries.furtherAttempts.count(b.now); n == 0 || n > minHedges+int(hedgeRatio*80) {
+			t.Errorf("lag %v: %d copies of 40 parts within %v", lag, n, statsWindow)
 		}
-		if b.r.extras.span != latencyWindow || b.r.arrivals.span != latencyWindow {
-			t.Errorf("lag %v: counted over %v and %v", lag, b.r.extras.span, b.r.arrivals.span)
+		if b.r.retries.furtherAttempts.span != statsWindow || b.r.retries.arrivals.span != statsWindow {
+			t.Errorf("lag %v: counted over %v and %v", lag, b.r.retries.furtherAttempts.span, b.r.retries.arrivals.span)
 		}
 	}
 }
@@ -407,12 +408,12 @@
 	for id := ServerID(100); id < 1100; id++ {
 		b.now += time.Second
 		b.turn(EndpointUpdate{Mode: UpdateDelta, Endpoints: []Endpoint{{Server: id, Cell: 1, State: Ready}, {Server: id - 1, State: Removed}, {Server: 1, State: Removed}}})
-		b.r.servers[id].sentAt = b.now // a part went there
-		if len(b.r.order) != 1 || b.r.servers[1] == nil {
-			t.Fatalf("%d are listed, 1 is; the one with a part out is known: %v", len(b.r.order), b.r.servers[1] != nil)
+		b.r.endpoints.servers[id].inFlight.lastSentAt = b.now // a part went there
+		if len(b.r.endpoints.listed) != 1 || b.r.endpoints.servers[1] == nil {
+			t.Fatalf("%d are listed, 1 is; the one with a part out is known: %v", len(b.r.endpoints.listed), b.r.endpoints.servers[1] != nil)
 		}
 	}
-	if n, most := len(b.r.servers), int(forgetMost/time.Second)+4; n > most {
+	if n, most := len(b.r.endpoints.servers), int(unlistedRetention/time.Second)+4; n > most {
 		t.Errorf("%d servers are held; %d left within a minute, are listed or have a part out", n, most)
 	}
 }
@@ -475,7 +476,7 @@
 func TestLastHolderIsStillTried(t *testing.T) {
 	b := newBed(t, settings())
 	b.turn(EndpointUpdate{Mode: UpdateFull, Endpoints: []Endpoint{{Server: 1, Cell: 0, State: Ready}}})
-	b.r.servers[1].health[0], b.r.servers[1].healthAt = 0, b.now
+	b.r.endpoints.servers[1].health = healthScores{byClass: []float64{0}, at: b.now}
 	b.query(10, 0, 0)
 	if b.sentTo(1) != 1 {
 		t.Error("the last holder was shut out")
@@ -484,8 +485,8 @@
 
 func TestSharedCauseEjectsNobody(t *testing.T) {
 	b := newBed(t, settings())
-	for _, s := range b.r.order {
-		s.health[0], s.healthAt = 0.1, b.now
+	for _, s := range b.r.endpoints.listed {
+		s.health = healthScores{byClass: []float64{0.1}, at: b.now}
 	}
 	b.query(10, 0, 0)
 	expect[HealthCheck](t, b.last, 3)
@@ -580,17 +581,17 @@
 }
 
 func TestWindow(t *testing.T) {
-	w := newWindow(10 * time.Second)
+	w := newSlidingWindow(10 * time.Second)
 	for i, v := range []float64{5, 1, 3, 100} {
 		w.add(time.Duration(i)*time.Second, v)
 	}
-	if m := w.middle(4*time.Second, 0); m != 4 {
+	if m := w.median(4*time.Second, 0); m != 4 {
 		t.Errorf("median = %v", m)
 	}
-	if m, n := w.middle(11*time.Second, 0), w.count(11*time.Second); m != 51.5 || n != 2 {
+	if m, n := w.median(11*time.Second, 0), w.count(11*time.Second); m != 51.5 || n != 2 {
 		t.Errorf("after a while: median %v of %d", m, n)
 	}
-	if m := w.middle(time.Minute, 7); m != 7 {
+	if m := w.median(time.Minute, 7); m != 7 {
 		t.Errorf("empty: %v", m)
 	}
 }
@@ -617,7 +618,7 @@
 	b.turn(ShardPlacement{Shard: moved})
 	b.query(20, 0, moved)
 	expect[Reject](t, b.last, 1)
-	if len(b.r.placed) != 0 {
+	if len(b.r.endpoints.placements) != 0 {
 		t.Error("a shard that has gone is remembered")
 	}
 }
@@ -645,7 +646,8 @@
 	if got := b.after(20*ms, closed(13, 0, 3, ServerError, 20*ms)); len(of[Reject](got)) != 1 {
 		t.Errorf("%v: a child had more attempts than were left of the part it came from", got)
 	}
-	if b.r.health(b.r.servers[second], 0) < b.r.health(b.r.servers[first], 0) {
+	outliers, servers := b.r.results.outliers, b.r.endpoints.servers
+	if outliers.health(b.now, servers[second], 0) < outliers.health(b.now, servers[first], 0) {
 		t.Error("a server was blamed for a slice that moved")
 	}
 }
@@ -714,18 +716,18 @@
 	set.Classes = append(set.Classes, set.Classes[0])
 	b := newBed(t, set)
 	b.query(10, 0, 0)
-	s := b.r.servers[1]
-	b.r.score(s, 0, 0, healthStep)
-	b.r.score(s, 0, 0, healthStep)
+	s := b.r.endpoints.servers[1]
+	b.r.results.outliers.recordFailure(b.now, s, 0)
+	b.r.results.outliers.recordFailure(b.now, s, 0)
 	for class, want := range []int{2, 3} {
-		p := &part{query: &query{Arrival: Arrival{Class: class}}}
-		if got := len(b.r.candidates(p)); got != want {
+		p := &part{query: &query{classIndex: class}}
+		if got := len(b.r.selector.candidates(b.now, p)); got != want {
 			t.Errorf("class %d: %d candidates, want %d", class, got, want)
 		}
 	}
 	b.now += 5 * time.Minute
 	b.turn()
-	if h := b.r.health(s, 0); h < 0.95 {
+	if h := b.r.results.outliers.health(b.now, s, 0); h < 0.95 {
 		t.Errorf("health after five minutes = %.2f, want it forgotten", h)
 	}
 }
@@ -738,7 +740,7 @@
 		set := settings()
 		set.Coordinators, set.WarmupInitialShare, set.WarmupDuration, set.WarmupOverloadFactor = peers, 0.2, 15*time.Second, 3
 		b := newBed(t, set)
-		gap[peers] = b.r.coldGap(&server{entry: Endpoint{StartedAt: b.now}}, 1)
+		gap[peers] = b.r.slowStart.gap(b.now, &server{endpoint: Endpoint{StartedAt: b.now}}, 1)
 	}
 	if gap[40] < 30*gap[1] {
 		t.Errorf("gaps = %v", gap)
@@ -770,13 +772,13 @@
 func TestForecastLeavesOutTheUnreachable(t *testing.T) {
 	b := newBed(t, settings())
 	for _, id := range []ServerID{1, 2} {
-		b.r.servers[id].lost = lostGone
+		b.r.endpoints.servers[id].checks.consecutiveFailures = maxConsecutiveCheckFailures
 	}
-	if got := b.r.reachable(0); len(got) != 1 || got[0].id != 3 {
+	if got := b.r.admission.forecaster.reachableReplicas(b.now, 0); len(got) != 1 || got[0].id != 3 {
 		t.Errorf("reachable: %d replicas", len(got))
 	}
-	b.r.servers[3].lost = lostGone
-	if got := b.r.reachable(0); len(got) != 3 {
+	b.r.endpoints.servers[3].checks.consecutiveFailures = maxConsecutiveCheckFailures
+	if got := b.r.admission.forecaster.reachableReplicas(b.now, 0); len(got) != 3 {
 		t.Errorf("reachable: %d replicas with all cut off, want all", len(got))
 	}
 }
@@ -784,12 +786,12 @@
 // A replica that was sick takes one part at a time until it has proved sound.
 func TestSickReplicaTakesOnePartAtATime(t *testing.T) {
 	b := newBed(t, settings())
-	s := b.r.servers[1]
-	s.health[0], s.healthAt = 0.7, b.now
-	p := &part{query: &query{Arrival: Arrival{Class: 0}}}
+	s := b.r.endpoints.servers[1]
+	s.health = healthScores{byClass: []float64{0.7}, at: b.now}
+	p := &part{query: &query{}}
 	for out, want := range []int{3, 2} {
-		s.out = out
-		if got := len(b.r.candidates(p)); got != want {
+		s.inFlight.count = out
+		if got := len(b.r.selector.candidates(b.now, p)); got != want {
 			t.Errorf("with %d parts out: %d candidates, want %d", out, got, want)
 		}
 	}
@@ -899,15 +901,15 @@
 	for id, each := range map[ServerID]float64{1: 200, 2: 20, 3: 20} {
 		b.turn(HealthCheckResult{Server: id, Code: OK, LoadReport: []float64{8, each}})
 	}
-	slow, usual := b.r.servers[1], b.r.servers[2]
-	if got := b.r.work(slow) / b.r.work(usual); got < 9 || got > 10.1 {
+	slow, usual := b.r.endpoints.servers[1], b.r.endpoints.servers[2]
+	if got := b.r.results.load.load(b.now, slow) / b.r.results.load.load(b.now, usual); got < 9 || got > 10.1 {
 		t.Errorf("ten times the service time is %.1f times the work where the node meets nobody", got)
 	}
 	b.after(3 * time.Second) // 30 median latencies, of which others' work halves each 15, or each 150 there
-	if left := b.r.work(usual); left > 3.1 {
+	if left := b.r.results.load.load(b.now, usual); left > 3.1 {
 		t.Errorf("the usual server's old report still counts %.1f", left)
 	}
-	if left := b.r.work(slow); left < 70 {
+	if left := b.r.results.load.load(b.now, slow); left < 70 {
 		t.Errorf("the slow server's old report counts %.1f only", left)
 	}
 	b.query(100, 0, 0)
@@ -929,7 +931,7 @@
 	for id, each := range map[ServerID]float64{1: 200, 2: 20, 3: 20} {
 		b.turn(HealthCheckResult{Server: id, Code: OK, LoadReport: []float64{8, each}})
 	}
-	if got := b.r.pace(b.r.servers[1]); got > 1.5 {
+	if got := b.r.results.load.relativeServiceTime(b.now, b.r.endpoints.servers[1]); got > 1.5 {
 		t.Errorf("a reported pace of 10 counts %.1f at a node with 300 outcomes of its own", got)
 	}
 }
@@ -940,10 +942,10 @@
 	for met, bounds := range map[int][2]float64{120: {0.03, 0.1}, 5: {0.95, 0.99}} {
 		b := newBed(t, settings())
 		for range met {
-			b.r.all.add(b.now, 1)
+			b.r.results.latencies.all.add(b.now, 1)
 		}
 		b.turn()
-		if w := b.r.seldom; w < bounds[0] || w > bounds[1] {
+		if w := b.r.results.load.serviceTimeWeight; w < bounds[0] || w > bounds[1] {
 			t.Errorf("%d outcomes in 10 s at 3 servers: weight %.3f, not in %v", met, w, bounds)
 		}
 	}
@@ -962,10 +964,10 @@
 		b.known(100, 20*ms, 2, 3, 2, 3, 2, 3, 2, 3, 2, 3, 2, 3)
 		b.turn(HealthCheckResult{Server: 1, Code: OK, LoadReport: []float64{0, each, 0}}, HealthCheckResult{Server: 2, Code: OK, LoadReport: []float64{inflight, 20, 0}},
 			HealthCheckResult{Server: 3, Code: OK, LoadReport: []float64{inflight, 20, 0}})
-		b.r.all.add(b.now, float64(10*time.Second)) // the floor of one part at a time does not hide the rest
-		b.r.all.add(b.now, float64(10*time.Second))
+		b.r.results.latencies.all.add(b.now, float64(10*time.Second)) // the floor of one part at a time does not hide the rest
+		b.r.results.latencies.all.add(b.now, float64(10*time.Second))
 		b.after(0)
-		return b.r.coldGap(b.r.servers[1], 1)
+		return b.r.slowStart.gap(b.now, b.r.endpoints.servers[1], 1)
 	}
 	if idle, busy := gap(0.8, 20, 0), gap(2, 20, 0); idle > 0.8*busy {
 		t.Errorf("gap %.3g where the warm are two fifths busy, %.3g where wholly", idle, busy)
@@ -984,11 +986,11 @@
 	set.Coordinators, set.WarmupInitialShare, set.WarmupDuration, set.WarmupOverloadFactor = 40, 0.1, 15*time.Second, 2
 	b := newBed(t, set)
 	b.turn(EndpointUpdate{Endpoints: []Endpoint{{Server: 1, Cell: 0, State: Ready, StartedAt: b.now}}})
-	s := b.r.servers[1]
-	s.coldAt = b.now
-	first := time.Duration(b.r.coldGap(s, 1))
+	s := b.r.endpoints.servers[1]
+	s.slowStart.gapStartedAt = b.now
+	first := time.Duration(b.r.slowStart.gap(b.now, s, 1))
 	b.after(14 * time.Second)
-	if now := time.Duration(b.r.coldGap(s, 1)); first < 15*time.Second || !b.r.open(s) {
+	if now := time.Duration(b.r.slowStart.gap(b.now, s, 1)); first < 15*time.Second || !b.r.selector.eligibility.mayGetAttemptSoon(b.now, s) {
 		t.Errorf("gap %v at the start, %v now: shut still", first, now)
 	}
 }
@@ -1005,7 +1007,7 @@
 	b.query(200, 0, 0, 1, 2)
 	expect[Reject](t, b.last, 1)
 	b.query(300, 0, 1, 2)
-	if b.r.isPressed(b.r.byID[300]) {
+	if b.r.admission.isOverloaded(b.now, b.r.queries.byID[300].class) {
 		t.Error("a jammed shard counts as want of room")
 	}
 }
@@ -1019,7 +1021,7 @@
 	b.query(10, 0, 1)
 	expect[Reject](t, b.last, 1)
 	b.query(20, 0, 0)
-	if b.r.isPressed(b.r.byID[20]) {
+	if b.r.admission.isOverloaded(b.now, b.r.queries.byID[20].class) {
 		t.Error("a lost shard counts as want of room")
 	}
 }
@@ -1054,7 +1056,7 @@
 		b := newBed(t, set)
 		b.turn(EndpointUpdate{Mode: UpdateDelta, Endpoints: []Endpoint{{Server: 2, Cell: 1, State: Ready, Zone: 1}, {Server: 3, Cell: 2, State: Ready, Zone: 2}}})
 		if c.pressed {
-			b.r.pressed = b.now
+			b.r.admission.overloadedAt = b.now
 		}
 		b.query(10, 0, 0)
 		if s := expect[Send](t, b.after(5*ms, reply(1, 1), reply(2, 0), reply(3, 9)), 1); s[0].Server != c.want {
@@ -1102,7 +1104,7 @@
 		b.after(ms, reply(1, 0))
 	}
 	b.after(20*ms, closed(21, 0, 1, OK, 20*ms))
-	if b.r.servers[1].fulls != 0 {
+	if b.r.endpoints.servers[1].backoff.count != 0 {
 		t.Error("what was served does not end the pauses")
 	}
 }
@@ -1142,7 +1144,7 @@
 	try(3, ServerError)
 	try(3, ServerError)
 	want(2, 0) // it may only be the turn of others
-	b.now += aloneFor
+	b.now += idleBeforeExclusion
 	want(2, 1)
 	b.now += 2 * time.Minute
 	want(2, 0)
@@ -1161,7 +1163,7 @@
 		b.after(5*ms, reply(1, 3), reply(2, 0)) // the third stands still
 		b.after(5 * ms)
 		b.turn(ClientDisconnected{ID: 10})
-		b.now += replyLasts*time.Duration(peers) - 11*ms
+		b.now += replyValidityPerCoordinator*time.Duration(peers) - 11*ms
 		b.query(20, 0, 0)
 		if sends := expect[Send](t, b.last, 1); sends[0].Server != 2 {
 			t.Errorf("%d nodes: sent to %d", peers, sends[0].Server)
@@ -1238,7 +1240,7 @@
 			sent += len(of[Send](b.turn(closed(s.ID, 0, 9, OK, 20*ms))))
 		}
 		sent += len(out)
-		allowed += float64(5*ms) / b.r.coldGap(b.r.servers[9], b.r.charge(0))
+		allowed += float64(5*ms) / b.r.slowStart.gap(b.now, b.r.endpoints.servers[9], b.r.results.latencies.relativeWork(b.now, 0))
 	}
 	if sent == 0 || float64(sent) > allowed {
 		t.Errorf("%d parts within a second to a cold server, at most %.1f are allowed", sent, allowed)
--- a/internal/routing/window_test.go
+++ b/internal/routing/sliding_window_test.go
@@ -11,7 +11,7 @@
 // that has just changed sorts nothing: the cost of a read must not grow with what the window holds.
 func TestWindowMatchesItsSamples(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	w := newWindow(time.Second)
+	w := newSlidingWindow(time.Second)
 	var at []time.Duration
 	var values []float64
 	now := time.Duration(0)
@@ -25,11 +25,11 @@
 		}
 		want := slices.Sorted(slices.Values(values))
 		middle := (want[(len(want)-1)/2] + want[len(want)/2]) / 2
-		if w.middle(now, -1) != middle || w.count(now) != len(want) || !slices.Equal(w.sorted, want) {
-			t.Fatalf("%v: median %v of %d, want %v of %d", now, w.middle(now, -1), w.count(now), middle, len(want))
+		if w.median(now, -1) != middle || w.count(now) != len(want) || !slices.Equal(w.sorted, want) {
+			t.Fatalf("%v: median %v of %d, want %v of %d", now, w.median(now, -1), w.count(now), middle, len(want))
 		}
 	}
-	if w.middle(now+2*time.Second, -1) != -1 || w.count(now+2*time.Second) != 0 || len(w.sorted) != 0 {
+	if w.median(now+2*time.Second, -1) != -1 || w.count(now+2*time.Second) != 0 || len(w.sorted) != 0 {
 		t.Error("old samples stay")
 	}
 }
