--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -24,6 +24,15 @@
 	stopping bool // the components are about to stop: no reload is applied any more
 }
 
+func newProcess(cfg Config) *process {
+	return &process{
+		cfg:       cfg,
+		startedAt: time.Now(),
+		counters:  metrics.NewCounters(),
+		totals:    metrics.NewTotals(cfg.host.Classes),
+	}
+}
+
 // isSuccessor tells whether another process of this coordinator ran already when this one started.
 func (p *process) isSuccessor() bool { return p.share.Processes > 1 }
 
--- a/internal/daemon/program.go
+++ b/internal/daemon/program.go
@@ -5,7 +5,6 @@
 
 import (
 	"runtime"
-	"time"
 
 	"linkpass/internal/lifecycle"
 	"linkpass/internal/metrics"
@@ -48,12 +47,7 @@
 
 // newProgram makes the components, and lists them in the order of their start.
 func newProgram(cfg Config) (*Program, []lifecycle.Component) {
-	proc := &process{
-		cfg:       cfg,
-		startedAt: time.Now(),
-		counters:  metrics.NewCounters(),
-		totals:    metrics.NewTotals(cfg.host.Classes),
-	}
+	proc := newProcess(cfg)
 	dials := peer.NewPlaces(0)
 	settings := newActiveSettings(&cfg.Search.Config) // a copy: a reload overwrites that of proc
 	st, names := &replicatedStore{}, &endpointNames{}
@@ -76,8 +70,8 @@
 	api.backend = &adminBackend{process: proc, core: core, bodies: bodies, fronts: fronts, settings: settings,
 		names: names, registry: registry, store: st, api: api, reloader: reload}
 
-	p := &Program{adminBackend: api.backend, limits: limits, discovery: watcher, admin: admin,
-		shutdown: &shutdown{process: proc, core: core, fronts: fronts, limits: limits}}
+	stop := &shutdown{process: proc, core: core, fronts: fronts, limits: limits}
+	p := &Program{adminBackend: api.backend, limits: limits, discovery: watcher, admin: admin, shutdown: stop}
 	return p, []lifecycle.Component{
 		limits.component(),
 		core.component(),
