--- a/tools/knownred/knownred_test.go
+++ b/tools/knownred/knownred_test.go
@@ -20,7 +20,6 @@
 	failure := func(pkg, test string) knownFailure {
 		return knownFailure{Package: pkg, Test: test, Command: "SEED=3 go test " + pkg, Seen: "2 of 4 answers", Issue: 7}
 	}
-	first := entry("./a", "TestA")
 	cases := []struct {
 		name, text string
 		want       []knownFailure
@@ -45,53 +44,59 @@
 	}
 }
 
+// first is the entry that the lists begin with.
+var first = entry("./a", "TestA")
+
+// change replaces the first place of a text in that entry.
+func change(from, to string) string { return strings.Replace(first, from, to, 1) }
+
+// malformedLists have one line each that is not in order; the error names the line and the field.
+var malformedLists = []struct {
+	name, text string
+	line       int
+	field      string
+}{
+	{"same test twice", first + "\n" + first, 6, "test"},
+	{"same test twice, not in turn", first + "\n" + entry("./b", "TestB") + "\n" + first, 11, "test"},
+	{"empty line alone", "\n", 1, "test"},
+	{"empty line first", "\n" + first, 1, "test"},
+	{"empty line at the end", first + "\n", 6, "test"},
+	{"two empty lines between entries", first + "\n\n" + entry("./b", "TestB"), 6, "test"},
+	{"no empty line between entries", first + entry("./b", "TestB"), 5, ""},
+	{"space in place of the empty line", first + " \n" + entry("./b", "TestB"), 5, ""},
+	{"remark before an entry", "# a remark\n" + first, 1, "test"},
+	{"remark after an entry", first + "# a remark\n", 5, ""},
+	{"further field", first + "owner: me\n", 5, ""},
+	{"field given twice", change("seen: ", "command: "), 3, "seen"},
+	{"fields in another order", change("test: ./a TestA\ncommand: SEED=3 go test ./a\n", "command: SEED=3 go test ./a\ntest: ./a TestA\n"), 1, "test"},
+	{"form of the release before", "./a TestA: it is so (issue 7)\n", 1, "test"},
+	{"no test", change("test: ./a TestA\n", ""), 1, "test"},
+	{"no package", change("./a TestA", "TestA"), 1, "test"},
+	{"package without ./", change("./a TestA", "a TestA"), 1, "test"},
+	{"no test name", change("./a TestA", "./a"), 1, "test"},
+	{"benchmark", change("TestA", "BenchmarkA"), 1, "test"},
+	{"two tests in one entry", change("TestA", "TestA|TestB"), 1, "test"},
+	{"pattern for a test name", change("TestA", "Test.*"), 1, "test"},
+	{"no command", change("command: SEED=3 go test ./a\n", ""), 2, "command"},
+	{"empty command", change("SEED=3 go test ./a", ""), 2, "command"},
+	{"space for a command", change("SEED=3 go test ./a", " "), 2, "command"},
+	{"no seen", change("seen: 2 of 4 answers\n", ""), 3, "seen"},
+	{"empty seen", change("2 of 4 answers", ""), 3, "seen"},
+	{"seen on two lines", change("2 of 4", "2\nof 4"), 4, "issue"},
+	{"space at the end of seen", change("answers", "answers "), 3, "seen"},
+	{"no space after the colon", change("seen: ", "seen:"), 3, "seen"},
+	{"line ends of another system", strings.ReplaceAll(first, "\n", "\r\n"), 1, "test"},
+	{"no issue", change("issue: 7\n", ""), 4, "issue"},
+	{"no issue before a next entry", change("issue: 7\n", "") + "\n" + entry("./b", "TestB"), 4, "issue"},
+	{"empty issue", change("issue: 7", "issue: "), 4, "issue"},
+	{"issue in words", change("issue: 7", "issue: seven"), 4, "issue"},
+	{"issue with a sign", change("issue: 7", "issue: +7"), 4, "issue"},
+	{"issue of 0", change("issue: 7", "issue: 0"), 4, "issue"},
+	{"issue of a second entry", first + "\n" + strings.Replace(entry("./b", "TestB"), "7", "-7", 1), 9, "issue"},
+}
+
 func TestParseListRejectsMalformedLine(t *testing.T) {
-	first := entry("./a", "TestA")
-	change := func(from, to string) string { return strings.Replace(first, from, to, 1) }
-	cases := []struct {
-		name, text string
-		line       int
-		field      string
-	}{
-		{"same test twice", first + "\n" + first, 6, "test"},
-		{"same test twice, not in turn", first + "\n" + entry("./b", "TestB") + "\n" + first, 11, "test"},
-		{"empty line alone", "\n", 1, "test"},
-		{"empty line first", "\n" + first, 1, "test"},
-		{"empty line at the end", first + "\n", 6, "test"},
-		{"two empty lines between entries", first + "\n\n" + entry("./b", "TestB"), 6, "test"},
-		{"no empty line between entries", first + entry("./b", "TestB"), 5, ""},
-		{"space in place of the empty line", first + " \n" + entry("./b", "TestB"), 5, ""},
-		{"remark before an entry", "# a remark\n" + first, 1, "test"},
-		{"remark after an entry", first + "# a remark\n", 5, ""},
-		{"further field", first + "owner: me\n", 5, ""},
-		{"field given twice", change("seen: ", "command: "), 3, "seen"},
-		{"fields in another order", change("test: ./a TestA\ncommand: SEED=3 go test ./a\n", "command: SEED=3 go test ./a\ntest: ./a TestA\n"), 1, "test"},
-		{"form of the release before", "./a TestA: it is so (issue 7)\n", 1, "test"},
-		{"no test", change("test: ./a TestA\n", ""), 1, "test"},
-		{"no package", change("./a TestA", "TestA"), 1, "test"},
-		{"package without ./", change("./a TestA", "a TestA"), 1, "test"},
-		{"no test name", change("./a TestA", "./a"), 1, "test"},
-		{"benchmark", change("TestA", "BenchmarkA"), 1, "test"},
-		{"two tests in one entry", change("TestA", "TestA|TestB"), 1, "test"},
-		{"pattern for a test name", change("TestA", "Test.*"), 1, "test"},
-		{"no command", change("command: SEED=3 go test ./a\n", ""), 2, "command"},
-		{"empty command", change("SEED=3 go test ./a", ""), 2, "command"},
-		{"space for a command", change("SEED=3 go test ./a", " "), 2, "command"},
-		{"no seen", change("seen: 2 of 4 answers\n", ""), 3, "seen"},
-		{"empty seen", change("2 of 4 answers", ""), 3, "seen"},
-		{"seen on two lines", change("2 of 4", "2\nof 4"), 4, "issue"},
-		{"space at the end of seen", change("answers", "answers "), 3, "seen"},
-		{"no space after the colon", change("seen: ", "seen:"), 3, "seen"},
-		{"line ends of another system", strings.ReplaceAll(first, "\n", "\r\n"), 1, "test"},
-		{"no issue", change("issue: 7\n", ""), 4, "issue"},
-		{"no issue before a next entry", change("issue: 7\n", "") + "\n" + entry("./b", "TestB"), 4, "issue"},
-		{"empty issue", change("issue: 7", "issue: "), 4, "issue"},
-		{"issue in words", change("issue: 7", "issue: seven"), 4, "issue"},
-		{"issue with a sign", change("issue: 7", "issue: +7"), 4, "issue"},
-		{"issue of 0", change("issue: 7", "issue: 0"), 4, "issue"},
-		{"issue of a second entry", first + "\n" + strings.Replace(entry("./b", "TestB"), "7", "-7", 1), 9, "issue"},
-	}
-	for _, c := range cases {
+	for _, c := range malformedLists {
 		t.Run(c.name, func(t *testing.T) {
 			list, err := parseList(c.text)
 			var syntax *listSyntaxError
