--- a/internal/config/result_golden_test.go
+++ b/internal/config/result_golden_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 
@@ -32,93 +33,166 @@
 	return &restriction.Request{ID: id, Server: server, Level: level}
 }
 
-// A rejected command's detail lies in the client sessions of the replicated state, and so in its hash:
-// instances of two versions in one store must give the same text.
-func TestResultDetailGolden(t *testing.T) {
-	s := goldenState(t)
-	fullServers, fullRemoved, fullMembers := *s, *s, *s
-	fullServers.servers, fullRemoved.removed, fullMembers.memberAddresses = map[string]Server{}, map[string]bool{}, map[string]string{}
+// resultCase is a command that a state rejects.
+type resultCase struct {
+	name            string
+	state           *State
+	command         Command
+	reason          Reason
+	detail          string
+	uncoveredShards []string
+}
+
+// goldenSpec is a valid specification of a server.
+var goldenSpec = &ServerSpec{Addr: "h:9"}
+
+// goldenLongName is one byte longer than a name may be.
+var goldenLongName = strings.Repeat("x", MaxNameBytes+1)
+
+// stateWithMaxServers is a copy of a state that has as many servers as there may be.
+func stateWithMaxServers(s *State) *State {
+	full := *s
+	full.servers = map[string]Server{}
 	for i := range MaxServers {
-		fullServers.servers[fmt.Sprint(i)] = Server{}
+		full.servers[fmt.Sprint(i)] = Server{}
 	}
+	return &full
+}
+
+// stateWithMaxRemovedIDs is a copy of a state that has as many removed ids as there may be.
+func stateWithMaxRemovedIDs(s *State) *State {
+	full := *s
+	full.removed = map[string]bool{}
 	for i := range MaxRemovedIDs {
-		fullRemoved.removed[fmt.Sprint(i)] = true
+		full.removed[fmt.Sprint(i)] = true
 	}
+	return &full
+}
+
+// stateWithMaxMemberAddresses is a copy of a state that has as many members' addresses as there may be.
+func stateWithMaxMemberAddresses(s *State) *State {
+	full := *s
+	full.memberAddresses = map[string]string{}
 	for i := range MaxMemberAddresses {
-		fullMembers.memberAddresses[fmt.Sprint(i)] = "h:1"
+		full.memberAddresses[fmt.Sprint(i)] = "h:1"
 	}
-	drained, r := s.Apply(Command{Kind: RestrictServer, Restriction: goldenRequest(2, "a", restriction.Draining)})
-	if r.Reason != Applied {
-		t.Fatal(r)
-	}
-	split := &shardmap.Command{Request: &shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{7}, Pieces: 2}}
-	spec := &ServerSpec{Addr: "h:9"}
-	long := strings.Repeat("x", MaxNameBytes+1)
-	for _, c := range []struct {
-		name    string
-		state   *State
-		command Command
-		want    Result
-	}{
-		{"long server name", s, Command{Kind: AddServer, Server: long},
-			Result{Reason: Invalid, Detail: "a name has 128 bytes at most"}},
-		{"long client name", s, Command{Kind: AddServer, ClientID: long},
-			Result{Reason: Invalid, Detail: "a name has 128 bytes at most"}},
-		{"before the first document", NewState(testSettings(t)), Command{Kind: SetServerWeight, Server: "a"},
-			Result{Reason: NotInitialized, Detail: "command 5"}},
-		{"unknown kind", s, Command{Kind: 200}, Result{Reason: Invalid, Detail: "command 200"}},
-		{"no server", s, Command{Kind: SetServerWeight}, Result{Reason: Invalid, Detail: "no server is named"}},
-		{"removed server", s, Command{Kind: AddServer, Server: "gone", Spec: spec},
-			Result{Reason: ServerIDRetired, Detail: "gone"}},
+	return &full
+}
+
+// restrictServer is the command of a restriction by the golden state's instance.
+func restrictServer(seq uint64, server string, level restriction.Level) Command {
+	return Command{Kind: RestrictServer, Restriction: goldenRequest(seq, server, level)}
+}
+
+// rejectedServerCommands are commands on servers, and commands that name nothing valid.
+func rejectedServerCommands(t *testing.T, s *State) []resultCase {
+	t.Helper()
+	uninitialized := NewState(testSettings(t))
+	fullServers := stateWithMaxServers(s)
+	return []resultCase{
+		{"long server name", s, Command{Kind: AddServer, Server: goldenLongName},
+			Invalid, "a name has 128 bytes at most", nil},
+		{"long client name", s, Command{Kind: AddServer, ClientID: goldenLongName},
+			Invalid, "a name has 128 bytes at most", nil},
+		{"before the first document", uninitialized, Command{Kind: SetServerWeight, Server: "a"},
+			NotInitialized, "command 5", nil},
+		{"unknown kind", s, Command{Kind: 200}, Invalid, "command 200", nil},
+		{"no server", s, Command{Kind: SetServerWeight}, Invalid, "no server is named", nil},
+		{"removed server", s, Command{Kind: AddServer, Server: "gone", Spec: goldenSpec},
+			ServerIDRetired, "gone", nil},
 		{"another version", s, Command{Kind: SetServerWeight, Server: "d", ExpectedVersion: 9},
-			Result{Reason: Conflict, Detail: "d is at version 2, the command was made on 9"}},
+			Conflict, "d is at version 2, the command was made on 9", nil},
 		{"version of an unknown server", s, Command{Kind: SetServerWeight, Server: "z", ExpectedVersion: 9},
-			Result{Reason: Conflict, Detail: "z is at version 0, the command was made on 9"}},
-		{"too many servers", &fullServers, Command{Kind: AddServer, Server: "d", Spec: spec},
-			Result{Reason: LimitExceeded, Detail: "10000 servers"}},
+			Conflict, "z is at version 0, the command was made on 9", nil},
+		{"too many servers", fullServers, Command{Kind: AddServer, Server: "d", Spec: goldenSpec},
+			LimitExceeded, "10000 servers", nil},
 		{"no specification", s, Command{Kind: AddServer, Server: "z"},
-			Result{Reason: Invalid, Detail: "z needs an address and a cell"}},
-		{"server exists", s, Command{Kind: AddServer, Server: "d", Spec: spec},
-			Result{Reason: ServerExists, Detail: "d"}},
-		{"server not found", s, Command{Kind: UpdateServer, Server: "a", Spec: spec},
-			Result{Reason: ServerNotFound, Detail: "a"}},
+			Invalid, "z needs an address and a cell", nil},
+		{"server exists", s, Command{Kind: AddServer, Server: "d", Spec: goldenSpec},
+			ServerExists, "d", nil},
+		{"server not found", s, Command{Kind: UpdateServer, Server: "a", Spec: goldenSpec},
+			ServerNotFound, "a", nil},
 		{"negative weight", s, Command{Kind: SetServerWeight, Server: "a", Weight: -1},
-			Result{Reason: Invalid, Detail: "weight -1"}},
+			Invalid, "weight -1", nil},
+	}
+}
+
+// rejectedRestrictionCommands are commands that restrict servers or undrain them.
+func rejectedRestrictionCommands(t *testing.T, s *State) []resultCase {
+	t.Helper()
+	fullServers, fullRemoved := stateWithMaxServers(s), stateWithMaxRemovedIDs(s)
+	drained, r := s.Apply(restrictServer(2, "a", restriction.Draining))
+	if r.Reason != Applied {
+		t.Fatal(r)
+	}
+	tooManyIDs := make([]restriction.ID, restriction.MaxPending+1)
+	return []resultCase{
 		{"no restriction", s, Command{Kind: RestrictServer},
-			Result{Reason: Invalid, Detail: "an order needs an id, a server and a kind"}},
-		{"restriction settled", s, Command{Kind: RestrictServer, Restriction: goldenRequest(1, "a", restriction.Draining)},
-			Result{Reason: AlreadySettled, Detail: "n0.1.1"}},
-		{"restriction of a removed server", s, Command{Kind: RestrictServer, Restriction: goldenRequest(3, "gone", restriction.Draining)},
-			Result{Reason: ServerIDRetired, Detail: "gone"}},
-		{"restriction of too many servers", &fullServers, Command{Kind: RestrictServer, Restriction: goldenRequest(3, "z", restriction.Draining)},
-			Result{Reason: LimitExceeded, Detail: "10000 servers, 1 removed ids"}},
-		{"too many removed ids", &fullRemoved, Command{Kind: RestrictServer, Restriction: goldenRequest(3, "d", restriction.Removed)},
-			Result{Reason: LimitExceeded, Detail: "2 servers, 100000 removed ids"}},
-		{"last replica of a shard", s, Command{Kind: RestrictServer, Restriction: goldenRequest(3, "c", restriction.Draining)},
-			Result{Reason: NoReplicaLeft, Detail: "1 slices, players/1048577 among them", UncoveredShards: []string{"players/1048577"}}},
-		{"last replica after a drain", drained, Command{Kind: RestrictServer, Restriction: goldenRequest(3, "b", restriction.Removed)},
-			Result{Reason: NoReplicaLeft, Detail: "1 slices, players/1048576 among them", UncoveredShards: []string{"players/1048576"}}},
-		{"undrain with too many ids", s, Command{Kind: UndrainServer, Server: "a", WithdrawnIDs: make([]restriction.ID, restriction.MaxPending+1)},
-			Result{Reason: Invalid, Detail: "1025 orders are named, 1024 at most"}},
+			Invalid, "an order needs an id, a server and a kind", nil},
+		{"restriction settled", s, restrictServer(1, "a", restriction.Draining),
+			AlreadySettled, "n0.1.1", nil},
+		{"restriction of a removed server", s, restrictServer(3, "gone", restriction.Draining),
+			ServerIDRetired, "gone", nil},
+		{"restriction of too many servers", fullServers, restrictServer(3, "z", restriction.Draining),
+			LimitExceeded, "10000 servers, 1 removed ids", nil},
+		{"too many removed ids", fullRemoved, restrictServer(3, "d", restriction.Removed),
+			LimitExceeded, "2 servers, 100000 removed ids", nil},
+		{"last replica of a shard", s, restrictServer(3, "c", restriction.Draining),
+			NoReplicaLeft, "1 slices, players/1048577 among them", []string{"players/1048577"}},
+		{"last replica after a drain", drained, restrictServer(3, "b", restriction.Removed),
+			NoReplicaLeft, "1 slices, players/1048576 among them", []string{"players/1048576"}},
+		{"undrain with too many ids", s, Command{Kind: UndrainServer, Server: "a", WithdrawnIDs: tooManyIDs},
+			Invalid, "1025 orders are named, 1024 at most", nil},
+	}
+}
+
+// rejectedSettingsCommands are commands on members' addresses, settings and shard maps.
+func rejectedSettingsCommands(s *State) []resultCase {
+	split := &shardmap.Command{Request: &shardmap.PlanRequest{
+		Kind:   shardmap.Split,
+		Shards: []shardmap.ShardID{7},
+		Pieces: 2,
+	}}
+	fullMembers := stateWithMaxMemberAddresses(s)
+	negativeWindow := []byte(`{"search":{"max_result_window":-5}}`)
+	return []resultCase{
 		{"member without an address", s, Command{Kind: SetMemberAddress, Server: "n1"},
-			Result{Reason: Invalid, Detail: "an instance needs an id and an address"}},
-		{"too many members", &fullMembers, Command{Kind: SetMemberAddress, Server: "n1", Payload: []byte("h:4")},
-			Result{Reason: LimitExceeded, Detail: "32 instances"}},
-		{"settings of another version", s, Command{Kind: PatchSettings, ExpectedVersion: 7, Payload: []byte("{}")},
-			Result{Reason: Conflict, Detail: "the settings are at version 1, the command was made on 7"}},
-		{"patch cut short", s, Command{Kind: PatchSettings, Payload: []byte("{")},
-			Result{Reason: Invalid, Detail: "invalid settings: unexpected EOF"}},
-		{"patch that does not validate", s, Command{Kind: PatchSettings, Payload: []byte(`{"search":{"max_result_window":-5}}`)},
-			Result{Reason: Invalid, Detail: "invalid settings: search.max_result_window is below 0"}},
+			Invalid, "an instance needs an id and an address", nil},
+		{"too many members", fullMembers, Command{Kind: SetMemberAddress, Server: "n1", Payload: []byte("h:4")},
+			LimitExceeded, "32 instances", nil},
+		{"settings of another version", s,
+			Command{Kind: PatchSettings, ExpectedVersion: 7, Payload: []byte("{}")},
+			Conflict, "the settings are at version 1, the command was made on 7", nil},
+		{"truncated patch", s, Command{Kind: PatchSettings, Payload: []byte("{")},
+			Invalid, "invalid settings: unexpected EOF", nil},
+		{"patch that does not validate", s, Command{Kind: PatchSettings, Payload: negativeWindow},
+			Invalid, "invalid settings: search.max_result_window is below 0", nil},
 		{"unknown index", s, Command{Kind: AdvanceShardMap, Index: "nobody", ShardMapCommand: split},
-			Result{Reason: Invalid, Detail: `index "nobody" has no layout, or no step is given`}},
+			Invalid, `index "nobody" has no layout, or no step is given`, nil},
 		{"unknown shard", s, Command{Kind: AdvanceShardMap, Index: "players", ShardMapCommand: split},
-			Result{Reason: Conflict, Detail: "no such slice or plan: slice 7 does not serve at version 1"}},
-	} {
+			Conflict, "no such slice or plan: slice 7 does not serve at version 1", nil},
+	}
+}
+
+// A rejected command's detail is kept in the client sessions of the replicated state, and so in its hash: instances of
+// two versions in one store must produce the same text.
+func TestResultDetailGolden(t *testing.T) {
+	s := goldenState(t)
+	cases := slices.Concat(
+		rejectedServerCommands(t, s),
+		rejectedRestrictionCommands(t, s),
+		rejectedSettingsCommands(s),
+	)
+	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			c.want.Version = c.state.Version() + 1
-			if _, got := c.state.Apply(c.command); fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", c.want) {
-				t.Errorf("result\n%+v\nwant\n%+v", got, c.want)
+			want := Result{
+				Reason:          c.reason,
+				Detail:          c.detail,
+				Version:         c.state.Version() + 1,
+				UncoveredShards: c.uncoveredShards,
+			}
+			if _, got := c.state.Apply(c.command); fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", want) {
+				t.Errorf("result\n%+v\nwant\n%+v", got, want)
 			}
 		})
 	}
@@ -127,7 +201,11 @@
 // The reason of a request that an undrain withdrew is replicated too.
 func TestWithdrawnReasonGolden(t *testing.T) {
 	request := goldenRequest(3, "a", restriction.Draining)
-	s, r := goldenState(t).Apply(Command{Kind: UndrainServer, Server: "a", WithdrawnIDs: []restriction.ID{request.ID}})
+	s, r := goldenState(t).Apply(Command{
+		Kind:         UndrainServer,
+		Server:       "a",
+		WithdrawnIDs: []restriction.ID{request.ID},
+	})
 	if r.Reason != Applied {
 		t.Fatal(r)
 	}
