--- a/internal/store/cluster_test.go
+++ b/internal/store/cluster_test.go
@@ -80,14 +80,23 @@
 	}
 }
 
-// eventually polls until a condition is true; the test's own deadline is the only limit.
+// eventually polls until a condition is true.
 func (c *cluster) eventually(what string, condition func() bool) {
 	c.t.Helper()
+	eventually(c.t, what, condition)
+}
+
+// pollInterval is the time between two checks of a condition that a test waits for.
+const pollInterval = 5 * time.Millisecond
+
+// eventually polls until a condition is true; the test's own deadline is the only limit.
+func eventually(t testing.TB, what string, condition func() bool) {
+	t.Helper()
 	for !condition() {
-		if c.t.Context().Err() != nil {
-			c.t.Fatal(what)
+		if t.Context().Err() != nil {
+			t.Fatal(what)
 		}
-		time.Sleep(5 * time.Millisecond)
+		time.Sleep(pollInterval)
 	}
 }
 
--- a/internal/store/read_test.go
+++ b/internal/store/read_test.go
@@ -42,7 +42,7 @@
 			continue
 		}
 		var got readErrors
-		// The leader's reads commit a barrier; until a follower has applied what it knows of it, a stale read is rejected.
+		// The leader's reads commit a barrier: a stale read is rejected until the follower has applied it.
 		c.eventually("a follower's stale read", func() bool {
 			got = readAll(s, time.Minute)
 			return !errors.Is(got.stale, ErrStale)
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -11,9 +11,10 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 
 	"linkpass/internal/config"
+	"linkpass/internal/config/rollback"
 )
 
-func TestStoredDirectoryReadsBaseFormat(t *testing.T) {
+func TestStoredDirectoryReadsFirstFormat(t *testing.T) {
 	discardEvents(t)
 	for _, f := range storedFixtures {
 		t.Run(f.name, func(t *testing.T) {
@@ -28,15 +29,22 @@
 			s := mustOpenStored(t, dir, 0)
 			defer mustClose(t, s)
 			requireGolden(t, f.name+"_state.json", indented(t, readState(t, s)))
-			if began := s.positions.startReport; began.ID != storedMember || began.Incarnation != content.Boots+1 || began.AtStart.Term != content.Term ||
-				began.AtStart.Index != content.LastIndex || began.Current != began.AtStart {
-				t.Errorf("report of the start: %+v", began)
-			}
+			requireStartReport(t, s.positions.startReport, content)
 		})
 	}
 }
 
-// The log fixtures hold a command of every kind.
+// requireStartReport requires a report of the position that a data directory had before a store opened it.
+func requireStartReport(t *testing.T, report rollback.Report, content storedContent) {
+	t.Helper()
+	want := rollback.Position{Term: content.Term, Index: content.LastIndex}
+	if report.ID != storedMember || report.Incarnation != content.BootCount+1 ||
+		report.AtStart != want || report.Current != report.AtStart {
+		t.Errorf("report of the start: %+v", report)
+	}
+}
+
+// The log fixture holds a command of every kind.
 func TestStoredLogHoldsEveryKind(t *testing.T) {
 	discardEvents(t)
 	seen := map[config.CommandKind]bool{}
@@ -70,7 +78,7 @@
 	}
 }
 
-// A store that has opened a fixture takes a snapshot that another start restores alike.
+// The snapshot of a store that has opened a fixture is restored to the same state by the next start.
 func TestStoredDirectorySurvivesSnapshotAndRestart(t *testing.T) {
 	discardEvents(t)
 	for _, f := range storedFixtures {
--- a/internal/store/stored_truncated_test.go
+++ b/internal/store/stored_truncated_test.go
@@ -30,10 +30,10 @@
 	return list
 }
 
-// truncationPoints are the points at which a file of a size is cut.
+// truncationPoints are the sizes in bytes to which a file of a given size is truncated.
 func truncationPoints(size int) []int { return []int{0, 1, size / 4, size / 2, size - 1} }
 
-// The newest snapshot is cut: the one before it and the log give the whole state.
+// The newest snapshot is truncated: the one before it and the log hold the whole state.
 func TestStoredSnapshotTruncatedFallsBackToEarlier(t *testing.T) {
 	discardEvents(t)
 	size := len(mustRead(t, snapshotStates(t, copyFixture(t, "snapshots"))[1]))
@@ -50,7 +50,7 @@
 	}
 }
 
-// All snapshots are cut: the store does not open.
+// All snapshots are truncated: the store does not open.
 func TestStoredSnapshotsAllTruncatedIsError(t *testing.T) {
 	discardEvents(t)
 	for _, name := range []string{"snapshots", "compacted", "documents_snapshot"} {
@@ -83,7 +83,7 @@
 	return data
 }
 
-// lastCommand finds the last entry of a directory's log that holds a command, and drops those after it.
+// lastCommand finds the last command of a log, and deletes the entries after it.
 func lastCommand(t *testing.T, bolt *raftboltdb.BoltStore) (l raft.Log) {
 	t.Helper()
 	last, err := bolt.LastIndex()
@@ -105,43 +105,56 @@
 	}
 }
 
-// The last command of the log is cut at several bytes. The instance takes no more entries, keeps the state before it and says
-// why it fails.
+// lastCommandData is the encoding of the last command of a fixture's log.
+func lastCommandData(t *testing.T, fixture string) []byte {
+	t.Helper()
+	bolt, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(copyFixture(t, fixture), logName)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	l := lastCommand(t, bolt)
+	if err := bolt.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return l.Data
+}
+
+// The last command of the log is truncated: the instance halts, keeps the state before it and reports the cause.
 func TestStoredLogEndsInTruncatedCommand(t *testing.T) {
 	discardEvents(t)
 	for _, name := range []string{"log", "documents_log"} {
-		dir := copyFixture(t, name)
-		bolt, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(dir, logName)})
-		if err != nil {
-			t.Fatal(err)
-		}
-		l := lastCommand(t, bolt)
-		if err := bolt.Close(); err != nil {
-			t.Fatal(err)
-		}
-		for _, at := range []int{1, 2, len(l.Data) / 2, len(l.Data) - 1} {
-			t.Run(fmt.Sprint(name, " at ", at, " of ", len(l.Data)), func(t *testing.T) {
+		data := lastCommandData(t, name)
+		for _, at := range []int{1, 2, len(data) / 2, len(data) - 1} {
+			t.Run(fmt.Sprint(name, " at ", at, " of ", len(data)), func(t *testing.T) {
 				dir := copyFixture(t, name)
-				before := replaceLast(t, dir, l.Data[:at])
+				before := replaceLast(t, dir, data[:at])
 				s, err := openStored(t, dir, 0)
 				if err != nil {
 					t.Fatal(err)
 				}
 				defer mustClose(t, s)
-				(&cluster{t: t}).eventually("the cut entry halts the instance", func() bool { return s.fsm.halted.Load() != nil })
+				eventually(t, "the truncated entry halts the instance", func() bool {
+					return s.fsm.halted.Load() != nil
+				})
 				if _, err := s.Read(); !errors.Is(err, config.ErrUnknownFormat) {
 					t.Errorf("read: %v", err)
 				}
-				got, err := s.State().Snapshot()
-				if err != nil || !bytes.Equal(got, before) {
-					t.Errorf("state %q, %v; want %q", got, err, before)
-				}
+				requireSnapshot(t, s, before)
 			})
 		}
 	}
 }
 
-// replaceLast puts other bytes in the place of the last command of a log, and gives the snapshot of the state before it.
+// requireSnapshot requires a store's state to have a given snapshot.
+func requireSnapshot(t *testing.T, s *Store, want []byte) {
+	t.Helper()
+	got, err := s.State().Snapshot()
+	if err != nil || !bytes.Equal(got, want) {
+		t.Errorf("state %q, %v; want %q", got, err, want)
+	}
+}
+
+// replaceLast replaces the last command of a log by other bytes, and returns the snapshot of the state before it.
 func replaceLast(t *testing.T, dir string, data []byte) []byte {
 	t.Helper()
 	bolt, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(dir, logName)})
@@ -151,7 +164,9 @@
 	defer bolt.Close()
 	l := lastCommand(t, bolt)
 	m := &fsm{}
-	m.current.Store(config.NewState(&searchconfig.Config{Search: searchconfig.Defaults{MaxResultWindow: storedWindow}}))
+	m.current.Store(config.NewState(&searchconfig.Config{Search: searchconfig.Defaults{
+		MaxResultWindow: storedWindow,
+	}}))
 	for i := uint64(1); i < l.Index; i++ {
 		var e raft.Log
 		if err := bolt.GetLog(i, &e); err != nil {
@@ -172,7 +187,7 @@
 	return before
 }
 
-// An entry of the older form that is cut is passed over: the state before it holds, and later entries are taken.
+// A truncated document is skipped: the state before it holds, and later entries are applied.
 func TestStoredLogEndsInTruncatedDocument(t *testing.T) {
 	discardEvents(t)
 	for _, at := range []int{1, len(documents[1]) / 2, len(documents[1]) - 1} {
@@ -181,39 +196,25 @@
 			before := replaceLast(t, dir, []byte(documents[1][:at]))
 			s := mustOpenStored(t, dir, 0)
 			defer mustClose(t, s)
-			got, err := s.State().Snapshot()
-			if err != nil || !bytes.Equal(got, before) {
-				t.Errorf("state %q, %v; want %q", got, err, before)
-			}
-			mustCommand(t, s, config.Command{Kind: config.SetServerWeight, Server: "s-2", Weight: 4}, config.Applied)
+			requireSnapshot(t, s, before)
+			setWeight(t, s, "s-2", 4)
 		})
 	}
 }
 
-// The last record of the log's file is cut, not the command within it: the store does not open.
+// The last record of the log's file is truncated, not the command within it: the store does not open.
 func TestStoredLogEndsInTruncatedRecord(t *testing.T) {
 	discardEvents(t)
-	for _, cut := range []struct {
+	for _, c := range []struct {
 		name string
-		at   func(size int) int
-	}{{"one byte", func(int) int { return 1 }}, {"half", func(n int) int { return n / 2 }}} {
-		t.Run(cut.name, func(t *testing.T) {
+		size func(full int) int
+	}{
+		{"one byte", func(int) int { return 1 }},
+		{"half", func(full int) int { return full / 2 }},
+	} {
+		t.Run(c.name, func(t *testing.T) {
 			dir := copyFixture(t, "log")
-			db, err := bbolt.Open(filepath.Join(dir, logName), 0o600, nil)
-			if err != nil {
-				t.Fatal(err)
-			}
-			err = db.Update(func(tx *bbolt.Tx) error {
-				b := tx.Bucket([]byte("logs"))
-				key, value := b.Cursor().Last()
-				if binary.BigEndian.Uint64(key) == 0 {
-					return errors.New("no entry")
-				}
-				return b.Put(slices.Clone(key), slices.Clone(value[:cut.at(len(value))]))
-			})
-			if err = errors.Join(err, db.Close()); err != nil {
-				t.Fatal(err)
-			}
+			truncateLastRecord(t, filepath.Join(dir, logName), c.size)
 			s, err := openStored(t, dir, 0)
 			if err == nil {
 				mustClose(t, s)
@@ -222,3 +223,23 @@
 		})
 	}
 }
+
+// truncateLastRecord truncates the last record of a log's file to a size that depends on its full one, in bytes.
+func truncateLastRecord(t *testing.T, path string, size func(full int) int) {
+	t.Helper()
+	db, err := bbolt.Open(path, 0o600, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	err = db.Update(func(tx *bbolt.Tx) error {
+		b := tx.Bucket([]byte("logs"))
+		key, value := b.Cursor().Last()
+		if binary.BigEndian.Uint64(key) == 0 {
+			return errors.New("no entry")
+		}
+		return b.Put(slices.Clone(key), slices.Clone(value[:size(len(value))]))
+	})
+	if err = errors.Join(err, db.Close()); err != nil {
+		t.Fatal(err)
+	}
+}
--- a/internal/store/wire_golden_test.go
+++ b/internal/store/wire_golden_test.go
@@ -10,8 +10,13 @@
 )
 
 func TestPositionReportGolden(t *testing.T) {
-	goldentest.JSON(t, "marks_request.json", rollback.Report{ID: "n1", Incarnation: 3, Nonce: 18446744073709551557,
-		AtStart: rollback.Position{Term: 4, Index: 5}, Current: rollback.Position{Term: 6, Index: 7}})
+	goldentest.JSON(t, "marks_request.json", rollback.Report{
+		ID:          "n1",
+		Incarnation: 3,
+		Nonce:       18446744073709551557,
+		AtStart:     rollback.Position{Term: 4, Index: 5},
+		Current:     rollback.Position{Term: 6, Index: 7},
+	})
 }
 
 func TestRecoveryResultGolden(t *testing.T) {
