--- /dev/null
+++ b/internal/adminapi/document_golden_test.go
@@ -0,0 +1,104 @@
+package adminapi
+
+import (
+	"encoding/json"
+	"net"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"linkpass/internal/goldentest"
+	"linkpass/internal/searchconfig"
+	"linkpass/internal/store"
+)
+
+const (
+	storeTimeScale     = 0.2              // keeps Raft's timeouts short; nothing is asserted on them
+	leaderTimeout      = 30 * time.Second // for the election of the only member
+	leaderPollInterval = 5 * time.Millisecond
+)
+
+// openStore opens a store of one member, and waits until it leads.
+func openStore(t *testing.T, initial *searchconfig.Config) *store.Store {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s, err := store.Open(store.Config{
+		ID:              "a",
+		Dir:             t.TempDir(),
+		TimeScale:       storeTimeScale,
+		Listener:        ln,
+		InitialSettings: initial,
+		Members:         []store.Member{{ID: "a", Raft: ln.Addr().String(), HTTP: "a"}},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if err := s.Close(); err != nil {
+			t.Error(err)
+		}
+	})
+	deadline := time.Now().Add(leaderTimeout)
+	for !s.IsLeader() {
+		if time.Now().After(deadline) {
+			t.Fatal("no leader was elected")
+		}
+		time.Sleep(leaderPollInterval)
+	}
+	return s
+}
+
+// The document, a backup of it and a restore, through a store of one member.
+func TestAdminStoreDocumentGolden(t *testing.T) {
+	initial, err := searchconfig.Parse([]byte(goldenDocument))
+	if err != nil {
+		t.Fatal(err)
+	}
+	handler := Handler{&fixedCoordinator{store: openStore(t, initial)}}
+	for _, target := range []string{
+		"/v1/store/document",
+		"/v1/store/document?read=local",
+		"/v1/store/document?local=true",
+		"/v1/store/document?read=lease",
+	} {
+		res := serve(handler, "GET", target, nil)
+		if res.Status != 200 {
+			t.Errorf("%s: status %d", target, res.Status)
+		}
+		goldentest.Bytes(t, "document_response.json", res.Body)
+	}
+	requireBackup(t, handler)
+	res := serve(handler, "PUT", "/v1/store/document", goldentest.Read(t, "backup.json"))
+	if res.Status != 200 {
+		t.Errorf("restore: status %d", res.Status)
+	}
+	goldentest.Bytes(t, "restore_response.json", res.Body)
+	document, err := ReadBackup(goldentest.Read(t, "backup.json"))
+	if err != nil || !reflect.DeepEqual(document, initial) {
+		t.Errorf("the golden backup is %+v, %v; want %+v", document, err, initial)
+	}
+}
+
+// requireBackup requires a backup to be the golden one, but for the time at which it was taken.
+func requireBackup(t *testing.T, handler Handler) {
+	t.Helper()
+	res := serve(handler, "GET", "/v1/store/backup", nil)
+	var backup Backup
+	if err := json.Unmarshal(res.Body, &backup); err != nil || res.Status != 200 {
+		t.Fatalf("%d %s: %v", res.Status, res.Body, err)
+	}
+	taken, err := json.Marshal(backup.Taken)
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldenTaken, err := json.Marshal(goldenBackup.Taken)
+	if err != nil {
+		t.Fatal(err)
+	}
+	body := strings.Replace(string(res.Body), string(taken), string(goldenTaken), 1)
+	goldentest.Bytes(t, "backup.json", []byte(body))
+}
--- a/internal/endpoints/wire_golden_test.go
+++ b/internal/endpoints/wire_golden_test.go
@@ -14,61 +14,87 @@
 	"linkpass/internal/searchconfig"
 )
 
-// followerLog is the log of an instance that does not lead, with settings agreed and nothing else.
+// followerLog is the log of an instance that is not the leader.
 type followerLog struct{ state *config.State }
 
 func (l followerLog) State() *config.State                        { return l.state }
 func (followerLog) IsLeader() bool                                { return false }
-func (followerLog) Propose(config.Command) (config.Result, error) { panic("a follower was asked") }
+func (followerLog) Propose(config.Command) (config.Result, error) { panic("a follower got a proposal") }
 
+// newInstance is the registry of an instance that is not the leader, with two servers in its replicated state.
 func newInstance(t *testing.T, name string, incarnation uint64) *Registry {
 	t.Helper()
-	state, r := config.NewState(&searchconfig.Config{}).Apply(config.Command{Kind: config.ReplaceSettings, Payload: []byte(`{"search":{}}`)})
+	state, r := config.NewState(&searchconfig.Config{}).Apply(config.Command{
+		Kind:    config.ReplaceSettings,
+		Payload: []byte(`{"search":{}}`),
+	})
 	if r.Reason != config.Applied {
 		t.Fatal(r)
 	}
 	for _, server := range []string{"s-1", "s-2"} {
-		state, r = state.Apply(config.Command{Kind: config.AddServer, Server: server, Spec: &config.ServerSpec{Addr: "127.0.0.1:7001"}})
+		state, r = state.Apply(config.Command{
+			Kind:   config.AddServer,
+			Server: server,
+			Spec:   &config.ServerSpec{Addr: "127.0.0.1:7001"},
+		})
 		if r.Reason != config.Applied {
 			t.Fatal(r)
 		}
 	}
-	a := New(Config{InstanceID: name, Incarnation: incarnation, OnUpdate: func(coordinator.EndpointUpdate) {}, Counters: metrics.NewCounters(),
+	registry := New(Config{
+		InstanceID:  name,
+		Incarnation: incarnation,
+		OnUpdate:    func(coordinator.EndpointUpdate) {},
+		Counters:    metrics.NewCounters(),
 		ResolveEndpoint: func(id string, _ config.ServerSpec) (coordinator.Endpoint, error) {
 			return coordinator.Endpoint{Name: id}, nil
-		}})
-	a.Attach(followerLog{state})
-	return a
+		},
+	})
+	registry.Attach(followerLog{state})
+	return registry
 }
 
-// goldenRequests are the requests of an instance "a", as its calls to the others carry them.
+// goldenOrigin is the instance "a" in its one incarnation.
+var goldenOrigin = restriction.Origin{Instance: "a", Incarnation: 1764652800123456789}
+
+// goldenRequests are restrictions that instance "a" has issued, as its calls to the others carry them.
 var goldenRequests = []restriction.Request{
-	{ID: restriction.ID{Origin: restriction.Origin{Instance: "a", Incarnation: 1764652800123456789}, Seq: 1}, Server: "s-1", Level: restriction.Draining},
-	{ID: restriction.ID{Origin: restriction.Origin{Instance: "a", Incarnation: 1764652800123456789}, Seq: 2}, Server: "s-2", Level: restriction.Removed, Force: true},
+	{
+		ID:     restriction.ID{Origin: goldenOrigin, Seq: 1},
+		Server: "s-1",
+		Level:  restriction.Draining,
+	},
+	{
+		ID:     restriction.ID{Origin: goldenOrigin, Seq: 2},
+		Server: "s-2",
+		Level:  restriction.Removed,
+		Force:  true,
+	},
 }
 
 func TestRequestsGolden(t *testing.T) { goldentest.JSON(t, "orders_request.json", goldenRequests) }
 
-// What an instance gives is told in the golden form.
+// An instance broadcasts the restrictions that it issues in the golden form.
 func TestBroadcastRequestsGolden(t *testing.T) {
-	a := newInstance(t, "a", 1764652800123456789)
-	for _, o := range goldenRequests {
-		if _, err := a.Restrict(o.Server, o.Level, o.Force); err != nil {
+	a := newInstance(t, goldenOrigin.Instance, goldenOrigin.Incarnation)
+	for _, request := range goldenRequests {
+		if _, err := a.Restrict(request.Server, request.Level, request.Force); err != nil {
 			t.Fatal(err)
 		}
 	}
 	calls := 0
-	a.broadcast(context.Background(), "b", func(_ context.Context, requests []restriction.Request) error {
+	send := func(_ context.Context, requests []restriction.Request) error {
 		calls++
 		goldentest.Encodes(t, "orders_request.json", requests)
 		return nil
-	}, a.toBroadcast(), map[restriction.ID]bool{})
+	}
+	a.broadcast(context.Background(), "b", send, a.toBroadcast(), map[restriction.ID]bool{})
 	if calls != 1 {
 		t.Errorf("%d calls", calls)
 	}
 }
 
-// Another instance takes the golden requests and holds them all.
+// Another instance receives the golden requests and keeps all of them pending.
 func TestReceiveGoldenRequests(t *testing.T) {
 	b := newInstance(t, "b", 5)
 	var requests []restriction.Request
--- a/internal/handover/wire_golden_test.go
+++ b/internal/handover/wire_golden_test.go
@@ -13,7 +13,7 @@
 	"linkpass/internal/goldentest"
 )
 
-const ioLimit = 10 * time.Second // a guard against a hang; nothing is asserted on it
+const ioTimeout = 10 * time.Second // ends a test that hangs; nothing is asserted on it
 
 // dialLeader connects to the leader process as another version of the program would: by the socket's name.
 func dialLeader(t *testing.T, dir string) (net.Conn, *bufio.Reader) {
@@ -23,12 +23,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = nc.Close() })
-	if err := nc.SetDeadline(time.Now().Add(ioLimit)); err != nil {
+	if err := nc.SetDeadline(time.Now().Add(ioTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	return nc, bufio.NewReader(nc)
 }
 
+// readLine reads one message.
 func readLine(t *testing.T, r *bufio.Reader) string {
 	t.Helper()
 	line, err := r.ReadString('\n')
@@ -64,7 +65,21 @@
 	goldentest.Bytes(t, "eldest_to_second.txt", second.Bytes())
 }
 
-// A follower takes the golden messages as shares and sends nothing itself.
+// goldenMessages are the messages of a golden file, one a line.
+func goldenMessages(t *testing.T, file string) []string {
+	t.Helper()
+	return strings.Split(strings.TrimSuffix(string(goldentest.Read(t, file)), "\n"), "\n")
+}
+
+// goldenShares are the shares that a follower reads from the golden messages, in order.
+var goldenShares = []Share{
+	{Processes: 2, MaxOpen: 80},
+	{Processes: 3, MaxOpen: 53},
+	{Processes: 3, MaxOpen: 65},
+	{Processes: 2, MaxOpen: 130},
+}
+
+// A follower reads its share from the golden messages and sends nothing itself.
 func TestFollowerReadsGoldenMessages(t *testing.T) {
 	dir := t.TempDir()
 	ln, err := net.Listen("unix", filepath.Join(dir, "linkpass-n1.sock"))
@@ -77,23 +92,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := nc.SetDeadline(time.Now().Add(ioLimit)); err != nil {
+	if err := nc.SetDeadline(time.Now().Add(ioTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if s := <-follower.shares; s != (Share{Processes: 2, MaxOpen: 80}) {
 		t.Errorf("share before the first message: %+v", s)
 	}
-	want := []Share{{Processes: 2, MaxOpen: 80}, {Processes: 3, MaxOpen: 53}, {Processes: 3, MaxOpen: 65}, {Processes: 2, MaxOpen: 130}}
-	messages := strings.SplitAfter(strings.TrimSuffix(string(goldentest.Read(t, "eldest_to_first.txt")), "\n"), "\n")
-	if len(messages) != len(want) {
-		t.Fatalf("%d golden messages, %d shares", len(messages), len(want))
+	messages := goldenMessages(t, "eldest_to_first.txt")
+	if len(messages) != len(goldenShares) {
+		t.Fatalf("%d golden messages, %d shares", len(messages), len(goldenShares))
 	}
 	for i, message := range messages {
-		if _, err := io.WriteString(nc, strings.TrimSuffix(message, "\n")+"\n"); err != nil {
+		if _, err := io.WriteString(nc, message+"\n"); err != nil {
 			t.Fatal(err)
 		}
-		if s := <-follower.shares; s != want[i] {
-			t.Errorf("%q: share %+v, want %+v", message, s, want[i])
+		if s := <-follower.shares; s != goldenShares[i] {
+			t.Errorf("%q: share %+v, want %+v", message, s, goldenShares[i])
 		}
 	}
 	_ = ln.Close() // so that the follower becomes the leader instead of connecting again
--- a/internal/reshardexec/wire_golden_test.go
+++ b/internal/reshardexec/wire_golden_test.go
@@ -15,16 +15,34 @@
 )
 
 var (
-	goldenRequest = AssignmentRequest{Assignments: []resharding.Assignment{{Index: "players", Version: 3, Tasks: []resharding.Task{{Shard: shardmap.FirstDynamicID + 4,
-		Range: shardmap.Range{First: 1, Last: 0xff}, Sources: []resharding.Source{{Range: shardmap.Range{First: 2, Last: 0x7f}, Servers: []string{"s-1"}, Shard: shardmap.FirstDynamicID}}}}}}}
-	goldenResponse = AssignmentResponse{Indices: map[string]IndexStatus{"players": {Version: 3,
-		Shards: []resharding.ShardStatus{{Shard: shardmap.FirstDynamicID + 4, Complete: true, Records: 9}, {Shard: shardmap.FirstDynamicID, Records: 10}}}}}
+	goldenRequest = AssignmentRequest{Assignments: []resharding.Assignment{{
+		Index:   "players",
+		Version: 3,
+		Tasks: []resharding.Task{{
+			Shard: shardmap.FirstDynamicID + 4,
+			Range: shardmap.Range{First: 1, Last: 0xff},
+			Sources: []resharding.Source{{
+				Range:   shardmap.Range{First: 2, Last: 0x7f},
+				Servers: []string{"s-1"},
+				Shard:   shardmap.FirstDynamicID,
+			}},
+		}},
+	}}}
+	goldenResponse = AssignmentResponse{Indices: map[string]IndexStatus{"players": {
+		Version: 3,
+		Shards: []resharding.ShardStatus{
+			{Shard: shardmap.FirstDynamicID + 4, Complete: true, Records: 9},
+			{Shard: shardmap.FirstDynamicID, Records: 10},
+		},
+	}}}
 )
 
 func TestAssignmentBodiesGolden(t *testing.T) {
 	t.Run("call", func(t *testing.T) { goldentest.JSON(t, "call.json", goldenRequest) })
 	t.Run("reply", func(t *testing.T) { goldentest.JSON(t, "reply.json", goldenResponse) })
-	t.Run("call without duties", func(t *testing.T) { goldentest.Encodes(t, "call_empty.json", AssignmentRequest{}) })
+	t.Run("call without assignments", func(t *testing.T) {
+		goldentest.Encodes(t, "call_empty.json", AssignmentRequest{})
+	})
 }
 
 // One poll of a server: the bytes of the request, and the response as it is decoded.
@@ -61,7 +79,9 @@
 		t.Fatal("no request came")
 	}
 	goldentest.Bytes(t, "call.json", req.Body)
-	if head := strings.Join([]string{req.Method, req.Path, req.Query, req.Header.Get("Host")}, " "); head != "PUT /_layout  league-server" {
+	if head := strings.Join([]string{
+		req.Method, req.Path, req.Query, req.Header.Get("Host"),
+	}, " "); head != "PUT /_layout  league-server" {
 		t.Errorf("request %q", head)
 	}
 }
--- a/internal/searchconfig/wire_golden_test.go
+++ b/internal/searchconfig/wire_golden_test.go
@@ -12,23 +12,34 @@
 	"linkpass/internal/shardmap"
 )
 
+// goldenConfig has an index with fixed shards and one with a shard map in the middle of a split.
 func goldenConfig(t *testing.T) Config {
 	t.Helper()
-	l, err := shardmap.NewEven(2, [][]string{{"s-1", "s-2"}, {"s-3"}})
+	shardMap, err := shardmap.NewEven(2, [][]string{{"s-1", "s-2"}, {"s-3"}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err = l.Apply(shardmap.Command{Request: &shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{shardmap.FirstDynamicID}, Pieces: 2}})
+	shardMap, err = shardMap.Apply(shardmap.Command{Request: &shardmap.PlanRequest{
+		Kind:   shardmap.Split,
+		Shards: []shardmap.ShardID{shardmap.FirstDynamicID},
+		Pieces: 2,
+	}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	partial, d := false, l.Document()
-	return Config{Revision: 7, Search: Defaults{Timeout: "1500ms", AllowPartial: &partial, MaxResultWindow: 500},
-		Indices: map[string]Index{"movable": {Class: "league-table", ShardMap: &d}, "fixed": {Class: "team-lookup", Shards: []int{0, 1}}},
-		Servers: map[string]Server{"s-1": {Protocol: "search"}}}
+	partial, document := false, shardMap.Document()
+	return Config{
+		Revision: 7,
+		Search:   Defaults{Timeout: "1500ms", AllowPartial: &partial, MaxResultWindow: 500},
+		Indices: map[string]Index{
+			"movable": {Class: "league-table", ShardMap: &document},
+			"fixed":   {Class: "team-lookup", Shards: []int{0, 1}},
+		},
+		Servers: map[string]Server{"s-1": {Protocol: "search"}},
+	}
 }
 
-// A whole document; an index's spread is only read, never written, as its layout takes its place.
+// A complete document. An index's initial sharding is read but not written: the shard map made from it replaces it.
 func TestConfigDocumentGolden(t *testing.T) {
 	want := goldenConfig(t)
 	goldentest.Encodes(t, "document.json", &want)
@@ -36,33 +47,45 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if l := got.ShardMap("movable"); l == nil || !reflect.DeepEqual(l.Document(), *want.Indices["movable"].ShardMap) {
-		t.Errorf("layout %+v", l)
+	shardMap := got.ShardMap("movable")
+	if shardMap == nil || !reflect.DeepEqual(shardMap.Document(), *want.Indices["movable"].ShardMap) {
+		t.Errorf("shard map %+v", shardMap)
 	}
 	got.shardMaps = nil
 	if !reflect.DeepEqual(*got, want) {
 		t.Errorf("got %+v, want %+v", *got, want)
 	}
-	goldentest.Encodes(t, "document_empty.json", &Config{Indices: map[string]Index{"i": {}}, Servers: map[string]Server{"s": {}}})
+	goldentest.Encodes(t, "document_empty.json", &Config{
+		Indices: map[string]Index{"i": {}},
+		Servers: map[string]Server{"s": {}},
+	})
 }
 
 func TestInitialShardingGolden(t *testing.T) {
-	want := Index{Class: "team-lookup", Shards: []int{3}, InitialSharding: &InitialSharding{Shards: 4, ReplicaSets: [][]string{{"s-1"}, {"s-2", "s-3"}}}}
+	want := Index{
+		Class:           "team-lookup",
+		Shards:          []int{3},
+		InitialSharding: &InitialSharding{Shards: 4, ReplicaSets: [][]string{{"s-1"}, {"s-2", "s-3"}}},
+	}
 	goldentest.Encodes(t, "index_spread.json", want)
 	goldentest.Decodes(t, "index_spread.json", want)
 }
 
 func TestConfigTOMLGolden(t *testing.T) {
 	want := goldenConfig(t)
-	want.Revision = 0 // counted by the store alone
-	want.Indices["spread"] = Index{Class: "team-lookup", InitialSharding: &InitialSharding{Shards: 4, ReplicaSets: [][]string{{"s-1"}, {"s-2", "s-3"}}}}
+	want.Revision = 0 // only the store counts it
+	want.Indices["spread"] = Index{
+		Class:           "team-lookup",
+		InitialSharding: &InitialSharding{Shards: 4, ReplicaSets: [][]string{{"s-1"}, {"s-2", "s-3"}}},
+	}
 	var b bytes.Buffer
 	if err := toml.NewEncoder(&b).Encode(want); err != nil {
 		t.Fatal(err)
 	}
 	goldentest.Bytes(t, "document.toml", b.Bytes())
 	var got Config
-	if meta, err := toml.Decode(string(goldentest.Read(t, "document.toml")), &got); err != nil || len(meta.Undecoded()) > 0 {
+	meta, err := toml.Decode(string(goldentest.Read(t, "document.toml")), &got)
+	if err != nil || len(meta.Undecoded()) > 0 {
 		t.Fatal(err, meta.Undecoded())
 	}
 	if !reflect.DeepEqual(got, want) {
@@ -70,7 +93,8 @@
 	}
 }
 
-// Merge patches by the files patch_N.json on the golden document give patched_N.json; what a patch does not name stays.
+// patch_N.json merged into the golden document yields patched_N.json. What a patch does not name stays, and the document
+// itself does not change.
 func TestConfigMergePatchGolden(t *testing.T) {
 	for _, name := range []string{"nested.json", "dotted.json", "removed.json", "spread.json"} {
 		t.Run(name, func(t *testing.T) {
@@ -83,9 +107,9 @@
 				t.Fatal(err)
 			}
 			goldentest.Encodes(t, "patched_"+name, after)
-			kept, err := json.Marshal(before)
-			if err != nil || !bytes.Equal(kept, goldentest.Read(t, "document.json")) {
-				t.Errorf("the document before has changed: %s, %v", kept, err)
+			unchanged, err := json.Marshal(before)
+			if err != nil || !bytes.Equal(unchanged, goldentest.Read(t, "document.json")) {
+				t.Errorf("the document before has changed: %s, %v", unchanged, err)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/settings/golden_keys_test.go
@@ -0,0 +1,88 @@
+package settings
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"linkpass"
+)
+
+// A field that no golden file sets could lose its key unnoticed.
+func TestGoldenSettingsSetEveryField(t *testing.T) {
+	set := goldenSettings()
+	for _, v := range []any{set, goldenHost(), set.Tenants[0]} {
+		value := reflect.ValueOf(v)
+		for i := range value.NumField() {
+			if value.Field(i).IsZero() {
+				t.Errorf("%s.%s is zero", value.Type(), value.Type().Field(i).Name)
+			}
+		}
+	}
+	class := reflect.TypeFor[linkpass.Class]()
+	for i := range class.NumField() {
+		isSet := func(c linkpass.Class) bool { return !reflect.ValueOf(c).Field(i).IsZero() }
+		if !slices.ContainsFunc(set.Classes, isSet) {
+			t.Errorf("Class.%s is zero in every class", class.Field(i).Name)
+		}
+	}
+}
+
+// Every key of the golden object is read: if it is renamed, the settings differ or an error names it.
+func TestPlatformSettingsGoldenEveryKeyRead(t *testing.T) {
+	data := readGolden(t, "platform.json")
+	var tree map[string]any
+	if err := json.Unmarshal(data, &tree); err != nil {
+		t.Fatal(err)
+	}
+	keys := 0
+	forEachKey("", tree, func(path string, object map[string]any, key string) {
+		keys++
+		t.Run(path, func(t *testing.T) { requireKeyRead(t, tree, path, object, key) })
+	})
+	const minKeys = 60
+	if want := strings.Count(string(data), `":`); keys != want || keys < minKeys {
+		t.Errorf("%d keys of %d", keys, want)
+	}
+}
+
+// forEachKey visits every key of every object within a decoded JSON value, in the order of the keys.
+func forEachKey(path string, v any, visit func(path string, object map[string]any, key string)) {
+	switch v := v.(type) {
+	case []any:
+		for i, item := range v {
+			forEachKey(fmt.Sprintf("%s[%d]", path, i), item, visit)
+		}
+	case map[string]any:
+		for _, key := range slices.Sorted(maps.Keys(v)) {
+			at := strings.TrimPrefix(path+"."+key, ".")
+			visit(at, v, key)
+			forEachKey(at, v[key], visit)
+		}
+	}
+}
+
+// requireKeyRead requires that a tree with one of its keys renamed is read as other settings, or is an error.
+func requireKeyRead(t *testing.T, tree map[string]any, path string, object map[string]any, key string) {
+	t.Helper()
+	value, renamed := object[key], "old_"+key
+	delete(object, key)
+	object[renamed] = value
+	changed, err := json.Marshal(tree)
+	delete(object, renamed)
+	object[key] = value
+	if err != nil {
+		t.Fatal(err)
+	}
+	set, host, err := ParseJSON(changed)
+	if value == false {
+		return // a bool that is missing is false as well
+	}
+	if err == nil && reflect.DeepEqual(set, goldenSettings()) && reflect.DeepEqual(host, goldenHost()) {
+		t.Errorf("nothing reads %s", path)
+	}
+}
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -1,56 +1,16 @@
 package settings
 
 import (
-	"encoding/json"
-	"fmt"
-	"maps"
 	"os"
 	"path/filepath"
 	"reflect"
-	"slices"
 	"strings"
 	"testing"
-	"time"
 
 	"linkpass"
 )
 
-// goldenSettings are what testdata/platform.json and testdata/simulator.txt say: no two figures are alike where they
-// could be taken for each other.
-func goldenSettings() linkpass.Settings {
-	return linkpass.Settings{
-		Tick: 5500 * time.Microsecond, Peers: 3, Zone: 1, CrossCost: 0.02, Subscribe: true, Sized: true,
-		Classes: []linkpass.Class{
-			{Effect: linkpass.Safe, Aim: 2500 * time.Millisecond, Deadline: 7500 * time.Millisecond, Window: 9000500 * time.Microsecond,
-				Worth: 5, LateShare: 0.31, Need: 0.95, Floor: 0.55, Partial: 0.35, Stream: true},
-			{Effect: linkpass.Keyed, Aim: 2 * time.Second, Deadline: 6 * time.Second, Window: 8 * time.Second,
-				Worth: 4, LateShare: 0.21, Need: 0.9, Floor: 0.5, Partial: 0.3, FetchParts: 3},
-			{Effect: linkpass.Unsafe, Aim: time.Second, Deadline: 2500 * time.Millisecond, Window: 7 * time.Second,
-				Worth: 3, LateShare: 0.11, Need: 0.85, Floor: 0.45, Partial: 0.25},
-		},
-		Tenants:        []linkpass.Tenant{{QuotaPerSecond: 12.5, Share: 0.6}, {QuotaPerSecond: 7.5, Share: 0.4}},
-		OverShareWorth: 0.4,
-		Shards:         24, Cells: 12, Reach: 2, CallParts: 7, CallCost: 1250 * time.Microsecond, WarmKeys: true,
-		ReportFields: []linkpass.ReportField{linkpass.FieldUtil, linkpass.FieldInflight, linkpass.FieldUnknown, linkpass.FieldQueue,
-			linkpass.FieldServiceTime, linkpass.FieldRate, linkpass.FieldErrorRate},
-		MaxAttempts: 4, MaxOpen: 5000, MaxRetryAfter: 10001 * time.Millisecond,
-		Cancel: true, Probes: true, SecondCopies: true, RetryAfter: true,
-		AnswerSlack: 21 * time.Millisecond, AskWithin: 22 * time.Millisecond, DrainGrace: 1025 * time.Millisecond,
-		ColdFrom: 0.24, Cold: 23 * time.Millisecond, FallMultiple: 2.7,
-		BudgetWindow: 10 * time.Second, BudgetFree: 28, BudgetShare: 0.26,
-		WriteLag: 251500 * time.Microsecond,
-	}
-}
-
-func goldenHost() Host {
-	return Host{
-		Zones: []string{"ebene", "port_louis"}, Kinds: []string{"std-2core", "big__8core"},
-		Classes: []string{"league-table", "team-lookup", "trade"}, Tenants: []string{"north", "south_coast"},
-		ReportNames: []string{"cpu", "active", "novelty", "waiting", "avg_ms", "rps", "err_rps"},
-		MaxStreams:  32, ConnectTimeout: 251500 * time.Microsecond, Keepalive: 30 * time.Second,
-	}
-}
-
+// readGolden reads a golden file.
 func readGolden(t *testing.T, file string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", file))
@@ -76,105 +36,55 @@
 func TestSimulatorSettingsGolden(t *testing.T) {
 	set, err := ParseText(string(readGolden(t, "simulator.txt")))
 	want := goldenSettings()
-	want.WriteLag = 0 // the simulator's connections take no time of the program's
+	want.WriteLag = 0 // the simulator has no connections that could delay a write
 	if err != nil || !reflect.DeepEqual(set, want) {
 		t.Errorf("got  %+v, %v\nwant %+v", set, err, want)
 	}
 }
 
-// The golden object with one thing changed: what is read differs in just that.
-func TestPlatformSettingsGoldenVariants(t *testing.T) {
-	golden := string(readGolden(t, "platform.json"))
-	tenants := golden[strings.Index(golden, `"tenants":`):strings.Index(golden, `  "tick"`)]
-	for _, c := range []struct {
-		name, old, new string
-		set            func(*linkpass.Settings, *Host)
-	}{
+// goldenVariant is a change of the golden object and the change of the settings that it causes.
+type goldenVariant struct {
+	name, old, new string
+	change         func(*linkpass.Settings, *Host)
+}
+
+// goldenVariants are changes of the golden object, whose tenants are given as text.
+func goldenVariants(tenants string) []goldenVariant {
+	withoutTenants := func(s *linkpass.Settings, h *Host) { s.Tenants, h.Tenants = nil, nil }
+	return []goldenVariant{
 		{"nominal weights", `"rough"`, `"nominal"`, func(*linkpass.Settings, *Host) {}},
 		{"weights without sizes", `"rough"`, `"none"`, func(s *linkpass.Settings, _ *Host) { s.Sized = false }},
 		{"polled list", `"subscribe"`, `"poll"`, func(s *linkpass.Settings, _ *Host) { s.Subscribe = false }},
-		{"no tenants", tenants, `"tenants": [],`, func(s *linkpass.Settings, h *Host) { s.Tenants, h.Tenants = nil, nil }},
-		{"tenants that are no objects", tenants, `"tenants": ["none"], "tenants.count": 1, "tenants.0.name": "north",`,
-			func(s *linkpass.Settings, h *Host) { s.Tenants, h.Tenants = nil, nil }},
+		{"no tenants", tenants, `"tenants": [],`, withoutTenants},
+		{"tenants that are no objects", tenants,
+			`"tenants": ["none"], "tenants.count": 1, "tenants.0.name": "north",`, withoutTenants},
 		{"no report", `["cpu", "active", "novelty", "waiting", "avg_ms", "rps", "err_rps"]`, `[]`,
 			func(s *linkpass.Settings, h *Host) { s.ReportFields, h.ReportNames = nil, nil }},
 		{"no weights of classes", `"class_need"`, `"old_class_need"`, func(s *linkpass.Settings, _ *Host) {
-			s.Classes[0].Need, s.Classes[1].Need, s.Classes[2].Need = 1, 1, 1
+			for i := range s.Classes {
+				s.Classes[i].Need = 1
+			}
 		}},
-		{"null for a figure", `"max_open": 5000`, `"max_open": null`, func(s *linkpass.Settings, _ *Host) { s.MaxOpen = 0 }},
-	} {
+		{"null for a number", `"max_open": 5000`, `"max_open": null`,
+			func(s *linkpass.Settings, _ *Host) { s.MaxOpen = 0 }},
+	}
+}
+
+// One change of the golden object changes only the settings that depend on it.
+func TestPlatformSettingsGoldenVariants(t *testing.T) {
+	golden := string(readGolden(t, "platform.json"))
+	tenants := golden[strings.Index(golden, `"tenants":`):strings.Index(golden, `  "tick"`)]
+	for _, c := range goldenVariants(tenants) {
 		t.Run(c.name, func(t *testing.T) {
 			if strings.Count(golden, c.old) != 1 {
 				t.Fatalf("the golden object has %q %d times", c.old, strings.Count(golden, c.old))
 			}
 			set, host, err := ParseJSON([]byte(strings.Replace(golden, c.old, c.new, 1)))
 			wantSet, wantHost := goldenSettings(), goldenHost()
-			c.set(&wantSet, &wantHost)
+			c.change(&wantSet, &wantHost)
 			if err != nil || !reflect.DeepEqual(set, wantSet) || !reflect.DeepEqual(host, wantHost) {
 				t.Errorf("got  %+v %+v, %v\nwant %+v %+v", set, host, err, wantSet, wantHost)
 			}
 		})
 	}
 }
-
-// Every field is set by the golden files, so that a key that is no longer read shows.
-func TestGoldenSettingsSetEveryField(t *testing.T) {
-	set := goldenSettings()
-	for _, v := range []any{set, goldenHost(), set.Tenants[0]} {
-		for i, v := 0, reflect.ValueOf(v); i < v.NumField(); i++ {
-			if v.Field(i).IsZero() {
-				t.Errorf("%s.%s is zero", v.Type(), v.Type().Field(i).Name)
-			}
-		}
-	}
-	class := reflect.TypeFor[linkpass.Class]()
-	for i := range class.NumField() {
-		if !slices.ContainsFunc(set.Classes, func(c linkpass.Class) bool { return !reflect.ValueOf(c).Field(i).IsZero() }) {
-			t.Errorf("Class.%s is zero in every class", class.Field(i).Name)
-		}
-	}
-}
-
-// Every key of the golden object is read: under another name the settings are others, or an error names it.
-func TestPlatformSettingsGoldenEveryKeyRead(t *testing.T) {
-	data := readGolden(t, "platform.json")
-	var tree map[string]any
-	if err := json.Unmarshal(data, &tree); err != nil {
-		t.Fatal(err)
-	}
-	keys := 0
-	var visit func(path string, v any)
-	visit = func(path string, v any) {
-		switch v := v.(type) {
-		case []any:
-			for i, item := range v {
-				visit(fmt.Sprintf("%s[%d]", path, i), item)
-			}
-		case map[string]any:
-			for _, key := range slices.Sorted(maps.Keys(v)) {
-				at := strings.TrimPrefix(path+"."+key, ".")
-				keys++
-				t.Run(at, func(t *testing.T) {
-					held := v[key]
-					delete(v, key)
-					v["old_"+key] = held
-					changed, err := json.Marshal(tree)
-					delete(v, "old_"+key)
-					v[key] = held
-					if err != nil {
-						t.Fatal(err)
-					}
-					set, host, err := ParseJSON(changed)
-					if stays := held == false; !stays && err == nil && reflect.DeepEqual(set, goldenSettings()) && reflect.DeepEqual(host, goldenHost()) {
-						t.Errorf("nothing reads %s", at)
-					}
-				})
-				visit(at, v[key])
-			}
-		}
-	}
-	visit("", tree)
-	if want := strings.Count(string(data), `":`); keys != want || keys < 60 {
-		t.Errorf("%d keys of %d", keys, want)
-	}
-}
--- a/internal/shardmap/wire_golden_test.go
+++ b/internal/shardmap/wire_golden_test.go
@@ -12,30 +12,48 @@
 	"linkpass/internal/shardmap"
 )
 
-// planned is a layout that has an open plan of each kind and one that was abandoned.
+// mapWithPlans has an open plan of each kind and one that was abandoned.
 func mapWithPlans(t *testing.T) *shardmap.Map {
 	t.Helper()
-	l, err := shardmap.NewEven(4, [][]string{{"s-1", "s-2"}, {"s-3", "s-4"}})
+	m, err := shardmap.NewEven(4, [][]string{{"s-1", "s-2"}, {"s-3", "s-4"}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	first := shardmap.FirstDynamicID
-	for _, c := range []shardmap.Command{
-		{ExpectedVersion: 1, Request: &shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{first}, Pieces: 2, ReplicaSets: [][]string{{"s-5"}, {"s-6", "s-7"}}}},
+	for _, c := range planCommands() {
+		if m, err = m.Apply(c); err != nil {
+			t.Fatalf("%+v: %v", c, err)
+		}
+	}
+	return m
+}
+
+// planCommands make the plans of mapWithPlans.
+func planCommands() []shardmap.Command {
+	const first = shardmap.FirstDynamicID
+	moved := map[shardmap.ShardID][]string{first + 7: {"s-8"}}
+	return []shardmap.Command{
+		{
+			ExpectedVersion: 1,
+			Request: &shardmap.PlanRequest{
+				Kind:        shardmap.Split,
+				Shards:      []shardmap.ShardID{first},
+				Pieces:      2,
+				ReplicaSets: [][]string{{"s-5"}, {"s-6", "s-7"}},
+			},
+		},
 		{Advance: &shardmap.Advance{Plan: 1, Step: shardmap.Copying}},
 		{Abandon: &shardmap.Abandon{Plan: 1, Reason: "ordered"}},
 		{Request: &shardmap.PlanRequest{Kind: shardmap.Merge, Shards: []shardmap.ShardID{first, first + 1}}},
-		{Request: &shardmap.PlanRequest{Kind: shardmap.Move, Shards: []shardmap.ShardID{first + 2}, ReplicaSets: [][]string{{"s-8"}}}},
+		{Request: &shardmap.PlanRequest{
+			Kind:        shardmap.Move,
+			Shards:      []shardmap.ShardID{first + 2},
+			ReplicaSets: [][]string{{"s-8"}},
+		}},
 		{Advance: &shardmap.Advance{Plan: 3, Step: shardmap.Copying}},
-		{Advance: &shardmap.Advance{Plan: 3, Step: shardmap.Replicated, Replicas: map[shardmap.ShardID][]string{first + 7: {"s-8"}}}},
-		{Advance: &shardmap.Advance{Plan: 3, Step: shardmap.Switched, Replicas: map[shardmap.ShardID][]string{first + 7: {"s-8"}}}},
+		{Advance: &shardmap.Advance{Plan: 3, Step: shardmap.Replicated, Replicas: moved}},
+		{Advance: &shardmap.Advance{Plan: 3, Step: shardmap.Switched, Replicas: moved}},
 		{Request: &shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{first + 3}, Pieces: 3}},
-	} {
-		if l, err = l.Apply(c); err != nil {
-			t.Fatalf("%+v: %v", c, err)
-		}
 	}
-	return l
 }
 
 func TestDocumentGolden(t *testing.T) {
@@ -49,31 +67,46 @@
 		}
 		goldentest.Bytes(t, "layout.toml", b.Bytes())
 		var got shardmap.Document
-		if meta, err := toml.Decode(string(goldentest.Read(t, "layout.toml")), &got); err != nil || len(meta.Undecoded()) > 0 {
+		meta, err := toml.Decode(string(goldentest.Read(t, "layout.toml")), &got)
+		if err != nil || len(meta.Undecoded()) > 0 {
 			t.Fatal(err, meta.Undecoded())
 		}
 		if !reflect.DeepEqual(got, want.Document()) {
 			t.Errorf("got %+v, want %+v", got, want.Document())
 		}
-		l, err := got.Map(nil)
-		if err != nil || !reflect.DeepEqual(l.Document(), want.Document()) {
-			t.Errorf("the layout of it is %+v, %v", l, err)
+		m, err := got.Map(nil)
+		if err != nil || !reflect.DeepEqual(m.Document(), want.Document()) {
+			t.Errorf("its shard map is %+v, %v", m, err)
 		}
 	})
 }
 
 func TestPlanRequestGolden(t *testing.T) {
-	goldentest.JSON(t, "order.json", shardmap.PlanRequest{Kind: shardmap.Merge, Shards: []shardmap.ShardID{shardmap.FirstDynamicID, shardmap.FirstDynamicID + 1},
-		Pieces: 3, ReplicaSets: [][]string{{"s-1", "s-2"}, {"s-3"}}})
+	goldentest.JSON(t, "order.json", shardmap.PlanRequest{
+		Kind:        shardmap.Merge,
+		Shards:      []shardmap.ShardID{shardmap.FirstDynamicID, shardmap.FirstDynamicID + 1},
+		Pieces:      3,
+		ReplicaSets: [][]string{{"s-1", "s-2"}, {"s-3"}},
+	})
 }
 
-// A layout's commands are replicated in CBOR under the names of their Go fields: of Command, Advance and Abandon, which have
-// no tags, and of Order by its JSON tags.
+// Shard map commands are replicated in CBOR. The JSON tags of their fields are the stored names.
 func TestCommandsGolden(t *testing.T) {
 	for file, c := range map[string]shardmap.Command{
-		"command_order.cbor": {ExpectedVersion: 5, Request: &shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{shardmap.FirstDynamicID}, Pieces: 2, ReplicaSets: [][]string{{"s-1"}, {"s-2"}}}},
-		"command_advance.cbor": {ExpectedVersion: 6, Advance: &shardmap.Advance{Plan: 7, Step: shardmap.Replicated,
-			Replicas: map[shardmap.ShardID][]string{shardmap.FirstDynamicID: {"s-1", "s-2"}}}},
+		"command_order.cbor": {
+			ExpectedVersion: 5,
+			Request: &shardmap.PlanRequest{
+				Kind:        shardmap.Split,
+				Shards:      []shardmap.ShardID{shardmap.FirstDynamicID},
+				Pieces:      2,
+				ReplicaSets: [][]string{{"s-1"}, {"s-2"}},
+			},
+		},
+		"command_advance.cbor": {ExpectedVersion: 6, Advance: &shardmap.Advance{
+			Plan:     7,
+			Step:     shardmap.Replicated,
+			Replicas: map[shardmap.ShardID][]string{shardmap.FirstDynamicID: {"s-1", "s-2"}},
+		}},
 		"command_abandon.cbor": {ExpectedVersion: 8, Abandon: &shardmap.Abandon{Plan: 9, Reason: "ordered"}},
 	} {
 		t.Run(file, func(t *testing.T) {
@@ -91,12 +124,21 @@
 	}
 }
 
-// The words of kinds and steps, as documents, commands and _cat/shards carry them.
+// The text of kinds and steps is part of documents, commands and _cat/shards.
 func TestKindAndStepValues(t *testing.T) {
-	got := []string{string(shardmap.Split), string(shardmap.Merge), string(shardmap.Move), string(shardmap.Planned), string(shardmap.Copying),
-		string(shardmap.Replicated), string(shardmap.Switched), string(shardmap.Retired), string(shardmap.Abandoned)}
-	want := []string{"split", "merge", "move", "planned", "copying", "both_hold", "switched", "retired", "abandoned"}
-	if !reflect.DeepEqual(got, want) {
-		t.Errorf("got %q, want %q", got, want)
+	for _, c := range []struct{ got, want string }{
+		{string(shardmap.Split), "split"},
+		{string(shardmap.Merge), "merge"},
+		{string(shardmap.Move), "move"},
+		{string(shardmap.Planned), "planned"},
+		{string(shardmap.Copying), "copying"},
+		{string(shardmap.Replicated), "both_hold"},
+		{string(shardmap.Switched), "switched"},
+		{string(shardmap.Retired), "retired"},
+		{string(shardmap.Abandoned), "abandoned"},
+	} {
+		if c.got != c.want {
+			t.Errorf("got %q, want %q", c.got, c.want)
+		}
 	}
 }
