--- a/internal/searchconfig/wire_golden_test.go
+++ b/internal/searchconfig/wire_golden_test.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// patch_N.json merged into the golden document yields patched_N.json. What a patch does not name stays, and the document
-// itself does not change.
+// patch_N.json merged into the golden document yields patched_N.json. What a patch does not name stays; the original is
+// not modified.
 func TestConfigMergePatchGolden(t *testing.T) {
 	for _, name := range []string{"nested.json", "dotted.json", "removed.json", "spread.json"} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/settings/golden_values_test.go
+++ b/internal/settings/golden_values_test.go
@@ -6,8 +6,8 @@
 	"linkpass"
 )
 
-// goldenSettings are the settings of testdata/platform.json and testdata/simulator.txt. Numbers differ wherever one could
-// be mistaken for another.
+// goldenSettings are the settings of testdata/platform.json and testdata/simulator.txt. Numbers differ where one could be
+// mistaken for another.
 func goldenSettings() linkpass.Settings {
 	return linkpass.Settings{
 		Tick:           5500 * time.Microsecond,
@@ -25,32 +25,24 @@
 		CallParts:      7,
 		CallCost:       1250 * time.Microsecond,
 		WarmKeys:       true,
-		ReportFields: []linkpass.ReportField{
-			linkpass.FieldUtil,
-			linkpass.FieldInflight,
-			linkpass.FieldUnknown,
-			linkpass.FieldQueue,
-			linkpass.FieldServiceTime,
-			linkpass.FieldRate,
-			linkpass.FieldErrorRate,
-		},
-		MaxAttempts:   4,
-		MaxOpen:       5000,
-		MaxRetryAfter: 10001 * time.Millisecond,
-		Cancel:        true,
-		Probes:        true,
-		SecondCopies:  true,
-		RetryAfter:    true,
-		AnswerSlack:   21 * time.Millisecond,
-		AskWithin:     22 * time.Millisecond,
-		DrainGrace:    1025 * time.Millisecond,
-		ColdFrom:      0.24,
-		Cold:          23 * time.Millisecond,
-		FallMultiple:  2.7,
-		BudgetWindow:  10 * time.Second,
-		BudgetFree:    28,
-		BudgetShare:   0.26,
-		WriteLag:      251500 * time.Microsecond,
+		ReportFields:   goldenReportFields(),
+		MaxAttempts:    4,
+		MaxOpen:        5000,
+		MaxRetryAfter:  10001 * time.Millisecond,
+		Cancel:         true,
+		Probes:         true,
+		SecondCopies:   true,
+		RetryAfter:     true,
+		AnswerSlack:    21 * time.Millisecond,
+		AskWithin:      22 * time.Millisecond,
+		DrainGrace:     1025 * time.Millisecond,
+		ColdFrom:       0.24,
+		Cold:           23 * time.Millisecond,
+		FallMultiple:   2.7,
+		BudgetWindow:   10 * time.Second,
+		BudgetFree:     28,
+		BudgetShare:    0.26,
+		WriteLag:       251500 * time.Microsecond,
 	}
 }
 
@@ -94,6 +86,18 @@
 	}
 }
 
+func goldenReportFields() []linkpass.ReportField {
+	return []linkpass.ReportField{
+		linkpass.FieldUtil,
+		linkpass.FieldInflight,
+		linkpass.FieldUnknown,
+		linkpass.FieldQueue,
+		linkpass.FieldServiceTime,
+		linkpass.FieldRate,
+		linkpass.FieldErrorRate,
+	}
+}
+
 // goldenHost is the host of testdata/platform.json.
 func goldenHost() Host {
 	return Host{
