--- a/internal/adminapi/coordinator.go
+++ b/internal/adminapi/coordinator.go
@@ -6,6 +6,7 @@
 package adminapi
 
 import (
+	"context"
 	"errors"
 
 	"linkpass/internal/http1"
@@ -31,8 +32,8 @@
 	Settings() []Setting
 	ShardMaps() []IndexShardMap
 	ReplicatedState() (ReplicatedState, error)
-	ChangeMember(MemberRequest) error
-	ChangeServer(ServerRequest) (ServerResponse, error)
+	ChangeMember(context.Context, MemberRequest) error
+	ChangeServer(context.Context, ServerRequest) (ServerResponse, error)
 	Reload() (ReloadResult, error)
 	Store() *store.Store   // nil: there is none
 	Search() http1.Handler // the search front; nil: there is none
--- a/internal/adminapi/document_golden_test.go
+++ b/internal/adminapi/document_golden_test.go
@@ -1,6 +1,7 @@
 package adminapi
 
 import (
+	"context"
 	"encoding/json"
 	"net"
 	"reflect"
@@ -9,6 +10,7 @@
 	"time"
 
 	"linkpass/internal/goldentest"
+	"linkpass/internal/http1"
 	"linkpass/internal/searchconfig"
 	"linkpass/internal/store"
 )
@@ -102,3 +104,35 @@
 	body := strings.Replace(string(res.Body), string(taken), string(goldenTaken), 1)
 	goldentest.Bytes(t, "backup.json", []byte(body))
 }
+
+// A request's context ends when its client closes the connection: a read ends with it, a change is completed.
+func TestAdminCallWhenClientHasLeft(t *testing.T) {
+	initial, err := searchconfig.Parse([]byte(goldenDocument))
+	if err != nil {
+		t.Fatal(err)
+	}
+	coordinator := &fixedCoordinator{store: openStore(t, initial)}
+	left, leave := context.WithCancel(t.Context())
+	leave()
+	for _, c := range []struct {
+		method, target, body string
+		status               int
+	}{
+		{"GET", "/v1/store/document", "", 503},
+		{"GET", "/v1/store/backup", "", 503},
+		{"PUT", "/v1/store/document", "backup.json", 200},
+		{"PUT", "/v1/servers/order", "server_order_request.json", 200},
+		{"PUT", "/v1/store/members", "member_order_request.json", 200},
+	} {
+		t.Run(c.method+" "+c.target, func(t *testing.T) {
+			request := &http1.Request{Method: c.method, Path: c.target, Body: readBody(t, c.body)}
+			res := Handler{coordinator}.Serve(left, 0, request)
+			if res.Status != c.status {
+				t.Errorf("status %d %s, want %d", res.Status, res.Body, c.status)
+			}
+		})
+	}
+	if coordinator.canceled {
+		t.Error("a change was canceled with its request")
+	}
+}
--- a/internal/adminapi/document_handler.go
+++ b/internal/adminapi/document_handler.go
@@ -1,6 +1,7 @@
 package adminapi
 
 import (
+	"context"
 	"encoding/json"
 	"net/url"
 	"strings"
@@ -26,8 +27,8 @@
 }
 
 // readDocument returns the store's document.
-func (h Handler) readDocument(req *http1.Request) *http1.Response {
-	_, data, failed := h.encodedDocument(req)
+func (h Handler) readDocument(ctx context.Context, req *http1.Request) *http1.Response {
+	_, data, failed := h.encodedDocument(ctx, req)
 	if failed != nil {
 		return failed
 	}
@@ -35,8 +36,8 @@
 }
 
 // backUpDocument returns a backup of the store's document.
-func (h Handler) backUpDocument(req *http1.Request) *http1.Response {
-	doc, data, failed := h.encodedDocument(req)
+func (h Handler) backUpDocument(ctx context.Context, req *http1.Request) *http1.Response {
+	doc, data, failed := h.encodedDocument(ctx, req)
 	if failed != nil {
 		return failed
 	}
@@ -44,7 +45,9 @@
 }
 
 // encodedDocument reads the document with the request's read options; failed is the response if that is impossible.
-func (h Handler) encodedDocument(req *http1.Request) (doc *searchconfig.Config, data []byte, failed *http1.Response) {
+func (h Handler) encodedDocument(
+	ctx context.Context, req *http1.Request,
+) (doc *searchconfig.Config, data []byte, failed *http1.Response) {
 	s := h.Store()
 	if s == nil {
 		return nil, nil, errorResponse(409, ErrNoStore)
@@ -57,7 +60,7 @@
 	if err != nil {
 		return nil, nil, errorResponse(400, err)
 	}
-	doc, err = s.ReadWith(options)
+	doc, err = s.ReadWith(ctx, options)
 	if err != nil {
 		return nil, nil, storeErrorResponse(err)
 	}
@@ -69,7 +72,7 @@
 }
 
 // restoreDocument replaces the store's document by a backup's, or only checks the backup.
-func (h Handler) restoreDocument(req *http1.Request) *http1.Response {
+func (h Handler) restoreDocument(ctx context.Context, req *http1.Request) *http1.Response {
 	s := h.Store()
 	if s == nil {
 		return errorResponse(409, ErrNoStore)
@@ -82,10 +85,11 @@
 		return jsonResponse(restoreCheck{OK: true, Indices: len(doc.Indices), Servers: len(doc.Servers)})
 	}
 	kept := 0
-	updated, err := s.UpdateSettings(func(current *searchconfig.Config) (next *searchconfig.Config, err error) {
+	replace := func(current *searchconfig.Config) (next *searchconfig.Config, err error) {
 		next, kept = withCurrentShardMaps(doc, current)
 		return next, nil
-	})
+	}
+	updated, err := s.UpdateSettings(withoutClientCancel(ctx), replace)
 	if err != nil {
 		return storeErrorResponse(err)
 	}
--- a/internal/adminapi/handler.go
+++ b/internal/adminapi/handler.go
@@ -16,23 +16,28 @@
 type Handler struct{ Coordinator }
 
 // routes are the calls with a fixed path, by method and path below Version.
-var routes = map[string]func(Handler, *http1.Request) *http1.Response{
-	"GET status":         func(h Handler, _ *http1.Request) *http1.Response { return jsonResponse(h.Status()) },
+var routes = map[string]func(Handler, context.Context, *http1.Request) *http1.Response{
+	"GET status":         respondWith(func(h Handler) any { return h.Status() }),
 	"GET servers":        Handler.listServers,
 	"GET servers/agreed": Handler.replicatedState,
 	"PUT servers/order":  Handler.changeServer,
 	"PUT store/members":  Handler.changeMember,
-	"GET layouts":        func(h Handler, _ *http1.Request) *http1.Response { return jsonResponse(h.ShardMaps()) },
-	"PUT drain":          func(h Handler, _ *http1.Request) *http1.Response { return jsonResponse(stateBody{h.Drain()}) },
-	"PUT activate":       func(h Handler, _ *http1.Request) *http1.Response { return jsonResponse(stateBody{h.Activate()}) },
-	"GET config":         func(h Handler, _ *http1.Request) *http1.Response { return jsonResponse(h.Settings()) },
+	"GET layouts":        respondWith(func(h Handler) any { return h.ShardMaps() }),
+	"PUT drain":          respondWith(func(h Handler) any { return stateBody{h.Drain()} }),
+	"PUT activate":       respondWith(func(h Handler) any { return stateBody{h.Activate()} }),
+	"GET config":         respondWith(func(h Handler) any { return h.Settings() }),
 	"PUT config/reload":  Handler.reload,
-	"GET log":            func(Handler, *http1.Request) *http1.Response { return jsonResponse(eventlog.Levels()) },
+	"GET log":            respondWith(func(Handler) any { return eventlog.Levels() }),
 	"GET store/document": Handler.readDocument,
 	"GET store/backup":   Handler.backUpDocument,
 	"PUT store/document": Handler.restoreDocument,
 }
 
+// respondWith is a call that needs nothing of its request and cannot fail; body returns the response's body.
+func respondWith(body func(Handler) any) func(Handler, context.Context, *http1.Request) *http1.Response {
+	return func(h Handler, _ context.Context, _ *http1.Request) *http1.Response { return jsonResponse(body(h)) }
+}
+
 // stateBody is the response to a change of readiness.
 type stateBody struct {
 	State string `json:"state"`
@@ -48,7 +53,7 @@
 		return h.forwardToSearch(ctx, began, searchPath, req)
 	}
 	if serve, ok := routes[req.Method+" "+path]; ok {
-		return serve(h, req)
+		return serve(h, ctx, req)
 	}
 	if component, ok := strings.CutPrefix(path, "log/"); ok && req.Method == "PUT" {
 		return setLogLevel(component, string(req.Body))
@@ -77,7 +82,11 @@
 	return jsonResponse(eventlog.Levels())
 }
 
-func (h Handler) listServers(*http1.Request) *http1.Response {
+// withoutClientCancel is the context of a change. A request's context ends when the client closes its side of the
+// connection; a change that it has requested is completed nevertheless.
+func withoutClientCancel(ctx context.Context) context.Context { return context.WithoutCancel(ctx) }
+
+func (h Handler) listServers(context.Context, *http1.Request) *http1.Response {
 	list, err := h.Servers()
 	if err != nil {
 		return errorResponse(503, err)
@@ -85,7 +94,7 @@
 	return jsonResponse(list)
 }
 
-func (h Handler) replicatedState(*http1.Request) *http1.Response {
+func (h Handler) replicatedState(context.Context, *http1.Request) *http1.Response {
 	state, err := h.ReplicatedState()
 	if err != nil {
 		return storeErrorResponse(err)
@@ -93,30 +102,30 @@
 	return jsonResponse(state)
 }
 
-func (h Handler) changeServer(req *http1.Request) *http1.Response {
+func (h Handler) changeServer(ctx context.Context, req *http1.Request) *http1.Response {
 	var request ServerRequest
 	if err := json.Unmarshal(req.Body, &request); err != nil {
 		return errorResponse(400, fmt.Errorf("decode server request: %w", err))
 	}
-	response, err := h.ChangeServer(request)
+	response, err := h.ChangeServer(withoutClientCancel(ctx), request)
 	if err != nil {
 		return storeErrorResponse(err)
 	}
 	return jsonResponse(response)
 }
 
-func (h Handler) changeMember(req *http1.Request) *http1.Response {
+func (h Handler) changeMember(ctx context.Context, req *http1.Request) *http1.Response {
 	var request MemberRequest
 	if err := json.Unmarshal(req.Body, &request); err != nil {
 		return errorResponse(400, fmt.Errorf("decode member request: %w", err))
 	}
-	if err := h.ChangeMember(request); err != nil {
+	if err := h.ChangeMember(withoutClientCancel(ctx), request); err != nil {
 		return storeErrorResponse(err)
 	}
 	return jsonResponse(request)
 }
 
-func (h Handler) reload(*http1.Request) *http1.Response {
+func (h Handler) reload(context.Context, *http1.Request) *http1.Response {
 	result, err := h.Reload()
 	if err != nil {
 		return errorResponse(409, err)
--- a/internal/adminapi/wire_golden_test.go
+++ b/internal/adminapi/wire_golden_test.go
@@ -61,6 +61,8 @@
 	server ServerRequest
 	member MemberRequest
 	store  *store.Store
+
+	canceled bool // a change came with a context that had ended
 }
 
 func (*fixedCoordinator) Status() Status               { return goldenStatus }
@@ -83,12 +85,14 @@
 	})
 }
 
-func (c *fixedCoordinator) ChangeMember(request MemberRequest) error {
+func (c *fixedCoordinator) ChangeMember(ctx context.Context, request MemberRequest) error {
+	c.canceled = c.canceled || ctx.Err() != nil
 	c.member = request
 	return c.err
 }
 
-func (c *fixedCoordinator) ChangeServer(request ServerRequest) (ServerResponse, error) {
+func (c *fixedCoordinator) ChangeServer(ctx context.Context, request ServerRequest) (ServerResponse, error) {
+	c.canceled = c.canceled || ctx.Err() != nil
 	c.server = request
 	return goldenServerResponse, c.err
 }
--- a/internal/daemon/admin_changes.go
+++ b/internal/daemon/admin_changes.go
@@ -14,7 +14,7 @@
 	"linkpass/internal/store"
 )
 
-const memberTimeout = 2 * time.Second // for a learner to report its version, and for members to answer
+const learnerTimeout = 2 * time.Second // from the start of a promotion until the learner has reported its version
 
 // ReplicatedState is what the log has decided of servers, and what is pending.
 func (b *adminBackend) ReplicatedState() (out adminapi.ReplicatedState, err error) {
@@ -36,19 +36,19 @@
 }
 
 // ChangeMember changes the members of the store.
-func (b *adminBackend) ChangeMember(r adminapi.MemberRequest) error {
+func (b *adminBackend) ChangeMember(ctx context.Context, r adminapi.MemberRequest) error {
 	st := b.Store()
 	if st == nil {
 		return adminapi.ErrNoStore
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), memberTimeout)
-	defer cancel()
 	switch r.Action {
 	case "join":
-		return st.AddLearner(store.Member{ID: r.ID, Raft: r.Raft, HTTP: r.HTTP})
+		return st.AddLearner(ctx, store.Member{ID: r.ID, Raft: r.Raft, HTTP: r.HTTP})
 	case "promote":
-		return st.PromoteLearner(r.ID, func(m store.Member, version uint64) error {
-			return checkCaughtUp(ctx, m, version)
+		asking, cancel := context.WithTimeout(ctx, learnerTimeout)
+		defer cancel()
+		return st.PromoteLearner(ctx, r.ID, func(m store.Member, version uint64) error {
+			return checkCaughtUp(asking, m, version)
 		})
 	case "leave":
 		return st.RemoveMember(ctx, r.ID)
@@ -70,7 +70,9 @@
 
 // ChangeServer changes a server as an operator asks. Drains and removals take effect here at once and wait for no
 // quorum; all else takes effect once a majority has it.
-func (b *adminBackend) ChangeServer(r adminapi.ServerRequest) (adminapi.ServerResponse, error) {
+func (b *adminBackend) ChangeServer(
+	ctx context.Context, r adminapi.ServerRequest,
+) (adminapi.ServerResponse, error) {
 	st := b.Store()
 	if st == nil {
 		return adminapi.ServerResponse{}, adminapi.ErrNoStore
@@ -85,7 +87,7 @@
 	if err != nil {
 		return adminapi.ServerResponse{}, err
 	}
-	result, err := st.Propose(command)
+	result, err := st.Propose(ctx, command)
 	var notLeader *store.NotLeaderError
 	if err == nil && result.Reason != config.Applied {
 		err = &endpoints.RejectedError{Result: result}
--- a/internal/daemon/replicated_store.go
+++ b/internal/daemon/replicated_store.go
@@ -1,6 +1,7 @@
 package daemon
 
 import (
+	"context"
 	"sync/atomic"
 
 	"linkpass/internal/searchconfig"
@@ -23,7 +24,7 @@
 	return nil
 }
 
-// IsLeader tells whether this instance leads.
+// IsLeader reports whether this instance is the leader.
 func (s *replicatedStore) IsLeader() bool {
 	opened := s.get()
 	return opened != nil && opened.IsLeader()
@@ -33,6 +34,6 @@
 func (s *replicatedStore) Settings() *searchconfig.Config { return s.get().Settings() }
 
 // AdvanceShardMap proposes a step of a shard map. The store is open: only a leader asks.
-func (s *replicatedStore) AdvanceShardMap(index string, c shardmap.Command) error {
-	return s.get().AdvanceShardMap(index, c)
+func (s *replicatedStore) AdvanceShardMap(ctx context.Context, index string, c shardmap.Command) error {
+	return s.get().AdvanceShardMap(ctx, index, c)
 }
--- a/internal/daemon/search_front.go
+++ b/internal/daemon/search_front.go
@@ -48,7 +48,7 @@
 		if err != nil {
 			return nil, err
 		}
-		answers = opensearch.StoreSettings(s)
+		answers = opensearch.StoreSettings(searchSettings{s})
 	}
 	ln, err := net.Listen("tcp", f.cfg.Search.Listen)
 	if err != nil {
@@ -89,7 +89,7 @@
 		Bodies:   f.bodies.store,
 	}
 	if s := f.store.get(); s != nil {
-		front.Changes = s
+		front.Changes = searchSettings{s}
 	}
 	for i, name := range f.cfg.host.Classes {
 		class := f.cfg.module.Classes[i]
--- /dev/null
+++ b/internal/daemon/search_settings.go
@@ -0,0 +1,35 @@
+package daemon
+
+import (
+	"context"
+
+	"linkpass/internal/opensearch"
+	"linkpass/internal/searchconfig"
+	"linkpass/internal/store"
+)
+
+// searchSettings gives the search front the settings of the store. The front's calls have no context: they end by the
+// store's own timeouts alone.
+type searchSettings struct{ store *store.Store }
+
+var (
+	_ opensearch.Replicated = searchSettings{}
+	_ opensearch.Changes    = searchSettings{}
+)
+
+// ReadWith returns the settings with the consistency that is asked for.
+func (s searchSettings) ReadWith(options store.ReadOptions) (*searchconfig.Config, error) {
+	return s.store.ReadWith(context.Background(), options)
+}
+
+// PatchSettings applies a merge patch to the settings and returns them.
+func (s searchSettings) PatchSettings(patch []byte) (*searchconfig.Config, error) {
+	return s.store.PatchSettings(context.Background(), patch)
+}
+
+// UpdateSettings replaces the settings by what change makes of them, and returns them.
+func (s searchSettings) UpdateSettings(
+	change func(*searchconfig.Config) (*searchconfig.Config, error),
+) (*searchconfig.Config, error) {
+	return s.store.UpdateSettings(context.Background(), change)
+}
--- a/internal/endpoints/broadcast.go
+++ b/internal/endpoints/broadcast.go
@@ -51,7 +51,7 @@
 }
 
 // propose proposes pending requests to the log, if this instance leads it.
-func (r *Registry) propose(_ context.Context, requests []restriction.Request) {
+func (r *Registry) propose(ctx context.Context, requests []restriction.Request) {
 	r.mu.Lock()
 	log := r.log // attached: there are no requests before
 	r.mu.Unlock()
@@ -59,7 +59,8 @@
 		return
 	}
 	for _, request := range requests {
-		result, err := log.Propose(config.Command{Kind: config.RestrictServer, Restriction: &request})
+		command := config.Command{Kind: config.RestrictServer, Restriction: &request}
+		result, err := log.Propose(ctx, command)
 		if err != nil {
 			r.cfg.Counters.Add("restrictions_not_proposed", 1)
 			return // no quorum at present: the worker retries
--- a/internal/endpoints/network_test.go
+++ b/internal/endpoints/network_test.go
@@ -215,7 +215,7 @@
 
 func (l nodeLog) IsLeader() bool { return l.id == 0 }
 
-func (l nodeLog) Propose(c config.Command) (config.Result, error) {
+func (l nodeLog) Propose(_ context.Context, c config.Command) (config.Result, error) {
 	time.Sleep(l.n.delay(l.id, l.id))
 	if err := l.n.commit(c); err != nil {
 		return config.Result{}, err
--- a/internal/endpoints/wire_golden_test.go
+++ b/internal/endpoints/wire_golden_test.go
@@ -17,9 +17,11 @@
 // followerLog is the log of an instance that is not the leader.
 type followerLog struct{ state *config.State }
 
-func (l followerLog) State() *config.State                        { return l.state }
-func (followerLog) IsLeader() bool                                { return false }
-func (followerLog) Propose(config.Command) (config.Result, error) { panic("a follower got a proposal") }
+func (l followerLog) State() *config.State { return l.state }
+func (followerLog) IsLeader() bool         { return false }
+func (followerLog) Propose(context.Context, config.Command) (config.Result, error) {
+	panic("a follower got a proposal")
+}
 
 // newInstance is the registry of an instance that is not the leader, with two servers in its replicated state.
 func newInstance(t *testing.T, name string, incarnation uint64) *Registry {
--- a/internal/lab/drains.go
+++ b/internal/lab/drains.go
@@ -1,6 +1,7 @@
 package lab
 
 import (
+	"context"
 	"fmt"
 	"math/rand/v2"
 	"strings"
@@ -136,7 +137,7 @@
 func (w *world) byLeader(o adminapi.ServerRequest) (err error) {
 	for end := time.Now().Add(15 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		for _, n := range w.nodes {
-			if _, err = n.p.ChangeServer(o); err == nil {
+			if _, err = n.p.ChangeServer(context.Background(), o); err == nil {
 				return nil
 			}
 		}
@@ -147,7 +148,8 @@
 // drain orders a drain at an instance and waits until all that are up hold it.
 func (w *world) drain(at, up int, server string, force bool) (t told, err error) {
 	began := time.Now()
-	if _, err := w.nodes[at].p.ChangeServer(adminapi.ServerRequest{Server: server, Action: "drain", Force: force}); err != nil {
+	request := adminapi.ServerRequest{Server: server, Action: "drain", Force: force}
+	if _, err := w.nodes[at].p.ChangeServer(context.Background(), request); err != nil {
 		return t, fmt.Errorf("lab: %w", err)
 	}
 	took := make([]int64, up)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -204,7 +204,7 @@
 	t.Setenv("TMPDIR", t.TempDir())
 	w := cluster(t, 13, 3)
 	order := func(n *node, verb, server string, force bool) error {
-		_, err := n.p.ChangeServer(adminapi.ServerRequest{Server: server, Action: verb, Force: force})
+		_, err := n.p.ChangeServer(context.Background(), adminapi.ServerRequest{Server: server, Action: verb, Force: force})
 		return err
 	}
 	byLeader := func(verb, server string) {
--- a/internal/reshardexec/executor.go
+++ b/internal/reshardexec/executor.go
@@ -28,7 +28,7 @@
 type Store interface {
 	Settings() *searchconfig.Config
 	IsLeader() bool
-	AdvanceShardMap(index string, c shardmap.Command) error
+	AdvanceShardMap(ctx context.Context, index string, c shardmap.Command) error
 }
 
 // Config is what an Executor is made of.
@@ -171,7 +171,10 @@
 	endpoints := e.currentEndpoints()
 	e.poller.pollAll(ctx, endpoints, assignmentsByServer(shardMaps))
 	for _, action := range e.controller.NextActions(e.controllerInput(shardMaps, endpoints)) {
-		e.execute(action)
+		if ctx.Err() != nil {
+			return
+		}
+		e.execute(ctx, action)
 	}
 }
 
@@ -216,9 +219,9 @@
 
 // execute proposes one action to the store. An action on an outdated version is dropped: the next round decides on the
 // state as it is then.
-func (e *Executor) execute(action resharding.Action) {
+func (e *Executor) execute(ctx context.Context, action resharding.Action) {
 	plan, step := actionStep(action.Command)
-	err := e.cfg.Store.AdvanceShardMap(action.Index, action.Command)
+	err := e.cfg.Store.AdvanceShardMap(ctx, action.Index, action.Command)
 	switch {
 	case err == nil:
 		e.cfg.Counters.Add("resharding_"+step, 1)
--- a/internal/store/cluster_test.go
+++ b/internal/store/cluster_test.go
@@ -108,7 +108,7 @@
 			if s == nil {
 				continue
 			}
-			if _, err := s.PatchSettings([]byte(patch)); err == nil {
+			if _, err := s.PatchSettings(c.t.Context(), []byte(patch)); err == nil {
 				leader = i
 				return true
 			}
--- a/internal/store/leader.go
+++ b/internal/store/leader.go
@@ -1,6 +1,7 @@
 package store
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"time"
@@ -33,8 +34,8 @@
 	return string(id)
 }
 
-// checkLeader returns an error unless this instance is the leader as far as it knows: *NotLeaderError where another one is,
-// ErrNoLeader where none is known, or the cause for which this instance has halted.
+// checkLeader returns an error unless this instance is the leader as far as it knows: *NotLeaderError where another one
+// is, ErrNoLeader where none is known, or the cause for which this instance has halted.
 func (s *Store) checkLeader() error {
 	if err := s.fsm.haltedErr(); err != nil {
 		return err
@@ -51,20 +52,29 @@
 }
 
 // verifyLeader confirms with a quorum that this instance is still the leader.
-func (s *Store) verifyLeader() error {
+func (s *Store) verifyLeader(ctx context.Context, operation string) error {
+	if err := checkContext(ctx, operation); err != nil {
+		return err
+	}
 	if err := s.checkLeader(); err != nil {
 		return err
 	}
-	return await(s.raft.VerifyLeader())
+	return awaitRead(ctx, operation, s.raft.VerifyLeader())
 }
 
 // barrier waits until every entry committed so far is applied here.
-func (s *Store) barrier() error { return await(s.raft.Barrier(applyTimeout)) }
+func (s *Store) barrier(ctx context.Context, operation string) error {
+	if err := checkContext(ctx, operation); err != nil {
+		return err
+	}
+	return awaitRead(ctx, operation, s.raft.Barrier(applyTimeout))
+}
 
-// await waits until a quorum has confirmed an operation, at most for applyTimeout. The library bounds no wait of its
-// own: the goroutine lives until the future completes, at the latest when leadership is lost.
-func await(future raft.Future) error {
-	done := make(chan error, 1) // buffered: the goroutine ends also after a timeout
+// await waits until a quorum has confirmed an operation, at most for applyTimeout and until the context ends. The
+// library bounds no wait of its own: the goroutine lives until the future completes, at the latest when leadership is
+// lost.
+func await(ctx context.Context, future raft.Future) error {
+	done := make(chan error, 1) // buffered: the goroutine ends also where nobody waits any more
 	go func() { done <- future.Error() }()
 	timer := time.NewTimer(applyTimeout)
 	defer timer.Stop()
@@ -73,6 +83,19 @@
 		return quorumError(err)
 	case <-timer.C:
 		return ErrNoQuorum
+	case <-ctx.Done():
+		return knownOutcome(done, ctx.Err())
+	}
+}
+
+// knownOutcome is the outcome of an operation if it is known by now, so that a context that ends at the same time does
+// not hide it; otherwise it is err.
+func knownOutcome(done <-chan error, err error) error {
+	select {
+	case outcome := <-done:
+		return quorumError(outcome)
+	default:
+		return err
 	}
 }
 
--- a/internal/store/limits_test.go
+++ b/internal/store/limits_test.go
@@ -19,7 +19,7 @@
 		Server:  "n9",
 		Payload: bytes.Repeat([]byte("x"), MaxCommandBytes),
 	}
-	if _, err := s.Propose(large); !errors.Is(err, ErrTooLarge) {
+	if _, err := s.Propose(t.Context(), large); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("command over the size limit: %v", err)
 	}
 	s.limiter.SetLimit(0)
@@ -30,17 +30,17 @@
 		make func() error
 	}{
 		{"patch", func() error {
-			_, err := s.PatchSettings([]byte(windowPatch(8)))
+			_, err := s.PatchSettings(t.Context(), []byte(windowPatch(8)))
 			return err
 		}},
 		{"update", func() error {
-			_, err := s.UpdateSettings(func(current *searchconfig.Config) (*searchconfig.Config, error) {
+			_, err := s.UpdateSettings(t.Context(), func(current *searchconfig.Config) (*searchconfig.Config, error) {
 				return current.Patch([]byte(windowPatch(8)))
 			})
 			return err
 		}},
 		{"command", func() error {
-			_, err := s.Propose(config.Command{Kind: config.SetServerWeight, Server: "s-1", Weight: 2})
+			_, err := s.Propose(t.Context(), config.Command{Kind: config.SetServerWeight, Server: "s-1", Weight: 2})
 			return err
 		}},
 	} {
@@ -50,7 +50,7 @@
 	}
 	removal := restrictionRequest(1, "s-1", restriction.Removed)
 	removal.Force = true
-	result, err := s.Propose(config.Command{Kind: config.RestrictServer, Restriction: &removal})
+	result, err := s.Propose(t.Context(), config.Command{Kind: config.RestrictServer, Restriction: &removal})
 	if err != nil || result.Reason != config.Applied {
 		t.Errorf("restriction over the rate limit: %+v %v", result, err)
 	}
--- a/internal/store/membership.go
+++ b/internal/store/membership.go
@@ -24,12 +24,16 @@
 // MaxMembers bounds the instances of a store: more make every change slower and none safer.
 const MaxMembers = 9
 
-const probeTimeout = 300 * time.Millisecond // for a member to accept a connection
+const (
+	probeTimeout  = 300 * time.Millisecond // for a member to accept a connection
+	probesTimeout = 2 * time.Second        // from the start of a removal until all members have been probed
+)
 
 // AddLearner adds a member that gets the log and does not vote. Only the leader accepts it. To add the same member
-// again changes nothing.
-func (s *Store) AddLearner(m Member) error {
-	members, err := s.membersAsLeader()
+// again changes nothing. A context that ends while a quorum is awaited gives ErrOutcomeUnknown.
+func (s *Store) AddLearner(ctx context.Context, m Member) error {
+	operation := "add learner " + m.ID
+	members, err := s.membersAsLeader(ctx, operation)
 	if err != nil {
 		return err
 	}
@@ -44,14 +48,18 @@
 		return fmt.Errorf("%w: %d members are the most", ErrUnknownMember, MaxMembers)
 	}
 	command := config.Command{Kind: config.SetMemberAddress, Server: m.ID, Payload: []byte(m.HTTP)}
-	result, err := s.Propose(command)
+	result, err := s.Propose(ctx, command)
 	if err != nil {
 		return err
 	}
 	if result.Reason != config.Applied {
 		return fmt.Errorf("%w: %s: %s", ErrUnknownMember, result.Reason, result.Detail)
 	}
-	return await(s.raft.AddNonvoter(raft.ServerID(m.ID), raft.ServerAddress(m.Raft), 0, applyTimeout))
+	if err := checkContext(ctx, operation); err != nil {
+		return err // the address is replicated, which harms nothing; a retry continues from there
+	}
+	future := s.raft.AddNonvoter(raft.ServerID(m.ID), raft.ServerAddress(m.Raft), 0, applyTimeout)
+	return awaitChange(ctx, operation, future)
 }
 
 // checkNewMember reports whether a member exists already. An id at another address, or an address under another id, is
@@ -71,9 +79,11 @@
 }
 
 // PromoteLearner makes a learner a voter. caughtUp returns an error unless the learner has applied a version of the
-// state: a voter that is behind would delay every change.
-func (s *Store) PromoteLearner(id string, caughtUp func(Member, uint64) error) error {
-	members, err := s.membersAsLeader()
+// state: a voter that is behind would delay every change. A context that ends while a quorum is awaited gives
+// ErrOutcomeUnknown.
+func (s *Store) PromoteLearner(ctx context.Context, id string, caughtUp func(Member, uint64) error) error {
+	operation := "promote learner " + id
+	members, err := s.membersAsLeader(ctx, operation)
 	if err != nil {
 		return err
 	}
@@ -87,13 +97,21 @@
 	if err := caughtUp(learner.Member, s.State().Version()); err != nil {
 		return fmt.Errorf("%w: %s: %w", ErrLearnerBehind, id, err)
 	}
-	return await(s.raft.AddVoter(raft.ServerID(id), raft.ServerAddress(learner.Raft), 0, applyTimeout))
+	if err := checkContext(ctx, operation); err != nil {
+		return err
+	}
+	future := s.raft.AddVoter(raft.ServerID(id), raft.ServerAddress(learner.Raft), 0, applyTimeout)
+	return awaitChange(ctx, operation, future)
 }
 
 // RemoveMember removes a member, whether it runs or not. It returns ErrQuorumAtRisk where fewer of the remaining
-// voters can be reached than make a quorum of them. To remove a member again changes nothing.
+// voters can be reached than make a quorum of them. To remove a member again changes nothing. A context that ends while
+// a quorum is awaited gives ErrOutcomeUnknown; once the removal is committed, the context no longer matters.
 func (s *Store) RemoveMember(ctx context.Context, id string) error {
-	members, err := s.membersAsLeader()
+	operation := "remove member " + id
+	probing, cancel := context.WithTimeout(ctx, probesTimeout)
+	defer cancel()
+	members, err := s.membersAsLeader(ctx, operation)
 	if err != nil {
 		return err
 	}
@@ -101,23 +119,28 @@
 		return nil
 	}
 	voters := votersExcept(members, id)
-	reachable := countReachable(ctx, s.config.ID, voters)
+	reachable := countReachable(probing, s.config.ID, voters)
+	if err := checkContext(ctx, operation); err != nil {
+		return err // the probes have failed for no other reason
+	}
 	if quorum := len(voters)/2 + 1; reachable < quorum {
 		return fmt.Errorf("%w: %d of %d voters answer", ErrQuorumAtRisk, reachable, len(voters))
 	}
-	if err := await(s.raft.RemoveServer(raft.ServerID(id), 0, applyTimeout)); err != nil {
+	future := s.raft.RemoveServer(raft.ServerID(id), 0, applyTimeout)
+	if err := awaitChange(ctx, operation, future); err != nil {
 		return err
 	}
 	if id == s.config.ID {
 		return nil // this instance leads no more; its address stays in the state, which harms nothing
 	}
-	_, err = s.Propose(config.Command{Kind: config.RemoveMemberAddress, Server: id})
+	command := config.Command{Kind: config.RemoveMemberAddress, Server: id}
+	_, err = s.Propose(context.WithoutCancel(ctx), command)
 	return err
 }
 
 // membersAsLeader are the members, once a quorum has confirmed that this instance is the leader.
-func (s *Store) membersAsLeader() ([]MemberStatus, error) {
-	if err := s.verifyLeader(); err != nil {
+func (s *Store) membersAsLeader(ctx context.Context, operation string) ([]MemberStatus, error) {
+	if err := s.verifyLeader(ctx, operation); err != nil {
 		return nil, err
 	}
 	return s.MemberStatuses()
--- a/internal/store/membership_test.go
+++ b/internal/store/membership_test.go
@@ -65,21 +65,24 @@
 	}
 	farBehind := func(Member, uint64) error { return errors.New("far behind") }
 
-	if err := s.PromoteLearner(m.ID, caughtUp); !errors.Is(err, ErrUnknownMember) {
+	if err := s.PromoteLearner(t.Context(), m.ID, caughtUp); !errors.Is(err, ErrUnknownMember) {
 		t.Errorf("promotion of an unknown member: %v", err)
 	}
 	for range 2 { // the second is a retry after a lost response
-		if err := s.AddLearner(m); err != nil {
+		if err := s.AddLearner(t.Context(), m); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := s.AddLearner(Member{ID: m.ID, Raft: "127.0.0.1:1", HTTP: "x"}); !errors.Is(err, ErrUnknownMember) {
+	elsewhere := Member{ID: m.ID, Raft: "127.0.0.1:1", HTTP: "x"}
+	if err := s.AddLearner(t.Context(), elsewhere); !errors.Is(err, ErrUnknownMember) {
 		t.Errorf("the same id at another address: %v", err)
 	}
-	if err := s.PromoteLearner(m.ID, farBehind); !errors.Is(err, ErrLearnerBehind) {
+	if err := s.PromoteLearner(t.Context(), m.ID, farBehind); !errors.Is(err, ErrLearnerBehind) {
 		t.Errorf("promotion of a learner that is behind: %v", err)
 	}
-	c.eventually("the learner has caught up", func() bool { return s.PromoteLearner(m.ID, caughtUp) == nil })
+	c.eventually("the learner has caught up", func() bool {
+		return s.PromoteLearner(t.Context(), m.ID, caughtUp) == nil
+	})
 	c.patch(windowPatch(8))
 	c.awaitWindow(8)
 	requireVoters(t, s, 4)
--- a/internal/store/position_reporter_test.go
+++ b/internal/store/position_reporter_test.go
@@ -121,10 +121,11 @@
 	}
 	network.setPartitioned(false)
 	c.eventually("the instance halts", func() bool {
-		_, err := s.ReadWith(ReadOptions{Consistency: Stale, MaxAge: DefaultMaxAge})
+		_, err := s.ReadWith(t.Context(), ReadOptions{Consistency: Stale, MaxAge: DefaultMaxAge})
 		return errors.Is(err, rollback.ErrRolledBack)
 	})
-	if _, err := s.PatchSettings([]byte(windowPatch(1))); !errors.Is(err, rollback.ErrRolledBack) || s.IsLeader() {
+	_, err = s.PatchSettings(t.Context(), []byte(windowPatch(1)))
+	if !errors.Is(err, rollback.ErrRolledBack) || s.IsLeader() {
 		t.Errorf("patch at a halted instance: %v", err)
 	}
 	c.stop(victim)
--- a/internal/store/propose.go
+++ b/internal/store/propose.go
@@ -1,6 +1,7 @@
 package store
 
 import (
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -13,27 +14,44 @@
 var ErrConflict = errors.New("store: another change came first")
 
 // Propose replicates a command and returns its result once a quorum has committed it. Only the leader accepts
-// proposals. Restrictions are exempt from the rate limit.
-func (s *Store) Propose(c config.Command) (config.Result, error) {
+// proposals. Restrictions are exempt from the rate limit. A context that ends while the quorum is awaited gives
+// ErrOutcomeUnknown.
+func (s *Store) Propose(ctx context.Context, c config.Command) (config.Result, error) {
+	operation := "propose " + describe(c)
 	if c.Kind != config.RestrictServer {
 		if err := s.admit(); err != nil {
 			return config.Result{}, err
 		}
 	}
-	s.proposeMu.Lock()
-	defer s.proposeMu.Unlock()
+	if err := s.lockProposals(ctx, operation); err != nil {
+		return config.Result{}, err
+	}
+	defer s.unlockProposals()
 	if err := s.checkLeader(); err != nil {
 		return config.Result{}, err
 	}
-	if err := s.initialize(c); err != nil {
+	if err := s.initialize(ctx, c); err != nil {
 		return config.Result{}, err
 	}
-	return s.replicate(c)
+	return s.replicate(ctx, operation, c)
+}
+
+// describe names a command and what it acts on.
+func describe(c config.Command) string {
+	switch {
+	case c.Restriction != nil:
+		return fmt.Sprintf("command %d on server %s", c.Kind, c.Restriction.Server)
+	case c.Server != "":
+		return fmt.Sprintf("command %d on %s", c.Kind, c.Server)
+	case c.Index != "":
+		return fmt.Sprintf("command %d on index %s", c.Kind, c.Index)
+	}
+	return fmt.Sprintf("command %d on the settings", c.Kind)
 }
 
 // initialize replicates this instance's settings before the first command that does not replace them: until then they
-// come from each instance's own configuration, which may differ. The caller holds proposeMu.
-func (s *Store) initialize(c config.Command) error {
+// come from each instance's own configuration, which may differ. The caller holds the lock of proposals.
+func (s *Store) initialize(ctx context.Context, c config.Command) error {
 	if s.State().Initialized() || c.Kind == config.ReplaceSettings {
 		return nil
 	}
@@ -41,12 +59,13 @@
 	if err != nil {
 		return err
 	}
-	return s.replicateApplied(*replace)
+	return s.replicateApplied(ctx, "initialize the settings", *replace)
 }
 
-// replicateApplied replicates a command and returns an error if the state rejected it. The caller holds proposeMu.
-func (s *Store) replicateApplied(c config.Command) error {
-	result, err := s.replicate(c)
+// replicateApplied replicates a command and returns an error if the state rejected it. The caller holds the lock of
+// proposals.
+func (s *Store) replicateApplied(ctx context.Context, operation string, c config.Command) error {
+	result, err := s.replicate(ctx, operation, c)
 	if err != nil {
 		return err
 	}
@@ -56,8 +75,9 @@
 	return nil
 }
 
-// replicate appends a command to the log and waits until it is committed and applied here. The caller holds proposeMu.
-func (s *Store) replicate(c config.Command) (config.Result, error) {
+// replicate appends a command to the log and waits until it is committed and applied here. The caller holds the lock of
+// proposals.
+func (s *Store) replicate(ctx context.Context, operation string, c config.Command) (config.Result, error) {
 	data, err := config.Encode(c)
 	if err != nil {
 		return config.Result{}, fmt.Errorf("store: encode command: %w", err)
@@ -65,8 +85,11 @@
 	if len(data) > MaxCommandBytes {
 		return config.Result{}, fmt.Errorf("%w: %d bytes of %d", ErrTooLarge, len(data), MaxCommandBytes)
 	}
+	if err := checkContext(ctx, operation); err != nil {
+		return config.Result{}, err
+	}
 	future := s.raft.Apply(data, applyTimeout)
-	if err := await(future); err != nil {
+	if err := awaitChange(ctx, operation, future); err != nil {
 		return config.Result{}, err
 	}
 	switch response := future.Response().(type) {
--- a/internal/store/propose_test.go
+++ b/internal/store/propose_test.go
@@ -13,7 +13,7 @@
 	c.eventually("a leader", func() bool {
 		for _, s := range c.stores {
 			var err error
-			if result, err = s.Propose(command); err == nil {
+			if result, err = s.Propose(c.t.Context(), command); err == nil {
 				return true
 			}
 		}
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -1,6 +1,7 @@
 package store
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"net/url"
@@ -59,39 +60,43 @@
 	return r, nil
 }
 
+// readOperation names a read in errors.
+const readOperation = "read settings"
+
 // Read returns the settings with linearizable consistency. Only the leader can serve it.
-func (s *Store) Read() (*searchconfig.Config, error) {
-	if err := s.verifyLeader(); err != nil {
+func (s *Store) Read(ctx context.Context) (*searchconfig.Config, error) {
+	if err := s.verifyLeader(ctx, readOperation); err != nil {
 		return nil, err
 	}
-	if err := s.barrier(); err != nil {
+	if err := s.barrier(ctx, readOperation); err != nil {
 		return nil, err
 	}
 	return s.Settings(), nil
 }
 
-// ReadWith returns the settings with the consistency that is asked for.
-func (s *Store) ReadWith(r ReadOptions) (*searchconfig.Config, error) {
+// ReadWith returns the settings with the consistency that is asked for. Stale reads at a follower and Local ones wait
+// for nothing: they succeed also if the context has ended.
+func (s *Store) ReadWith(ctx context.Context, r ReadOptions) (*searchconfig.Config, error) {
 	switch r.Consistency {
 	case Lease:
-		return s.readLease()
+		return s.readLease(ctx)
 	case Stale:
-		return s.readStale(r.MaxAge)
+		return s.readStale(ctx, r.MaxAge)
 	case Local:
 		return s.Settings(), nil
 	default:
-		return s.Read()
+		return s.Read(ctx)
 	}
 }
 
 // readLease reads at the leader. Entries committed before its term must have been applied: one barrier a term ensures
 // it.
-func (s *Store) readLease() (*searchconfig.Config, error) {
+func (s *Store) readLease(ctx context.Context) (*searchconfig.Config, error) {
 	if err := s.checkLeader(); err != nil {
 		return nil, err
 	}
 	if term := s.raft.CurrentTerm(); s.barrierTerm.Load() != term {
-		if err := s.barrier(); err != nil {
+		if err := s.barrier(ctx, readOperation); err != nil {
 			return nil, err
 		}
 		s.barrierTerm.Store(term)
@@ -101,12 +106,12 @@
 }
 
 // readStale reads at any instance, if its state is recent enough.
-func (s *Store) readStale(maxAge time.Duration) (*searchconfig.Config, error) {
+func (s *Store) readStale(ctx context.Context, maxAge time.Duration) (*searchconfig.Config, error) {
 	if err := s.fsm.haltedErr(); err != nil {
 		return nil, err
 	}
 	if s.IsLeader() {
-		return s.readLease()
+		return s.readLease(ctx)
 	}
 	// Loaded before the settings, so that entries committed meanwhile can't make the settings older than the bound.
 	lastContact, committed := s.raft.LastContact(), s.raft.CommitIndex()
--- a/internal/store/read_test.go
+++ b/internal/store/read_test.go
@@ -1,6 +1,7 @@
 package store
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"net/url"
@@ -12,9 +13,9 @@
 type readErrors struct{ linearizable, lease, stale, local error }
 
 // readAll reads at each consistency level; settings with a window other than 7 are an error.
-func readAll(s *Store, maxAge time.Duration) readErrors {
+func readAll(ctx context.Context, s *Store, maxAge time.Duration) readErrors {
 	read := func(consistency string) error {
-		settings, err := s.ReadWith(ReadOptions{Consistency: consistency, MaxAge: maxAge})
+		settings, err := s.ReadWith(ctx, ReadOptions{Consistency: consistency, MaxAge: maxAge})
 		if err == nil && settings.MaxResultWindow() != 7 {
 			return fmt.Errorf("%s: window %d", consistency, settings.MaxResultWindow())
 		}
@@ -36,7 +37,7 @@
 	c.awaitWindow(7)
 	for i, s := range c.stores {
 		if i == leader {
-			if got := readAll(s, time.Minute); got != (readErrors{}) {
+			if got := readAll(t.Context(), s, time.Minute); got != (readErrors{}) {
 				t.Errorf("leader: %+v", got)
 			}
 			continue
@@ -44,7 +45,7 @@
 		var got readErrors
 		// The leader's reads commit a barrier: a stale read is rejected until the follower has applied it.
 		c.eventually("a follower's stale read", func() bool {
-			got = readAll(s, time.Minute)
+			got = readAll(t.Context(), s, time.Minute)
 			return !errors.Is(got.stale, ErrStale)
 		})
 		var notLeader *NotLeaderError
@@ -59,7 +60,7 @@
 	c.stop((leader + 2) % 3)
 	isolated := c.stores[(leader+1)%3]
 	c.eventually("a stale read that is rejected by age", func() bool {
-		got := readAll(isolated, 20*time.Millisecond)
+		got := readAll(t.Context(), isolated, 20*time.Millisecond)
 		return errors.Is(got.stale, ErrStale) && got.linearizable != nil && got.lease != nil && got.local == nil
 	})
 }
@@ -83,9 +84,10 @@
 	c := newCluster(b)
 	s := c.stores[c.patch(windowPatch(7))]
 	for _, consistency := range []string{Linearizable, Lease, Stale, Local} {
+		options := ReadOptions{Consistency: consistency, MaxAge: time.Minute}
 		b.Run(consistency, func(b *testing.B) {
 			for b.Loop() {
-				if _, err := s.ReadWith(ReadOptions{Consistency: consistency, MaxAge: time.Minute}); err != nil {
+				if _, err := s.ReadWith(b.Context(), options); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/store/recovery.go
+++ b/internal/store/recovery.go
@@ -28,7 +28,7 @@
 // Recover makes this instance, which must not be running, the only member of its store, with the state on its own
 // disk. It is for a quorum that is lost for good: what the others had committed and this instance had not is lost
 // with them. It returns ErrRecoveryRefused while another member accepts connections, unless forced: then two stores
-// may diverge.
+// may diverge. A context that ends before the membership is rewritten leaves the files as they are.
 func Recover(ctx context.Context, c Config, force bool) (RecoveryResult, error) {
 	self, ok := c.member(c.ID)
 	if !ok || c.Dir == "" {
@@ -82,9 +82,13 @@
 	for _, m := range others {
 		result.Dropped = append(result.Dropped, m.ID)
 	}
-	if n := countReachable(ctx, r.self.ID, others); n > 0 && !force {
+	reachable := countReachable(ctx, r.self.ID, others)
+	if err := checkContext(ctx, "recover instance "+r.self.ID); err != nil {
+		return result, err // no member was reached for no other reason
+	}
+	if reachable > 0 && !force {
 		return result, fmt.Errorf("%w: %d of the other members %v answer: let them elect a leader, or stop them",
-			ErrRecoveryRefused, n, result.Dropped)
+			ErrRecoveryRefused, reachable, result.Dropped)
 	}
 	m, err := r.rewriteMembership()
 	if err != nil {
--- a/internal/store/settings.go
+++ b/internal/store/settings.go
@@ -1,6 +1,7 @@
 package store
 
 import (
+	"context"
 	"fmt"
 
 	"linkpass/internal/config"
@@ -9,11 +10,11 @@
 )
 
 // PatchSettings applies a merge patch to the settings and returns them once a quorum has committed the change.
-func (s *Store) PatchSettings(patch []byte) (*searchconfig.Config, error) {
+func (s *Store) PatchSettings(ctx context.Context, patch []byte) (*searchconfig.Config, error) {
 	if err := s.admit(); err != nil {
 		return nil, err
 	}
-	return s.changeSettings(func(current *searchconfig.Config) (*config.Command, error) {
+	return s.changeSettings(ctx, "patch settings", func(current *searchconfig.Config) (*config.Command, error) {
 		// Checked before the proposal, so that the log holds only patches that can be applied.
 		if _, err := current.Patch(patch); err != nil {
 			return nil, err
@@ -25,12 +26,12 @@
 // UpdateSettings replaces the settings by what change makes of the current ones. It is a compare-and-set: settings that
 // another change has replaced meanwhile give ErrConflict. A change that returns its argument replicates nothing.
 func (s *Store) UpdateSettings(
-	change func(*searchconfig.Config) (*searchconfig.Config, error),
+	ctx context.Context, change func(*searchconfig.Config) (*searchconfig.Config, error),
 ) (*searchconfig.Config, error) {
 	if err := s.admit(); err != nil {
 		return nil, err
 	}
-	return s.changeSettings(func(current *searchconfig.Config) (*config.Command, error) {
+	return s.changeSettings(ctx, "update settings", func(current *searchconfig.Config) (*config.Command, error) {
 		next, err := change(current)
 		if err != nil || next == current {
 			return nil, err
@@ -42,8 +43,9 @@
 // AdvanceShardMap applies a command to an index's shard map once a quorum has committed it. A command that changes
 // nothing is not replicated; one that the shard map rejects returns the shard map's error. It is exempt from the rate
 // limit.
-func (s *Store) AdvanceShardMap(index string, c shardmap.Command) error {
-	_, err := s.changeSettings(func(current *searchconfig.Config) (*config.Command, error) {
+func (s *Store) AdvanceShardMap(ctx context.Context, index string, c shardmap.Command) error {
+	operation := "advance shard map of index " + index
+	_, err := s.changeSettings(ctx, operation, func(current *searchconfig.Config) (*config.Command, error) {
 		shardMap := current.ShardMap(index)
 		if shardMap == nil {
 			return nil, fmt.Errorf("%w: index %q", shardmap.ErrNotFound, index)
@@ -60,11 +62,13 @@
 // changeSettings replicates the command that plan derives from the settings as a quorum confirms them, and returns the
 // settings after it. A plan that returns no command leaves the settings as they are.
 func (s *Store) changeSettings(
-	plan func(current *searchconfig.Config) (*config.Command, error),
+	ctx context.Context, operation string, plan func(current *searchconfig.Config) (*config.Command, error),
 ) (*searchconfig.Config, error) {
-	s.proposeMu.Lock()
-	defer s.proposeMu.Unlock()
-	current, err := s.Read()
+	if err := s.lockProposals(ctx, operation); err != nil {
+		return nil, err
+	}
+	defer s.unlockProposals()
+	current, err := s.Read(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -75,17 +79,19 @@
 	if command == nil {
 		return current, nil
 	}
-	return s.replicateSettings(*command)
+	return s.replicateSettings(ctx, operation, *command)
 }
 
 // replicateSettings replicates a command based on the current version of the settings, and returns the settings after
-// it. The caller holds proposeMu.
-func (s *Store) replicateSettings(c config.Command) (*searchconfig.Config, error) {
-	if err := s.initialize(c); err != nil {
+// it. The caller holds the lock of proposals.
+func (s *Store) replicateSettings(
+	ctx context.Context, operation string, c config.Command,
+) (*searchconfig.Config, error) {
+	if err := s.initialize(ctx, c); err != nil {
 		return nil, err
 	}
 	c.ExpectedVersion = s.State().SettingsVersion()
-	if err := s.replicateApplied(c); err != nil {
+	if err := s.replicateApplied(ctx, operation, c); err != nil {
 		return nil, err
 	}
 	return s.Settings(), nil
--- a/internal/store/settings_test.go
+++ b/internal/store/settings_test.go
@@ -20,20 +20,20 @@
 		want error
 	}{
 		{"patch that is invalid", func() (*searchconfig.Config, error) {
-			return s.PatchSettings([]byte(`{"servers.s-1.protocol":"telnet"}`))
+			return s.PatchSettings(t.Context(), []byte(`{"servers.s-1.protocol":"telnet"}`))
 		}, searchconfig.ErrInvalid},
 		{"update that returns its argument", func() (*searchconfig.Config, error) {
-			return s.UpdateSettings(func(current *searchconfig.Config) (*searchconfig.Config, error) {
+			return s.UpdateSettings(t.Context(), func(current *searchconfig.Config) (*searchconfig.Config, error) {
 				return current, nil
 			})
 		}, nil},
 		{"update that fails", func() (*searchconfig.Config, error) {
-			return s.UpdateSettings(func(*searchconfig.Config) (*searchconfig.Config, error) {
+			return s.UpdateSettings(t.Context(), func(*searchconfig.Config) (*searchconfig.Config, error) {
 				return nil, errChange
 			})
 		}, errChange},
 		{"shard map of an unknown index", func() (*searchconfig.Config, error) {
-			return nil, s.AdvanceShardMap("none", shardmap.Command{})
+			return nil, s.AdvanceShardMap(t.Context(), "none", shardmap.Command{})
 		}, shardmap.ErrNotFound},
 	} {
 		t.Run(change.name, func(t *testing.T) {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -9,7 +9,6 @@
 import (
 	"fmt"
 	"net"
-	"sync"
 	"sync/atomic"
 
 	"github.com/hashicorp/go-hclog"
@@ -33,7 +32,9 @@
 
 	barrierTerm atomic.Uint64 // the term in which every entry of earlier terms was applied
 
-	proposeMu sync.Mutex // serializes proposals, so that each is based on the state that the one before it left
+	// proposing serializes proposals, so that each is based on the state that the one before it left: whoever has
+	// filled it proposes. It is a channel so that a context can end the wait.
+	proposing chan struct{}
 }
 
 // Open starts an instance; one with no state of its own bootstraps with the configured members, unless Join is set.
@@ -52,6 +53,7 @@
 		fsm:       newFSM(c.initialSettings()),
 		positions: newPositionReporter(c.ID, c.ReportPosition),
 		limiter:   newChangeLimiter(),
+		proposing: make(chan struct{}, 1),
 	}
 	s.fsm.onSettingsChanged = c.OnSettingsChanged
 	s.fsm.onApplied = c.OnApplied
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -25,7 +25,7 @@
 		}
 		var notLeader *NotLeaderError
 		c.eventually("a follower that names the leader", func() bool {
-			_, err := s.PatchSettings([]byte(windowPatch(8)))
+			_, err := s.PatchSettings(t.Context(), []byte(windowPatch(8)))
 			return errors.As(err, &notLeader)
 		})
 		named := notLeader.Leader
@@ -34,7 +34,7 @@
 		}
 	}
 	invalid := []byte(`{"servers.s-1.protocol":"telnet"}`)
-	if _, err := c.stores[leader].PatchSettings(invalid); !errors.Is(err, searchconfig.ErrInvalid) {
+	if _, err := c.stores[leader].PatchSettings(t.Context(), invalid); !errors.Is(err, searchconfig.ErrInvalid) {
 		t.Errorf("invalid patch: %v", err)
 	}
 	c.stop(leader)
@@ -81,12 +81,12 @@
 		}
 	}
 	isolated := c.stores[leader]
-	_, err := isolated.PatchSettings([]byte(windowPatch(10)))
+	_, err := isolated.PatchSettings(t.Context(), []byte(windowPatch(10)))
 	if !errors.Is(err, ErrNoQuorum) && !errors.Is(err, ErrNoLeader) {
 		t.Errorf("patch without a quorum: %v", err)
 	}
 	c.eventually("the end of its leadership", func() bool {
-		_, err := isolated.Read()
+		_, err := isolated.Read(t.Context())
 		return errors.Is(err, ErrNoLeader)
 	})
 	if isolated.Settings().MaxResultWindow() != 9 {
--- a/internal/store/stored_commands_test.go
+++ b/internal/store/stored_commands_test.go
@@ -169,7 +169,7 @@
 // mustPropose replicates a command, which must have a given result.
 func mustPropose(t *testing.T, s *Store, c config.Command, want config.Reason) {
 	t.Helper()
-	if r, err := s.Propose(c); err != nil || r.Reason != want {
+	if r, err := s.Propose(t.Context(), c); err != nil || r.Reason != want {
 		t.Fatalf("%+v: %+v, %v", c, r, err)
 	}
 }
--- a/internal/store/stored_create_test.go
+++ b/internal/store/stored_create_test.go
@@ -39,7 +39,8 @@
 	proposeEveryKind(t, s)
 	takeSnapshot(t, s)
 	setWeight(t, s, "s-4", 1.25)
-	if err := s.AddLearner(Member{ID: storedLearner, Raft: storedAddress + "1", HTTP: "http-1"}); err != nil {
+	learner := Member{ID: storedLearner, Raft: storedAddress + "1", HTTP: "http-1"}
+	if err := s.AddLearner(t.Context(), learner); err != nil {
 		t.Fatal(err)
 	}
 	takeSnapshot(t, s)
--- a/internal/store/stored_truncated_test.go
+++ b/internal/store/stored_truncated_test.go
@@ -136,7 +136,7 @@
 				eventually(t, "the truncated entry halts the instance", func() bool {
 					return s.fsm.halted.Load() != nil
 				})
-				if _, err := s.Read(); !errors.Is(err, config.ErrUnknownFormat) {
+				if _, err := s.Read(t.Context()); !errors.Is(err, config.ErrUnknownFormat) {
 					t.Errorf("read: %v", err)
 				}
 				requireSnapshot(t, s, before)
