--- a/internal/adminapi/coordinator.go
+++ b/internal/adminapi/coordinator.go
@@ -1,8 +1,8 @@
 // Package adminapi is the admin API of a running coordinator: the types of its requests and responses, the handler that
 // serves it and the client that calls it.
 //
-// It owns no state and makes no decision: the handler translates between HTTP and a Coordinator. Signatures of calls over
-// TCP are made and verified by its package signature; the listeners belong to the program.
+// It owns no state and makes no decision: the handler translates between HTTP and a Coordinator. Package signature below
+// it signs and verifies calls over TCP; the listeners belong to the program.
 package adminapi
 
 import (
@@ -21,6 +21,8 @@
 	ErrCoreBusy = errors.New("the core did not answer in time")
 	// ErrNoStore says that the coordinator runs without a replicated store.
 	ErrNoStore = errors.New("there is no store here")
+	// ErrNoSearchFront says that the coordinator runs without a search front.
+	ErrNoSearchFront = errors.New("there is no search front here")
 )
 
 // Coordinator is what the API reads and changes.
--- a/internal/adminapi/handler.go
+++ b/internal/adminapi/handler.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"strings"
 	"time"
@@ -66,7 +65,7 @@
 	req *http1.Request) *http1.Response {
 	front := h.Search()
 	if front == nil {
-		return errorResponse(409, errors.New("there is no search front here"))
+		return errorResponse(409, ErrNoSearchFront)
 	}
 	forwarded := *req
 	forwarded.Path = "/" + path
--- a/internal/config/codec.go
+++ b/internal/config/codec.go
@@ -15,14 +15,20 @@
 // skipped it would diverge, so it must stop.
 var ErrUnknownFormat = errors.New("config: unknown format, written by a later version")
 
+// Limits of the decoder on one entry or snapshot, far above what the state's own limits allow.
+const (
+	maxNestedLevels = 32      // of arrays and maps within each other
+	maxElements     = 1 << 20 // of one array or map
+)
+
 var (
 	encMode = must(cbor.CoreDetEncOptions().EncMode())
 	decMode = must(cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
 		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
-		MaxNestedLevels:   32,
-		MaxArrayElements:  1 << 20,
-		MaxMapPairs:       1 << 20,
+		MaxNestedLevels:   maxNestedLevels,
+		MaxArrayElements:  maxElements,
+		MaxMapPairs:       maxElements,
 	}.DecMode())
 )
 
--- a/internal/daemon/admin_api.go
+++ b/internal/daemon/admin_api.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -30,6 +31,12 @@
 	maxUnsignedBody = 1 << 20  // over TCP: a body lies in memory before its signature is verified
 )
 
+// socketProbeTimeout is for another process to accept a connection at the socket.
+const socketProbeTimeout = time.Second
+
+// errSocketInUse is the error of a socket that another process listens at.
+var errSocketInUse = errors.New("another process listens")
+
 // adminAPI serves the admin API, at its socket and over TCP.
 type adminAPI struct {
 	*process
@@ -113,9 +120,9 @@
 // that another process listens on is not.
 func listenSocket(path string) (net.Listener, error) {
 	if _, err := os.Stat(path); err == nil {
-		if conn, err := net.DialTimeout("unix", path, time.Second); err == nil {
+		if conn, err := net.DialTimeout("unix", path, socketProbeTimeout); err == nil {
 			_ = conn.Close()
-			return nil, fmt.Errorf("another process listens at %s", path)
+			return nil, fmt.Errorf("%w at %s", errSocketInUse, path)
 		}
 		if err := os.Remove(path); err != nil {
 			return nil, fmt.Errorf("remove the socket that a crash left: %w", err)
--- a/internal/daemon/admin_api_test.go
+++ b/internal/daemon/admin_api_test.go
@@ -1,6 +1,7 @@
 package daemon
 
 import (
+	"errors"
 	"io"
 	"net"
 	"os"
@@ -23,7 +24,8 @@
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
 		t.Errorf("%v %v", info, err)
 	}
-	if _, err := listenSocket(path); err == nil || !strings.Contains(err.Error(), "another process listens") {
+	_, err = listenSocket(path)
+	if !errors.Is(err, errSocketInUse) || !strings.Contains(err.Error(), "another process listens at "+path) {
 		t.Errorf("beside one that listens: %v", err)
 	}
 	first.(*net.UnixListener).SetUnlinkOnClose(false) // as a crash would
--- a/internal/daemon/admin_backend.go
+++ b/internal/daemon/admin_backend.go
@@ -123,13 +123,13 @@
 		Name:                   b.names.name(belief.Server),
 		State:                  "in_service",
 		InFlight:               belief.Out,
-		MedianMS:               float64(belief.Median.Microseconds()) / 1000,
+		MedianMS:               milliseconds(belief.Median),
 		WarmingUp:              belief.Cold,
 		ConsecutiveProbeLosses: belief.Lost,
 		Health:                 map[string]float64{},
 	}
 	for i, h := range belief.Health {
-		s.Health[b.totals.Classes[i]] = float64(int(h*1000+0.5)) / 1000
+		s.Health[b.totals.Classes[i]] = roundToThousandths(h)
 	}
 	switch {
 	case belief.State == linkpass.Draining:
@@ -142,6 +142,12 @@
 	return s
 }
 
+// milliseconds is a duration in milliseconds, to the microsecond.
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+
+// roundToThousandths rounds a share, which is not negative.
+func roundToThousandths(share float64) float64 { return float64(int(share*1000+0.5)) / 1000 }
+
 // ShardMaps are the shard maps of the indices whose shards can move, by name.
 func (b *adminBackend) ShardMaps() (out []adminapi.IndexShardMap) {
 	c := b.settings.config()
--- a/internal/daemon/limits_share.go
+++ b/internal/daemon/limits_share.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	memoryShare    = 0.6 // of the limit is the collector's; the rest is for what it does not see
-	defaultSockets = 1024
+	memoryShare    = 0.6  // of the limit is the collector's; the rest is for what it does not see
+	defaultSockets = 1024 // descriptors, where the platform sets no limit
 	// ownSockets are the descriptors of the program itself: streams, listeners, discovery, the store, the admin listener.
 	ownSockets = 24 + admin.MaxConns
 )
--- a/internal/daemon/query_core.go
+++ b/internal/daemon/query_core.go
@@ -7,7 +7,11 @@
 	"linkpass/internal/lifecycle"
 )
 
-const mailboxSize = 1024
+const (
+	mailboxSize = 1024 // messages that wait for the core's event loop
+	// successorSeedFactor spreads the bits of a process id over a seed.
+	successorSeedFactor = 0x9e3779b97f4a7c15
+)
 
 // queryCore is the event loop that decides about queries. Serve runs it, as it outlasts the shutdown of the fronts.
 type queryCore struct {
@@ -23,7 +27,7 @@
 
 func (c *queryCore) start() (err error) {
 	if c.isSuccessor() {
-		c.cfg.seed ^= uint64(os.Getpid()) * 0x9e3779b97f4a7c15 // random numbers and names apart from the other's
+		c.cfg.seed ^= uint64(os.Getpid()) * successorSeedFactor // so that random numbers and names differ from the predecessor's
 	}
 	module := c.cfg.module
 	module.MaxOpen = c.share.MaxOpen
--- a/internal/daemon/shard_maps.go
+++ b/internal/daemon/shard_maps.go
@@ -8,6 +8,9 @@
 	"linkpass/internal/reshardexec"
 )
 
+// minPollTimeout bounds a poll of a server from below, however short the interval.
+const minPollTimeout = time.Second
+
 // shardMaps publishes the shard maps to the core and, where there is a store, executes resharding.
 type shardMaps struct {
 	*process
@@ -35,7 +38,7 @@
 		Store:        s.store,
 		Limits:       limits,
 		PollInterval: poll,
-		Timeout:      max(poll, time.Second),
+		Timeout:      max(poll, minPollTimeout),
 		Now:          s.core.core.Now,
 		Counters:     s.counters,
 		QueryTotals:  s.queryTotals,
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -8,11 +8,14 @@
 )
 
 const (
-	grace          = 450 * time.Millisecond // after SIGTERM new connections are still accepted
-	acceptBacklog  = 50 * time.Millisecond  // past that, for the connections that wait in the backlog
-	idleGrace      = 600 * time.Millisecond // after SIGTERM idle connections are kept
-	killAfter      = 3 * time.Second
-	killMargin     = 350 * time.Millisecond // of the 700 past that: for the last answers
+	grace         = 450 * time.Millisecond // after SIGTERM new connections are still accepted
+	acceptBacklog = 50 * time.Millisecond  // past that, for the connections that wait in the backlog
+	idleGrace     = 600 * time.Millisecond // after SIGTERM idle connections are kept
+
+	// The platform kills the process once the longest deadline of a query, at most maxQueryWait, and 700 ms have passed
+	// since SIGTERM.
+	maxQueryWait   = 3 * time.Second
+	answerMargin   = 350 * time.Millisecond // of the 700 ms: for the last answers
 	finalWriteTime = 150 * time.Millisecond // for those answers to be written
 )
 
@@ -46,10 +49,9 @@
 	s.fronts.stop()
 }
 
-// timeout is how long after SIGTERM the process may take: the platform kills once the
-// longest deadline, or 3 s where that is longer, and 0.7 s have passed.
+// timeout is how long after SIGTERM queries may take: the rest of the time until the kill is for the end of the process.
 func (s *shutdown) timeout() time.Duration {
-	return min(s.maxDeadline(), killAfter) + killMargin
+	return min(s.maxDeadline(), maxQueryWait) + answerMargin
 }
 
 // closeListeners draws the line behind which no client is admitted. Listeners shared with other processes are closed
--- a/internal/daemon/version.go
+++ b/internal/daemon/version.go
@@ -2,6 +2,9 @@
 
 import "runtime/debug"
 
+// revisionDigits is the length of the shortened revision.
+const revisionDigits = 12
+
 // ProgramVersion is the build's version, or else its revision.
 func ProgramVersion() string {
 	info, ok := debug.ReadBuildInfo()
@@ -12,7 +15,7 @@
 	for _, s := range info.Settings {
 		switch {
 		case s.Key == "vcs.revision":
-			version = s.Value[:min(12, len(s.Value))]
+			version = s.Value[:min(revisionDigits, len(s.Value))]
 		case s.Key == "vcs.modified" && s.Value == "true":
 			dirty = "+changes"
 		}
--- a/internal/eventlog/rate_limited.go
+++ b/internal/eventlog/rate_limited.go
@@ -7,8 +7,11 @@
 	"golang.org/x/time/rate"
 )
 
-// burst is the number of lines that a RateLimited logs before it limits them to one a second.
-const burst = 20
+// A RateLimited logs burst lines, and then one an interval.
+const (
+	burst    = 20
+	interval = time.Second
+)
 
 // RateLimited bounds the log lines of events that clients or servers can cause at will: a burst first, then one line a
 // second. Events that are not logged are still counted by their callers. The zero value is ready for use; it is safe for
@@ -20,6 +23,6 @@
 
 // Log logs the event unless the limit is reached.
 func (l *RateLimited) Log(e *Event, values ...any) {
-	l.once.Do(func() { l.sometimes = rate.Sometimes{First: burst, Interval: time.Second} })
+	l.once.Do(func() { l.sometimes = rate.Sometimes{First: burst, Interval: interval} })
 	l.sometimes.Do(func() { e.Log(values...) })
 }
--- a/internal/store/context_test.go
+++ b/internal/store/context_test.go
@@ -144,7 +144,7 @@
 			if !errors.Is(err, context.Canceled) || errors.Is(err, ErrOutcomeUnknown) != c.unknown {
 				t.Errorf("error %v; want ErrOutcomeUnknown: %t", err, c.unknown)
 			}
-			if !strings.Contains(err.Error(), "operation on object") {
+			if !strings.Contains(fmt.Sprint(err), "operation on object") {
 				t.Errorf("error %v does not name the operation", err)
 			}
 		})
