--- a/internal/routing/example_test.go
+++ b/internal/routing/example_test.go
@@ -34,7 +34,7 @@
 	turn(1080*time.Millisecond, routing.AttemptResult{ID: part, Server: server, Code: routing.OK,
 		Latency: 70 * time.Millisecond})
 	// Output:
-	// 1s: linkpass.Probe{Server:7}
-	// 1.005s: linkpass.Send{ID:101 Server:7 Timeout:1.995s Until:1000000h0m0s}
-	// 1.08s: linkpass.Answer{ID:100 Whole:true}
+	// 1s: routing.HealthCheck{Server:7}
+	// 1.005s: routing.Send{ID:101 Server:7 Timeout:1.995s WriteBefore:1000000h0m0s}
+	// 1.08s: routing.Answer{ID:100 Complete:true}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,7 @@
 // Package settings reads the deployment's settings, which the platform gives the program at start.
 //
 // They come as nested JSON on the platform and as key=value lines on the simulator's wire; keys and units (milliseconds,
-// shares) are the same in both. The package turns them into the policy module's linkpass.Settings and into what the host
+// shares) are the same in both. The package turns them into the policy module's routing.Settings and into what the host
 // around it needs. It does not read the operators' file, which internal/schema and internal/daemon do, and it checks only
 // that values can be read, not that they make sense together.
 package settings
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
 // Package wire translates between the bench's binary frames and the events and
-// actions of linkpass. It decides nothing.
+// actions of package routing. It decides nothing.
 package wire
 
 import (
