--- a/trace_api_test.go
+++ b/trace_api_test.go
@@ -129,8 +129,11 @@
 	return linkpass.Placed{Shard: shard, Servers: ids}
 }
 
-func replacedEvent(old *simPart, in float64, parts []*simPart) event {
-	out := linkpass.Replaced{IDs: []linkpass.RequestID{linkpass.RequestID(old.id)}, In: in}
+func replacedEvent(yielding []*simPart, in float64, parts []*simPart) event {
+	out := linkpass.Replaced{In: in}
+	for _, p := range yielding {
+		out.IDs = append(out.IDs, linkpass.RequestID(p.id))
+	}
 	for _, p := range parts {
 		out.Parts = append(out.Parts, arrivalOfPart(p))
 	}
--- a/trace_attempt_test.go
+++ b/trace_attempt_test.go
@@ -36,19 +36,19 @@
 	switch {
 	case s.unreachable || s.state == "gone":
 		return written + w.between(time.Millisecond, 20*time.Millisecond), "connect-failed"
-	case s.silent:
+	case s.silent || w.random.Float64() < w.phase.lost:
 		return never, "timed-out"
 	case s.jammed:
 		return written + time.Millisecond, "full"
 	case w.random.Float64() < s.failing:
-		return written + 5*time.Millisecond, "errored"
+		return written + w.between(2*time.Millisecond, 200*time.Millisecond), "errored"
 	}
 	work := time.Duration(float64(a.part.query.work) * (0.6 + 0.8*w.random.Float64()))
 	end, accepted := s.serve(written, work)
 	if !accepted {
 		return written + time.Millisecond, "full"
 	}
-	if w.chance(300) {
+	if w.chance(60) {
 		return end - work/2, "reset"
 	}
 	return end + w.between(200*time.Microsecond, 2*time.Millisecond), "ok"
@@ -67,6 +67,7 @@
 // outcome closes an attempt. What a server itself answered may bring its load report.
 func (w *world) outcome(a *simAttempt, code string) event {
 	a.closed = true
+	a.part.answered = a.part.answered || code == "ok"
 	w.counts["outcome "+code]++
 	var report []float64
 	answered := code == "ok" || code == "errored" || code == "full"
@@ -107,14 +108,37 @@
 	if w.parts[p.id] == nil {
 		return out
 	}
+	yielding := []*simPart{p}
+	for _, other := range p.query.parts {
+		if other != p && w.parts[other.id] != nil && !other.answered && (len(other.attempts) > 1 || w.chance(2)) {
+			yielding = append(yielding, other)
+		}
+	}
+	return append(out, w.replace(yielding, next)...)
+}
+
+// replace puts two parts at another shard in the place of some of a query, of which a piece may have been answered.
+func (w *world) replace(yielding []*simPart, next int) []event {
+	weight := 0.0
+	for _, p := range yielding {
+		weight += p.weight
+		w.retire(p)
+	}
 	in := 0.0
-	if w.chance(3) {
-		in = p.weight / 4
+	if w.chance(2) {
+		in = weight / 4
+	}
+	q := yielding[0].query
+	heirs := []*simPart{
+		w.newPart(q, next, (weight-in)/2),
+		w.newPart(q, next, (weight-in)/2),
+	}
+	if w.chance(4) {
+		w.at(w.now+w.between(0, 60*time.Millisecond), func() []event {
+			return []event{bareEvent(heirs[0].id), bareEvent(heirs[1].id)}
+		})
 	}
-	rest := p.weight - in
-	heirs := []*simPart{w.newPart(p.query, next, rest/2), w.newPart(p.query, next, rest/2)}
-	w.retire(p)
-	return append(out, replacedEvent(p, in, heirs))
+	return []event{replacedEvent(yielding, in, heirs)}
 }
 
 // retire keeps a part that is no longer open for what its attempts may still bring.
--- a/trace_test.go
+++ b/trace_test.go
@@ -7,6 +7,7 @@
 	"os"
 	"path/filepath"
 	"strings"
+	"sync"
 	"testing"
 
 	"github.com/cespare/xxhash/v2"
@@ -127,34 +128,58 @@
 	if err != nil || len(files) != len(variants) && !*updateTrace {
 		t.Errorf("%d golden files of %d variants, %v", len(files), len(variants), err)
 	}
-	counts := map[string]int{}
-	played := 0
-	for _, v := range variants {
-		t.Run(v.name, func(t *testing.T) {
-			got := trace(t, v)
-			played++
-			file := filepath.Join("testdata", "trace", v.name+".txt")
-			if *updateTrace {
-				got.update(t, file)
-			}
-			if *traceText != "" {
-				writeFile(t, filepath.Join(*traceText, v.name+".txt"), bytes.Join(got.texts, nil))
-			}
-			got.compare(t, file)
-			if got.actions < leastActions {
-				t.Errorf("%d actions, want at least %d", got.actions, leastActions)
-			}
-			for word, n := range got.counts {
-				counts[word] += n
-			}
-		})
-	}
-	if played < len(variants) {
+	var total tally
+	t.Run("variant", func(t *testing.T) {
+		for _, v := range variants {
+			t.Run(v.name, func(t *testing.T) {
+				t.Parallel()
+				total.add(checkVariant(t, v))
+			})
+		}
+	})
+	if total.played < len(variants) {
 		return // a -run pattern chose some
 	}
 	for _, word := range happened {
-		if counts[strings.Replace(word, ":", " ", 1)] == 0 {
+		if total.counts[strings.Replace(word, ":", " ", 1)] == 0 {
 			t.Errorf("%s never occurred", word)
 		}
 	}
 }
+
+// tally is what all variants together have counted.
+type tally struct {
+	lock   sync.Mutex
+	played int
+	counts map[string]int
+}
+
+func (y *tally) add(counts map[string]int) {
+	y.lock.Lock()
+	defer y.lock.Unlock()
+	if y.counts == nil {
+		y.counts = map[string]int{}
+	}
+	y.played++
+	for word, n := range counts {
+		y.counts[word] += n
+	}
+}
+
+// checkVariant plays a variant, compares it with its golden file and returns its counts.
+func checkVariant(t *testing.T, v variant) map[string]int {
+	t.Helper()
+	got := trace(t, v)
+	file := filepath.Join("testdata", "trace", v.name+".txt")
+	if *updateTrace {
+		got.update(t, file)
+	}
+	if *traceText != "" {
+		writeFile(t, filepath.Join(*traceText, v.name+".txt"), bytes.Join(got.texts, nil))
+	}
+	got.compare(t, file)
+	if got.actions < leastActions {
+		t.Errorf("%d actions, want at least %d", got.actions, leastActions)
+	}
+	return got.counts
+}
--- a/trace_trouble_test.go
+++ b/trace_trouble_test.go
@@ -14,10 +14,11 @@
 	unreachable int
 	silent      int
 	jammed      int
-	pauses      int  // a pause of the whole fleet each so many turns; 0: none
-	news        int  // news of the list each so many turns
-	moves       int  // a shard moves each so many turns; 0: none
-	outage      bool // discovery fails
+	pauses      int     // a pause of the whole fleet each so many turns; 0: none
+	news        int     // news of the list each so many turns
+	moves       int     // a shard moves each so many turns; 0: none
+	lost        float64 // share of attempts that nothing is heard of
+	outage      bool    // discovery fails
 }
 
 const millisecond = time.Millisecond
@@ -25,14 +26,14 @@
 // phases are those of every run.
 var phases = []phase{
 	{name: "quiet", turns: 100, step: 9 * millisecond, load: 0.3, news: 60},
-	{name: "trouble", turns: 220, step: 12 * millisecond, load: 0.45, news: 25, moves: 25,
-		slow: 1, failing: 1, lossy: 2, unreachable: 1, jammed: 1},
+	{name: "trouble", turns: 220, step: 12 * millisecond, load: 0.45, news: 25, moves: 12,
+		slow: 1, failing: 2, lossy: 2, unreachable: 1, jammed: 1},
 	{name: "overload", turns: 140, step: 6 * millisecond, load: 2, news: 80},
 	{name: "recovery", turns: 180, step: 20 * millisecond, load: 0.35, news: 30},
 	{name: "pauses", turns: 150, step: 10 * millisecond, load: 0.4, news: 60, pauses: 60, silent: 2},
 	{name: "outage", turns: 200, step: 300 * millisecond, load: 0.2, news: 20, outage: true, failing: 1, unreachable: 1},
-	{name: "stalls", turns: 200, step: 10 * millisecond, load: 0.12, news: 100, pauses: 100, silent: 3},
-	{name: "overload in trouble", turns: 150, step: 8 * millisecond, load: 1.3, news: 40, moves: 25,
+	{name: "lost attempts", turns: 200, step: 20 * millisecond, load: 0.25, news: 100, moves: 12, lost: 0.6},
+	{name: "overload in trouble", turns: 150, step: 8 * millisecond, load: 1.3, news: 40, moves: 12,
 		slow: 2, lossy: 1, silent: 1, failing: 1, pauses: 90},
 	{name: "quiet again", turns: 200, step: 12 * millisecond, load: 0.3, news: 30},
 }
@@ -165,10 +166,10 @@
 func (w *world) overtake(shard int) {
 	for _, q := range w.queries {
 		for _, p := range q.parts {
-			if p.shard != shard || len(p.attempts) == 0 || w.chance(3) {
+			if p.shard != shard || len(p.attempts) == 0 || len(p.attempts) == 1 && w.chance(3) {
 				continue
 			}
-			a := p.attempts[w.random.IntN(len(p.attempts))]
+			a := p.attempts[len(p.attempts)-1]
 			due := w.now + w.between(millisecond, 40*millisecond)
 			w.at(due, func() []event { return w.stale(a, w.set.Shards+shard) })
 		}
--- a/trace_variants_test.go
+++ b/trace_variants_test.go
@@ -45,6 +45,12 @@
 	set.BudgetShare = 0.05
 }
 
+func setAnyCopies(set *routerSettings) {
+	set.SecondCopies = true
+	set.MaxAttempts = 0
+	set.BudgetWindow = 0
+}
+
 func setBudget(set *routerSettings) {
 	set.BudgetWindow = 5 * time.Second
 	set.BudgetFree = 10
@@ -65,6 +71,7 @@
 	{"clinic", clinic, func(*routerSettings) {}},
 	{"clinic-no-probes", clinic, func(s *routerSettings) { s.Probes = false }},
 	{"clinic-copies", clinic, func(s *routerSettings) { s.SecondCopies = true }},
+	{"clinic-any-copies", clinic, setAnyCopies},
 	{"clinic-small-budget", clinic, setSmallBudget},
 	{"clinic-no-cancel", clinic, func(s *routerSettings) { s.Cancel = false }},
 	{"clinic-no-advice", clinic, func(s *routerSettings) { s.RetryAfter = false }},
@@ -82,6 +89,10 @@
 		setEffect(s, "keyed", 400*time.Millisecond)
 		s.WriteLag = 200 * time.Millisecond
 	}},
+	{"clinic-keyed-copies", clinic, func(s *routerSettings) {
+		setEffect(s, "keyed", 350*time.Millisecond)
+		setAnyCopies(s)
+	}},
 	{"clinic-quotas", clinic, setQuotas},
 	{"clinic-second-steps", clinic, setSecondSteps},
 	{"harbour", harbour, func(*routerSettings) {}},
@@ -94,6 +105,7 @@
 	{"harbour-sized-by-hand", harbour, func(s *routerSettings) { setFields(s, "inflight", "queue") }},
 	{"harbour-budget", harbour, setBudget},
 	{"harbour-keyed", harbour, func(s *routerSettings) { setEffect(s, "keyed", 700*time.Millisecond) }},
+	{"harbour-keyed-briefly", harbour, func(s *routerSettings) { setEffect(s, "keyed", 90*time.Millisecond) }},
 	{"harbour-safe", harbour, func(s *routerSettings) { setEffect(s, "safe", 0) }},
 	{"harbour-one-node", harbour, func(s *routerSettings) { s.Peers = 1 }},
 	{"harbour-always-warm", harbour, func(s *routerSettings) { s.Cold = 0 }},
--- a/trace_world_test.go
+++ b/trace_world_test.go
@@ -27,6 +27,7 @@
 	shard    int
 	weight   float64
 	attempts []*simAttempt
+	answered bool
 }
 
 // simAttempt is one attempt of a part, from its send to its outcome.
