--- a/trace_variants_test.go
+++ b/trace_variants_test.go
@@ -51,6 +51,14 @@
 	set.BudgetWindow = 0
 }
 
+// setPatience lets little be refused for want of room.
+func setPatience(set *routerSettings) {
+	for i := range set.Classes {
+		set.Classes[i].Aim *= 6
+		set.Classes[i].Deadline *= 4
+	}
+}
+
 func setBudget(set *routerSettings) {
 	set.BudgetWindow = 5 * time.Second
 	set.BudgetFree = 10
@@ -101,6 +109,20 @@
 	{"harbour-no-cancel", harbour, func(s *routerSettings) { s.Cancel = false }},
 	{"harbour-pushed", harbour, func(s *routerSettings) { s.Subscribe = false }},
 	{"harbour-near-far-alike", harbour, func(s *routerSettings) { s.CrossCost = 0 }},
+	{"harbour-far-dear", harbour, func(s *routerSettings) {
+		s.CrossCost = 0.05
+		s.Reach = 3
+		setPatience(s)
+	}},
+	{"harbour-far-cheap", harbour, func(s *routerSettings) {
+		s.CrossCost = 0.008
+		s.Reach = 3
+		setPatience(s)
+	}},
+	{"harbour-reports-seldom", harbour, func(s *routerSettings) {
+		setSlowStart(s)
+		s.Probes = false
+	}},
 	{"harbour-unsized", harbour, func(s *routerSettings) { s.Sized = false }},
 	{"harbour-sized-by-hand", harbour, func(s *routerSettings) { setFields(s, "inflight", "queue") }},
 	{"harbour-budget", harbour, setBudget},
