--- a/internal/routing/trace_api_test.go
+++ b/internal/routing/trace_api_test.go
@@ -2,16 +2,19 @@
 
 import (
 	"fmt"
-	"math"
 	"time"
 
 	"linkpass/internal/routing"
 )
 
-// This file and trace_settings_test.go are the only ones of the trace that name the package's interface. The words
-// here are those of the golden file: they stay as they are when the interface is renamed.
+// Of the trace's files only this one names the package's events and actions. The words here are those of the golden
+// files: they stay as they are when the interface is renamed.
 
-type event = routing.Event
+type (
+	event          = routing.Event
+	routerSettings = routing.Settings
+	reportField    = routing.ReportField
+)
 
 // outcomeCodes are the words for how an attempt or a probe ended.
 var outcomeCodes = map[string]routing.Code{
@@ -126,8 +129,11 @@
 	return routing.ShardPlacement{Shard: shard, Servers: ids}
 }
 
-func replacedEvent(old *simPart, in float64, parts []*simPart) event {
-	out := routing.PartsReplaced{IDs: []routing.RequestID{routing.RequestID(old.id)}, ReceivedWeight: in}
+func replacedEvent(yielding []*simPart, in float64, parts []*simPart) event {
+	out := routing.PartsReplaced{ReceivedWeight: in}
+	for _, p := range yielding {
+		out.IDs = append(out.IDs, routing.RequestID(p.id))
+	}
 	for _, p := range parts {
 		out.Parts = append(out.Parts, arrivalOfPart(p))
 	}
@@ -171,7 +177,7 @@
 // router is what the trace needs of the decision module.
 type router struct{ *routing.Router }
 
-func newRouter(set routing.Settings, seed uint64) (router, error) {
+func newRouter(set routerSettings, seed uint64) (router, error) {
 	r, err := routing.New(set, seed)
 	return router{r}, err
 }
@@ -213,11 +219,8 @@
 // show writes what the router tells of its servers.
 func (r router) show(w *world) {
 	for _, b := range r.Snapshot(w.now) {
-		w.write("belief", "server=%d state=%s out=%d median=%d lost=%d cold=%t down=%t pause=%d quiet=%d",
-			b.Server, stateWord(b.State), b.InFlight, b.MedianLatency, b.FailedHealthChecks, b.WarmingUp, b.Unreachable, b.Backoff, b.SinceLastSend)
-		for class, health := range b.Health {
-			w.write("health", "class=%d bits=%x", class, math.Float64bits(health))
-		}
+		w.write("belief", "server=%d state=%s out=%d median=%d lost=%d cold=%t down=%t pause=%d quiet=%d health=%x",
+			b.Server, stateWord(b.State), b.InFlight, b.MedianLatency, b.FailedHealthChecks, b.WarmingUp, b.Unreachable, b.Backoff, b.SinceLastSend, b.Health)
 	}
 	known, avoided := r.EndpointCounts(w.now)
 	w.write("listed", "known=%d avoided=%d", known, avoided)
--- a/internal/routing/trace_test.go
+++ b/internal/routing/trace_test.go
@@ -7,12 +7,16 @@
 	"os"
 	"path/filepath"
 	"strings"
+	"sync"
 	"testing"
 
 	"github.com/cespare/xxhash/v2"
 )
 
-var updateTrace = flag.Bool("update", false, "write the golden files under testdata/trace anew")
+var (
+	updateTrace = flag.Bool("update", false, "write the golden files under testdata/trace anew")
+	traceText   = flag.String("trace-text", "", "write the actions themselves to this directory, to compare two commits")
+)
 
 // turnsPerHash is how many turns a line of a golden file stands for.
 const turnsPerHash = 50
@@ -60,7 +64,7 @@
 	line := fmt.Sprintf("turns before %d: %016x", turn, xxhash.Sum64(w.text))
 	x.hashes = append(x.hashes, line)
 	x.texts = append(x.texts, w.text)
-	w.text = nil
+	w.text = make([]byte, 0, len(w.text))
 }
 
 // compare tells where a trace leaves the golden one.
@@ -77,7 +81,7 @@
 	for i, line := range x.hashes {
 		if i < len(want) && line != want[i] {
 			t.Errorf("other actions than in %s:\ngot  %s\nwant %s", file, line, want[i])
-			t.Logf("this range begins:\n%s", firstLines(x.texts[i], 40))
+			t.Logf("this range begins (-trace-text writes all of it):\n%s", firstLines(x.texts[i], 40))
 			return
 		}
 	}
@@ -89,12 +93,16 @@
 }
 
 func (x *traced) update(t *testing.T, file string) {
+	t.Helper()
+	writeFile(t, file, []byte(strings.Join(x.hashes, "\n")+"\n"))
+}
+
+func writeFile(t *testing.T, file string, data []byte) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(file), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	text := strings.Join(x.hashes, "\n") + "\n"
-	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
+	if err := os.WriteFile(file, data, 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -102,7 +110,7 @@
 // happened are the words that must be counted over all variants, lest the trace turn empty.
 var happened = strings.Fields(`
 	action:send action:cancel action:reject action:fail action:answer action:timer action:health-check action:subscribe
-	action:belief action:health action:listed
+	action:belief action:listed
 	event:list event:arrival event:started event:outcome event:client-gone event:alarm event:probed event:room
 	event:warm event:placed event:replaced event:bare event:peer-message
 	outcome:ok outcome:errored outcome:full outcome:timed-out outcome:connect-failed outcome:reset outcome:cancelled
@@ -116,31 +124,62 @@
 
 // The same seeded events bring the same actions at the same times as when the golden files were written.
 func TestDecisionsAreThoseOfTheGoldenTrace(t *testing.T) {
-	counts := map[string]int{}
-	played := 0
-	for _, v := range variants {
-		t.Run(v.name, func(t *testing.T) {
-			got := trace(t, v)
-			played++
-			file := filepath.Join("testdata", "trace", v.name+".txt")
-			if *updateTrace {
-				got.update(t, file)
-			}
-			got.compare(t, file)
-			if got.actions < leastActions {
-				t.Errorf("%d actions, want at least %d", got.actions, leastActions)
-			}
-			for word, n := range got.counts {
-				counts[word] += n
-			}
-		})
+	files, err := filepath.Glob(filepath.Join("testdata", "trace", "*.txt"))
+	if err != nil || len(files) != len(variants) && !*updateTrace {
+		t.Errorf("%d golden files of %d variants, %v", len(files), len(variants), err)
 	}
-	if played < len(variants) {
+	var total tally
+	t.Run("variant", func(t *testing.T) {
+		for _, v := range variants {
+			t.Run(v.name, func(t *testing.T) {
+				t.Parallel()
+				total.add(checkVariant(t, v))
+			})
+		}
+	})
+	if total.played < len(variants) {
 		return // a -run pattern chose some
 	}
 	for _, word := range happened {
-		if counts[strings.Replace(word, ":", " ", 1)] == 0 {
+		if total.counts[strings.Replace(word, ":", " ", 1)] == 0 {
 			t.Errorf("%s never occurred", word)
 		}
 	}
 }
+
+// tally is what all variants together have counted.
+type tally struct {
+	lock   sync.Mutex
+	played int
+	counts map[string]int
+}
+
+func (y *tally) add(counts map[string]int) {
+	y.lock.Lock()
+	defer y.lock.Unlock()
+	if y.counts == nil {
+		y.counts = map[string]int{}
+	}
+	y.played++
+	for word, n := range counts {
+		y.counts[word] += n
+	}
+}
+
+// checkVariant plays a variant, compares it with its golden file and returns its counts.
+func checkVariant(t *testing.T, v variant) map[string]int {
+	t.Helper()
+	got := trace(t, v)
+	file := filepath.Join("testdata", "trace", v.name+".txt")
+	if *updateTrace {
+		got.update(t, file)
+	}
+	if *traceText != "" {
+		writeFile(t, filepath.Join(*traceText, v.name+".txt"), bytes.Join(got.texts, nil))
+	}
+	got.compare(t, file)
+	if got.actions < leastActions {
+		t.Errorf("%d actions, want at least %d", got.actions, leastActions)
+	}
+	return got.counts
+}
