--- a/internal/routing/example_test.go
+++ b/internal/routing/example_test.go
@@ -7,11 +7,15 @@
 	"linkpass/internal/routing"
 )
 
-// A front node feeds its router one turn at a time and carries out what comes back.
+// A coordinator hands its router the events of a turn and carries out the actions.
 func Example() {
 	router, err := routing.New(routing.Settings{
-		Tick: 5 * time.Millisecond, Coordinators: 1, Shards: 1, Cells: 1, ReplicasPerShard: 1, HealthChecks: true,
-		Classes: []routing.Class{{LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1, RequiredWeight: 1, MinWeight: 1}},
+		Tick: 5 * time.Millisecond, Coordinators: 1, HealthChecks: true,
+		Shards: 1, Cells: 1, ReplicasPerShard: 1,
+		Classes: []routing.Class{{
+			LatencyObjective: time.Second, Deadline: 3 * time.Second,
+			PriorityWeight: 1, RequiredWeight: 1, MinWeight: 1,
+		}},
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
@@ -30,7 +34,8 @@
 			Endpoints: []routing.Endpoint{{Server: server, State: routing.Ready}}},
 		routing.Arrival{ID: query, Shard: -1, Timeout: 2 * time.Second, QueryNumber: 1, Weight: 1},
 		routing.Arrival{ID: part, Shard: 0, Timeout: 2 * time.Second, QueryNumber: 1, Weight: 1})
-	turn(1005*time.Millisecond, routing.HealthCheckResult{Server: server, Code: routing.OK, Latency: time.Millisecond})
+	turn(1005*time.Millisecond,
+		routing.HealthCheckResult{Server: server, Code: routing.OK, Latency: time.Millisecond})
 	turn(1080*time.Millisecond, routing.AttemptResult{ID: part, Server: server, Code: routing.OK,
 		Latency: 70 * time.Millisecond})
 	// Output:
