--- /dev/null
+++ b/internal/routing/hedging_test.go
@@ -0,0 +1,98 @@
+package routing
+
+import (
+	"testing"
+	"time"
+)
+
+func TestHedgesAreLimitedWithoutRetryBudget(t *testing.T) {
+	for _, delay := range []time.Duration{0, 250 * ms} {
+		settings := testSettings()
+		settings.MaxWriteDelay = delay
+		h := newHarness(t, settings)
+		for i := range 40 { // nothing replies: the hedges of earlier parts count for the later ones
+			h.startQuery(RequestID(10+2*i), 0, 0)
+			h.advance(200 * ms)
+		}
+		h.advance(2 * time.Second)
+		retries := h.router.retries
+		if n := retries.furtherAttempts.count(h.now); n == 0 || n > minHedges+int(hedgeRatio*80) {
+			t.Errorf("write delay %v: %d hedges of 40 parts within %v", delay, n, statsWindow)
+		}
+		if retries.furtherAttempts.span != statsWindow || retries.arrivals.span != statsWindow {
+			t.Errorf("write delay %v: counted over %v and %v, want %v",
+				delay, retries.furtherAttempts.span, retries.arrivals.span, statsWindow)
+		}
+	}
+}
+
+// Guards against hedges that add to an overload which no load report shows.
+func TestHedgeNeedsLoadReports(t *testing.T) {
+	for _, hasReports := range []bool{true, false} {
+		settings := testSettings()
+		if !hasReports {
+			settings.ReportFields = nil
+		}
+		h := newHarness(t, settings)
+		h.startQuery(10, 0, 0)
+		first := h.sendAfterChecks(1, 2, 3)
+		h.advance(1500 * ms)
+		if hedged := len(actionsOf[HealthCheck](h.actions)) > 0; hedged != hasReports {
+			t.Errorf("load reports %v: health checks for a hedge: %v", hasReports, hedged)
+		}
+		if hasReports {
+			continue
+		}
+		h.advance(5*ms, attemptResult(11, 0, first, ServerError, 5*ms))
+		if len(actionsOf[HealthCheck](h.actions)) == 0 {
+			t.Error("without load reports: no retry after a failure")
+		}
+	}
+}
+
+func TestHedgeNeedsHedgingSetting(t *testing.T) {
+	for _, hedging := range []bool{true, false} {
+		settings := testSettings()
+		settings.Hedging = hedging
+		h := newHarness(t, settings)
+		h.startQuery(10, 0, 0)
+		h.sendAfterChecks(1, 2, 3)
+		h.advance(1500 * ms)
+		if hedged := len(actionsOf[HealthCheck](h.actions)) > 0; hedged != hedging {
+			t.Errorf("hedging %v: health checks for a hedge: %v", hedging, hedged)
+		}
+	}
+}
+
+// Guards against a part that is lost where its first attempt and its first hedge get no answer.
+func TestSecondHedgeFollowsOverdueHedge(t *testing.T) {
+	h := newHarness(t, testSettings())
+	h.startQuery(10, 0, 0)
+	servers := map[ServerID]bool{h.sendAfterChecks(1, 2, 3): true}
+	for range 2 {
+		h.advance(1500 * ms)
+		servers[h.sendAfterChecks(1, 2, 3)] = true
+	}
+	if len(servers) != 3 {
+		t.Errorf("attempts were sent to %v, want all three replicas", servers)
+	}
+}
+
+// Guards against hedges that add to the load which makes all attempts overdue.
+func TestHedgesAreLimitedWhereAllAttemptsAreOverdue(t *testing.T) {
+	for queries, most := range map[int]int{1: 3, 120: 40} {
+		h := newHarness(t, testSettings())
+		h.playQuery(1, 20*ms, 1, 2, 3)
+		for i := range queries {
+			h.startQuery(RequestID(10+10*i), 0, 0)
+		}
+		sent := 0
+		for range 60 { // nothing is answered; each attempt is overdue after 80 ms
+			h.advance(5*ms, checkReply(1, 0), checkReply(2, 0), checkReply(3, 0))
+			sent += len(actionsOf[Send](h.actions))
+		}
+		if hedges := sent - queries; hedges < 1 || hedges > most {
+			t.Errorf("%d hedges of %d overdue parts, want 1 to %d", hedges, queries, most)
+		}
+	}
+}
--- a/internal/routing/sliding_window_test.go
+++ b/internal/routing/sliding_window_test.go
@@ -7,17 +7,16 @@
 	"time"
 )
 
-// A window's medians, sums and counts are those of the samples that it should hold, and reading a median
-// that has just changed sorts nothing: the cost of a read must not grow with what the window holds.
-func TestWindowMatchesItsSamples(t *testing.T) {
-	rng := rand.New(rand.NewPCG(1, 2))
+// Guards against a median or a count that differs from one computed anew from the samples within the span.
+func TestSlidingWindowMatchesItsSamples(t *testing.T) {
+	random := rand.New(rand.NewPCG(1, 2))
 	w := newSlidingWindow(time.Second)
 	var at []time.Duration
 	var values []float64
 	now := time.Duration(0)
 	for range 5000 {
-		now += time.Duration(rng.IntN(int(4 * time.Millisecond)))
-		v := float64(rng.IntN(50)) // many twins
+		now += time.Duration(random.IntN(int(4 * time.Millisecond)))
+		v := float64(random.IntN(50)) // many equal values
 		w.add(now, v)
 		at, values = append(at, now), append(values, v)
 		for at[0] <= now-time.Second {
@@ -26,10 +25,27 @@
 		want := slices.Sorted(slices.Values(values))
 		middle := (want[(len(want)-1)/2] + want[len(want)/2]) / 2
 		if w.median(now, -1) != middle || w.count(now) != len(want) || !slices.Equal(w.sorted, want) {
-			t.Fatalf("%v: median %v of %d, want %v of %d", now, w.median(now, -1), w.count(now), middle, len(want))
+			t.Fatalf("%v: median %v of %d, want %v of %d",
+				now, w.median(now, -1), w.count(now), middle, len(want))
 		}
 	}
 	if w.median(now+2*time.Second, -1) != -1 || w.count(now+2*time.Second) != 0 || len(w.sorted) != 0 {
 		t.Error("old samples stay")
 	}
 }
+
+func TestSlidingWindowMedianDropsOldSamples(t *testing.T) {
+	w := newSlidingWindow(10 * time.Second)
+	for i, value := range []float64{5, 1, 3, 100} {
+		w.add(time.Duration(i)*time.Second, value)
+	}
+	if median := w.median(4*time.Second, 0); median != 4 {
+		t.Errorf("median = %v, want 4", median)
+	}
+	if median, count := w.median(11*time.Second, 0), w.count(11*time.Second); median != 51.5 || count != 2 {
+		t.Errorf("after the first samples: median %v of %d, want 51.5 of 2", median, count)
+	}
+	if median := w.median(time.Minute, 7); median != 7 {
+		t.Errorf("empty: median %v, want the fallback 7", median)
+	}
+}
--- /dev/null
+++ b/internal/routing/slow_start_test.go
@@ -0,0 +1,114 @@
+package routing
+
+import (
+	"testing"
+	"time"
+)
+
+func TestSlowStartLimitsAttempts(t *testing.T) {
+	h := newHarness(t, slowStartSettings(0.2, 3))
+	h.updateEndpoints(UpdateDelta, Endpoint{Server: 1, Cell: 0, State: Ready, StartedAt: h.now - time.Second})
+	sent := 0
+	for i := range 20 {
+		h.startQuery(RequestID(10+10*i), 0, 0)
+		server := h.sendAfterChecks(1, 2, 3)
+		if server == 1 {
+			sent++
+		}
+		h.advance(15*ms, attemptResult(RequestID(11+10*i), 0, server, OK, 15*ms))
+	}
+	if sent == 0 || sent > 4 { // at most 0.7 * 3 * 0.25 of the eight or so that a warm server answers
+		t.Errorf("%d of 20 parts within half a second went to the server in slow start, want 1 to 4", sent)
+	}
+}
+
+// Guards against a fleet of coordinators that together send more than the server can take.
+func TestSlowStartGapGrowsWithCoordinators(t *testing.T) {
+	gaps := map[int]float64{}
+	for _, coordinators := range []int{1, 40} {
+		settings := slowStartSettings(0.2, 3)
+		settings.Coordinators = coordinators
+		h := newHarness(t, settings)
+		s := &server{endpoint: Endpoint{StartedAt: h.now}}
+		gaps[coordinators] = h.router.slowStart.gap(h.now, s, 1)
+	}
+	if gaps[40] < 30*gaps[1] {
+		t.Errorf("gaps = %v, want one of 40 coordinators at least 30 times as long", gaps)
+	}
+}
+
+// reportedGap is the gap at server 1 of the given age and service time, while the warm servers report so many
+// requests in flight.
+func reportedGap(t *testing.T, inFlight, serviceTime float64, age time.Duration) float64 {
+	t.Helper()
+	settings := slowStartSettings(0.2, 2)
+	settings.WeightsAreCapacities = true
+	settings.ReportFields = []ReportField{FieldInFlight, FieldServiceTime, FieldQueueLength}
+	h := newHarness(t, settings)
+	endpoints := readyEndpoints(3)
+	for i := range endpoints {
+		endpoints[i].Weight = 2
+	}
+	endpoints[0].StartedAt = h.now - age
+	h.updateEndpoints(UpdateDelta, endpoints...)
+	h.playQuery(100, 20*ms, 2, 3, 2, 3, 2, 3, 2, 3, 2, 3, 2, 3)
+	h.turn(reportReply(1, 0, serviceTime, 0),
+		reportReply(2, inFlight, 20, 0), reportReply(3, inFlight, 20, 0))
+	for range 2 { // a high median latency: the least rate of one part at a time does not decide
+		h.router.results.latencies.all.add(h.now, float64(10*time.Second))
+	}
+	h.advance(0)
+	return h.router.slowStart.gap(h.now, h.server(1), 1)
+}
+
+// Guards against a server left idle in slow start because a single coordinator has few samples of it.
+func TestSlowStartGapFollowsLoadReports(t *testing.T) {
+	if idle, busy := reportedGap(t, 0.8, 20, 0), reportedGap(t, 2, 20, 0); idle > 0.8*busy {
+		t.Errorf("gap %.3g where the warm servers are at 40 %%, %.3g where at 100 %%", idle, busy)
+	}
+	fast, slow := reportedGap(t, 2, 25, 6*time.Second), reportedGap(t, 2, 80, 6*time.Second)
+	if fast > 0.9*slow {
+		t.Errorf("gap %.3g with a service time near the median, %.3g with four times that", fast, slow)
+	}
+	young, silent := reportedGap(t, 2, 25, time.Second), reportedGap(t, 2, 0, time.Second)
+	if young != silent {
+		t.Errorf("gap %.3g by a report too early to count, %.3g without", young, silent)
+	}
+}
+
+// Guards against a gap fixed at the start of the slow start, which would outlast it.
+func TestSlowStartGapShrinksWithAge(t *testing.T) {
+	settings := slowStartSettings(0.1, 2)
+	settings.Coordinators = 40
+	h := newHarness(t, settings)
+	h.updateEndpoints(UpdateDelta, Endpoint{Server: 1, Cell: 0, State: Ready, StartedAt: h.now})
+	s := h.server(1)
+	s.slowStart.gapStartedAt = h.now
+	first := time.Duration(h.router.slowStart.gap(h.now, s, 1))
+	h.advance(14 * time.Second)
+	now := time.Duration(h.router.slowStart.gap(h.now, s, 1))
+	if first < 15*time.Second || !h.router.selector.eligibility.mayGetAttemptSoon(h.now, s) {
+		t.Errorf("gap %v at the start, %v after 14 s: no attempt is allowed yet", first, now)
+	}
+}
+
+// Guards against a placement on a server in slow start that brings it all of a shard's parts.
+func TestSlowStartLimitsAttemptsOfMovedShard(t *testing.T) {
+	h := newHarness(t, slowStartSettings(0.2, 3))
+	started := Endpoint{Server: 9, Cell: 2, State: Ready, StartedAt: h.now}
+	h.turn(EndpointUpdate{Endpoints: []Endpoint{started}}, ShardPlacement{Shard: 100, Servers: []ServerID{9}})
+	sent, allowed := 0, 2.0
+	for i := range 200 {
+		sends := actionsOf[Send](h.startQuery(RequestID(1000+10*i), 0, 100))
+		sends = append(sends, actionsOf[Send](h.advance(5*ms, checkReply(9, 0)))...)
+		for _, send := range sends {
+			sent += len(actionsOf[Send](h.turn(attemptResult(send.ID, 0, 9, OK, 20*ms))))
+		}
+		sent += len(sends)
+		work := h.router.results.latencies.relativeWork(h.now, 0)
+		allowed += float64(5*ms) / h.router.slowStart.gap(h.now, h.server(9), work)
+	}
+	if sent == 0 || float64(sent) > allowed {
+		t.Errorf("%d parts within a second to a server in slow start, want 1 to %.1f", sent, allowed)
+	}
+}
