--- a/internal/routing/bench_test.go
+++ b/internal/routing/bench_test.go
@@ -10,11 +10,10 @@
 // benchSizes are fleets as one coordinator sees them: three servers and two shards a cell.
 var benchSizes = []struct{ coordinators, servers int }{{3, 15}, {80, 54}, {300, 201}}
 
-// benchParts is the number of parts of a query, the same at every size: figures for a part compare.
+// benchParts is the number of parts of a query, the same at every size.
 const benchParts = 10
 
-// BenchmarkQuery plays one query after another: arrival, health check race, attempts, answer. One operation is
-// a query of benchParts parts; ns/part and allocs/part are its figures over that number.
+// BenchmarkQuery plays one query after another. An operation is a query of benchParts parts.
 func BenchmarkQuery(b *testing.B) {
 	for _, size := range benchSizes {
 		b.Run(fmt.Sprintf("coordinators=%d/servers=%d", size.coordinators, size.servers), func(b *testing.B) {
--- a/internal/routing/endpoints_test.go
+++ b/internal/routing/endpoints_test.go
@@ -1,6 +1,7 @@
 package routing
 
 import (
+	"slices"
 	"testing"
 	"time"
 )
@@ -49,3 +50,97 @@
 		t.Error("a placement that was removed is still held")
 	}
 }
+
+func TestEndpointListCellHolds(t *testing.T) {
+	settings := testSettings()
+	settings.Cells = 5
+	settings.ReplicasPerShard = 3
+	endpoints := newEndpointList(&settings)
+	for name, c := range map[string]struct {
+		shard int
+		cells []int // that hold it
+	}{
+		"first shard":            {0, []int{0, 1, 2}},
+		"last cell":              {2, []int{2, 3, 4}},
+		"over the end":           {3, []int{0, 3, 4}},
+		"starts at the end":      {4, []int{0, 1, 4}},
+		"more shards than cells": {7, []int{2, 3, 4}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			for cell := range 2 * settings.Cells { // a cell over the last holds nothing
+				want := slices.Contains(c.cells, cell)
+				if got := endpoints.cellHolds(cell, c.shard); got != want {
+					t.Errorf("cell %d holds shard %d: %v, want %v", cell, c.shard, got, want)
+				}
+			}
+		})
+	}
+}
+
+func TestEndpointListReplicasOf(t *testing.T) {
+	const placed = 100
+	for name, c := range map[string]struct {
+		shard     int
+		placement []ServerID
+		removed   []ServerID
+		want      []ServerID
+	}{
+		"by cells":                    {0, nil, nil, []ServerID{1, 2}},
+		"by cells, over the end":      {2, nil, nil, []ServerID{1, 3}},
+		"by cells, one removed":       {0, nil, []ServerID{1}, []ServerID{2}},
+		"unknown shard":               {3, nil, nil, nil},
+		"placement of another shard":  {placed, []ServerID{3, 1}, nil, []ServerID{1, 3}},
+		"placement in place of cells": {0, []ServerID{3}, nil, []ServerID{3}},
+		"placement, one unknown":      {placed, []ServerID{77, 2}, nil, []ServerID{2}},
+		"placement, one removed":      {placed, []ServerID{1, 2}, []ServerID{1}, []ServerID{2}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			settings := testSettings()
+			settings.ReplicasPerShard = 2
+			endpoints := newEndpointList(&settings)
+			for _, e := range readyEndpoints(3) {
+				endpoints.learn(e)
+			}
+			endpoints.refresh(time.Minute)
+			endpoints.replicasOf(c.shard) // before the changes: what is cached must not stay
+			endpoints.place(ShardPlacement{Shard: c.shard, Servers: c.placement})
+			endpoints.replicasOf(c.shard)
+			for _, id := range c.removed {
+				endpoints.learn(Endpoint{Server: id, State: Removed})
+			}
+			endpoints.refresh(time.Minute)
+			if got := serverIDs(endpoints.replicasOf(c.shard)); !slices.Equal(got, c.want) {
+				t.Errorf("replicas of %d = %v, want %v", c.shard, got, c.want)
+			}
+		})
+	}
+}
+
+func TestEndpointListLearnDetectsRestart(t *testing.T) {
+	for name, c := range map[string]struct {
+		startedAt time.Duration // of the second update; the first has 10 s
+		restarted bool
+	}{
+		"same start":  {10 * time.Second, false},
+		"older start": {5 * time.Second, false},
+		"newer start": {20 * time.Second, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			settings := testSettings()
+			endpoints := newEndpointList(&settings)
+			first := Endpoint{Server: 1, State: Ready, StartedAt: 10 * time.Second}
+			s, restarted := endpoints.learn(first)
+			if !restarted {
+				t.Error("a new server does not count as restarted")
+			}
+			s.health.byClass[0] = 0.5
+			second := Endpoint{Server: 1, State: Ready, StartedAt: c.startedAt}
+			if _, restarted := endpoints.learn(second); restarted != c.restarted {
+				t.Errorf("restarted = %v, want %v", restarted, c.restarted)
+			}
+			if forgotten := s.health.byClass[0] == 1; forgotten != c.restarted {
+				t.Errorf("health is forgotten: %v, want %v", forgotten, c.restarted)
+			}
+		})
+	}
+}
--- a/internal/routing/harness_test.go
+++ b/internal/routing/harness_test.go
@@ -215,3 +215,18 @@
 	}
 	return matching
 }
+
+// newServer is a listed and ready server of its own, without a router.
+func newServer(id ServerID) *server {
+	s := &server{id: id, listed: true}
+	s.restarted(readyEndpoint(id, int(id)-1), 1)
+	return s
+}
+
+func serverIDs(servers []*server) []ServerID {
+	ids := make([]ServerID, len(servers))
+	for i, s := range servers {
+		ids[i] = s.id
+	}
+	return ids
+}
--- a/internal/routing/health_check_race_test.go
+++ b/internal/routing/health_check_race_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 )
@@ -33,8 +34,7 @@
 	}
 }
 
-// Guards against more health checks a server with more coordinators, and against counting a reply's validity
-// from its arrival.
+// Guards against health checks at a server that grow in number with the coordinators.
 func TestReplyValidityScalesWithCoordinators(t *testing.T) {
 	for _, coordinators := range []int{1, 40} {
 		t.Run(fmt.Sprintf("coordinators=%d", coordinators), func(t *testing.T) {
@@ -60,3 +60,155 @@
 		})
 	}
 }
+
+func newTestHealthChecks() *healthChecks {
+	settings := testSettings()
+	return newHealthChecks(&settings, &actionList{}, newResultRecorder(&settings))
+}
+
+const (
+	judgeFirstReply = 20 * ms // age of the race when its first reply is seen
+	judgeDeadline   = time.Duration(raceDurationFactor * float64(judgeFirstReply))
+
+	judgeLatency = 100 * ms // median latency of the part's class
+	judgeTimeout = time.Duration(firstReplyTimeoutLatencyShare * float64(judgeLatency))
+)
+
+// raceResults are the results of a race by server; true: it replied.
+type raceResults map[ServerID]bool
+
+// The candidates are the servers 1 to 3.
+var judgeCases = map[string]struct {
+	results     raceResults
+	firstJudged time.Duration // age of the race when the first reply was seen; 0: not yet
+	age         time.Duration
+	state       raceState
+	replied     []ServerID
+}{
+	"open without a result": {nil, 0, judgeTimeout - 1, raceOpen, nil},
+	"open with a failure":   {raceResults{1: false}, 0, ms, raceOpen, nil},
+	"open until the deadline": {
+		raceResults{1: true}, judgeFirstReply, judgeDeadline - 1, raceOpen, []ServerID{1},
+	},
+	"won by deadline": {
+		raceResults{1: true}, judgeFirstReply, judgeDeadline, raceWon, []ServerID{1},
+	},
+	"won by all": {
+		raceResults{1: true, 2: true, 3: true}, 0, ms, raceWon, []ServerID{1, 2, 3},
+	},
+	"won by all without failure": {raceResults{1: true, 2: false, 3: true}, 0, ms, raceWon, []ServerID{1, 3}},
+	"lost by timeout":            {nil, 0, judgeTimeout, raceLost, nil},
+	"lost by timeout, a failure": {raceResults{1: false}, 0, judgeTimeout, raceLost, nil},
+	"lost by all":                {raceResults{1: false, 2: false, 3: false}, 0, ms, raceLost, nil},
+	"reply of no candidate":      {raceResults{9: true}, 0, ms, raceOpen, nil},
+}
+
+func TestHealthChecksJudge(t *testing.T) {
+	for name, c := range judgeCases {
+		t.Run(name, func(t *testing.T) {
+			candidates := []*server{newServer(1), newServer(2), newServer(3)}
+			race := newHealthCheckRace(time.Minute)
+			for _, s := range append([]*server{newServer(9)}, candidates...) {
+				if replied, ended := c.results[s.id]; ended {
+					race.results[s] = replied
+				}
+			}
+			p := &part{query: &query{}, race: race}
+			checks := newTestHealthChecks()
+			checks.latencies.byClass[0].add(time.Minute, float64(judgeLatency))
+			if c.firstJudged > 0 {
+				checks.judge(time.Minute+c.firstJudged, p, candidates)
+			}
+			state, servers := checks.judge(time.Minute+c.age, p, candidates)
+			if replied := serverIDs(servers); state != c.state || !slices.Equal(replied, c.replied) {
+				t.Errorf("state %d, replied %v; want %d, %v", state, replied, c.state, c.replied)
+			}
+		})
+	}
+}
+
+func TestHealthChecksFirstReplyTimeout(t *testing.T) {
+	for name, c := range map[string]struct {
+		replyTime, latency, want time.Duration
+	}{
+		"by replies":  {60 * ms, 20 * ms, firstReplyTimeoutReplies * 60 * ms},
+		"by latency":  {10 * ms, 300 * ms, time.Duration(firstReplyTimeoutLatencyShare * float64(300*ms))},
+		"lower bound": {ms, ms, deadlineMarginTicks * 5 * ms},
+	} {
+		t.Run(name, func(t *testing.T) {
+			checks := newTestHealthChecks()
+			checks.replyTimes.add(time.Minute, float64(c.replyTime))
+			checks.latencies.byClass[0].add(time.Minute, float64(c.latency))
+			if got := checks.firstReplyTimeout(time.Minute, &part{query: &query{}}); got != c.want {
+				t.Errorf("timeout = %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+func TestHealthChecksCheckAtMostOncePerInterval(t *testing.T) {
+	const interval = 25 * ms
+	for name, c := range map[string]struct {
+		enabled bool
+		sentAgo time.Duration // 0: never
+		want    int
+	}{
+		"never checked":         {true, 0, 1},
+		"within the interval":   {true, interval, 0},
+		"after the interval":    {true, interval + 1, 1},
+		"health checks are off": {false, 0, 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			checks := newTestHealthChecks()
+			checks.settings.HealthChecks = c.enabled
+			s := newServer(1)
+			if c.sentAgo > 0 {
+				s.checks.sentAt = []time.Duration{time.Minute - c.sentAgo}
+			}
+			checks.check(time.Minute, []*server{s}, interval)
+			wantActions[HealthCheck](t, checks.actions.list, c.want)
+		})
+	}
+}
+
+// Guards against a result that is taken for that of a later health check.
+func TestHealthChecksReceiveMatchesCheckByLatency(t *testing.T) {
+	const now = time.Minute
+	for name, c := range map[string]struct {
+		latency time.Duration
+		open    []time.Duration // ages of the checks that stay open, of 30 ms and 10 ms
+	}{
+		"latest check":  {10 * ms, []time.Duration{30 * ms}},
+		"earlier check": {11 * ms, []time.Duration{10 * ms}},
+		"too old":       {time.Second, []time.Duration{10 * ms}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			s := newServer(1)
+			s.checks.sentAt = []time.Duration{now - 30*ms, now - 10*ms}
+			newTestHealthChecks().receive(now, s, HealthCheckResult{Server: 1, Code: OK, Latency: c.latency})
+			var open []time.Duration
+			for _, sentAt := range s.checks.sentAt {
+				open = append(open, now-sentAt)
+			}
+			if !slices.Equal(open, c.open) {
+				t.Errorf("open checks of age %v, want %v", open, c.open)
+			}
+		})
+	}
+}
+
+func TestHealthChecksReceiveCountsConsecutiveFailures(t *testing.T) {
+	checks, s := newTestHealthChecks(), newServer(1)
+	for i, c := range []struct {
+		code      Code
+		failures  int
+		reachable bool
+	}{{TimedOut, 1, true}, {ConnectFailed, maxConsecutiveCheckFailures, false}, {OK, 0, true}} {
+		s.checks.sentAt = []time.Duration{time.Minute}
+		checks.receive(time.Minute, s, HealthCheckResult{Server: 1, Code: c.code})
+		if s.checks.consecutiveFailures != c.failures || s.checks.isReachable() != c.reachable {
+			t.Errorf("after result %d: %d failures, reachable %v; want %d, %v",
+				i, s.checks.consecutiveFailures, s.checks.isReachable(), c.failures, c.reachable)
+		}
+	}
+}
--- a/internal/routing/load_estimate_test.go
+++ b/internal/routing/load_estimate_test.go
@@ -1,6 +1,7 @@
 package routing
 
 import (
+	"math"
 	"testing"
 	"time"
 )
@@ -71,3 +72,116 @@
 		}
 	}
 }
+
+func TestLoadEstimatorReportedRequests(t *testing.T) {
+	for name, c := range map[string]struct {
+		fields []ReportField
+		values []float64
+		want   float64
+	}{
+		"no fields":                  {nil, nil, 0},
+		"no report":                  {[]ReportField{FieldInFlight}, nil, 0},
+		"in flight":                  {[]ReportField{FieldInFlight}, []float64{7}, 7},
+		"in flight before the queue": {[]ReportField{FieldQueueLength, FieldInFlight}, []float64{3, 7}, 7},
+		"queue":                      {[]ReportField{FieldQueueLength}, []float64{3}, 3},
+		"utilization":                {[]ReportField{FieldUtilization}, []float64{0.5}, 0.5},
+		"queue and utilization": {
+			[]ReportField{FieldQueueLength, FieldUtilization}, []float64{3, 0.5}, 3.5,
+		},
+		"rate and service time": {[]ReportField{FieldRate, FieldServiceTime}, []float64{40, 50}, 2},
+		"queue before the rate": {
+			[]ReportField{FieldQueueLength, FieldRate, FieldServiceTime}, []float64{3, 40, 50}, 3,
+		},
+		"rate alone": {[]ReportField{FieldRate}, []float64{40}, 0},
+		"in flight not a number": {
+			[]ReportField{FieldInFlight, FieldQueueLength}, []float64{math.NaN(), 3}, 3,
+		},
+		"short report": {[]ReportField{FieldQueueLength, FieldInFlight}, []float64{3}, 3},
+		"other fields": {[]ReportField{FieldUnknown, FieldErrorRate}, []float64{3, 4}, 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			settings := testSettings()
+			settings.ReportFields = c.fields
+			s := newServer(1)
+			s.report.values = c.values
+			load := newLoadEstimator(&settings, newLatencyStats(&settings))
+			if got := load.reportedRequests(s); got != c.want {
+				t.Errorf("reported requests = %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+func TestLoadEstimatorUtilization(t *testing.T) {
+	queued := []ReportField{FieldInFlight, FieldQueueLength}
+	share := []ReportField{FieldUtilization}
+	for name, c := range map[string]struct {
+		fields     []ReportField
+		values     []float64
+		capacities bool
+		weight     float64
+		age        time.Duration
+		want       float64
+	}{
+		"reported":                 {share, []float64{0.6}, false, 0, 0, 0.6},
+		"lower bound":              {share, []float64{minUtilization / 2}, false, 0, 0, minUtilization},
+		"upper bound":              {share, []float64{2}, false, 0, 0, 1},
+		"at the end of the window": {share, []float64{0.6}, false, 0, statsWindow, 0.6},
+		"old report":               {share, []float64{0.6}, false, 0, statsWindow + 1, 1},
+		"no report":                {share, nil, false, 0, 0, 1},
+		"by size":                  {queued, []float64{6, 2}, true, 8, 0, 0.5},
+		"weight is no capacity":    {queued, []float64{6, 2}, false, 8, 0, 1},
+		"no weight":                {queued, []float64{6, 2}, true, 0, 0, 1},
+		"queue unknown":            {[]ReportField{FieldInFlight}, []float64{4}, true, 8, 0, 1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			settings := testSettings()
+			settings.ReportFields = c.fields
+			settings.WeightsAreCapacities = c.capacities
+			s := newServer(1)
+			s.endpoint.Weight = c.weight
+			s.report = loadReport{values: c.values, at: time.Minute}
+			load := newLoadEstimator(&settings, newLatencyStats(&settings))
+			if got := load.utilization(time.Minute+c.age, s); got != c.want {
+				t.Errorf("utilization = %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+// The load counts the next request too.
+func TestLoadEstimatorLoad(t *testing.T) {
+	halfLife := reportHalfLifeLatencies * defaultLatency
+	for name, c := range map[string]struct {
+		reported         float64
+		inFlightAtReport int
+		inFlight         int
+		age              time.Duration
+		weight           float64
+		want             float64
+	}{
+		"idle":                       {0, 0, 0, 0, 0, 1},
+		"reported":                   {8, 0, 0, 0, 0, 9},
+		"own attempts in the report": {8, 3, 3, 0, 0, 9},
+		"own attempts since":         {8, 3, 5, 0, 0, 11},
+		"own attempts ended since":   {8, 3, 0, 0, 0, 6},
+		"more own than reported":     {2, 3, 3, 0, 0, 4},
+		"report of one half-life":    {8, 0, 2, halfLife, 0, 7},
+		"by size":                    {7, 0, 0, 0, 4, 2},
+	} {
+		t.Run(name, func(t *testing.T) {
+			settings := testSettings()
+			settings.ReportFields = []ReportField{FieldInFlight}
+			settings.WeightsAreCapacities = true
+			s := newServer(1)
+			s.endpoint.Weight = c.weight
+			s.report = loadReport{values: []float64{c.reported}, at: time.Minute}
+			s.report.inFlight = c.inFlightAtReport
+			s.inFlight.count = c.inFlight
+			load := newLoadEstimator(&settings, newLatencyStats(&settings))
+			if got := load.load(time.Minute+c.age, s); math.Abs(got-c.want) > 1e-9 {
+				t.Errorf("load = %v, want %v", got, c.want)
+			}
+		})
+	}
+}
--- a/internal/routing/outlier_detection_test.go
+++ b/internal/routing/outlier_detection_test.go
@@ -1,6 +1,8 @@
 package routing
 
 import (
+	"math"
+	"slices"
 	"testing"
 	"time"
 )
@@ -83,3 +85,119 @@
 		}
 	}
 }
+
+func newTestOutlierDetector() *outlierDetector {
+	settings := testSettings()
+	return newOutlierDetector(newLatencyStats(&settings))
+}
+
+func TestOutlierDetectorEject(t *testing.T) {
+	const belowEjection, aboveEjection = ejectionHealthRatio - 0.01, ejectionHealthRatio + 0.01
+	const belowProbation, aboveProbation = probationHealthRatio - 0.01, probationHealthRatio + 0.01
+	for name, c := range map[string]struct {
+		health   []float64 // of the servers 1, 2, ...
+		inFlight []int
+		kept     []ServerID
+	}{
+		"no replicas":             {nil, nil, nil},
+		"last replica":            {[]float64{0}, []int{1}, []ServerID{1}},
+		"all healthy":             {[]float64{1, 1, 1}, []int{1, 1, 1}, []ServerID{1, 2, 3}},
+		"below ejection":          {[]float64{belowEjection, 1, 1}, []int{0, 0, 0}, []ServerID{2, 3}},
+		"above ejection":          {[]float64{aboveEjection, 1, 1}, []int{0, 0, 0}, []ServerID{1, 2, 3}},
+		"best is kept":            {[]float64{0.1, 0.2}, []int{3, 3}, []ServerID{2}},
+		"fault of all":            {[]float64{0.1, 0.1, 0.1}, []int{2, 0, 1}, []ServerID{1, 2, 3}},
+		"relative to the best":    {[]float64{0.5 * belowEjection, 0.5}, []int{0, 0}, []ServerID{2}},
+		"probation, idle":         {[]float64{belowProbation, 1}, []int{0, 0}, []ServerID{1, 2}},
+		"probation, in flight":    {[]float64{belowProbation, 1}, []int{1, 0}, []ServerID{2}},
+		"no probation, in flight": {[]float64{aboveProbation, 1}, []int{1, 0}, []ServerID{1, 2}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var replicas []*server
+			for i, health := range c.health {
+				s := newServer(ServerID(i + 1))
+				s.health = healthScores{byClass: []float64{health}, at: time.Minute}
+				s.inFlight.count = c.inFlight[i]
+				replicas = append(replicas, s)
+			}
+			kept := serverIDs(newTestOutlierDetector().eject(time.Minute, replicas, 0))
+			if !slices.Equal(kept, c.kept) {
+				t.Errorf("kept %v, want %v", kept, c.kept)
+			}
+		})
+	}
+}
+
+const recordedMedian = float64(100 * ms) // median latency of the class of the result
+
+var recordCases = map[string]struct {
+	record func(*outlierDetector, *server)
+	want   [2]float64 // health by class; the result is of class 0
+}{
+	"success in time": {
+		func(d *outlierDetector, s *server) { d.recordSuccess(time.Minute, s, 0, recordedMedian) },
+		[2]float64{1, 1},
+	},
+	"success, twice the median": {
+		func(d *outlierDetector, s *server) { d.recordSuccess(time.Minute, s, 0, 2*recordedMedian) },
+		[2]float64{1 - healthSmoothingFactor/2, 1 - otherClassesFactor*healthSmoothingFactor/2},
+	},
+	"failure": {
+		func(d *outlierDetector, s *server) { d.recordFailure(time.Minute, s, 0) },
+		[2]float64{1 - healthSmoothingFactor, 1 - otherClassesFactor*healthSmoothingFactor},
+	},
+	"failed health check": {
+		func(d *outlierDetector, s *server) { d.recordFailedCheck(time.Minute, s) },
+		[2]float64{1 - healthCheckSmoothingFactor, 1 - healthCheckSmoothingFactor},
+	},
+}
+
+func TestOutlierDetectorRecord(t *testing.T) {
+	for name, c := range recordCases {
+		t.Run(name, func(t *testing.T) {
+			settings := testSettings()
+			settings.Classes = append(settings.Classes, settings.Classes[0])
+			detector := newOutlierDetector(newLatencyStats(&settings))
+			detector.latencies.byClass[0].add(time.Minute, recordedMedian)
+			s := newServer(1)
+			s.restarted(s.endpoint, 2)
+			c.record(detector, s)
+			for class, want := range c.want {
+				if got := detector.health(time.Minute, s, class); math.Abs(got-want) > 1e-9 {
+					t.Errorf("health of class %d = %v, want %v", class, got, want)
+				}
+			}
+		})
+	}
+}
+
+func TestOutlierDetectorRecordsOverdueOnce(t *testing.T) {
+	detector, s := newTestOutlierDetector(), newServer(1)
+	a := &attempt{server: s, part: &part{query: &query{}}}
+	detector.recordOverdue(time.Minute, a)
+	once := s.health.byClass[0]
+	detector.recordOverdue(time.Minute, a)
+	if !a.overdue || once >= 1 || s.health.byClass[0] != once {
+		t.Errorf("overdue %v, health %v, then %v", a.overdue, once, s.health.byClass[0])
+	}
+}
+
+func TestOutlierDetectorHalfLife(t *testing.T) {
+	const shortest = float64(minHealthHalfLife) / healthHalfLifeIntervals
+	for name, c := range map[string]struct {
+		sampleInterval float64
+		want           time.Duration
+	}{
+		"lower bound": {shortest / 2, minHealthHalfLife},
+		"between":     {2 * shortest, 2 * minHealthHalfLife},
+		"upper bound": {100 * shortest, maxHealthHalfLife},
+	} {
+		t.Run(name, func(t *testing.T) {
+			detector, s := newTestOutlierDetector(), newServer(1)
+			s.health = healthScores{byClass: []float64{0}, at: time.Minute}
+			detector.update(c.sampleInterval)
+			if got := detector.health(time.Minute+c.want, s, 0); math.Abs(got-0.5) > 1e-9 {
+				t.Errorf("health %v after %v, want 0.5", got, c.want)
+			}
+		})
+	}
+}
--- a/internal/routing/overload_backoff_test.go
+++ b/internal/routing/overload_backoff_test.go
@@ -1,6 +1,7 @@
 package routing
 
 import (
+	"math"
 	"testing"
 	"time"
 )
@@ -70,3 +71,82 @@
 	h.startQuery(30, 0, 0)
 	wantActions[Reject](t, h.actions, 0)
 }
+
+func TestOverloadBackoffDoublesUpToItsLimit(t *testing.T) {
+	const median = float64(100 * ms)
+	backoff := overloadBackoff{}
+	now := time.Minute
+	for i := range maxBackoffDoublings + 3 {
+		backoff.start(now, median, false)
+		doublings := float64(min(i, maxBackoffDoublings))
+		want := time.Duration(initialBackoffLatencies * median * math.Exp2(doublings))
+		if got := backoff.remaining(now); got != want {
+			t.Errorf("pause %d lasts %v, want %v", i, got, want)
+		}
+		now += want
+	}
+	backoff.reset()
+	backoff.start(now, median, false)
+	if got, want := backoff.remaining(now), time.Duration(initialBackoffLatencies*median); got != want {
+		t.Errorf("pause after a success lasts %v, want %v", got, want)
+	}
+}
+
+const backoffPause = 50 * ms // the first one
+
+// backoffFailure is an attempt that failed at a time after the first.
+type backoffFailure struct {
+	after         time.Duration
+	connectFailed bool
+}
+
+var (
+	overloaded    = backoffFailure{0, false}
+	connectFailed = backoffFailure{0, true}
+)
+
+var backoffCases = map[string]struct {
+	failures    []backoffFailure
+	after       time.Duration
+	over        bool
+	unreachable bool
+	remaining   time.Duration
+}{
+	"no failure":                 {nil, 0, true, false, 0},
+	"overloaded":                 {[]backoffFailure{overloaded}, 0, false, false, backoffPause},
+	"overloaded, before the end": {[]backoffFailure{overloaded}, backoffPause - 1, false, false, 1},
+	"overloaded, at the end":     {[]backoffFailure{overloaded}, backoffPause, true, false, 0},
+	"connect failed":             {[]backoffFailure{connectFailed}, 0, false, true, backoffPause},
+	"connect failed, at the end": {[]backoffFailure{connectFailed}, backoffPause, true, false, 0},
+	"no addition within a pause": {
+		[]backoffFailure{overloaded, {backoffPause - 1, false}}, backoffPause - 1, false, false, 1,
+	},
+	"connect failed within a pause": {
+		[]backoffFailure{overloaded, {ms, true}}, ms, false, true, backoffPause - ms,
+	},
+	"overloaded within a pause": {
+		[]backoffFailure{connectFailed, {ms, false}}, ms, false, false, backoffPause - ms,
+	},
+}
+
+func TestOverloadBackoffStart(t *testing.T) {
+	for name, c := range backoffCases {
+		t.Run(name, func(t *testing.T) {
+			backoff := overloadBackoff{}
+			for _, f := range c.failures {
+				median := float64(backoffPause) / initialBackoffLatencies
+				backoff.start(time.Minute+f.after, median, f.connectFailed)
+			}
+			now := time.Minute + c.after
+			if got := backoff.isOver(now); got != c.over {
+				t.Errorf("isOver = %v, want %v", got, c.over)
+			}
+			if got := backoff.isUnreachable(now); got != c.unreachable {
+				t.Errorf("isUnreachable = %v, want %v", got, c.unreachable)
+			}
+			if got := backoff.remaining(now); got != c.remaining {
+				t.Errorf("remaining = %v, want %v", got, c.remaining)
+			}
+		})
+	}
+}
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -42,8 +42,7 @@
 	wantActions[Reject](t, h.startQuery(20, 0, 0, 1), 0)
 }
 
-// fleet carries out the actions of a harness's router for a fleet in which every third server never answers
-// an attempt.
+// fleet carries out the actions for a fleet in which every third server never answers an attempt.
 type fleet struct {
 	*harness
 	open     []sentAttempt
--- a/internal/routing/slow_start_test.go
+++ b/internal/routing/slow_start_test.go
@@ -1,6 +1,8 @@
 package routing
 
 import (
+	"math"
+	"math/rand/v2"
 	"testing"
 	"time"
 )
@@ -37,8 +39,7 @@
 	}
 }
 
-// reportedGap is the gap at server 1 of the given age and service time, while the warm servers report so many
-// requests in flight.
+// reportedGap is the gap at a server of the given age and service time; inFlight is reported by the others.
 func reportedGap(t *testing.T, inFlight, serviceTime float64, age time.Duration) float64 {
 	t.Helper()
 	settings := slowStartSettings(0.2, 2)
@@ -112,3 +113,106 @@
 		t.Errorf("%d parts within a second to a server in slow start, want 1 to %.1f", sent, allowed)
 	}
 }
+
+// newTestSlowStart has an initial share of 0.2 and an overload factor of 2, and no samples.
+func newTestSlowStart(startedAt time.Duration) (*slowStart, *server) {
+	settings := slowStartSettings(0.2, 2)
+	rule := newSlowStart(&settings, rand.New(rand.NewPCG(1, 2)), newResultRecorder(&settings))
+	s := newServer(1)
+	s.endpoint.StartedAt = startedAt
+	rule.update(startedAt, []*server{s})
+	return rule, s
+}
+
+func TestSlowStartGapByAgeAndWork(t *testing.T) {
+	startedAt := time.Minute
+	for name, c := range map[string]struct {
+		age      time.Duration
+		work     float64
+		capacity float64 // as a share of the full capacity
+	}{
+		"at the start": {0, 1, 0.2},
+		"half way":     {7500 * ms, 1, 0.6},
+		"at the end":   {15 * time.Second, 1, 1},
+		"half work":    {0, 0.5, 0.2},
+		"double work":  {7500 * ms, 2, 0.6},
+	} {
+		t.Run(name, func(t *testing.T) {
+			rule, s := newTestSlowStart(startedAt)
+			partsAtATime := warmupLoadShare * c.capacity * 2
+			want := c.work * float64(defaultLatency) / partsAtATime
+			if got := rule.gap(startedAt+c.age, s, c.work); math.Abs(got/want-1) > 1e-9 {
+				t.Errorf("gap = %v, want %v", time.Duration(got), time.Duration(want))
+			}
+		})
+	}
+}
+
+func TestSlowStartAllows(t *testing.T) {
+	startedAt := time.Minute
+	rule, s := newTestSlowStart(startedAt)
+	gap := time.Duration(rule.gap(startedAt, s, 1))
+	for name, c := range map[string]struct {
+		startedAt time.Duration
+		gapAge    time.Duration
+		now       time.Duration
+		want      bool
+	}{
+		"started long ago":   {0, 0, startedAt, true},
+		"slow start is over": {startedAt, 0, startedAt + 15*time.Second, true},
+		"within the gap":     {startedAt, gap - 1, startedAt, false},
+		"gap is over":        {startedAt, gap, startedAt, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			s.endpoint.StartedAt = c.startedAt
+			s.slowStart.gapStartedAt = c.now - c.gapAge
+			if got := rule.allows(c.now, s); got != c.want {
+				t.Errorf("allows = %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+func TestSlowStartSentBeginsNextGap(t *testing.T) {
+	now := time.Minute
+	rule, s := newTestSlowStart(now)
+	gap := time.Duration(rule.gap(now, s, 1))
+	for name, c := range map[string]struct {
+		startedAt time.Duration
+		gapAge    time.Duration
+		wantAge   time.Duration // of the next gap
+	}{
+		"on time":           {now, gap, 0},
+		"late by half":      {now, gap + gap/2, gap / 2},
+		"late by many gaps": {now, 10 * gap, gap},
+		"not in slow start": {0, gap, gap},
+	} {
+		t.Run(name, func(t *testing.T) {
+			s.endpoint.StartedAt = c.startedAt
+			s.slowStart.gapStartedAt = now - c.gapAge
+			rule.sent(now, s, 0)
+			if got := now - s.slowStart.gapStartedAt; got != c.wantAge {
+				t.Errorf("the next gap began %v ago, want %v", got, c.wantAge)
+			}
+		})
+	}
+}
+
+// Guards against coordinators that all send at the start of a server, or all at the end of its first gap.
+func TestSlowStartBeginsWithinFirstGap(t *testing.T) {
+	now := time.Minute
+	rule, s := newTestSlowStart(now)
+	gap := time.Duration(rule.gap(now, s, 1))
+	ages := map[time.Duration]bool{}
+	for range 100 {
+		rule.begin(now, s)
+		age := now - s.slowStart.gapStartedAt
+		if age < 0 || age > gap {
+			t.Fatalf("the first gap of %v began %v ago", gap, age)
+		}
+		ages[age] = true
+	}
+	if len(ages) < 2 {
+		t.Error("all first gaps begin at the same time")
+	}
+}
--- /dev/null
+++ b/internal/routing/turn_timer_test.go
@@ -0,0 +1,37 @@
+package routing
+
+import (
+	"testing"
+	"time"
+)
+
+func TestTurnTimerSet(t *testing.T) {
+	const now = time.Minute
+	for name, c := range map[string]struct {
+		pending time.Duration // when the timer set before fires; 0: none
+		at      time.Duration
+		after   time.Duration // of the SetTimer action; 0: none
+	}{
+		"no timer":                 {0, now + 5*ms, 5 * ms},
+		"timer has fired":          {now, now + 5*ms, 5 * ms},
+		"earlier timer is pending": {now + 4*ms, now + 5*ms, 0},
+		"same timer is pending":    {now + 5*ms, now + 5*ms, 0},
+		"later timer is pending":   {now + 6*ms, now + 5*ms, 5 * ms},
+		"now":                      {0, now, minTimerDelay},
+		"in the past":              {0, now - time.Second, minTimerDelay},
+	} {
+		t.Run(name, func(t *testing.T) {
+			timer := turnTimer{firesAt: c.pending, token: 7}
+			actions := &actionList{}
+			timer.set(now, c.at, actions)
+			if c.after == 0 {
+				wantActions[SetTimer](t, actions.list, 0)
+				return
+			}
+			got := wantActions[SetTimer](t, actions.list, 1)[0]
+			if want := (SetTimer{After: c.after, Token: 8}); got != want {
+				t.Errorf("%+v, want %+v", got, want)
+			}
+		})
+	}
+}
