--- a/internal/routing/admission_test.go
+++ b/internal/routing/admission_test.go
@@ -1,6 +1,8 @@
 package routing
 
 import (
+	"fmt"
+	"math"
 	"testing"
 	"time"
 )
@@ -53,21 +55,23 @@
 // Guards against ignoring that the slowest of many parts takes longer than their mean.
 func TestAdmissionRejectsManyPartsAtLowerLoad(t *testing.T) {
 	for partCount, rejected := range map[int]int{1: 0, 60: 1} {
-		settings := testSettings()
-		settings.Hedging = false
-		settings.Shards = 60
-		h := newHarness(t, settings)
-		h.playQuery(10, 200*ms, 1, 2, 3)
-		h.startQuery(20, 0, 0)
-		// The forecast is then about 0.4 s a part, of a latency objective of 2 s.
-		h.advance(5*ms, checkReply(1, 1), checkReply(2, 1), checkReply(3, 1))
-		shards := make([]int, partCount)
-		for i := range shards {
-			shards[i] = i
-		}
-		h.advance(5 * ms)
-		h.startQuery(1000, 0, shards...)
-		wantActions[Reject](t, h.actions, rejected)
+		t.Run(fmt.Sprintf("parts=%d", partCount), func(t *testing.T) {
+			settings := testSettings()
+			settings.Hedging = false
+			settings.Shards = 60
+			h := newHarness(t, settings)
+			h.playQuery(10, 200*ms, 1, 2, 3)
+			h.startQuery(20, 0, 0)
+			// The forecast is then about 0.4 s a part, of a latency objective of 2 s.
+			h.advance(5*ms, checkReply(1, 1), checkReply(2, 1), checkReply(3, 1))
+			shards := make([]int, partCount)
+			for i := range shards {
+				shards[i] = i
+			}
+			h.advance(5 * ms)
+			h.startQuery(1000, 0, shards...)
+			wantActions[Reject](t, h.actions, rejected)
+		})
 	}
 }
 
@@ -147,3 +151,108 @@
 	h.startQuery(40, 0, 0)
 	wantActions[Reject](t, h.actions, 0)
 }
+
+func newTestAdmission(settings *Settings) *admissionControl {
+	endpoints := newEndpointList(settings)
+	forecaster := newForecaster(endpoints, newResultRecorder(settings), eligibility{})
+	return newAdmissionControl(settings, newQueryIndex(settings, &actionList{}), forecaster)
+}
+
+func TestAdmissionLatencyLimit(t *testing.T) {
+	const objective = 2 * time.Second
+	for name, c := range map[string]struct {
+		noHedging, overloaded bool
+		timeout               time.Duration
+		parts                 int
+		value                 float64 // relative to the median query
+		want                  float64 // as a share of the objective
+	}{
+		"median query":         {false, false, clientTimeout, 10, 1, admittedLatencyShare},
+		"short timeout":        {false, false, objective / 2, 10, 1, admittedLatencyShare / 2},
+		"more value":           {false, false, clientTimeout, 10, 1.2, admittedLatencyShare * 1.2},
+		"value, upper bound":   {false, false, clientTimeout, 10, 9, admittedLatencyShare * maxValueFactor},
+		"value, lower bound":   {false, false, clientTimeout, 10, 0.1, admittedLatencyShare * minValueFactor},
+		"overloaded, one part": {false, true, clientTimeout, 1, 1, strictLatencyShare},
+		"overloaded, 10 parts": {false, true, clientTimeout, 10, 1, strictLatencyShare / (1 + math.Log(10))},
+		"no hedging, 10 parts": {true, false, clientTimeout, 10, 1, strictLatencyShare / (1 + math.Log(10))},
+	} {
+		t.Run(name, func(t *testing.T) {
+			settings := testSettings()
+			settings.Hedging = !c.noHedging
+			admission := newTestAdmission(&settings)
+			admission.values.add(time.Minute, 1)
+			if c.overloaded {
+				admission.overloadedAt = time.Minute
+			}
+			q := &query{class: &settings.Classes[0], timeout: c.timeout, parts: make([]*part, c.parts)}
+			got := admission.latencyLimit(time.Minute, q, c.value)
+			if want := c.want * float64(objective); math.Abs(got-want) > 1 {
+				t.Errorf("limit %v, want %v", time.Duration(got), time.Duration(want))
+			}
+		})
+	}
+}
+
+func TestAdmissionValue(t *testing.T) {
+	const overQuotaFactor = 0.25
+	for name, c := range map[string]struct {
+		parts     int
+		overQuota bool
+		want      float64
+	}{
+		"one part":   {1, false, 3},
+		"six parts":  {6, false, 0.5},
+		"over quota": {6, true, 0.5 * overQuotaFactor},
+		"no parts":   {0, false, 3},
+	} {
+		t.Run(name, func(t *testing.T) {
+			settings := testSettings()
+			settings.Classes[0].PriorityWeight = 3
+			settings.OverQuotaFactor = overQuotaFactor
+			settings.Tenants = []Tenant{{QuotaPerSecond: 1}}
+			admission := newTestAdmission(&settings)
+			if c.overQuota {
+				for range 100 {
+					admission.quotas.countArrival(time.Minute, 0)
+				}
+			}
+			q := &query{class: &settings.Classes[0], parts: make([]*part, c.parts)}
+			if got := admission.value(time.Minute, q); math.Abs(got-c.want) > 1e-9 {
+				t.Errorf("value = %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+func TestAdmissionOverloadedTimes(t *testing.T) {
+	const objective = 2 * time.Second
+	short := time.Duration(overloadedObjectives * float64(objective))
+	for name, c := range map[string]struct {
+		elapsed      time.Duration
+		isOverloaded bool
+		was          bool
+	}{
+		"at the rejection":  {0, true, true},
+		"before the end":    {short - 1, true, true},
+		"at the end":        {short, false, true},
+		"within the window": {statsWindow, false, true},
+		"after the window":  {statsWindow + 1, false, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			settings := testSettings()
+			admission := newTestAdmission(&settings)
+			isOverloaded := admission.isOverloaded(time.Minute, &settings.Classes[0])
+			if isOverloaded || admission.wasOverloaded(time.Minute) {
+				t.Error("overloaded without a rejection")
+			}
+			admission.overloadedAt = time.Minute
+			now := time.Minute + c.elapsed
+			if got := admission.isOverloaded(now, &settings.Classes[0]); got != c.isOverloaded {
+				t.Errorf("isOverloaded = %v, want %v", got, c.isOverloaded)
+			}
+			if got := admission.wasOverloaded(now); got != c.was {
+				t.Errorf("wasOverloaded = %v, want %v", got, c.was)
+			}
+		})
+	}
+}
--- a/internal/routing/completion_test.go
+++ b/internal/routing/completion_test.go
@@ -87,3 +87,166 @@
 		t.Error("an answer without the part whose body was evicted is marked complete")
 	}
 }
+
+// decideCase is a query that arrived at decideArrival, and what completion decides on it.
+type decideCase struct {
+	elapsed    time.Duration
+	progress   progress
+	change     func(*Class) // of the class of partialSettings; nil: none
+	noHedging  bool
+	overloaded bool
+	want       decision
+}
+
+const decideArrival = time.Minute
+
+func (c decideCase) decide() decision {
+	settings := partialSettings()
+	settings.Hedging = !c.noHedging
+	class := &settings.Classes[0]
+	if c.change != nil {
+		c.change(class)
+	}
+	now := decideArrival + c.elapsed
+	admission := &admissionControl{overloadedAt: now - time.Hour}
+	if c.overloaded {
+		admission.overloadedAt = now
+	}
+	q := &query{class: class, arrivedAt: decideArrival, endsAt: decideArrival + clientTimeout}
+	q.parts = []*part{{query: q}}
+	rule := &completion{settings: &settings, admission: admission}
+	return rule.decide(now, q, c.progress)
+}
+
+// The class requires a weight of 0.9 and answers from 0.5 on.
+func TestCompletionDecideByWeight(t *testing.T) {
+	hopeless := progress{received: 0.2, possible: 0.2, isPending: true}
+	evicted := hopeless
+	evicted.bodyEvicted = true
+	ran := hopeless
+	ran.mayHaveRun = true
+	ranEvicted := evicted
+	ranEvicted.mayHaveRun = true
+	nonIdempotent := func(c *Class) { c.Idempotency = NonIdempotent }
+	withKey := func(c *Class) { c.Idempotency = IdempotentWithKey }
+	for name, c := range map[string]decideCase{
+		"nothing received": {
+			progress: progress{possible: 1, isPending: true}, want: keepOpen,
+		},
+		"required weight": {
+			progress: progress{received: 0.9, possible: 0.1, isPending: true}, want: answerComplete,
+		},
+		"rounding of the weight": {
+			progress: progress{received: 0.9 - weightTolerance/2}, want: answerComplete,
+		},
+		"enough, none pending": {progress: progress{received: 0.5}, want: answerPartial},
+		"enough, one pending": {
+			progress: progress{received: 0.5, possible: 0.5, isPending: true}, want: keepOpen,
+		},
+		"hopeless":                             {progress: hopeless, want: reject},
+		"hopeless, may have run":               {progress: ran, want: reject},
+		"hopeless, body evicted":               {progress: evicted, want: reject},
+		"hopeless, may have run, body evicted": {progress: ranEvicted, want: fail},
+		"hopeless, non-idempotent":             {progress: hopeless, change: nonIdempotent, want: fail},
+		"hopeless, with key":                   {progress: hopeless, change: withKey, want: fail},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if got := c.decide(); got != c.want {
+				t.Errorf("decision %d, want %d", got, c.want)
+			}
+		})
+	}
+}
+
+const (
+	decideEnd  = clientTimeout - deadlineMarginTicks*5*ms
+	decideLate = 2 * time.Second // the latency objective
+)
+
+var (
+	allPending  = progress{possible: 1, isPending: true}
+	halfPending = progress{received: 0.5, possible: 0.5, isPending: true}
+
+	// What is possible is worth its work though it is late.
+	littlePending = progress{received: 0.3, possible: 0.3, isPending: true}
+)
+
+func noLateValue(class *Class) { class.LateValue = 0 }
+
+func nonIdempotentNoLateValue(class *Class) {
+	class.Idempotency = NonIdempotent
+	class.LateValue = 0
+}
+
+var decideByTimeCases = map[string]decideCase{
+	"before the end":    {elapsed: decideEnd - 1, progress: allPending, want: keepOpen},
+	"at the end":        {elapsed: decideEnd, progress: allPending, want: fail},
+	"enough at the end": {elapsed: decideEnd, progress: halfPending, want: answerPartial},
+	"late":              {elapsed: decideLate, progress: allPending, want: keepOpen},
+	"late, no late value": {
+		elapsed: decideLate, progress: allPending, change: noLateValue, want: rejectTooLate,
+	},
+	"not late": {
+		elapsed: decideLate - 1, progress: allPending, change: noLateValue, want: keepOpen,
+	},
+	"late, enough": {elapsed: decideLate, progress: halfPending, change: noLateValue, want: keepOpen},
+	"late, non-idempotent": {
+		elapsed: decideLate, progress: allPending, change: nonIdempotentNoLateValue, want: keepOpen,
+	},
+	"late, no hedging": {
+		elapsed: decideLate, progress: allPending, change: noLateValue, noHedging: true, want: keepOpen,
+	},
+	"late, overloaded": {
+		elapsed: decideLate, progress: allPending, overloaded: true, want: rejectTooLate,
+	},
+	"late, overloaded, little left": {
+		elapsed: decideLate, progress: littlePending, overloaded: true, want: keepOpen,
+	},
+	"not late, overloaded": {
+		elapsed: decideLate - 1, progress: allPending, overloaded: true, want: keepOpen,
+	},
+}
+
+func TestCompletionDecideByTime(t *testing.T) {
+	for name, c := range decideByTimeCases {
+		t.Run(name, func(t *testing.T) {
+			if got := c.decide(); got != c.want {
+				t.Errorf("decision %d, want %d", got, c.want)
+			}
+		})
+	}
+}
+
+func TestProgressOf(t *testing.T) {
+	for name, c := range map[string]struct {
+		received float64
+		parts    []*part
+		want     progress
+	}{
+		"no parts":  {0, nil, progress{}},
+		"waiting":   {0, []*part{{weight: 1}}, progress{possible: 1, waiting: 1, isPending: true}},
+		"in flight": {0, []*part{{weight: 1, state: partInFlight}}, progress{possible: 1, isPending: true}},
+		"in flight, may have run": {0, []*part{{weight: 1, state: partInFlight, mayHaveRun: true}},
+			progress{possible: 1, isPending: true, mayHaveRun: true}},
+		"answered": {0, []*part{{weight: 1, state: partAnswered}}, progress{received: 1, mayHaveRun: true}},
+		"answered, body evicted at rest": {0, []*part{{weight: 1, state: partAnswered, evictedAtRest: true}},
+			progress{received: 1, mayHaveRun: true, bodyEvicted: true}},
+		"answered, body evicted in flight": {0, []*part{{weight: 1, state: partAnswered, bodyEvicted: true}},
+			progress{received: 1, mayHaveRun: true}},
+		"failed": {0, []*part{{weight: 1, state: partFailed}}, progress{}},
+		"failed, body evicted": {
+			0, []*part{{weight: 1, state: partFailed, bodyEvicted: true}}, progress{bodyEvicted: true},
+		},
+		"received by subranges": {0.5, nil, progress{received: 0.5, mayHaveRun: true}},
+		"one of each": {0.25, []*part{
+			{weight: 0.25}, {weight: 0.125, state: partInFlight}, {weight: 0.25, state: partAnswered},
+			{weight: 0.125, state: partFailed},
+		}, progress{received: 0.5, possible: 0.375, waiting: 1, isPending: true, mayHaveRun: true}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if got := progressOf(&query{receivedWeight: c.received, parts: c.parts}); got != c.want {
+				t.Errorf("progress = %+v, want %+v", got, c.want)
+			}
+		})
+	}
+}
--- a/internal/routing/hedging_test.go
+++ b/internal/routing/hedging_test.go
@@ -1,6 +1,7 @@
 package routing
 
 import (
+	"fmt"
 	"testing"
 	"time"
 )
@@ -52,15 +53,17 @@
 
 func TestHedgeNeedsHedgingSetting(t *testing.T) {
 	for _, hedging := range []bool{true, false} {
-		settings := testSettings()
-		settings.Hedging = hedging
-		h := newHarness(t, settings)
-		h.startQuery(10, 0, 0)
-		h.sendAfterChecks(1, 2, 3)
-		h.advance(1500 * ms)
-		if hedged := len(actionsOf[HealthCheck](h.actions)) > 0; hedged != hedging {
-			t.Errorf("hedging %v: health checks for a hedge: %v", hedging, hedged)
-		}
+		t.Run(fmt.Sprintf("hedging=%v", hedging), func(t *testing.T) {
+			settings := testSettings()
+			settings.Hedging = hedging
+			h := newHarness(t, settings)
+			h.startQuery(10, 0, 0)
+			h.sendAfterChecks(1, 2, 3)
+			h.advance(1500 * ms)
+			if hedged := len(actionsOf[HealthCheck](h.actions)) > 0; hedged != hedging {
+				t.Errorf("hedging %v: health checks for a hedge: %v", hedging, hedged)
+			}
+		})
 	}
 }
 
@@ -81,18 +84,76 @@
 // Guards against hedges that add to the load which makes all attempts overdue.
 func TestHedgesAreLimitedWhereAllAttemptsAreOverdue(t *testing.T) {
 	for queries, most := range map[int]int{1: 3, 120: 40} {
-		h := newHarness(t, testSettings())
-		h.playQuery(1, 20*ms, 1, 2, 3)
-		for i := range queries {
-			h.startQuery(RequestID(10+10*i), 0, 0)
-		}
-		sent := 0
-		for range 60 { // nothing is answered; each attempt is overdue after 80 ms
-			h.advance(5*ms, checkReply(1, 0), checkReply(2, 0), checkReply(3, 0))
-			sent += len(actionsOf[Send](h.actions))
-		}
-		if hedges := sent - queries; hedges < 1 || hedges > most {
-			t.Errorf("%d hedges of %d overdue parts, want 1 to %d", hedges, queries, most)
-		}
+		t.Run(fmt.Sprintf("queries=%d", queries), func(t *testing.T) {
+			h := newHarness(t, testSettings())
+			h.playQuery(1, 20*ms, 1, 2, 3)
+			for i := range queries {
+				h.startQuery(RequestID(10+10*i), 0, 0)
+			}
+			sent := 0
+			for range 60 { // nothing is answered; each attempt is overdue after 80 ms
+				h.advance(5*ms, checkReply(1, 0), checkReply(2, 0), checkReply(3, 0))
+				sent += len(actionsOf[Send](h.actions))
+			}
+			if hedges := sent - queries; hedges < 1 || hedges > most {
+				t.Errorf("%d hedges of %d overdue parts, want 1 to %d", hedges, queries, most)
+			}
+		})
+	}
+}
+
+func TestRetryPolicyMayHedge(t *testing.T) {
+	const arrivals = 200
+	const limit = minHedges + hedgeRatio*arrivals
+	for name, c := range map[string]struct {
+		fields  []ReportField
+		further float64
+		want    bool
+	}{
+		"at the limit":         {[]ReportField{FieldInFlight}, limit, true},
+		"over the limit":       {[]ReportField{FieldInFlight}, limit + 1, false},
+		"without load reports": {nil, 1, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			settings := testSettings()
+			settings.ReportFields = c.fields
+			if got := newRetryPolicy(&settings).mayHedge(c.further, arrivals); got != c.want {
+				t.Errorf("mayHedge = %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+func TestHedgerReview(t *testing.T) {
+	overdueAfter := time.Duration(overdueObjectiveShare * float64(testSettings().Classes[0].LatencyObjective))
+	for name, c := range map[string]struct {
+		hedging bool
+		state   partState
+		age     time.Duration
+		want    partState
+		overdue bool
+	}{
+		"not overdue":           {true, partInFlight, overdueAfter, partInFlight, false},
+		"overdue":               {true, partInFlight, overdueAfter + 1, partWaiting, true},
+		"overdue, no hedging":   {false, partInFlight, overdueAfter + 1, partInFlight, true},
+		"overdue, yet answered": {true, partAnswered, overdueAfter + 1, partAnswered, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			settings := testSettings()
+			settings.Hedging = c.hedging
+			results := newResultRecorder(&settings)
+			s := newServer(1)
+			p := &part{state: c.state, retryableUntil: unbounded, servers: []*server{s}}
+			p.query = &query{class: &settings.Classes[0]}
+			p.inFlight = []*attempt{{part: p, server: s, sentAt: time.Minute}}
+			newHedger(&settings, results, newRetryPolicy(&settings)).review(time.Minute+c.age, p)
+			if p.state != c.want || p.inFlight[0].overdue != c.overdue {
+				t.Errorf("part is %v, overdue %v; want %v, %v",
+					p.state, p.inFlight[0].overdue, c.want, c.overdue)
+			}
+			if failed := s.health.byClass[0] < 1; failed != c.overdue {
+				t.Errorf("recorded as a failure: %v, want %v", failed, c.overdue)
+			}
+		})
 	}
 }
--- a/internal/routing/query_test.go
+++ b/internal/routing/query_test.go
@@ -1,6 +1,9 @@
 package routing
 
-import "testing"
+import (
+	"testing"
+	"time"
+)
 
 // Guards against more attempts than allowed, or fewer, where parts replace one whose shard has moved.
 func TestReplacementPartsInheritAttempts(t *testing.T) {
@@ -52,3 +55,93 @@
 		PartsReplaced{IDs: []RequestID{21}, ReceivedWeight: 0.75})
 	wantActions[Reject](t, h.actions, 1) // no part asks for the rest, and all of the weight is required
 }
+
+func TestPartStates(t *testing.T) {
+	inFlight := []*attempt{{}}
+	for name, c := range map[string]struct {
+		part   part
+		change func(*part)
+		want   partState
+	}{
+		"wait":                          {part{state: partInFlight}, (*part).wait, partWaiting},
+		"stop waiting, in flight":       {part{inFlight: inFlight}, (*part).stopWaiting, partInFlight},
+		"stop waiting, none in flight":  {part{}, (*part).stopWaiting, partFailed},
+		"body evicted, in flight":       {part{inFlight: inFlight}, (*part).evictBody, partInFlight},
+		"body evicted, none in flight":  {part{}, (*part).evictBody, partFailed},
+		"body evicted, answered before": {part{state: partAnswered}, (*part).evictBody, partAnswered},
+	} {
+		t.Run(name, func(t *testing.T) {
+			p := c.part
+			c.change(&p)
+			if p.state != c.want {
+				t.Errorf("part is %v, want %v", p.state, c.want)
+			}
+		})
+	}
+}
+
+func TestPartEvictBodyAtRest(t *testing.T) {
+	for name, c := range map[string]struct {
+		inFlight []*attempt
+		want     bool
+	}{
+		"in flight":      {[]*attempt{{}}, false},
+		"none in flight": {nil, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			p := part{inFlight: c.inFlight}
+			p.evictBody()
+			if !p.bodyEvicted || p.evictedAtRest != c.want {
+				t.Errorf("evicted %v, at rest %v; want true, %v", p.bodyEvicted, p.evictedAtRest, c.want)
+			}
+		})
+	}
+}
+
+func TestQueryIndexRemoveReplaced(t *testing.T) {
+	until := time.Minute
+	for name, c := range map[string]struct {
+		parts    []*part
+		want     replaced
+		received float64
+	}{
+		"no part": {nil, replaced{retryableUntil: unbounded}, 0},
+		"answered before": {[]*part{{state: partAnswered, mayHaveRun: true, servers: make([]*server, 3)}},
+			replaced{retryableUntil: unbounded}, 0},
+		"last attempt does not count": {[]*part{{servers: make([]*server, 3), retryableUntil: unbounded}},
+			replaced{tries: 2, retryableUntil: unbounded}, 0.5},
+		"most attempts, least time": {[]*part{
+			{servers: make([]*server, 1), retryableUntil: until},
+			{servers: make([]*server, 2), inheritedTries: 1, mayHaveRun: true, retryableUntil: unbounded},
+		}, replaced{tries: 2, mayHaveRun: true, retryableUntil: until}, 0.5},
+	} {
+		t.Run(name, func(t *testing.T) {
+			settings := testSettings()
+			index := newQueryIndex(&settings, &actionList{})
+			q := &query{parts: c.parts}
+			event := PartsReplaced{ReceivedWeight: 0.5}
+			for i, p := range c.parts {
+				p.id, p.query = RequestID(i+1), q
+				index.parts[p.id] = p
+				event.IDs = append(event.IDs, p.id)
+			}
+			if got := index.removeReplaced(event); got != c.want {
+				t.Errorf("inherited %+v, want %+v", got, c.want)
+			}
+			if q.receivedWeight != c.received {
+				t.Errorf("received weight %v, want %v", q.receivedWeight, c.received)
+			}
+		})
+	}
+}
+
+func TestCodeMayHaveRun(t *testing.T) {
+	for code, want := range map[Code]bool{
+		OK: true, ServerError: true, TimedOut: true, ConnReset: true, Canceled: true,
+		Overloaded: false, ConnectFailed: false, NotSent: false, ShardMoved: false,
+	} {
+		if got := code.mayHaveRun(); got != want {
+			t.Errorf("code %d: may have run %v, want %v", code, got, want)
+		}
+	}
+}
--- a/internal/routing/snapshot_test.go
+++ b/internal/routing/snapshot_test.go
@@ -1,6 +1,7 @@
 package routing
 
 import (
+	"reflect"
 	"testing"
 	"time"
 )
@@ -45,3 +46,24 @@
 	h.now += 2 * time.Minute
 	h.wantCounts(2, 0)
 }
+
+func TestSnapshotListsServers(t *testing.T) {
+	h := newHarness(t, slowStartSettings(0.2, 3))
+	h.updateEndpoints(UpdateFull, Endpoint{Server: 5, State: Ready, StartedAt: h.now},
+		Endpoint{Server: 2, Cell: 1, State: Draining})
+	s := h.server(2)
+	s.latency.add(h.now, float64(40*ms))
+	s.inFlight.sent(h.now - 20*ms)
+	s.checks.consecutiveFailures = 1
+	s.backoff = overloadBackoff{until: h.now + 30*ms, unreachable: true}
+	h.setHealth(s, 0.5)
+	want := []ServerSnapshot{{
+		Server: 2, State: Draining, InFlight: 1, MedianLatency: 40 * ms, Health: []float64{0.5},
+		FailedHealthChecks: 1, Unreachable: true, Backoff: 30 * ms, SinceLastSend: 20 * ms,
+	}, {
+		Server: 5, State: Ready, Health: []float64{1}, WarmingUp: true, SinceLastSend: h.now,
+	}}
+	if got := h.router.Snapshot(h.now); !reflect.DeepEqual(got, want) {
+		t.Errorf("snapshot %+v, want %+v", got, want)
+	}
+}
