--- a/internal/routing/completion.go
+++ b/internal/routing/completion.go
@@ -31,7 +31,7 @@
 		switch p.state {
 		case partAnswered:
 			result.received += p.weight
-			result.bodyEvicted = result.bodyEvicted || p.evictedAtRest
+			result.bodyEvicted = result.bodyEvicted || p.evictedWithNoneInFlight
 		case partFailed:
 			result.bodyEvicted = result.bodyEvicted || p.bodyEvicted
 		case partWaiting:
@@ -45,9 +45,9 @@
 }
 
 // addPossible counts a part that may still be answered.
-func (r *progress) addPossible(p *part) {
-	r.possible += p.weight
-	r.isPending = true
+func (p *progress) addPossible(pending *part) {
+	p.possible += pending.weight
+	p.isPending = true
 }
 
 // decision is what becomes of a query now.
--- a/internal/routing/completion_test.go
+++ b/internal/routing/completion_test.go
@@ -229,7 +229,7 @@
 		"in flight, may have run": {0, []*part{{weight: 1, state: partInFlight, mayHaveRun: true}},
 			progress{possible: 1, isPending: true, mayHaveRun: true}},
 		"answered": {0, []*part{{weight: 1, state: partAnswered}}, progress{received: 1, mayHaveRun: true}},
-		"answered, body evicted at rest": {0, []*part{{weight: 1, state: partAnswered, evictedAtRest: true}},
+		"answered, body evicted at rest": {0, []*part{{weight: 1, state: partAnswered, evictedWithNoneInFlight: true}},
 			progress{received: 1, mayHaveRun: true, bodyEvicted: true}},
 		"answered, body evicted in flight": {0, []*part{{weight: 1, state: partAnswered, bodyEvicted: true}},
 			progress{received: 1, mayHaveRun: true}},
--- a/internal/routing/endpoint_subscription.go
+++ b/internal/routing/endpoint_subscription.go
@@ -18,7 +18,8 @@
 	backoffJitterRange = 1.0
 )
 
-// endpointSubscription decides when to subscribe to the endpoint list.
+// endpointSubscription decides when to subscribe to the endpoint list. It matters in the simulator; the
+// program's watch of discovery keeps its own subscription.
 type endpointSubscription struct {
 	random  *rand.Rand
 	enabled bool
--- a/internal/routing/forecast.go
+++ b/internal/routing/forecast.go
@@ -8,7 +8,7 @@
 // Age of the attempts in flight at a server over the latency they will have, in steady state.
 const latencyOverAge = 2
 
-// forecaster foretells how long the parts of a query would take now.
+// forecaster forecasts how long the parts of a query would take now.
 type forecaster struct {
 	endpoints   *endpointList
 	latencies   *latencyStats
@@ -26,15 +26,15 @@
 	}
 }
 
-// forecast is the latency of a query's parts as foretold, in nanoseconds.
+// forecast is the latency of a query's parts as forecast, in nanoseconds.
 type forecast struct {
 	mean  float64
 	worst float64
 	slow  []*server // replicas of the shards that take longer than the limit given
 }
 
-// query foretells the latency of a query's parts. A part whose shard has no replica takes forever, and does
-// not count in the mean.
+// query forecasts the latency of a query's parts. A part whose shard has no replica has an infinite forecast,
+// which does not count in the mean.
 func (f *forecaster) query(now time.Duration, q *query, slowLimit float64) forecast {
 	perUnitLoad := f.latencies.perUnitLoad.median(now, f.latencies.classMedian(now, q.classIndex))
 	waiting := float64(f.waitingParts) / float64(max(1, len(f.endpoints.listed)))
@@ -54,7 +54,7 @@
 	return result
 }
 
-// shard foretells the latency of a part at a shard: the harmonic mean over its replicas, as they share its
+// shard forecasts the latency of a part at a shard: the harmonic mean over its replicas, as they share its
 // parts by how soon each is done.
 func (f *forecaster) shard(now time.Duration, replicas []*server, perUnitLoad, waiting float64) float64 {
 	rate := 0.0
@@ -65,7 +65,7 @@
 	return float64(len(replicas)) / rate
 }
 
-// server foretells the latency of a part at a server: its load times what a unit of load took lately, or what
+// server forecasts the latency of a part at a server: its load times what a unit of load took lately, or what
 // the age of the attempts in flight there tells, as reports may be late or wrong.
 func (f *forecaster) server(now time.Duration, s *server, perUnitLoad, waiting float64) float64 {
 	byLoad := perUnitLoad * (f.load.load(now, s) + waiting)
--- a/internal/routing/health_check_race.go
+++ b/internal/routing/health_check_race.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// receive takes a result. It belongs to the latest check that is as old as the result says.
+// receive takes a result. It belongs to the latest check that is as old as the result says, or to the oldest.
 func (h *healthChecks) receive(now time.Duration, s *server, result HealthCheckResult) {
 	h.load.learn(now, s, result.LoadReport)
 	if len(s.checks.sentAt) == 0 {
--- a/internal/routing/outlier_detection.go
+++ b/internal/routing/outlier_detection.go
@@ -50,8 +50,8 @@
 	d.halfLife = max(float64(minHealthHalfLife), min(float64(maxHealthHalfLife), decay))
 }
 
-// health is a server's health for a class now, 0 to 1. Bad health decays, so that an ejected server is tried
-// again.
+// health is a server's health for a class now, 0 to 1. Bad health decays, so that an ejected server gets
+// attempts again.
 func (d *outlierDetector) health(now time.Duration, s *server, class int) float64 {
 	return 1 - (1-s.health.byClass[class])*math.Exp2(-float64(now-s.health.at)/d.halfLife)
 }
--- a/internal/routing/query.go
+++ b/internal/routing/query.go
@@ -56,19 +56,19 @@
 	weight float64
 	state  partState
 
-	servers        []*server // of its attempts, in order
-	inheritedTries int       // attempts of the parts that it replaced
-	inFlight       []*attempt
-	mayHaveRun     bool          // an attempt may have had its effect
-	retryableUntil time.Duration // last time at which a further attempt may be written, once one may have run
-	bodyEvicted    bool          // it can't be sent any more
-	evictedAtRest  bool          // its body was evicted while no attempt was in flight
-	race           *healthCheckRace
-	raceDeadline   time.Duration // when the race is over for this part; 0: no reply yet
+	servers                 []*server // of its attempts, in order
+	inheritedAttempts       int       // attempts of the parts that it replaced
+	inFlight                []*attempt
+	mayHaveRun              bool          // an attempt may have had its effect
+	retryableUntil          time.Duration // for further attempts, once one may have run
+	bodyEvicted             bool          // it can't be sent any more
+	evictedWithNoneInFlight bool          // its body was evicted while no attempt was in flight
+	race                    *healthCheckRace
+	raceDeadline            time.Duration // when the race is over for this part; 0: no reply yet
 }
 
 // attemptCount is the number of attempts that count against the part's limit.
-func (p *part) attemptCount() int { return p.inheritedTries + len(p.servers) }
+func (p *part) attemptCount() int { return p.inheritedAttempts + len(p.servers) }
 
 // wait lets the part wait for a replica to be chosen, by a race that is yet to begin.
 func (p *part) wait() { p.state, p.race = partWaiting, nil }
@@ -84,7 +84,7 @@
 // evictBody notes that the part can't be sent again: what is in flight is its last chance.
 func (p *part) evictBody() {
 	p.bodyEvicted = true
-	p.evictedAtRest = len(p.inFlight) == 0
+	p.evictedWithNoneInFlight = len(p.inFlight) == 0
 	if p.state != partAnswered {
 		p.stopWaiting()
 	}
@@ -92,7 +92,7 @@
 
 // inherit takes over what the parts that it replaces had come to.
 func (p *part) inherit(from replaced) {
-	p.inheritedTries, p.mayHaveRun, p.retryableUntil = from.tries, from.mayHaveRun, from.retryableUntil
+	p.inheritedAttempts, p.mayHaveRun, p.retryableUntil = from.attempts, from.mayHaveRun, from.retryableUntil
 }
 
 // isAt tells whether an attempt is in flight at a server.
@@ -180,7 +180,7 @@
 
 // replaced is what the parts that take the place of others inherit.
 type replaced struct {
-	tries          int
+	attempts       int
 	mayHaveRun     bool
 	retryableUntil time.Duration
 }
@@ -195,7 +195,7 @@
 		if p == nil || p.state == partAnswered {
 			continue
 		}
-		inherited.tries = max(inherited.tries, p.attemptCount()-1)
+		inherited.attempts = max(inherited.attempts, p.attemptCount()-1)
 		inherited.mayHaveRun = inherited.mayHaveRun || p.mayHaveRun
 		inherited.retryableUntil = min(inherited.retryableUntil, p.retryableUntil)
 		p.query.receivedWeight, weight = p.query.receivedWeight+weight, 0
--- a/internal/routing/query_test.go
+++ b/internal/routing/query_test.go
@@ -91,8 +91,8 @@
 		t.Run(name, func(t *testing.T) {
 			p := part{inFlight: c.inFlight}
 			p.evictBody()
-			if !p.bodyEvicted || p.evictedAtRest != c.want {
-				t.Errorf("evicted %v, at rest %v; want true, %v", p.bodyEvicted, p.evictedAtRest, c.want)
+			if !p.bodyEvicted || p.evictedWithNoneInFlight != c.want {
+				t.Errorf("evicted %v, at rest %v; want true, %v", p.bodyEvicted, p.evictedWithNoneInFlight, c.want)
 			}
 		})
 	}
@@ -109,11 +109,11 @@
 		"answered before": {[]*part{{state: partAnswered, mayHaveRun: true, servers: make([]*server, 3)}},
 			replaced{retryableUntil: unbounded}, 0},
 		"last attempt does not count": {[]*part{{servers: make([]*server, 3), retryableUntil: unbounded}},
-			replaced{tries: 2, retryableUntil: unbounded}, 0.5},
+			replaced{attempts: 2, retryableUntil: unbounded}, 0.5},
 		"most attempts, least time": {[]*part{
 			{servers: make([]*server, 1), retryableUntil: until},
-			{servers: make([]*server, 2), inheritedTries: 1, mayHaveRun: true, retryableUntil: unbounded},
-		}, replaced{tries: 2, mayHaveRun: true, retryableUntil: until}, 0.5},
+			{servers: make([]*server, 2), inheritedAttempts: 1, mayHaveRun: true, retryableUntil: unbounded},
+		}, replaced{attempts: 2, mayHaveRun: true, retryableUntil: until}, 0.5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			settings := testSettings()
--- a/internal/routing/retry_test.go
+++ b/internal/routing/retry_test.go
@@ -159,13 +159,13 @@
 			settings.Tick = allowsTick
 			settings.MaxAttempts = 4
 			p := &part{
-				query:          &query{class: &Class{Idempotency: c.idempotency}},
-				servers:        make([]*server, c.attempts),
-				inheritedTries: c.inherited,
-				inFlight:       make([]*attempt, c.inFlight),
-				mayHaveRun:     c.mayHaveRun,
-				bodyEvicted:    c.bodyEvicted,
-				retryableUntil: c.retryableUntil,
+				query:             &query{class: &Class{Idempotency: c.idempotency}},
+				servers:           make([]*server, c.attempts),
+				inheritedAttempts: c.inherited,
+				inFlight:          make([]*attempt, c.inFlight),
+				mayHaveRun:        c.mayHaveRun,
+				bodyEvicted:       c.bodyEvicted,
+				retryableUntil:    c.retryableUntil,
 			}
 			if got := newRetryPolicy(&settings).allows(allowsNow, p, false); got != c.want {
 				t.Errorf("allows = %v, want %v", got, c.want)
--- a/internal/routing/settings.go
+++ b/internal/routing/settings.go
@@ -33,7 +33,7 @@
 type Class struct {
 	Idempotency       Idempotency
 	LatencyObjective  time.Duration // an answer within it earns the full PriorityWeight
-	Deadline          time.Duration // the client's whole wait, all its tries together
+	Deadline          time.Duration // the client's whole wait, all its retries together
 	IdempotencyWindow time.Duration // IdempotentWithKey: for how long servers drop repeats
 	PriorityWeight    float64       // value of a complete answer
 	LateValue         float64       // share of that value, 0 to 1, which an answer after the objective earns
@@ -47,8 +47,9 @@
 // unbounded is later than any time that the package works with.
 const unbounded = 1e6 * time.Hour
 
-// retryableUntil is the clock time until which a further attempt may be written if a first one, which may
-// run, is sent now.
+// retryableUntil is the clock time until which a further attempt may be written, if a first one is sent now
+// and may run. It has no meaning for NonIdempotent, for which the retry policy allows no further attempt
+// then.
 func (c Class) retryableUntil(now time.Duration) time.Duration {
 	if c.Idempotency == IdempotentWithKey {
 		return now + c.IdempotencyWindow
@@ -98,7 +99,7 @@
 
 	WarmupInitialShare   float64       // capacity of a server at its start, as a share of its full capacity
 	WarmupDuration       time.Duration // after which a server has its full capacity
-	WarmupOverloadFactor float64       // multiple of its capacity at which a cold server fails
+	WarmupOverloadFactor float64       // load at which a server in slow start fails, over its capacity
 
 	RetryBudgetWindow time.Duration // over which further attempts are counted; 0: no budget
 	RetryBudgetMin    float64       // further attempts allowed in it whatever the load
