--- a/Makefile
+++ b/Makefile
@@ -3,9 +3,9 @@
 POLICY = $(filter-out %_test.go,$(wildcard internal/routing/*.go))
 
 # Packages that decide and touch no I/O, clock or goroutine; lint holds them to it.
-PURE = internal/routing internal/bodies/tier internal/config internal/config/restriction internal/config/rollback internal/config/endpointmerge internal/adminapi/signature internal/shardmap internal/shardmap/coverage internal/shardmap/replan internal/shardmap/resharding internal/schema
+PURE = internal/routing internal/bodystore/tier internal/config internal/config/restriction internal/config/rollback internal/config/endpointmerge internal/adminapi/signature internal/shardmap internal/shardmap/coverage internal/shardmap/replan internal/shardmap/resharding internal/schema
 # Packages that hold state and do I/O.
-STATE = internal/endpoints internal/bodies internal/searchconfig internal/coordinator internal/reshardexec internal/lifecycle internal/store
+STATE = internal/endpoints internal/bodystore internal/searchconfig internal/coordinator internal/reshardexec internal/lifecycle internal/store
 
 # The linters are pinned in a module of their own; tools/go.mod would take tools/knownred out of the program's.
 LINTER = go tool -modfile=tools/lint/go.mod
--- a/internal/bodies/golden_test.go
+++ b/internal/bodystore/golden_test.go
@@ -1,4 +1,4 @@
-package bodies
+package bodystore
 
 import (
 	"bytes"
@@ -16,7 +16,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"linkpass/internal/bodies/tier"
+	"linkpass/internal/bodystore/tier"
 	"linkpass/internal/metrics"
 )
 
@@ -264,7 +264,7 @@
 			c.set(t, dir)
 			before := tree(t, dir)
 			s := newGoldenStore(t, dir)
-			if got := s.Figures(); got != (Figures{}) {
+			if got := s.Totals(); got != (Totals{}) {
 				t.Errorf("holds %+v at its start", got)
 			}
 			own := filepath.Base(s.own)
--- a/internal/bodies/log.go
+++ b/internal/bodystore/log.go
@@ -1,4 +1,4 @@
-package bodies
+package bodystore
 
 import (
 	"encoding/binary"
--- a/internal/bodies/move.go
+++ b/internal/bodystore/move.go
@@ -1,9 +1,9 @@
-package bodies
+package bodystore
 
 import (
 	"time"
 
-	"linkpass/internal/bodies/tier"
+	"linkpass/internal/bodystore/tier"
 	"linkpass/internal/eventlog"
 )
 
--- a/internal/bodies/bodies.go
+++ b/internal/bodystore/store.go
@@ -1,7 +1,7 @@
-// Package bodies keeps the bodies of queries so that parts can be sent again: one body once,
+// Package bodystore keeps the bodies of queries so that parts can be sent again: one body once,
 // however many queries share it, in memory or in a log of segments, until the last of them has
 // ended. What gives way is decided by its package tier.
-package bodies
+package bodystore
 
 import (
 	"bytes"
@@ -13,18 +13,18 @@
 
 	"lukechampine.com/blake3"
 
-	"linkpass/internal/bodies/tier"
+	"linkpass/internal/bodystore/tier"
 	"linkpass/internal/eventlog"
 	"linkpass/internal/metrics"
 )
 
-// Small is the size up to which a body is no matter for the store: its bytes go along with the query.
-const Small = 4 << 10
+// InlineLimit is the size up to which a body is no matter for the store: its bytes go along with the query.
+const InlineLimit = 4 << 10
 
 // Errors of a body.
 var (
-	ErrNoRoom = errors.New("bodies: no room for the body")
-	ErrGone   = errors.New("bodies: the body is not kept any more")
+	ErrNoCapacity = errors.New("bodies: no room for the body")
+	ErrEvicted    = errors.New("bodies: the body is not kept any more")
 )
 
 // filesRest is for how long files take nothing new after a write has failed.
@@ -115,8 +115,8 @@
 	}
 }
 
-// Limit changes the budgets: two processes share them.
-func (s *Store) Limit(memory, files int64) {
+// SetLimits changes the budgets: two processes share them.
+func (s *Store) SetLimits(memory, files int64) {
 	s.event(func() []tier.Move {
 		if s.log == nil {
 			files = 0
@@ -212,15 +212,15 @@
 	}
 }
 
-// Figures are what the store holds now.
-type Figures struct {
+// Totals are what the store holds now.
+type Totals struct {
 	Bodies, Shared                int
 	Memory, Files, Disk           int64
 	WaitingBodies, ArrivingBodies int
 }
 
-// Figures tells what the store holds.
-func (s *Store) Figures() (f Figures) {
+// Totals tells what the store holds.
+func (s *Store) Totals() (f Totals) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f.Bodies, f.Memory, f.Files = s.state.Held(), s.state.Used(tier.Memory), s.state.Used(tier.File)
@@ -255,8 +255,8 @@
 	ended bool
 }
 
-// Arrive begins a body of a class that is worth so much.
-func (s *Store) Arrive(class int, worth float64) *Writer {
+// NewWriter begins a body of a class that is worth so much.
+func (s *Store) NewWriter(class int, worth float64) *Writer {
 	e := &entry{class: class, holders: map[*Body]bool{}}
 	s.mu.Lock()
 	s.next++
@@ -310,7 +310,7 @@
 	}
 	switch {
 	case gone:
-		return ErrNoRoom
+		return ErrNoCapacity
 	case mine: // all of it, this piece too
 		s.file(e)
 	case filed:
@@ -328,13 +328,13 @@
 		w.s.mu.Lock()
 		w.s.count(w.e, "refused")
 		w.s.mu.Unlock()
-		return ErrNoRoom
+		return ErrNoCapacity
 	}
 	w.s.mu.Lock()
 	defer w.s.mu.Unlock()
 	if w.e.gone {
 		w.s.log.free(r)
-		return ErrNoRoom
+		return ErrNoCapacity
 	}
 	w.e.recs = append(w.e.recs, r)
 	return nil
@@ -352,18 +352,18 @@
 	w.s.forget(w.e)
 }
 
-// Done ends the arrival. What lies here already under the same content is shared.
-func (w *Writer) Done() (*Body, error) {
+// Commit ends the arrival. What lies here already under the same content is shared.
+func (w *Writer) Commit() (*Body, error) {
 	s, e := w.s, w.e
 	if w.ended {
-		return nil, ErrNoRoom
+		return nil, ErrNoCapacity
 	}
 	w.ended = true
 	b := &Body{s: s}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e.gone {
-		return nil, ErrNoRoom
+		return nil, ErrNoCapacity
 	}
 	copy(e.hash[:], w.hash.Sum(nil))
 	if twin := s.hashes[e.hash]; twin != nil && !twin.gone && twin.size == e.size {
@@ -392,8 +392,8 @@
 // Size is its length in bytes.
 func (b *Body) Size() int64 { return b.e.size }
 
-// OnGone says whom to tell, once, when the body cannot be read any more; at once if it is gone already.
-func (b *Body) OnGone(f func()) {
+// OnEvicted says whom to tell, once, when the body cannot be read any more; at once if it is gone already.
+func (b *Body) OnEvicted(f func()) {
 	b.s.mu.Lock()
 	b.gone = f
 	gone := b.e.gone
@@ -403,8 +403,8 @@
 	}
 }
 
-// Written says that no part of this query is yet to be written: the body may be given up.
-func (b *Body) Written() {
+// MarkSent says that no part of this query is yet to be written: the body may be given up.
+func (b *Body) MarkSent() {
 	b.s.event(func() []tier.Move {
 		if _, held := b.e.holders[b]; !held || b.e.gone {
 			return nil
@@ -417,8 +417,8 @@
 	})
 }
 
-// Waits says that a part of this query is to be written, or again.
-func (b *Body) Waits() {
+// MarkPending says that a part of this query is to be written, or again.
+func (b *Body) MarkPending() {
 	b.s.event(func() []tier.Move {
 		if _, held := b.e.holders[b]; held && !b.e.gone {
 			b.e.holders[b] = true
@@ -456,7 +456,7 @@
 	b.s.mu.Lock()
 	defer b.s.mu.Unlock()
 	if b.e.gone {
-		return nil, ErrGone
+		return nil, ErrEvicted
 	}
 	r := &reader{s: b.s, e: b.e}
 	if len(b.e.recs) > 0 {
--- a/internal/bodies/bodies_test.go
+++ b/internal/bodystore/store_test.go
@@ -1,4 +1,4 @@
-package bodies
+package bodystore
 
 import (
 	"bytes"
@@ -18,7 +18,7 @@
 
 	"pgregory.net/rapid"
 
-	"linkpass/internal/bodies/tier"
+	"linkpass/internal/bodystore/tier"
 	"linkpass/internal/metrics"
 	_ "linkpass/internal/seeded"
 )
@@ -91,11 +91,11 @@
 }
 
 func keep(s *Store, class int, data []byte) (*Body, error) {
-	w := s.Arrive(class, 1)
+	w := s.NewWriter(class, 1)
 	if _, err := w.Write(data); err != nil {
 		return nil, err
 	}
-	return w.Done()
+	return w.Commit()
 }
 
 func mustKeep(t testing.TB, s *Store, data []byte) *Body {
@@ -171,17 +171,17 @@
 			case kind <= 2 || h == nil:
 				data := text(uint64(rapid.IntRange(1, 6).Draw(t, "content")), rapid.IntRange(1, 50<<10).Draw(t, "size"))
 				b, err := keep(s, rapid.IntRange(0, 1).Draw(t, "class"), data)
-				if errors.Is(err, ErrNoRoom) {
+				if errors.Is(err, ErrNoCapacity) {
 					seen["refused"]++
 					continue
 				}
 				h = &hold{b: b, data: data}
-				b.OnGone(func() { h.gone.Store(true) })
+				b.OnEvicted(func() { h.gone.Store(true) })
 				holds = append(holds, h)
 			case kind == 3:
-				h.b.Written()
+				h.b.MarkSent()
 			case kind == 4:
-				h.b.Waits()
+				h.b.MarkPending()
 			case kind == 5:
 				h.b.Release()
 				for i := range holds {
@@ -221,14 +221,14 @@
 					seen["read"]++
 				}
 			}
-			if f := s.Figures(); f.Memory > 50<<10 || f.Files > 120<<10 {
+			if f := s.Totals(); f.Memory > 50<<10 || f.Files > 120<<10 {
 				t.Fatalf("%+v", f)
 			}
 		}
 		for _, h := range holds {
 			h.b.Release()
 		}
-		if f := s.Figures(); f.Bodies != 0 || f.Memory != 0 || f.Files != 0 {
+		if f := s.Totals(); f.Bodies != 0 || f.Memory != 0 || f.Files != 0 {
 			t.Fatalf("after all were let go: %+v", f)
 		}
 	})
@@ -263,7 +263,7 @@
 	before := text(1, 300<<10)
 	b := mustKeep(t, s, before)
 	fs.room.Store(100 << 10)
-	if _, err := keep(s, 0, text(2, 600<<10)); !errors.Is(err, ErrNoRoom) {
+	if _, err := keep(s, 0, text(2, 600<<10)); !errors.Is(err, ErrNoCapacity) {
 		t.Fatalf("a body that the disk has no room for: %v", err)
 	}
 	wantBody(t, b, before)
@@ -274,7 +274,7 @@
 	if n := s.cfg.Counters.Get("bodies_write_failed"); n == 0 {
 		t.Error("not counted")
 	}
-	if f := s.Figures(); f.Bodies != 2 {
+	if f := s.Totals(); f.Bodies != 2 {
 		t.Errorf("%+v", f)
 	}
 }
@@ -287,14 +287,14 @@
 		data := text(4, 300<<10)
 		b := mustKeep(t, s, data)
 		told := make(chan struct{}, 2)
-		b.OnGone(func() { told <- struct{}{} })
+		b.OnEvicted(func() { told <- struct{}{} })
 		spoil(fs)
 		got, err := read(b)
 		if err == nil || len(got) > 0 {
 			t.Errorf("%s: %d bytes, %v", name, len(got), err)
 		}
 		<-told
-		if _, err := b.Open(); !errors.Is(err, ErrGone) {
+		if _, err := b.Open(); !errors.Is(err, ErrEvicted) {
 			t.Errorf("%s: opens: %v", name, err)
 		}
 		b.Release()
@@ -306,10 +306,10 @@
 	fs := noFaults()
 	s := newStore(t, small, fs)
 	fs.short.Store(true)
-	if _, err := keep(s, 0, text(5, 900<<10)); !errors.Is(err, ErrNoRoom) {
+	if _, err := keep(s, 0, text(5, 900<<10)); !errors.Is(err, ErrNoCapacity) {
 		t.Errorf("%v", err)
 	}
-	if f := s.Figures(); f.Bodies != 0 || f.Memory != 0 {
+	if f := s.Totals(); f.Bodies != 0 || f.Memory != 0 {
 		t.Errorf("%+v", f)
 	}
 }
@@ -347,14 +347,14 @@
 	for range 100 {
 		holds = append(holds, mustKeep(t, s, data))
 	}
-	if f := s.Figures(); f.Bodies != 1 || f.Memory != int64(len(data)) || f.Shared != 99 {
+	if f := s.Totals(); f.Bodies != 1 || f.Memory != int64(len(data)) || f.Shared != 99 {
 		t.Errorf("%+v", f)
 	}
 	for i, b := range holds {
 		wantBody(t, b, data)
-		b.Written()
+		b.MarkSent()
 		b.Release()
-		if f := s.Figures(); i < 99 && f.Bodies != 1 || i == 99 && f.Bodies != 0 {
+		if f := s.Totals(); i < 99 && f.Bodies != 1 || i == 99 && f.Bodies != 0 {
 			t.Fatalf("after %d: %+v", i+1, f)
 		}
 	}
@@ -415,7 +415,7 @@
 		}
 		newcomer := text(9, 500<<10)
 		b, err := keep(s, 0, newcomer)
-		if files == 0 && !errors.Is(err, ErrNoRoom) || files > 0 && err != nil {
+		if files == 0 && !errors.Is(err, ErrNoCapacity) || files > 0 && err != nil {
 			t.Fatalf("with %d bytes of files: %v", files, err)
 		}
 		if b != nil {
@@ -434,7 +434,7 @@
 	if err := os.RemoveAll(s.own); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := keep(s, 0, text(1, 600<<10)); !errors.Is(err, ErrNoRoom) {
+	if _, err := keep(s, 0, text(1, 600<<10)); !errors.Is(err, ErrNoCapacity) {
 		t.Errorf("%v", err)
 	}
 	data := text(2, 100<<10)
@@ -453,7 +453,7 @@
 				if err != nil {
 					continue
 				}
-				b.Written()
+				b.MarkSent()
 				if got, err := read(b); err == nil && !bytes.Equal(got, data) {
 					t.Error("another body")
 				}
@@ -462,7 +462,7 @@
 		})
 	}
 	wg.Wait()
-	if f := s.Figures(); f.Bodies != 0 || f.Memory != 0 || f.Files != 0 {
+	if f := s.Totals(); f.Bodies != 0 || f.Memory != 0 || f.Files != 0 {
 		t.Errorf("%+v", f)
 	}
 }
@@ -489,7 +489,7 @@
 	s := newStore(t, small, nil)
 	first := text(1, 150<<10)
 	b := mustKeep(t, s, first)
-	if _, err := keep(s, 0, text(2, 600<<10)); !errors.Is(err, ErrNoRoom) {
+	if _, err := keep(s, 0, text(2, 600<<10)); !errors.Is(err, ErrNoCapacity) {
 		t.Fatalf("past the limit: %v", err)
 	}
 	wantBody(t, b, first)
--- a/internal/coordinator/bench_test.go
+++ b/internal/coordinator/bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"linkpass/internal/end"
 	"linkpass/internal/metrics"
+	"linkpass/internal/outcome"
 	"linkpass/internal/routing"
 	"linkpass/internal/shardmap"
 )
@@ -16,22 +16,22 @@
 type instant struct{ core *Core }
 
 func (*instant) UpdateEndpoints(EndpointUpdate) {}
-func (l *instant) Call(_ routing.ServerID, list []Attempt) bool {
+func (l *instant) Send(_ routing.ServerID, list []Attempt) bool {
 	for _, a := range list {
-		r := Result{End: end.Served, At: l.core.Now()}
-		if a.Ask != nil {
-			r.Covers = &a.Ask.Range
+		r := Result{Outcome: outcome.Success, At: l.core.Now()}
+		if a.Request != nil {
+			r.Covers = &a.Request.Range
 		}
-		go l.core.Ended(a.ID, r)
+		go l.core.AttemptEnded(a.ID, r)
 	}
 	return true
 }
 func (*instant) Cancel(routing.ServerID, AttemptID) {}
-func (l *instant) Probe(_ routing.ServerID, n uint64) bool {
-	go l.core.ProbeEnded(n, Result{End: end.Served, At: l.core.Now(), Report: []float64{0}})
+func (l *instant) CheckHealth(_ routing.ServerID, n uint64) bool {
+	go l.core.HealthCheckEnded(n, Result{Outcome: outcome.Success, At: l.core.Now(), LoadReport: []float64{0}})
 	return true
 }
-func (*instant) Forget(routing.ServerID, uint64) {}
+func (*instant) AbandonHealthCheck(routing.ServerID, uint64) {}
 
 // A query of eight parts through the core: on a fixed layout, and on one that could move and stays
 // still. The difference is what the layout costs each query.
@@ -60,11 +60,11 @@
 	set := routing.Settings{Tick: time.Microsecond, Coordinators: fleet.coordinators, Shards: fleet.shards, Cells: fleet.cells, ReplicasPerShard: 1, HealthChecks: false, Cancel: true, MaxAttempts: 3,
 		PartsPerRequest: 1, ReportFields: []routing.ReportField{routing.FieldInFlight}, AnswerSlack: 20 * time.Millisecond,
 		Classes: []routing.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, RequiredWeight: 1, MinWeight: 1}}}
-	core, err := New(Config{Settings: set, Seed: 7, ProbeTimeout: time.Second, Counters: metrics.NewCounters(), Figures: metrics.NewTotals([]string{"q"})})
+	core, err := New(Config{Settings: set, Seed: 7, HealthCheckTimeout: time.Second, Counters: metrics.NewCounters(), Totals: metrics.NewTotals([]string{"q"})})
 	if err != nil {
 		b.Fatal(err)
 	}
-	core.Bind(&instant{core})
+	core.SetTransports(&instant{core})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); core.Run(ctx) }()
@@ -73,10 +73,10 @@
 		members = append(members, Endpoint{Endpoint: routing.Endpoint{Server: routing.ServerID(i), Cell: i % fleet.cells, State: routing.Ready}})
 	}
 	core.UpdateEndpoints(EndpointUpdate{Mode: routing.UpdateFull, Endpoints: members})
-	q := Query{Name: "q", Timeout: 2 * time.Second, Text: []byte("x")}
+	q := Query{Name: "q", Timeout: 2 * time.Second, Payload: []byte("x")}
 	if n == 0 {
 		for i := range 8 {
-			q.Parts = append(q.Parts, Part{Shard: i, Weight: 1. / 8, Text: q.Text})
+			q.Parts = append(q.Parts, Part{Shard: i, Weight: 1. / 8, Payload: q.Payload})
 		}
 	} else {
 		l, err := shardmap.NewEven(n, [][]string{{"a", "b", "c", "d"}})
@@ -84,20 +84,20 @@
 			b.Fatal(err)
 		}
 		news, _ := shardmap.Diff("i", nil, l)
-		core.Reshape([]shardmap.Change{news}, func(s string) routing.ServerID { return numbers[s] })
+		core.UpdateShardMaps([]shardmap.Change{news}, func(s string) routing.ServerID { return numbers[s] })
 		q.Collection = "i"
 		for i := range 8 {
 			k := shardmap.HashKey(fmt.Sprint(i))
-			q.Wanted = append(q.Wanted, shardmap.Range{First: k, Last: k})
+			q.KeyRanges = append(q.KeyRanges, shardmap.Range{First: k, Last: k})
 		}
 	}
 	answers := make(chan Answer, 1)
 	q.Reply = func(a Answer) { answers <- a }
 	b.ReportAllocs()
 	for b.Loop() {
-		q.Began = core.Now()
+		q.StartedAt = core.Now()
 		core.Submit(q)
-		if a := <-answers; !a.Whole {
+		if a := <-answers; !a.Complete {
 			b.Fatalf("%+v", a)
 		}
 	}
--- a/internal/coordinator/body.go
+++ b/internal/coordinator/body.go
@@ -7,8 +7,8 @@
 	"linkpass/internal/routing"
 )
 
-// Written says that an attempt whose body is kept elsewhere was written whole.
-func (c *Core) Written(id AttemptID) {
+// BodySent says that an attempt whose body is kept elsewhere was written whole.
+func (c *Core) BodySent(id AttemptID) {
 	c.post(func() {
 		if at := c.attempts[id]; at != nil {
 			c.unsent(at.part, false)
@@ -26,12 +26,12 @@
 	p.unsent = unsent
 	if !unsent {
 		if q.unsent--; q.unsent == 0 {
-			q.Body.Written()
+			q.Body.MarkSent()
 		}
 		return
 	}
 	if q.unsent++; q.unsent == 1 {
-		q.Body.Waits()
+		q.Body.MarkPending()
 	}
 }
 
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -13,9 +13,9 @@
 	"time"
 
 	"linkpass/internal/deadline"
-	"linkpass/internal/end"
 	"linkpass/internal/eventlog"
 	"linkpass/internal/metrics"
+	"linkpass/internal/outcome"
 	"linkpass/internal/routing"
 	"linkpass/internal/shardmap"
 	"linkpass/internal/shardmap/coverage"
@@ -23,21 +23,21 @@
 
 // Part is one part of a query, as its client named it.
 type Part struct {
-	Shard  int
-	Weight float64
-	Hint   time.Duration // expected work; 0: unknown
-	Key    uint64        // 0: none
-	Text   []byte        // handed to the server unchanged
-	Ask    *Ask          // nil: the layout is fixed
+	Shard        int
+	Weight       float64
+	ExpectedWork time.Duration // expected work; 0: unknown
+	Key          uint64        // 0: none
+	Payload      []byte        // handed to the server unchanged
+	Request      *ShardRequest // nil: the layout is fixed
 }
 
-// Ask is what a part asks for where the layout can move.
-type Ask struct {
-	Slice   shardmap.ShardID
-	Version uint64 // of the layout that it was planned on
-	Range   shardmap.Range
-	Piece   bool // less than the whole slice
-	round   int
+// ShardRequest is what a part asks for where the layout can move.
+type ShardRequest struct {
+	Shard      shardmap.ShardID
+	MapVersion uint64 // of the layout that it was planned on
+	Range      shardmap.Range
+	Subrange   bool // less than the whole slice
+	round      int
 }
 
 // Query is what a front hands in.
@@ -48,14 +48,14 @@
 	Tenant int
 	// Collection is what the query asks about, where its client says so.
 	Collection string
-	Began      time.Duration // by Core.Now: when the client's time began to run
+	StartedAt  time.Duration // by Core.Now: when the client's time began to run
 	Timeout    time.Duration // how long the client waits from then on
-	Repeat     bool
+	IsRetry    bool
 	Parts      []Part
-	// Wanted are the keys that a query on a layout that can move asks for, in place
+	// KeyRanges are the keys that a query on a layout that can move asks for, in place
 	// of Parts: they are cut along the slices when it is taken.
-	Wanted []shardmap.Range
-	Text   []byte // of each such part
+	KeyRanges []shardmap.Range
+	Payload   []byte // of each such part
 	// Body takes the place of every part's text where it is kept by somebody else. The core
 	// releases it with the answer.
 	Body Body
@@ -69,29 +69,29 @@
 	Size() int64
 	// Open reads it as a stream. An error means that it can be read no more.
 	Open() (io.ReadCloser, error)
-	Written()      // no part is yet to be written: it may be given up
-	Waits()        // a part is to be written, or again
-	OnGone(func()) // whom to tell, once, when it can be read no more
-	Release()      // it is needed no more
+	MarkSent()        // no part is yet to be written: it may be given up
+	MarkPending()     // a part is to be written, or again
+	OnEvicted(func()) // whom to tell, once, when it can be read no more
+	Release()         // it is needed no more
 }
 
-// Verdict is how a query ends.
-type Verdict uint8
+// Status is how a query ends.
+type Status uint8
 
 // The ways in which a query ends.
 const (
-	Answered Verdict = iota
-	Refused
+	Answered Status = iota
+	Rejected
 	Failed
 )
 
 // Value is what a server gave for a part.
 type Value struct {
-	Shard int
-	Ask   *Ask // nil: the layout is fixed
-	Data  []byte
-	Score float64
-	Hits  *Hits // nil where the server gave a plain value
+	Shard   int
+	Request *ShardRequest // nil: the layout is fixed
+	Data    []byte
+	Score   float64
+	Hits    *Hits // nil where the server gave a plain value
 }
 
 // Hits are the entries of a part that was answered by a search.
@@ -108,24 +108,24 @@
 	Source []byte
 }
 
-// Miss tells what became of a part that is not in.
-type Miss struct {
-	Shard int
-	Last  end.End // how its latest attempt ended
-	Tried bool    // there was an attempt
-	Bare  bool    // its body could not be sent again
-	Ask   *Ask    // what is missing; nil: the layout is fixed
+// MissingPart tells what became of a part that is not in.
+type MissingPart struct {
+	Shard       int
+	LastOutcome outcome.Outcome // how its latest attempt ended
+	Attempted   bool            // there was an attempt
+	BodyEvicted bool            // its body could not be sent again
+	Request     *ShardRequest   // what is missing; nil: the layout is fixed
 }
 
 // Answer is the final answer of a query.
 type Answer struct {
-	Verdict    Verdict
-	Whole      bool
-	Values     []Value // the parts that are in
-	Missing    []Miss  // the parts that are not
-	RetryAfter time.Duration
-	TimedOut   bool   // the client's time was up
-	Layout     uint64 // the version that the query was planned on; 0: the layout is fixed
+	Status          Status
+	Complete        bool
+	Values          []Value       // the parts that are in
+	Missing         []MissingPart // the parts that are not
+	RetryAfter      time.Duration
+	TimedOut        bool   // the client's time was up
+	ShardMapVersion uint64 // the version that the query was planned on; 0: the layout is fixed
 }
 
 // AttemptID names one attempt.
@@ -136,29 +136,29 @@
 
 // Attempt is one try of a part, as a link is to carry it.
 type Attempt struct {
-	ID         AttemptID
-	Query      string // the client's name for the query
-	Collection string
-	Shard      int
-	Text       []byte
-	Body       Body          // in place of Text; nil: none
-	Ends       time.Duration // the client's time is up: nothing may be written from then on
-	Until      time.Duration // the same, as what may have run may be repeated for so long only; 0: no such limit
-	Ask        *Ask
-	over       *atomic.Bool
-	gone       *atomic.Bool
+	ID          AttemptID
+	Query       string // the client's name for the query
+	Collection  string
+	Shard       int
+	Payload     []byte
+	Body        Body          // in place of Text; nil: none
+	Deadline    time.Duration // the client's time is up: nothing may be written from then on
+	WriteBefore time.Duration // the same, as what may have run may be repeated for so long only; 0: no such limit
+	Request     *ShardRequest
+	over        *atomic.Bool
+	gone        *atomic.Bool
 }
 
-// Gone tells whether the server has given the part's slice up; it may be asked anywhere.
-func (a Attempt) Gone() bool { return a.gone != nil && a.gone.Load() }
+// ShardMoved tells whether the server has given the part's slice up; it may be asked anywhere.
+func (a Attempt) ShardMoved() bool { return a.gone != nil && a.gone.Load() }
 
-// Late tells whether it is too late to write it.
-func (a Attempt) Late(now time.Duration) bool {
-	return now >= a.Ends || a.Until > 0 && now >= a.Until
+// Expired tells whether it is too late to write it.
+func (a Attempt) Expired(now time.Duration) bool {
+	return now >= a.Deadline || a.WriteBefore > 0 && now >= a.WriteBefore
 }
 
-// Dead tells whether the attempt, or its query, has ended already; it may be asked anywhere.
-func (a Attempt) Dead() bool { return a.over != nil && a.over.Load() }
+// Canceled tells whether the attempt, or its query, has ended already; it may be asked anywhere.
+func (a Attempt) Canceled() bool { return a.over != nil && a.over.Load() }
 
 // Endpoint is one line of the server list.
 type Endpoint struct {
@@ -172,47 +172,47 @@
 	Endpoints []Endpoint
 }
 
-// Links carry attempts and probes to servers. They are called on the core's
+// Transports carry attempts and probes to servers. They are called on the core's
 // goroutine: no call may block, nor post to the core. Call and Probe tell
 // whether the work was taken; what was taken ends by Core.Ended or
 // Core.ProbeEnded.
-type Links interface {
+type Transports interface {
 	UpdateEndpoints(EndpointUpdate)
-	Call(routing.ServerID, []Attempt) bool
+	Send(routing.ServerID, []Attempt) bool
 	Cancel(routing.ServerID, AttemptID)
-	Probe(server routing.ServerID, number uint64) bool
-	Forget(server routing.ServerID, number uint64) // the probe is no longer awaited
+	CheckHealth(server routing.ServerID, number uint64) bool
+	AbandonHealthCheck(server routing.ServerID, number uint64) // the probe is no longer awaited
 }
 
 // Result is how an attempt or a probe ended at a server.
 type Result struct {
-	End    end.End
-	Report []float64
-	Value  []byte
-	Score  float64
-	Hits   *Hits
-	Layout uint64          // the version that the server is at; 0: it says none
-	Covers *shardmap.Range // the keys that the value is about; nil: it does not say
-	At     time.Duration   // by Core.Now: when it was known
+	Outcome         outcome.Outcome
+	LoadReport      []float64
+	Value           []byte
+	Score           float64
+	Hits            *Hits
+	ShardMapVersion uint64          // the version that the server is at; 0: it says none
+	Covers          *shardmap.Range // the keys that the value is about; nil: it does not say
+	At              time.Duration   // by Core.Now: when it was known
 }
 
 // Config sets up a Core.
 type Config struct {
-	Settings     routing.Settings
-	Seed         uint64
-	ProbeTimeout time.Duration
-	Counters     *metrics.Counters
-	Figures      *metrics.Totals
-	Mailbox      int // messages that wait at most
-	// KeepPlans leaves parts whose slice has moved as they are: they fail.
-	KeepPlans bool
+	Settings           routing.Settings
+	Seed               uint64
+	HealthCheckTimeout time.Duration
+	Counters           *metrics.Counters
+	Totals             *metrics.Totals
+	Mailbox            int // messages that wait at most
+	// DisableReplan leaves parts whose slice has moved as they are: they fail.
+	DisableReplan bool
 }
 
 // Core is the actor round the module.
 type Core struct {
 	set     routing.Settings
 	router  *routing.Router
-	links   Links
+	links   Transports
 	count   *metrics.Counters
 	figures *metrics.Totals
 	mailbox chan func()
@@ -269,7 +269,7 @@
 	unsent   bool // it is to be written, or again
 	failed   bool // it was left without an attempt that could answer
 	value    Value
-	last     end.End
+	last     outcome.Outcome
 }
 
 type attempt struct {
@@ -311,17 +311,17 @@
 		}
 	}
 	return &Core{
-		set: c.Settings, router: router, count: c.Counters, figures: c.Figures, probeTO: c.ProbeTimeout,
+		set: c.Settings, router: router, count: c.Counters, figures: c.Totals, probeTO: c.HealthCheckTimeout,
 		mailbox: make(chan func(), max(64, c.Mailbox)), done: make(chan struct{}), noted: make(chan struct{}, 1),
 		epoch:   time.Now().Add(-originAge),
 		queries: map[routing.RequestID]*query{}, parts: map[routing.RequestID]*part{},
 		attempts: map[AttemptID]*attempt{}, probes: map[uint64]*probe{}, layouts: map[string]*ground{},
-		keep: c.KeepPlans,
+		keep: c.DisableReplan,
 	}, nil
 }
 
-// Bind names the links. It is called once, before Run.
-func (c *Core) Bind(l Links) { c.links = l }
+// SetTransports names the links. It is called once, before Run.
+func (c *Core) SetTransports(l Transports) { c.links = l }
 
 // Now is the core's clock.
 func (c *Core) Now() time.Duration { return time.Since(c.epoch) }
@@ -385,7 +385,7 @@
 		if q.Body != nil {
 			q.Body.Release()
 		}
-		c.settle(q, Answer{Verdict: Failed, Missing: missAll(q)})
+		c.settle(q, Answer{Status: Failed, Missing: missAll(q)})
 		return func() {}
 	}
 	return func() { c.post(func() { c.left(open) }) }
@@ -404,13 +404,13 @@
 	})
 }
 
-// Room says how many queries and parts may be held from now on.
-func (c *Core) Room(open int) {
+// SetMaxOpen says how many queries and parts may be held from now on.
+func (c *Core) SetMaxOpen(open int) {
 	c.post(func() { c.events = append(c.events, routing.CapacityChange{MaxOpen: open}) })
 }
 
-// Held is how many queries and parts are held now.
-func (c *Core) Held() int {
+// OpenCount is how many queries and parts are held now.
+func (c *Core) OpenCount() int {
 	held := make(chan int, 1)
 	if !c.post(func() { held <- len(c.queries) + len(c.parts) }) {
 		return 0
@@ -423,20 +423,20 @@
 	}
 }
 
-// Warm has the module get to know the servers; known is called, on the core's
+// WarmUp has the module get to know the servers; known is called, on the core's
 // goroutine, once all have replied or have had their time.
-func (c *Core) Warm(known func()) {
+func (c *Core) WarmUp(known func()) {
 	c.post(func() {
 		c.events = append(c.events, routing.WarmUp{})
 		c.warm = known
 	})
 }
 
-// Ended says how an attempt ended.
-func (c *Core) Ended(id AttemptID, r Result) { c.post(func() { c.ended(id, r) }) }
+// AttemptEnded says how an attempt ended.
+func (c *Core) AttemptEnded(id AttemptID, r Result) { c.post(func() { c.ended(id, r) }) }
 
-// ProbeEnded says how a probe ended.
-func (c *Core) ProbeEnded(number uint64, r Result) { c.post(func() { c.probeEnded(number, r) }) }
+// HealthCheckEnded says how a probe ended.
+func (c *Core) HealthCheckEnded(number uint64, r Result) { c.post(func() { c.probeEnded(number, r) }) }
 
 // Run takes turns until the context ends. What is open then is failed.
 func (c *Core) Run(ctx context.Context) {
@@ -454,7 +454,7 @@
 		case <-ctx.Done():
 			close(c.done)
 			for _, q := range c.queries {
-				c.finish(q, Answer{Verdict: Failed})
+				c.finish(q, Answer{Status: Failed})
 			}
 			return
 		}
@@ -503,9 +503,9 @@
 			c.act(now, a)
 		}
 		for _, call := range c.calls {
-			if len(call.attempts) > 0 && !c.links.Call(call.server, call.attempts) {
+			if len(call.attempts) > 0 && !c.links.Send(call.server, call.attempts) {
 				for _, a := range call.attempts {
-					c.ended(a.ID, Result{End: end.Crowded, At: now})
+					c.ended(a.ID, Result{Outcome: outcome.QueueFull, At: now})
 				}
 			}
 		}
@@ -522,25 +522,25 @@
 	c.count.Add("queries_taken", 1)
 	c.lastID++
 	c.numbers++
-	open := &query{Query: q, id: c.lastID, ends: q.Began + q.Timeout}
+	open := &query{Query: q, id: c.lastID, ends: q.StartedAt + q.Timeout}
 	parts := c.plan(open)
 	c.queries[open.id] = open
 	left := max(0, open.ends-now)
 	c.events = append(c.events, routing.Arrival{ID: open.id, Shard: -1, Timeout: left, Class: q.Class,
-		Tenant: c.tenant(open), IsRetry: q.Repeat, Weight: float64(len(parts)), QueryNumber: c.numbers})
+		Tenant: c.tenant(open), IsRetry: q.IsRetry, Weight: float64(len(parts)), QueryNumber: c.numbers})
 	open.number = c.numbers
 	for _, p := range parts {
 		c.events = append(c.events, c.join(open, p, left))
 	}
 	if q.Body != nil {
-		q.Body.OnGone(func() { c.aside(func() { c.bare(open) }) })
+		q.Body.OnEvicted(func() { c.aside(func() { c.bare(open) }) })
 	}
 	// Guards against a query that the module never ends: it fails when its time is over.
 	open.due = c.dues.Arm(open.ends+c.set.AnswerSlack, func() {
 		eventlog.QueryOverdue.Log(open.Name, open.Class)
 		c.count.Add("queries_overdue", 1)
 		c.events = append(c.events, routing.ClientDisconnected{ID: open.id})
-		c.finish(open, Answer{Verdict: Failed, TimedOut: true})
+		c.finish(open, Answer{Status: Failed, TimedOut: true})
 	})
 	return open
 }
@@ -563,8 +563,8 @@
 	if q.bare { // the module hears it with the next turn's events, behind the arrival
 		c.aside(func() { c.bare(q) })
 	}
-	return routing.Arrival{ID: mine.id, Shard: p.Shard, Timeout: left, Class: q.Class, Tenant: c.tenant(q), IsRetry: q.Repeat,
-		ExpectedWork: p.Hint, Key: p.Key, Weight: p.Weight, QueryNumber: q.number}
+	return routing.Arrival{ID: mine.id, Shard: p.Shard, Timeout: left, Class: q.Class, Tenant: c.tenant(q), IsRetry: q.IsRetry,
+		ExpectedWork: p.ExpectedWork, Key: p.Key, Weight: p.Weight, QueryNumber: q.number}
 }
 
 // left ends a query whose client has gone.
@@ -574,7 +574,7 @@
 	}
 	c.count.Add("clients_gone", 1)
 	c.events = append(c.events, routing.ClientDisconnected{ID: q.id})
-	c.finish(q, Answer{Verdict: Failed})
+	c.finish(q, Answer{Status: Failed})
 }
 
 // finish gives a query its one answer and forgets it. Attempts that are out
@@ -594,16 +594,16 @@
 			}
 		}
 		switch {
-		case p.in && a.Verdict == Answered:
+		case p.in && a.Status == Answered:
 			a.Values = append(a.Values, p.value)
 		case !p.in:
-			a.Missing = append(a.Missing, Miss{Shard: p.Shard, Last: p.last, Tried: p.attempts > 0, Ask: p.Ask, Bare: q.bare})
+			a.Missing = append(a.Missing, MissingPart{Shard: p.Shard, LastOutcome: p.last, Attempted: p.attempts > 0, Request: p.Request, BodyEvicted: q.bare})
 		}
 	}
 	if q.ground != nil {
 		c.settleLayout(q, &a)
 	}
-	if a.Verdict == Refused {
+	if a.Status == Rejected {
 		c.count.Add(c.refusal(q), 1)
 	}
 	if q.Body != nil {
@@ -615,10 +615,10 @@
 
 // settle counts a query's one answer and gives it.
 func (c *Core) settle(q Query, a Answer) {
-	c.count.Add([...]string{Answered: "queries_answered", Refused: "queries_refused",
-		Failed: "queries_failed"}[a.Verdict], 1)
-	[...][]atomic.Int64{Answered: c.figures.Served, Refused: c.figures.Rejected,
-		Failed: c.figures.Failed}[a.Verdict][q.Class].Add(1)
+	c.count.Add([...]string{Answered: "queries_answered", Rejected: "queries_refused",
+		Failed: "queries_failed"}[a.Status], 1)
+	[...][]atomic.Int64{Answered: c.figures.Served, Rejected: c.figures.Rejected,
+		Failed: c.figures.Failed}[a.Status][q.Class].Add(1)
 	c.figures.InFlight.Add(-1)
 	q.Reply(a)
 }
@@ -646,12 +646,12 @@
 	return "refused_unsent"
 }
 
-func missAll(q Query) (out []Miss) {
+func missAll(q Query) (out []MissingPart) {
 	for _, p := range q.Parts {
-		out = append(out, Miss{Shard: p.Shard})
+		out = append(out, MissingPart{Shard: p.Shard})
 	}
-	for _, r := range q.Wanted {
-		out = append(out, Miss{Ask: &Ask{Range: r}})
+	for _, r := range q.KeyRanges {
+		out = append(out, MissingPart{Request: &ShardRequest{Range: r}})
 	}
 	return out
 }
@@ -667,19 +667,19 @@
 			c.count.Add("attempts_cancelled", 1)
 			c.withdraw(at)
 			c.links.Cancel(at.server, id)
-			c.ended(id, Result{End: end.CalledOff, At: now})
+			c.ended(id, Result{Outcome: outcome.Canceled, At: now})
 		}
 	case routing.Reject:
 		if q := c.queries[a.ID]; q != nil {
-			c.finish(q, Answer{Verdict: Refused, RetryAfter: a.RetryAfter})
+			c.finish(q, Answer{Status: Rejected, RetryAfter: a.RetryAfter})
 		}
 	case routing.Fail:
 		if q := c.queries[a.ID]; q != nil {
-			c.finish(q, Answer{Verdict: Failed})
+			c.finish(q, Answer{Status: Failed})
 		}
 	case routing.Answer:
 		if q := c.queries[a.ID]; q != nil {
-			c.finish(q, Answer{Verdict: Answered, Whole: a.Complete})
+			c.finish(q, Answer{Status: Answered, Complete: a.Complete})
 		}
 	case routing.SetTimer:
 		c.dues.Arm(now+a.After, func() { c.events = append(c.events, routing.TimerFired{Token: a.Token}) })
@@ -723,10 +723,10 @@
 	}
 	at.due = c.dues.Arm(now+max(0, wait), func() {
 		c.links.Cancel(at.server, at.id)
-		c.ended(at.id, Result{End: end.Silent, At: c.Now()})
+		c.ended(at.id, Result{Outcome: outcome.Timeout, At: c.Now()})
 	})
-	out := Attempt{ID: at.id, Query: p.query.Name, Collection: p.query.Collection, Shard: p.Shard, Text: p.Text,
-		Body: p.query.Body, Ends: p.query.ends, Until: a.WriteBefore, Ask: p.Ask, over: &at.over, gone: &at.gone}
+	out := Attempt{ID: at.id, Query: p.query.Name, Collection: p.query.Collection, Shard: p.Shard, Payload: p.Payload,
+		Body: p.query.Body, Deadline: p.query.ends, WriteBefore: a.WriteBefore, Request: p.Request, over: &at.over, gone: &at.gone}
 	for i := range c.calls {
 		if c.calls[i].server == a.Server && len(c.calls[i].attempts) < c.set.PartsPerRequest {
 			c.calls[i].attempts = append(c.calls[i].attempts, out)
@@ -749,26 +749,26 @@
 	p := at.part
 	p.out--
 	var after []routing.Event // what the end means for the query's other parts
-	if p.Ask != nil && !p.in && !p.gave {
-		r.End, after = c.settlePart(p, r)
+	if p.Request != nil && !p.in && !p.gave {
+		r.Outcome, after = c.settlePart(p, r)
 	}
-	c.count.Add("attempts_"+r.End.String(), 1)
+	c.count.Add("attempts_"+r.Outcome.String(), 1)
 	if !p.in {
-		p.last = r.End
+		p.last = r.Outcome
 	}
-	if r.End == end.Served && !p.in && !p.gave {
+	if r.Outcome == outcome.Success && !p.in && !p.gave {
 		c.unsent(p, false)
 		if p.failed {
 			c.class("retries_won", p.query.Class)
 		}
-		p.in, p.value = true, Value{Shard: p.Shard, Ask: p.Ask, Data: r.Value, Score: r.Score, Hits: r.Hits}
+		p.in, p.value = true, Value{Shard: p.Shard, Request: p.Request, Data: r.Value, Score: r.Score, Hits: r.Hits}
 	}
 	if !p.in && !p.gave && p.out == 0 && c.queries[p.query.id] != nil {
 		c.unsent(p, true) // the module may want it sent again
 		c.failed(p, r.At)
 	}
 	c.events = append(c.events, routing.AttemptResult{ID: id.Part, Attempt: id.No, Server: at.server,
-		Code: r.End.Code(), Latency: max(0, r.At-at.sent), Final: p.in, LoadReport: r.Report})
+		Code: r.Outcome.RoutingCode(), Latency: max(0, r.At-at.sent), Final: p.in, LoadReport: r.LoadReport})
 	c.events = append(c.events, after...)
 }
 
@@ -779,12 +779,12 @@
 	number := c.numbers
 	p := &probe{server: server, sent: now}
 	p.due = c.dues.Arm(now+c.probeTO, func() {
-		c.links.Forget(server, number)
-		c.probeEnded(number, Result{End: end.Silent, At: c.Now()})
+		c.links.AbandonHealthCheck(server, number)
+		c.probeEnded(number, Result{Outcome: outcome.Timeout, At: c.Now()})
 	})
 	c.probes[number] = p
-	if !c.links.Probe(server, number) {
-		c.probeEnded(number, Result{End: end.Crowded, At: now})
+	if !c.links.CheckHealth(server, number) {
+		c.probeEnded(number, Result{Outcome: outcome.QueueFull, At: now})
 	}
 }
 
@@ -795,13 +795,13 @@
 	}
 	delete(c.probes, number)
 	c.dues.Disarm(p.due)
-	c.count.Add("probes_"+r.End.String(), 1)
-	c.events = append(c.events, routing.HealthCheckResult{Server: p.server, Code: r.End.Code(),
-		Latency: max(0, r.At-p.sent), LoadReport: r.Report})
+	c.count.Add("probes_"+r.Outcome.String(), 1)
+	c.events = append(c.events, routing.HealthCheckResult{Server: p.server, Code: r.Outcome.RoutingCode(),
+		Latency: max(0, r.At-p.sent), LoadReport: r.LoadReport})
 }
 
-// Beliefs are what the module holds of the servers. It is false where the core does not answer in time.
-func (c *Core) Beliefs(limit time.Duration) (out []routing.ServerSnapshot, ok bool) {
+// Snapshot are what the module holds of the servers. It is false where the core does not answer in time.
+func (c *Core) Snapshot(limit time.Duration) (out []routing.ServerSnapshot, ok bool) {
 	told := make(chan []routing.ServerSnapshot, 1)
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
--- a/internal/coordinator/moving.go
+++ b/internal/coordinator/moving.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"linkpass/internal/end"
+	"linkpass/internal/outcome"
 	"linkpass/internal/routing"
 	"linkpass/internal/shardmap"
 	"linkpass/internal/shardmap/coverage"
@@ -24,9 +24,9 @@
 // comes back after it had gone, so that numbers are never used twice.
 func (g *ground) shard(id shardmap.ShardID) int { return g.number<<32 + int(id) }
 
-// Reshape takes news of layouts, which the caller has found out off the core's goroutine.
+// UpdateShardMaps takes news of layouts, which the caller has found out off the core's goroutine.
 // server is the module's number of a holder.
-func (c *Core) Reshape(list []shardmap.Change, server func(string) routing.ServerID) {
+func (c *Core) UpdateShardMaps(list []shardmap.Change, server func(string) routing.ServerID) {
 	c.post(func() {
 		for _, n := range list {
 			c.reshape(n, server)
@@ -69,7 +69,7 @@
 		went[s.ID] = true
 	}
 	for _, at := range c.attempts {
-		if at.part.query.ground == g && went[at.part.Ask.Slice] {
+		if at.part.query.ground == g && went[at.part.Request.Shard] {
 			at.gone.Store(true) // if it is not yet written, it never will be
 		}
 	}
@@ -88,7 +88,7 @@
 // affected lists the parts, by age, that have nothing out and whose slice is held no more.
 func (c *Core) affected(g *ground, went map[shardmap.ShardID]bool) (ids []routing.RequestID) {
 	for id, p := range c.parts {
-		if p.query.ground == g && !p.in && !p.gave && p.out == 0 && went[p.Ask.Slice] {
+		if p.query.ground == g && !p.in && !p.gave && p.out == 0 && went[p.Request.Shard] {
 			ids = append(ids, id)
 		}
 	}
@@ -107,7 +107,7 @@
 // plan cuts what a query wants along the slices of the layout as it stands. A query on a
 // fixed layout has its parts already. One on a layout that has gone has none, and is refused.
 func (c *Core) plan(q *query) []Part {
-	if len(q.Wanted) == 0 {
+	if len(q.KeyRanges) == 0 {
 		return q.Parts
 	}
 	g := c.layouts[q.Collection]
@@ -115,14 +115,14 @@
 		return nil
 	}
 	g.open++
-	q.ground, q.layout, q.ledger = g, g.now, coverage.NewTracker(q.Wanted...)
+	q.ground, q.layout, q.ledger = g, g.now, coverage.NewTracker(q.KeyRanges...)
 	return c.parted(q, g.now, replan.Plan(g.now, q.ledger.Requested()), 1)
 }
 
 // parted words planned parts; their weights follow their ranges and add up to total.
 func (*Core) parted(q *query, l *shardmap.Map, list []replan.Part, total float64) []Part {
 	out := make([]Part, len(list))
-	asks := make([]Ask, len(list)) // one allocation
+	asks := make([]ShardRequest, len(list)) // one allocation
 	ranges := make([]shardmap.Range, len(list))
 	for i, p := range list {
 		ranges[i] = p.Range
@@ -130,8 +130,8 @@
 	weights := coverage.SplitWeight(total, ranges)
 	for i, p := range list {
 		s, _ := l.Shard(p.Shard)
-		asks[i] = Ask{Slice: p.Shard, Version: l.Version(), Range: p.Range, Piece: s.Range != p.Range, round: p.Round}
-		out[i] = Part{Shard: q.ground.shard(p.Shard), Weight: weights[i], Text: q.Text, Ask: &asks[i]}
+		asks[i] = ShardRequest{Shard: p.Shard, MapVersion: l.Version(), Range: p.Range, Subrange: s.Range != p.Range, round: p.Round}
+		out[i] = Part{Shard: q.ground.shard(p.Shard), Weight: weights[i], Payload: q.Payload, Request: &asks[i]}
 	}
 	return out
 }
@@ -139,51 +139,51 @@
 // settlePart looks at the end of an attempt of a part on a layout that can move: what an
 // answer covers, and whether the part is to be planned anew. It returns the end as it is
 // booked, and what the module is told after it.
-func (c *Core) settlePart(p *part, r Result) (end.End, []routing.Event) {
-	switch r.End {
-	case end.Served:
+func (c *Core) settlePart(p *part, r Result) (outcome.Outcome, []routing.Event) {
+	switch r.Outcome {
+	case outcome.Success:
 		return c.cover(p, r)
-	case end.Moved:
+	case outcome.ShardMoved:
 		replaced, why := c.replan(p, nil)
 		if why == replan.Replanned {
-			return r.End, []routing.Event{replaced}
+			return r.Outcome, []routing.Event{replaced}
 		}
 		c.count.Add("replans_refused_"+string(why), 1)
-		return end.Ahead, nil
+		return outcome.UnknownShardMap, nil
 	}
 	if p.out > 0 || p.query.ground.now == nil {
-		return r.End, nil
+		return r.Outcome, nil
 	}
-	if _, held := p.query.ground.now.Resolve(p.Ask.Slice); !held { // another try there would come to nothing
+	if _, held := p.query.ground.now.Resolve(p.Request.Shard); !held { // another try there would come to nothing
 		if replaced, why := c.replan(p, nil); why == replan.Replanned {
-			return r.End, []routing.Event{replaced}
+			return r.Outcome, []routing.Event{replaced}
 		}
 	}
-	return r.End, nil
+	return r.Outcome, nil
 }
 
 // cover books what an answer covers. A piece of what was asked for is kept, and the rest
 // is asked for anew.
-func (c *Core) cover(p *part, r Result) (end.End, []routing.Event) {
-	covers := p.Ask.Range
+func (c *Core) cover(p *part, r Result) (outcome.Outcome, []routing.Event) {
+	covers := p.Request.Range
 	switch {
 	case r.Covers != nil:
 		covers = *r.Covers
-	case p.Ask.Piece:
-		return end.Unversioned, nil
+	case p.Request.Subrange:
+		return outcome.UnknownCoverage, nil
 	}
-	if !p.Ask.Range.Covers(covers) || !p.query.ledger.Record(covers) {
-		return end.Doubled, nil
+	if !p.Request.Range.Covers(covers) || !p.query.ledger.Record(covers) {
+		return outcome.DuplicateCoverage, nil
 	}
-	if covers == p.Ask.Range {
-		return end.Served, nil
+	if covers == p.Request.Range {
+		return outcome.Success, nil
 	}
-	ask := *p.Ask
-	ask.Range, ask.Piece = covers, true
-	in := p.Weight * covers.Size() / p.Ask.Range.Size()
+	ask := *p.Request
+	ask.Range, ask.Subrange = covers, true
+	in := p.Weight * covers.Size() / p.Request.Range.Size()
 	p.Weight -= in // what the rest is shared out of
-	p.query.pieces = append(p.query.pieces, Value{Shard: p.Shard, Ask: &ask, Data: r.Value, Score: r.Score, Hits: r.Hits})
-	replaced, why := c.replan(p, coverage.NewRangeSet(p.Ask.Range).Subtract(coverage.NewRangeSet(covers)).Ranges())
+	p.query.pieces = append(p.query.pieces, Value{Shard: p.Shard, Request: &ask, Data: r.Value, Score: r.Score, Hits: r.Hits})
+	replaced, why := c.replan(p, coverage.NewRangeSet(p.Request.Range).Subtract(coverage.NewRangeSet(covers)).Ranges())
 	if why != replan.Replanned { // the rest is lost; the module hears that no part asks for it
 		c.count.Add("replans_refused_"+string(why), 1)
 		p.gave = true
@@ -193,7 +193,7 @@
 		replaced = routing.PartsReplaced{IDs: []routing.RequestID{p.id}}
 	}
 	replaced.ReceivedWeight = in
-	return end.Pieced, []routing.Event{replaced}
+	return outcome.PartialCoverage, []routing.Event{replaced}
 }
 
 // replan puts others in the place of a part whose slice has gone, or for what is left of one.
@@ -209,7 +209,7 @@
 	standing := make([]replan.Part, len(q.parts))
 	at := 0
 	for i, o := range q.parts {
-		standing[i] = replan.Part{Shard: o.Ask.Slice, Range: o.Ask.Range, Round: o.Ask.round}
+		standing[i] = replan.Part{Shard: o.Request.Shard, Range: o.Request.Range, Round: o.Request.round}
 		switch {
 		case o == p:
 			at = i
@@ -253,12 +253,12 @@
 // settleLayout looks once more at an answer on a layout that can move: it is whole only if
 // every wanted key is in exactly once.
 func (c *Core) settleLayout(q *query, a *Answer) {
-	a.Layout = q.layout.Version()
-	if a.Verdict == Answered {
+	a.ShardMapVersion = q.layout.Version()
+	if a.Status == Answered {
 		a.Values = append(a.Values, q.pieces...)
-		if a.Whole && !q.ledger.Complete() {
+		if a.Complete && !q.ledger.Complete() {
 			c.count.Add("answers_not_whole", 1)
-			a.Whole = false
+			a.Complete = false
 		}
 	}
 	if !q.ledger.Complete() {
@@ -271,13 +271,13 @@
 }
 
 // lost adds the wanted keys that no part asks for any more to what is missing.
-func (*Core) lost(q *query, missing []Miss) []Miss {
+func (*Core) lost(q *query, missing []MissingPart) []MissingPart {
 	told := coverage.RangeSet{}
 	for _, m := range missing {
-		told.Add(m.Ask.Range)
+		told.Add(m.Request.Range)
 	}
 	for _, r := range coverage.NewRangeSet(q.ledger.Missing()...).Subtract(told).Ranges() {
-		missing = append(missing, Miss{Last: end.Moved, Tried: true, Ask: &Ask{Range: r, Version: q.layout.Version(), Piece: true}})
+		missing = append(missing, MissingPart{LastOutcome: outcome.ShardMoved, Attempted: true, Request: &ShardRequest{Range: r, MapVersion: q.layout.Version(), Subrange: true}})
 	}
 	return missing
 }
--- a/internal/coordinator/moving_test.go
+++ b/internal/coordinator/moving_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"linkpass/internal/end"
+	"linkpass/internal/outcome"
 	"linkpass/internal/routing"
 	"linkpass/internal/shardmap"
 	"linkpass/internal/shardmap/coverage"
@@ -16,7 +16,7 @@
 // mover is a core whose index moves, with the test as its servers.
 type mover struct {
 	t    *testing.T
-	l    *links
+	l    *fakeTransports
 	now  *shardmap.Map
 	next int // of the calls, not yet looked at
 }
@@ -25,7 +25,7 @@
 
 // moving runs a core on an index of n slices, held by a and b, and c and d, in turn.
 func moving(t *testing.T, n int, f func(*mover)) {
-	bench(t, func(l *links, _ func(time.Duration, ...Part) (*[]Answer, func())) {
+	bench(t, func(l *fakeTransports, _ func(time.Duration, ...Part) (*[]Answer, func())) {
 		first, err := shardmap.NewEven(n, [][]string{{"a", "b"}, {"c", "d"}})
 		if err != nil {
 			t.Fatal(err)
@@ -39,7 +39,7 @@
 // publish tells the core of a version; nil: the index has gone.
 func (m *mover) publish(l *shardmap.Map) {
 	if n, changed := shardmap.Diff("i", m.now, l); changed {
-		m.l.core.Reshape([]shardmap.Change{n}, func(s string) routing.ServerID { return numbers[s] })
+		m.l.core.UpdateShardMaps([]shardmap.Change{n}, func(s string) routing.ServerID { return numbers[s] })
 	}
 	m.now = l
 	settle(10 * time.Millisecond)
@@ -69,8 +69,8 @@
 
 func (m *mover) ask(wanted ...shardmap.Range) (*[]Answer, func()) {
 	answers := new([]Answer)
-	leave := m.l.core.Submit(Query{Name: "q", Collection: "i", Began: m.l.core.Now(), Timeout: 2 * time.Second, Wanted: wanted,
-		Text: []byte("x"), Reply: func(a Answer) { *answers = append(*answers, a) }})
+	leave := m.l.core.Submit(Query{Name: "q", Collection: "i", StartedAt: m.l.core.Now(), Timeout: 2 * time.Second, KeyRanges: wanted,
+		Payload: []byte("x"), Reply: func(a Answer) { *answers = append(*answers, a) }})
 	settle(50 * time.Millisecond)
 	return answers, leave
 }
@@ -85,13 +85,13 @@
 
 func (m *mover) end(a Attempt, r Result) {
 	r.At = m.l.core.Now()
-	m.l.core.Ended(a.ID, r)
+	m.l.core.AttemptEnded(a.ID, r)
 	settle(30 * time.Millisecond)
 }
 
 func (m *mover) serve(list ...Attempt) {
 	for _, a := range list {
-		m.end(a, Result{End: end.Served, Covers: &a.Ask.Range, Value: []byte("v")})
+		m.end(a, Result{Outcome: outcome.Success, Covers: &a.Request.Range, Value: []byte("v")})
 	}
 }
 
@@ -100,18 +100,18 @@
 	t.Helper()
 	ledger := coverage.NewTracker(wanted...)
 	for _, v := range a.Values {
-		if !ledger.Record(v.Ask.Range) {
-			t.Fatalf("%s is in twice: %+v", v.Ask.Range, a.Values)
+		if !ledger.Record(v.Request.Range) {
+			t.Fatalf("%s is in twice: %+v", v.Request.Range, a.Values)
 		}
 	}
-	if a.Whole != ledger.Complete() {
-		t.Fatalf("marked whole: %v; missing %v", a.Whole, ledger.Missing())
+	if a.Complete != ledger.Complete() {
+		t.Fatalf("marked whole: %v; missing %v", a.Complete, ledger.Missing())
 	}
 	missing := coverage.RangeSet{}
 	for _, miss := range a.Missing {
-		missing.Add(miss.Ask.Range)
+		missing.Add(miss.Request.Range)
 	}
-	if a.Verdict == Answered && len(coverage.NewRangeSet(ledger.Missing()...).Subtract(missing).Ranges()) > 0 {
+	if a.Status == Answered && len(coverage.NewRangeSet(ledger.Missing()...).Subtract(missing).Ranges()) > 0 {
 		t.Fatalf("missing %v, told %v", ledger.Missing(), missing.Ranges())
 	}
 }
@@ -122,12 +122,12 @@
 		answers, _ := m.ask(shardmap.FullRange)
 		old := m.sent()
 		m.order(shardmap.PlanRequest{Kind: shardmap.Move, Shards: []shardmap.ShardID{shardmap.FirstDynamicID}, ReplicaSets: [][]string{{"d"}}}, shardmap.Retired)
-		if !old[0].Gone() {
+		if !old[0].ShardMoved() {
 			t.Error("what is not yet written may still go to a server that has the slice no more")
 		}
-		m.end(old[0], Result{End: end.Moved, Layout: m.now.Version()})
+		m.end(old[0], Result{Outcome: outcome.ShardMoved, ShardMapVersion: m.now.Version()})
 		again := m.sent()
-		if len(again) != 1 || m.l.servers[len(m.l.servers)-1] != numbers["d"] || again[0].Ask.Version != m.now.Version() {
+		if len(again) != 1 || m.l.servers[len(m.l.servers)-1] != numbers["d"] || again[0].Request.MapVersion != m.now.Version() {
 			t.Fatalf("sent %+v to %v", again, m.l.servers)
 		}
 		m.serve(again...)
@@ -143,11 +143,11 @@
 		answers, _ := m.ask(half)
 		list := m.sent()
 		m.serve(list[0])
-		m.order(shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{list[1].Ask.Slice}, Pieces: 2}, shardmap.Retired)
-		m.order(shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{list[0].Ask.Slice}, Pieces: 2}, shardmap.Retired)
-		m.end(list[1], Result{End: end.Moved, Layout: m.now.Version()})
+		m.order(shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{list[1].Request.Shard}, Pieces: 2}, shardmap.Retired)
+		m.order(shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{list[0].Request.Shard}, Pieces: 2}, shardmap.Retired)
+		m.end(list[1], Result{Outcome: outcome.ShardMoved, ShardMapVersion: m.now.Version()})
 		children := m.sent()
-		if len(children) != 2 || children[0].Ask.Piece || !list[1].Ask.Range.Covers(children[0].Ask.Range) {
+		if len(children) != 2 || children[0].Request.Subrange || !list[1].Request.Range.Covers(children[0].Request.Range) {
 			t.Fatalf("children %+v", children)
 		}
 		m.serve(children...)
@@ -168,20 +168,20 @@
 			if answered {
 				m.serve(list[0])
 			} else {
-				m.end(list[0], Result{End: end.ServerError}) // tried again at once: out
+				m.end(list[0], Result{Outcome: outcome.ServerError}) // tried again at once: out
 			}
-			m.order(shardmap.PlanRequest{Kind: shardmap.Merge, Shards: []shardmap.ShardID{list[0].Ask.Slice, list[1].Ask.Slice}}, shardmap.Retired)
+			m.order(shardmap.PlanRequest{Kind: shardmap.Merge, Shards: []shardmap.ShardID{list[0].Request.Shard, list[1].Request.Shard}}, shardmap.Retired)
 			if !answered {
-				m.end(m.sent()[0], Result{End: end.Moved, Layout: m.now.Version()})
+				m.end(m.sent()[0], Result{Outcome: outcome.ShardMoved, ShardMapVersion: m.now.Version()})
 				first := m.sent()
-				if len(first) != 1 || first[0].Ask.Range != list[0].Ask.Range {
-					t.Fatalf("asked for %+v", first[0].Ask)
+				if len(first) != 1 || first[0].Request.Range != list[0].Request.Range {
+					t.Fatalf("asked for %+v", first[0].Request)
 				}
 				m.serve(first...)
 			}
-			m.end(list[1], Result{End: end.Moved, Layout: m.now.Version()})
+			m.end(list[1], Result{Outcome: outcome.ShardMoved, ShardMapVersion: m.now.Version()})
 			rest := m.sent()
-			if len(rest) != 1 || rest[0].Ask.Range != list[1].Ask.Range || !rest[0].Ask.Piece {
+			if len(rest) != 1 || rest[0].Request.Range != list[1].Request.Range || !rest[0].Request.Subrange {
 				t.Fatalf("asked for %+v", rest)
 			}
 			m.serve(rest...)
@@ -195,7 +195,7 @@
 	moving(t, 1, func(m *mover) {
 		answers, _ := m.ask(shardmap.FullRange)
 		list := m.sent()
-		m.end(list[0], Result{End: end.Moved, Layout: 999})
+		m.end(list[0], Result{Outcome: outcome.ShardMoved, ShardMapVersion: 999})
 		again := m.sent()
 		if len(again) != 1 || m.l.servers[0] == m.l.servers[1] || m.l.core.count.Get("attempts_ahead") != 1 {
 			t.Fatalf("sent %+v to %v", again, m.l.servers)
@@ -214,15 +214,15 @@
 			all := m.now.Shards()
 			m.order(shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{all[len(all)-1].ID}, Pieces: 2}, shardmap.Retired)
 		}
-		m.end(old[0], Result{End: end.Moved, Layout: m.now.Version()})
+		m.end(old[0], Result{Outcome: outcome.ShardMoved, ShardMapVersion: m.now.Version()})
 		list := m.sent()
 		if len(list) != 3 {
 			t.Fatalf("%d parts for three slices", len(list))
 		}
 		m.serve(list...)
 		a := one(t, answers, Answered)
-		if exact(t, a, shardmap.FullRange); a.Layout != 1 || m.l.core.count.Get("replans") != 1 {
-			t.Errorf("planned on %d, %d times anew", a.Layout, m.l.core.count.Get("replans"))
+		if exact(t, a, shardmap.FullRange); a.ShardMapVersion != 1 || m.l.core.count.Get("replans") != 1 {
+			t.Errorf("planned on %d, %d times anew", a.ShardMapVersion, m.l.core.count.Get("replans"))
 		}
 	})
 }
@@ -237,9 +237,9 @@
 		m.publish(nil)
 		another, _ := shardmap.NewEven(1, [][]string{{"d"}})
 		m.publish(another)
-		m.end(list[1], Result{End: end.ServerError})
+		m.end(list[1], Result{Outcome: outcome.ServerError})
 		again := m.sent()
-		if len(again) != 1 || again[0].Ask.Range != list[1].Ask.Range {
+		if len(again) != 1 || again[0].Request.Range != list[1].Request.Range {
 			t.Fatalf("sent %+v", again)
 		}
 		m.serve(again...)
@@ -261,22 +261,22 @@
 		answers, _ := m.ask(shardmap.FullRange)
 		cut := shardmap.FullRange.Split(4)
 		first := shardmap.Range{First: cut[0].First, Last: cut[2].Last}
-		m.end(m.sent()[0], Result{End: end.Served, Covers: &first, Value: []byte("v")})
+		m.end(m.sent()[0], Result{Outcome: outcome.Success, Covers: &first, Value: []byte("v")})
 		rest := m.sent()
-		if len(rest) != 1 || rest[0].Ask.Range != cut[3] || !rest[0].Ask.Piece {
+		if len(rest) != 1 || rest[0].Request.Range != cut[3] || !rest[0].Request.Subrange {
 			t.Fatalf("the rest: %+v", rest)
 		}
-		m.end(rest[0], Result{End: end.Served, Value: []byte("v")}) // says nothing
+		m.end(rest[0], Result{Outcome: outcome.Success, Value: []byte("v")}) // says nothing
 		if n := m.l.core.count.Get("attempts_unversioned"); n != 1 {
 			t.Errorf("%d unversioned", n)
 		}
 		again := m.sent()
-		m.end(again[0], Result{End: end.Served, Covers: &shardmap.FullRange, Value: []byte("v")}) // more than was asked for
+		m.end(again[0], Result{Outcome: outcome.Success, Covers: &shardmap.FullRange, Value: []byte("v")}) // more than was asked for
 		if n := m.l.core.count.Get("attempts_doubled"); n != 1 {
 			t.Errorf("%d doubled", n)
 		}
 		again = m.sent()
-		m.end(again[0], Result{End: end.Served, Covers: &cut[3], Value: []byte("v")})
+		m.end(again[0], Result{Outcome: outcome.Success, Covers: &cut[3], Value: []byte("v")})
 		exact(t, one(t, answers, Answered), shardmap.FullRange)
 	})
 }
@@ -288,12 +288,12 @@
 		half, key := shardmap.FullRange.Split(2)[0], shardmap.Range{First: shardmap.FullRange.Last, Last: shardmap.FullRange.Last}
 		answers, _ := m.ask(half, key)
 		list := m.sent()
-		m.end(list[0], Result{End: end.Served, Covers: &shardmap.FullRange, Value: []byte("v")})
+		m.end(list[0], Result{Outcome: outcome.Success, Covers: &shardmap.FullRange, Value: []byte("v")})
 		if n := m.l.core.count.Get("attempts_doubled"); n != 1 {
 			t.Errorf("%d doubled", n)
 		}
 		m.serve(m.sent()...)
-		if m.l.core.Held() == 0 {
+		if m.l.core.OpenCount() == 0 {
 			t.Fatal("answered without the single key")
 		}
 		m.serve(list[1])
@@ -311,28 +311,28 @@
 			cut := shardmap.FullRange.Split(5)
 			wanted := cut[:1+rng.IntN(5)]
 			answers, _ := m.ask(wanted...)
-			for m.l.core.Held() > 0 { // asked of the core, so that reading the answer is ordered after it
+			for m.l.core.OpenCount() > 0 { // asked of the core, so that reading the answer is ordered after it
 				list := m.sent()
 				rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 				for _, a := range list {
 					if rng.IntN(3) == 0 {
 						m.randomChange(rng)
 					}
-					_, held := m.now.Resolve(a.Ask.Slice)
+					_, held := m.now.Resolve(a.Request.Shard)
 					switch roll := rng.IntN(10); {
 					case !held && roll < 8:
-						m.end(a, Result{End: end.Moved, Layout: m.now.Version()})
+						m.end(a, Result{Outcome: outcome.ShardMoved, ShardMapVersion: m.now.Version()})
 					case roll == 0:
-						m.end(a, Result{End: end.ServerError})
+						m.end(a, Result{Outcome: outcome.ServerError})
 					case roll == 1:
-						m.end(a, Result{End: end.Moved, Layout: m.now.Version() + uint64(rng.IntN(2))})
+						m.end(a, Result{Outcome: outcome.ShardMoved, ShardMapVersion: m.now.Version() + uint64(rng.IntN(2))})
 					case roll == 2:
-						if pieces := a.Ask.Range.Split(2); pieces != nil {
-							m.end(a, Result{End: end.Served, Covers: &pieces[rng.IntN(2)], Value: []byte("v")})
+						if pieces := a.Request.Range.Split(2); pieces != nil {
+							m.end(a, Result{Outcome: outcome.Success, Covers: &pieces[rng.IntN(2)], Value: []byte("v")})
 						}
 					case roll == 3: // silent
 					default:
-						m.end(a, Result{End: end.Served, Covers: &a.Ask.Range, Value: []byte("v")})
+						m.end(a, Result{Outcome: outcome.Success, Covers: &a.Request.Range, Value: []byte("v")})
 					}
 				}
 				settle(50 * time.Millisecond)
@@ -342,10 +342,10 @@
 			if len(*answers) != 1 {
 				t.Fatalf("seed %d: %d answers", seed, len(*answers))
 			}
-			if a.Verdict == Answered {
+			if a.Status == Answered {
 				exact(t, a, wanted...)
 			}
-			seen[fmt.Sprint(a.Verdict, a.Whole)]++
+			seen[fmt.Sprint(a.Status, a.Complete)]++
 			seen["replans"] += int(m.l.core.count.Get("replans"))
 			if n := len(m.l.core.parts) + len(m.l.core.queries) + len(m.l.core.attempts); n != 0 {
 				t.Errorf("seed %d: %d things are held after the end", seed, n)
--- a/internal/daemon/admin_backend.go
+++ b/internal/daemon/admin_backend.go
@@ -48,7 +48,7 @@
 		ServersExcluded: b.totals.ServersExcluded.Load(),
 		ResidentKB:      residentKB(),
 	}
-	if _, ok := b.core.core.Beliefs(coreTimeout); !ok {
+	if _, ok := b.core.core.Snapshot(coreTimeout); !ok {
 		s.Core = "busy"
 	}
 	s.Classes = b.classStatus()
@@ -75,7 +75,7 @@
 	if b.bodies.store == nil {
 		return nil
 	}
-	f := b.bodies.store.Figures()
+	f := b.bodies.store.Totals()
 	return &adminapi.BodyStatus{Stored: f.Bodies, Shared: f.Shared, Arriving: f.ArrivingBodies, Waiting: f.WaitingBodies,
 		Memory: f.Memory, Files: f.Files, Disk: f.Disk}
 }
@@ -106,7 +106,7 @@
 
 // Servers is the module's view of the league servers.
 func (b *adminBackend) Servers() ([]adminapi.Server, error) {
-	list, ok := b.core.core.Beliefs(coreTimeout)
+	list, ok := b.core.core.Snapshot(coreTimeout)
 	if !ok {
 		return nil, adminapi.ErrCoreBusy
 	}
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -45,11 +45,11 @@
 	if cfg.module, cfg.host, err = settings.ParseJSON([]byte(settingsText)); err != nil {
 		t.Fatal(err)
 	}
-	cfg.known = discovery.Document{Version: 0, Full: true}
+	cfg.known = discovery.EndpointList{Version: 0, Full: true}
 	for cell := range cells {
 		for _, twin := range []string{"a", "b"} {
 			s := b.add(fmt.Sprintf("s-%d%s", cell, twin), cell)
-			cfg.known.Servers = append(cfg.known.Servers, s.entry("in_service", 0))
+			cfg.known.Endpoints = append(cfg.known.Endpoints, s.entry("in_service", 0))
 		}
 	}
 	raft, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/daemon/body_config.go
+++ b/internal/daemon/body_config.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"slices"
 
-	"linkpass/internal/bodies/tier"
+	"linkpass/internal/bodystore/tier"
 )
 
 // BodyConfig configures the store of bodies: the section `bodies` of the operators' file.
--- a/internal/daemon/body_store.go
+++ b/internal/daemon/body_store.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"linkpass/internal/bodies"
-	"linkpass/internal/bodies/tier"
+	"linkpass/internal/bodystore"
+	"linkpass/internal/bodystore/tier"
 	"linkpass/internal/eventlog"
 	"linkpass/internal/http1"
 	"linkpass/internal/lifecycle"
@@ -22,8 +22,8 @@
 	core     *queryCore
 	settings *activeSettings
 
-	total tier.Limits   // of all processes together; guarded by process.mu
-	store *bodies.Store // nil: off
+	total tier.Limits      // of all processes together; guarded by process.mu
+	store *bodystore.Store // nil: off
 }
 
 func newBodyStore(p *process, core *queryCore, settings *activeSettings) *bodyStore {
@@ -44,7 +44,7 @@
 		return nil
 	}
 	limits.Memory, limits.Files = b.shareOfTotal()
-	b.store = bodies.Open(bodies.Config{Limits: limits, Classes: b.cfg.host.Classes, Dir: b.cfg.Search.Bodies.Dir,
+	b.store = bodystore.Open(bodystore.Config{Limits: limits, Classes: b.cfg.host.Classes, Dir: b.cfg.Search.Bodies.Dir,
 		Now: b.core.core.Now, Counters: b.counters})
 	return nil
 }
@@ -66,7 +66,7 @@
 // limit keeps the store to this process's share. The caller holds mu.
 func (b *bodyStore) limit() {
 	if b.store != nil {
-		b.store.Limit(b.shareOfTotal())
+		b.store.SetLimits(b.shareOfTotal())
 	}
 }
 
@@ -85,16 +85,16 @@
 }
 
 // spool is where the large body of a search is written as it arrives; nil: it stays with its request.
-func (b *bodyStore) spool(req *http1.Request) http1.Spool {
+func (b *bodyStore) spool(req *http1.Request) http1.BodySink {
 	name, rest, _ := strings.Cut(strings.TrimPrefix(req.Path, "/"), "/")
 	index, ok := b.settings.config().Indices[name]
 	class := slices.Index(b.cfg.host.Classes, index.Class)
 	if !ok || rest != "_search" || class < 0 {
 		return nil // a request that is no search is small, or rejected
 	}
-	return &opensearch.Arriving{
-		Writer:  b.store.Arrive(class, b.cfg.module.Classes[class].PriorityWeight),
-		Refused: &http1.Error{Status: 429, Reason: "no room for the search's body", RetryAfter: b.retryAfter()},
+	return &opensearch.BodyUpload{
+		Writer:    b.store.NewWriter(class, b.cfg.module.Classes[class].PriorityWeight),
+		Rejection: &http1.Error{Status: 429, Reason: "no room for the search's body", RetryAfter: b.retryAfter()},
 	}
 }
 
@@ -103,6 +103,6 @@
 	if b.store == nil {
 		return
 	}
-	f := b.store.Figures()
+	f := b.store.Totals()
 	eventlog.Bodies.Log(f.Bodies, f.Shared, f.ArrivingBodies, f.WaitingBodies, f.Memory, f.Files, f.Disk)
 }
--- a/internal/daemon/body_store_test.go
+++ b/internal/daemon/body_store_test.go
@@ -51,7 +51,7 @@
 			_, _ = http1.NewReader(nc, 0).Response()
 		}
 	}()
-	for b.p.bodies.store.Figures().Bodies == 0 {
+	for b.p.bodies.store.Totals().Bodies == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	for _, s := range b.servers {
--- a/internal/daemon/client_fronts.go
+++ b/internal/daemon/client_fronts.go
@@ -49,7 +49,7 @@
 func (f *clientFronts) limit(maxConns int) {
 	f.maxConns = maxConns
 	for _, server := range f.servers {
-		server.Limit(maxConns)
+		server.SetMaxConns(maxConns)
 	}
 }
 
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -21,7 +21,7 @@
 	seed                    uint64
 	memoryMB, sockets       int
 	cores                   float64
-	known                   discovery.Document
+	known                   discovery.EndpointList
 	module                  routing.Settings
 	host                    settings.Host
 	Search                  SearchConfig
@@ -42,8 +42,8 @@
 		MemoryMB int     `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Known    discovery.Document `json:"known"`
-	Settings json.RawMessage    `json:"settings"`
+	Known    discovery.EndpointList `json:"known"`
+	Settings json.RawMessage        `json:"settings"`
 }
 
 // Load reads the configuration that the environment names.
--- a/internal/daemon/discovery_watcher.go
+++ b/internal/daemon/discovery_watcher.go
@@ -35,15 +35,15 @@
 	}
 	d.watcher = discovery.NewWatcher(d.cfg.discovery, newListReader(d.process, d.core), target, d.counters)
 	d.watcher.Seed = d.cfg.seed
-	d.watcher.Patience = watchPatience(d.cfg.module)
+	d.watcher.Timeouts = watchPatience(d.cfg.module)
 	return nil
 }
 
 func (d *discoveryWatcher) run(ctx context.Context) { d.watcher.Run(ctx, d.cfg.known) }
 
 // newListReader parses discovery's documents as this coordinator is set up.
-func newListReader(p *process, core *queryCore) *discovery.Reader {
-	return &discovery.Reader{
+func newListReader(p *process, core *queryCore) *discovery.Converter {
+	return &discovery.Converter{
 		Zones: p.cfg.host.Zones,
 		Kinds: p.cfg.host.Kinds,
 		Cells: p.cfg.module.Cells,
@@ -52,9 +52,9 @@
 }
 
 // watchPatience is that with one service for all where changes have to be polled, and that with an agent otherwise.
-func watchPatience(set routing.Settings) discovery.Patience {
+func watchPatience(set routing.Settings) discovery.Timeouts {
 	if set.SubscribesToEndpoints {
-		return discovery.Queued
+		return discovery.SharedServiceTimeouts
 	}
-	return discovery.Pushed(set.DrainGrace)
+	return discovery.LocalAgentTimeouts(set.DrainGrace)
 }
--- a/internal/daemon/discovery_watcher_test.go
+++ b/internal/daemon/discovery_watcher_test.go
@@ -11,7 +11,7 @@
 // Where changes are pushed, a change counts as announced once the agent has it: it is polled more often than a service
 // for all.
 func TestWatchPatience(t *testing.T) {
-	for polls, want := range map[bool]discovery.Patience{true: discovery.Queued, false: discovery.Pushed(2 * time.Second)} {
+	for polls, want := range map[bool]discovery.Timeouts{true: discovery.SharedServiceTimeouts, false: discovery.LocalAgentTimeouts(2 * time.Second)} {
 		if got := watchPatience(routing.Settings{SubscribesToEndpoints: polls, DrainGrace: 2 * time.Second}); got != want {
 			t.Errorf("polls: %v: %+v, want %+v", polls, got, want)
 		}
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -27,8 +27,8 @@
 	mu          sync.Mutex // guards parts, version and changes
 	parts       []receivedPart
 	version     int64
-	changes     []discovery.Document // by version, from 1
-	watchedFrom chan int64           // versions that the watch continues from
+	changes     []discovery.EndpointList // by version, from 1
+	watchedFrom chan int64               // versions that the watch continues from
 	changed     chan struct{}
 	addr        string
 }
@@ -83,11 +83,11 @@
 
 // update changes the list and returns once the coordinator's watch continues from it:
 // a request to the coordinator after that follows the change.
-func (f *fleet) update(lines ...discovery.Server) {
+func (f *fleet) update(lines ...discovery.Endpoint) {
 	f.mu.Lock()
 	f.version++
 	version := f.version
-	f.changes = append(f.changes, discovery.Document{Version: version, Servers: lines})
+	f.changes = append(f.changes, discovery.EndpointList{Version: version, Endpoints: lines})
 	f.mu.Unlock()
 	f.changed <- struct{}{}
 	for <-f.watchedFrom != version {
@@ -111,7 +111,7 @@
 			return
 		}
 		f.watchedFrom <- after
-		d := discovery.Document{Version: after}
+		d := discovery.EndpointList{Version: after}
 		select {
 		case <-f.changed:
 			f.mu.Lock()
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -175,11 +175,11 @@
 	}
 }
 
-func goldenEndpoints() discovery.Document {
-	return discovery.Document{
+func goldenEndpoints() discovery.EndpointList {
+	return discovery.EndpointList{
 		Version: 41,
 		Full:    true,
-		Servers: []discovery.Server{{
+		Endpoints: []discovery.Endpoint{{
 			ID:        "s-5be2a07c",
 			Addr:      "127.0.0.1:7001",
 			Zone:      "ebene",
--- a/internal/daemon/league_server_test.go
+++ b/internal/daemon/league_server_test.go
@@ -39,8 +39,8 @@
 }
 
 // entry is the server's entry in the endpoint list.
-func (s *leagueServer) entry(state string, started int64) discovery.Server {
-	return discovery.Server{ID: s.name, Addr: s.addr, Zone: "ebene", Kind: "m2", Cell: s.cell, State: state, Weight: 1, StartedMS: started}
+func (s *leagueServer) entry(state string, started int64) discovery.Endpoint {
+	return discovery.Endpoint{ID: s.name, Addr: s.addr, Zone: "ebene", Kind: "m2", Cell: s.cell, State: state, Weight: 1, StartedMS: started}
 }
 
 // record keeps a part and returns the mode in which to answer it.
--- a/internal/daemon/limits_share.go
+++ b/internal/daemon/limits_share.go
@@ -8,7 +8,7 @@
 	"linkpass/internal/eventlog"
 	"linkpass/internal/handover"
 	"linkpass/internal/lifecycle"
-	"linkpass/internal/peer"
+	"linkpass/internal/upstream"
 )
 
 const (
@@ -22,7 +22,7 @@
 // and applies this process's share to the components.
 type limitsShare struct {
 	*process
-	dials  *peer.Places // connections that all league servers may take
+	dials  *upstream.ConnLimiter // connections that all league servers may take
 	core   *queryCore
 	bodies *bodyStore
 	fronts *clientFronts
@@ -31,7 +31,7 @@
 	alone chan struct{} // receives once no other process of this coordinator runs any more
 }
 
-func newLimitsShare(p *process, dials *peer.Places, core *queryCore, bodies *bodyStore,
+func newLimitsShare(p *process, dials *upstream.ConnLimiter, core *queryCore, bodies *bodyStore,
 	fronts *clientFronts) *limitsShare {
 	return &limitsShare{process: p, dials: dials, core: core, bodies: bodies, fronts: fronts,
 		alone: make(chan struct{}, 1)}
@@ -62,9 +62,9 @@
 	l.limitMemory()
 	clients, servers := shareSockets(l.cfg.sockets/s.Processes, l.fronts.planned())
 	l.fronts.limit(clients)
-	l.dials.Limit(servers)
+	l.dials.SetLimit(servers)
 	if l.core.core != nil {
-		l.core.core.Room(s.MaxOpen)
+		l.core.core.SetMaxOpen(s.MaxOpen)
 	}
 	l.bodies.limit()
 	if s.Processes == 1 {
--- a/internal/daemon/platform_front.go
+++ b/internal/daemon/platform_front.go
@@ -28,17 +28,17 @@
 
 func (f *platformFront) start() (*boundServer, error) {
 	handler := &platform.Front{
-		Core:     f.core.core,
-		Classes:  f.cfg.host.Classes,
-		Tenants:  f.cfg.host.Tenants,
-		Shards:   f.cfg.module.Shards,
-		Counters: f.counters,
-		Ready:    f.readiness.Ready,
-		Bodies:   f.bodies.store,
-		Retry:    f.bodies.retryAfter(),
+		Core:       f.core.core,
+		Classes:    f.cfg.host.Classes,
+		Tenants:    f.cfg.host.Tenants,
+		Shards:     f.cfg.module.Shards,
+		Counters:   f.counters,
+		Ready:      f.readiness.Ready,
+		BodyStore:  f.bodies.store,
+		RetryAfter: f.bodies.retryAfter(),
 	}
 	for _, class := range f.cfg.module.Classes {
-		handler.Worth = append(handler.Worth, class.PriorityWeight)
+		handler.PriorityWeights = append(handler.PriorityWeights, class.PriorityWeight)
 	}
 	ln, err := clientListener(f.cfg.listen, f.cfg.listenFD)
 	if err != nil {
--- a/internal/daemon/program.go
+++ b/internal/daemon/program.go
@@ -8,7 +8,7 @@
 
 	"linkpass/internal/lifecycle"
 	"linkpass/internal/metrics"
-	"linkpass/internal/peer"
+	"linkpass/internal/upstream"
 )
 
 // Program is a coordinator that has started: its components, and those of them that Serve talks to.
@@ -48,7 +48,7 @@
 // newProgram makes the components, and lists them in the order of their start.
 func newProgram(cfg Config) (*Program, []lifecycle.Component) {
 	proc := newProcess(cfg)
-	dials := peer.NewPlaces(0)
+	dials := upstream.NewConnLimiter(0)
 	settings := newActiveSettings(&cfg.Search.Config) // a copy: a reload overwrites that of proc
 	st, names := &replicatedStore{}, &endpointNames{}
 
--- a/internal/daemon/query_core.go
+++ b/internal/daemon/query_core.go
@@ -32,13 +32,13 @@
 	module := c.cfg.module
 	module.MaxOpen = c.share.MaxOpen
 	c.core, err = coordinator.New(coordinator.Config{
-		Settings:     module,
-		Seed:         c.cfg.seed,
-		ProbeTimeout: c.cfg.host.ConnectTimeout,
-		Counters:     c.counters,
-		Figures:      c.totals,
-		Mailbox:      mailboxSize,
-		KeepPlans:    c.cfg.Search.Reshape.Replan != nil && !*c.cfg.Search.Reshape.Replan,
+		Settings:           module,
+		Seed:               c.cfg.seed,
+		HealthCheckTimeout: c.cfg.host.ConnectTimeout,
+		Counters:           c.counters,
+		Totals:             c.totals,
+		Mailbox:            mailboxSize,
+		DisableReplan:      c.cfg.Search.Reshape.Replan != nil && !*c.cfg.Search.Reshape.Replan,
 	})
 	return err
 }
--- a/internal/daemon/reloader.go
+++ b/internal/daemon/reloader.go
@@ -74,7 +74,7 @@
 	r.cfg.fileDiscovery = next.fileDiscovery
 	r.mu.Unlock()
 	if moved {
-		r.discovery.watcher.Move(next.fileDiscovery)
+		r.discovery.watcher.SetAddress(next.fileDiscovery)
 	}
 	if ring != nil {
 		r.api.keys.set(ring)
--- a/internal/daemon/search_front.go
+++ b/internal/daemon/search_front.go
@@ -58,7 +58,7 @@
 	front := f.fronts.add("search", ln, &memberHandler{registry: f.registry, front: f.handler(answers)})
 	front.server.MaxBody = Keys.Int("bodies.max_body_kib", f.cfg.Search.Bodies.MaxKiB) << 10
 	if f.bodies.store != nil {
-		front.server.Spools = f.bodies.spool
+		front.server.NewBodySink = f.bodies.spool
 	}
 	return front, nil
 }
@@ -80,20 +80,20 @@
 
 func (f *searchFront) handler(answers http1.Handler) *opensearch.Front {
 	front := &opensearch.Front{
-		Core:     f.core.core,
-		Shards:   f.cfg.module.Shards,
-		Counters: f.counters,
-		Catalog:  *f.settings.source.Load(),
-		Settings: answers,
-		Prefix:   strconv.FormatUint(f.cfg.seed, 16),
-		Bodies:   f.bodies.store,
+		Core:         f.core.core,
+		Shards:       f.cfg.module.Shards,
+		Counters:     f.counters,
+		SearchConfig: *f.settings.source.Load(),
+		Settings:     answers,
+		Prefix:       strconv.FormatUint(f.cfg.seed, 16),
+		BodyStore:    f.bodies.store,
 	}
 	if s := f.store.get(); s != nil {
-		front.Changes = searchSettings{s}
+		front.SettingsUpdater = searchSettings{s}
 	}
 	for i, name := range f.cfg.host.Classes {
 		class := f.cfg.module.Classes[i]
-		front.Classes = append(front.Classes, opensearch.Class{Name: name, Deadline: class.Deadline, Worth: class.PriorityWeight})
+		front.Classes = append(front.Classes, opensearch.Class{Name: name, Deadline: class.Deadline, PriorityWeight: class.PriorityWeight})
 	}
 	return front
 }
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -34,7 +34,7 @@
 		close(p.fronts.admit)
 	}
 	p.components.Run(context.Background())
-	eventlog.Started.Log(p.cfg.name, p.cfg.discovery, len(p.cfg.known.Servers))
+	eventlog.Started.Log(p.cfg.name, p.cfg.discovery, len(p.cfg.known.Endpoints))
 	go p.reloader.run(ctx) // not waited for: files may be slow, and a late reload is rejected once stopping is set
 	p.handleEvents(term, signals, successor)
 
@@ -68,7 +68,7 @@
 
 // handleEvents handles signals, and becomes ready when there are servers, until the context ends.
 func (p *Program) handleEvents(term context.Context, signals <-chan os.Signal, successor bool) {
-	usable, warm := p.discovery.watcher.Usable(), make(chan struct{})
+	usable, warm := p.discovery.watcher.Ready(), make(chan struct{})
 	for {
 		select {
 		case <-usable:
@@ -78,7 +78,7 @@
 				break
 			}
 			// The other process serves meanwhile: this one joins it when it knows its servers.
-			p.core.core.Warm(func() { close(warm) })
+			p.core.core.WarmUp(func() { close(warm) })
 		case <-warm:
 			warm = nil
 			close(p.fronts.admit)
--- a/internal/daemon/shard_map_publisher.go
+++ b/internal/daemon/shard_map_publisher.go
@@ -24,7 +24,7 @@
 	if len(changes) == 0 {
 		return
 	}
-	p.core.core.Reshape(changes, discovery.ServerID)
+	p.core.core.UpdateShardMaps(changes, discovery.ServerID)
 	for _, change := range changes {
 		version := uint64(0)
 		if change.Map != nil {
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -45,7 +45,7 @@
 	}
 	closeListeners(own, shared, s.fronts.accepting.Wait)
 	time.Sleep(idleGrace - wait)
-	s.limits.group.Retire(s.core.core.Held())
+	s.limits.group.Retire(s.core.core.OpenCount())
 	s.fronts.stop()
 }
 
--- a/internal/daemon/upstream_links.go
+++ b/internal/daemon/upstream_links.go
@@ -3,10 +3,10 @@
 import (
 	"linkpass/internal/frame"
 	"linkpass/internal/lifecycle"
-	"linkpass/internal/link"
 	"linkpass/internal/opensearch"
-	"linkpass/internal/peer"
 	"linkpass/internal/searchconfig"
+	"linkpass/internal/transport"
+	"linkpass/internal/upstream"
 )
 
 // upstreamLinks are the connections to the league servers.
@@ -14,12 +14,12 @@
 	*process
 	core     *queryCore
 	settings *activeSettings
-	dials    *peer.Places
+	dials    *upstream.ConnLimiter
 
-	links *link.Set
+	links *transport.Set
 }
 
-func newUpstreamLinks(p *process, core *queryCore, settings *activeSettings, dials *peer.Places) *upstreamLinks {
+func newUpstreamLinks(p *process, core *queryCore, settings *activeSettings, dials *upstream.ConnLimiter) *upstreamLinks {
 	return &upstreamLinks{process: p, core: core, settings: settings, dials: dials}
 }
 
@@ -28,8 +28,8 @@
 }
 
 func (u *upstreamLinks) start() error {
-	u.links = link.NewSet(u.protocols())
-	u.core.core.Bind(u.links)
+	u.links = transport.NewSet(u.protocols())
+	u.core.core.SetTransports(u.links)
 	return nil
 }
 
@@ -39,24 +39,24 @@
 }
 
 // protocols maps each league server to the protocol that it speaks.
-func (u *upstreamLinks) protocols() link.Protocols {
-	common := peer.Config{
+func (u *upstreamLinks) protocols() transport.Protocols {
+	common := upstream.Config{
 		Sink:           u.core.core,
 		Counters:       u.counters,
-		Figures:        u.totals,
-		Places:         u.dials,
+		Totals:         u.totals,
+		ConnLimiter:    u.dials,
 		ConnectTimeout: u.cfg.host.ConnectTimeout,
 		Keepalive:      u.cfg.host.Keepalive,
 	}
-	factory := func(d peer.Dialect) link.Make {
-		return func(name, addr string) link.Carrier { return peer.New(common, d, name, addr) }
+	factory := func(d upstream.Codec) transport.Constructor {
+		return func(name, addr string) transport.Transport { return upstream.New(common, d, name, addr) }
 	}
 	names := u.cfg.host.ReportNames
-	return link.Protocols{
-		Makers: map[string]link.Make{
-			searchconfig.ProtocolPlain:  factory(frame.Dialect{MaxStreams: u.cfg.host.MaxStreams, ReportNames: names}),
-			searchconfig.ProtocolSearch: factory(opensearch.Dialect{ReportNames: names}),
+	return transport.Protocols{
+		Constructors: map[string]transport.Constructor{
+			searchconfig.ProtocolPlain:  factory(frame.Codec{MaxStreams: u.cfg.host.MaxStreams, ReportNames: names}),
+			searchconfig.ProtocolSearch: factory(opensearch.Codec{ReportNames: names}),
 		},
-		Of: func(server string) string { return u.settings.config().Protocol(server) },
+		ForServer: func(server string) string { return u.settings.config().Protocol(server) },
 	}
 }
--- a/internal/daemon/wire_golden_test.go
+++ b/internal/daemon/wire_golden_test.go
@@ -230,10 +230,10 @@
 		Discovery: "127.0.0.1:8081",
 		Operator:  "127.0.0.1:8082",
 		Seed:      "1f",
-		Known: discovery.Document{
+		Known: discovery.EndpointList{
 			Version: 3,
 			Full:    true,
-			Servers: []discovery.Server{{
+			Endpoints: []discovery.Endpoint{{
 				ID:        "s-1",
 				Addr:      "127.0.0.1:7001",
 				Zone:      "z1",
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -35,15 +35,15 @@
 	none = -1
 )
 
-// Document is a list in discovery's form.
-type Document struct {
-	Version int64    `json:"version"`
-	Full    bool     `json:"full"`
-	Servers []Server `json:"servers"`
+// EndpointList is a list in discovery's form.
+type EndpointList struct {
+	Version   int64      `json:"version"`
+	Full      bool       `json:"full"`
+	Endpoints []Endpoint `json:"servers"`
 }
 
-// Server is one line of it.
-type Server struct {
+// Endpoint is one line of it.
+type Endpoint struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
 	Zone      string  `json:"zone"`
@@ -58,30 +58,30 @@
 	"in_service": routing.Ready, "terminating": routing.Draining, "terminated": routing.Removed,
 }
 
-// Reader turns documents into lists.
-type Reader struct {
+// Converter turns documents into lists.
+type Converter struct {
 	Zones, Kinds []string
 	Cells        int
 	Clock        func(unixMS int64) time.Duration
 }
 
 // Parse reads a document.
-func Parse(data []byte) (Document, error) {
-	var d Document
+func Parse(data []byte) (EndpointList, error) {
+	var d EndpointList
 	if err := json.Unmarshal(data, &d); err != nil {
-		return Document{}, fmt.Errorf("discovery: %w", err)
+		return EndpointList{}, fmt.Errorf("discovery: %w", err)
 	}
 	return d, nil
 }
 
-// List turns a document into news; one that names a server that can't be
+// Convert turns a document into news; one that names a server that can't be
 // understood is refused as a whole, as part of a list would mislead.
-func (r *Reader) List(d Document) (coordinator.EndpointUpdate, error) {
+func (r *Converter) Convert(d EndpointList) (coordinator.EndpointUpdate, error) {
 	out := coordinator.EndpointUpdate{Mode: routing.UpdateDelta}
 	if d.Full {
 		out.Mode = routing.UpdateFull
 	}
-	for _, s := range d.Servers {
+	for _, s := range d.Endpoints {
 		state, ok := states[s.State]
 		if !ok || s.ID == "" || s.Cell < 0 || s.Cell >= r.Cells || math.IsNaN(s.Weight) || s.Weight < 0 {
 			return coordinator.EndpointUpdate{}, fmt.Errorf("discovery: unusable server %q state %q cell %d", s.ID, s.State, s.Cell)
@@ -114,12 +114,12 @@
 // Watcher is the actor of the list: its mailbox takes the answers of the calls
 // that it has begun, one at a time.
 type Watcher struct {
-	Addr     string
-	Reader   *Reader
-	Core     Core
-	Counters *metrics.Counters
-	Seed     uint64 // of the chance that keeps many watchers from asking in step
-	Patience Patience
+	Addr      string
+	Converter *Converter
+	Core      Core
+	Counters  *metrics.Counters
+	Seed      uint64 // of the chance that keeps many watchers from asking in step
+	Timeouts  Timeouts
 
 	version int64
 	answers int           // of discovery in a row
@@ -132,21 +132,21 @@
 }
 
 // NewWatcher makes the watcher of the list at an address.
-func NewWatcher(addr string, reader *Reader, core Core, count *metrics.Counters) *Watcher {
-	w := &Watcher{Addr: addr, Reader: reader, Core: core, Counters: count, Patience: Queued, mailbox: make(chan reply, 1),
+func NewWatcher(addr string, reader *Converter, core Core, count *metrics.Counters) *Watcher {
+	w := &Watcher{Addr: addr, Converter: reader, Core: core, Counters: count, Timeouts: SharedServiceTimeouts, mailbox: make(chan reply, 1),
 		moves: make(chan string, 1), first: make(chan struct{})}
 	w.usable = sync.OnceFunc(func() { close(w.first) })
 	return w
 }
 
-// Usable is closed once there is a list to work with: what discovery has answered or, where
+// Ready is closed once there is a list to work with: what discovery has answered or, where
 // it says nothing for a moment, the servers last known. Where none are known it is closed
 // in time all the same: what comes then is refused, until discovery speaks.
-func (w *Watcher) Usable() <-chan struct{} { return w.first }
+func (w *Watcher) Ready() <-chan struct{} { return w.first }
 
-// Move goes on at another address. Of several moves in a row the last one holds.
+// SetAddress goes on at another address. Of several moves in a row the last one holds.
 // It must not be called from two goroutines at once.
-func (w *Watcher) Move(addr string) {
+func (w *Watcher) SetAddress(addr string) {
 	select {
 	case <-w.moves:
 	default:
@@ -174,10 +174,10 @@
 }
 
 // Run starts from the list last known and watches until the context ends.
-func (w *Watcher) Run(ctx context.Context, known Document) {
+func (w *Watcher) Run(ctx context.Context, known EndpointList) {
 	w.version = none
 	wait := blindWait
-	if list, err := w.Reader.List(known); err != nil {
+	if list, err := w.Converter.Convert(known); err != nil {
 		w.bad(err)
 	} else {
 		list.Mode = routing.UpdateCached
@@ -190,15 +190,15 @@
 	defer w.Core.Arm(w.Core.Now()+wait, w.usable)()
 	var held *line
 	failing := false
-	w.rest, w.chance = w.Patience.rest, rand.New(rand.NewPCG(w.Seed, 0))
+	w.rest, w.chance = w.Timeouts.rest, rand.New(rand.NewPCG(w.Seed, 0))
 	for {
 		call, stop := context.WithCancel(ctx)
-		c := ask{version: w.version, wait: watchWait, slack: w.Patience.goOn}
+		c := ask{version: w.version, wait: watchWait, slack: w.Timeouts.goOn}
 		if w.answers == 0 || c.version == none {
 			c.wait = 0 // whether there is news is known at once, and with it that the list can be used
 		}
 		if w.answers < 2 {
-			c.slack = w.Patience.begin
+			c.slack = w.Timeouts.begin
 		}
 		go func(l *line) { w.mailbox <- w.call(call, l, c) }(held)
 		var r reply
@@ -237,7 +237,7 @@
 			}
 			failing = true
 			var rest time.Duration
-			rest, w.rest = w.Patience.rested(w.rest, w.chance.Float64())
+			rest, w.rest = w.Timeouts.rested(w.rest, w.chance.Float64())
 			select {
 			case <-ctx.Done():
 			case next := <-w.moves:
@@ -245,7 +245,7 @@
 			case <-time.After(rest):
 			}
 		} else {
-			w.answers, w.rest = w.answers+1, w.Patience.rest
+			w.answers, w.rest = w.answers+1, w.Timeouts.rest
 		}
 	}
 	if held != nil {
@@ -261,7 +261,7 @@
 	}
 	eventlog.DiscoveryMoved.Log(w.Addr, addr)
 	w.Counters.Add("discovery_moved", 1)
-	w.Addr, w.version, w.answers, w.rest = addr, none, 0, w.Patience.rest
+	w.Addr, w.version, w.answers, w.rest = addr, none, 0, w.Timeouts.rest
 	return nil
 }
 
@@ -276,7 +276,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if l == nil {
-		disarm := w.Core.Arm(w.Core.Now()+w.Patience.dial, cancel)
+		disarm := w.Core.Arm(w.Core.Now()+w.Timeouts.dial, cancel)
 		nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", w.Addr)
 		disarm()
 		if err != nil {
@@ -322,7 +322,7 @@
 	d, err := Parse(data)
 	var list coordinator.EndpointUpdate
 	if err == nil {
-		list, err = w.Reader.List(d)
+		list, err = w.Converter.Convert(d)
 	}
 	if err == nil && !d.Full && d.Version < w.version {
 		// Guards against changes that were told before: a server in them may have begun to drain since.
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -43,8 +43,8 @@
 	return func() {}
 }
 
-func reader() *Reader {
-	return &Reader{Zones: []string{"ebene", "port-louis"}, Kinds: []string{"m2"}, Cells: 6,
+func reader() *Converter {
+	return &Converter{Zones: []string{"ebene", "port-louis"}, Kinds: []string{"m2"}, Cells: 6,
 		Clock: func(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }}
 }
 
@@ -99,7 +99,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		w.Run(ctx, Document{Version: 0, Full: true, Servers: []Server{{ID: "s-1", Addr: "127.0.0.1:9", State: "in_service"}}})
+		w.Run(ctx, EndpointList{Version: 0, Full: true, Endpoints: []Endpoint{{ID: "s-1", Addr: "127.0.0.1:9", State: "in_service"}}})
 	}()
 	if l := <-core.lists; l.Mode != routing.UpdateCached || len(l.Endpoints) != 1 {
 		t.Fatalf("known list came as %+v", l)
@@ -139,7 +139,7 @@
 			}
 		}
 		if d, err := Parse(data); err == nil {
-			_, _ = reader().List(d)
+			_, _ = reader().Convert(d)
 		}
 	})
 }
@@ -167,7 +167,7 @@
 	}()
 	w := NewWatcher(ln.Addr().String(), reader(), &fakeCore{lists: make(chan coordinator.EndpointUpdate, 1)}, metrics.NewCounters())
 	done := make(chan struct{})
-	go func() { defer close(done); w.Run(ctx, Document{}) }()
+	go func() { defer close(done); w.Run(ctx, EndpointList{}) }()
 	for range 4 {
 		<-tries
 	}
@@ -190,11 +190,11 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	w := NewWatcher(agent(t, paths, answers), reader(), core, metrics.NewCounters())
 	done := make(chan struct{})
-	go func() { defer close(done); w.Run(ctx, Document{Version: 9, Full: true}) }()
+	go func() { defer close(done); w.Run(ctx, EndpointList{Version: 9, Full: true}) }()
 	<-core.lists
 	<-paths // the watch at the old address is never answered
-	w.Move("127.0.0.1:1")
-	w.Move(agent(t, newPaths, newAnswers))
+	w.SetAddress("127.0.0.1:1")
+	w.SetAddress(agent(t, newPaths, newAnswers))
 	if got := <-newPaths; got != "/registry/instances?" {
 		t.Errorf("asked %q of the new address", got)
 	}
@@ -218,12 +218,12 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	w := NewWatcher(agent(t, paths, answers), reader(), core, metrics.NewCounters())
 	done := make(chan struct{})
-	go func() { defer close(done); w.Run(ctx, Document{Version: 9, Full: true}) }()
+	go func() { defer close(done); w.Run(ctx, EndpointList{Version: 9, Full: true}) }()
 	<-core.lists
 	<-core.armed                          // of a start that knows no server
 	<-core.armed                          // of the dial
 	for _, wait := range []int{0, 1000} { // a watch that begins may stand in a queue
-		if first := <-core.armed; first.at < time.Duration(wait)*time.Millisecond+Queued.begin {
+		if first := <-core.armed; first.at < time.Duration(wait)*time.Millisecond+SharedServiceTimeouts.begin {
 			t.Errorf("a first call is given up after %v", first.at)
 		}
 		if got := <-paths; got != fmt.Sprint("/registry/instances?after=9&wait_ms=", wait) {
@@ -250,8 +250,8 @@
 	for i := range rests {
 		chance := rand.New(rand.NewPCG(uint64(i), 0))
 		var rest time.Duration
-		for next, want := Queued.rest, Queued.rest; len(rests[i]) < 9; want = min(2*want, Queued.most) {
-			rest, next = Queued.rested(next, chance.Float64())
+		for next, want := SharedServiceTimeouts.rest, SharedServiceTimeouts.rest; len(rests[i]) < 9; want = min(2*want, SharedServiceTimeouts.most) {
+			rest, next = SharedServiceTimeouts.rested(next, chance.Float64())
 			if rest < want/2 || rest > want+want/2 {
 				t.Errorf("rests %v, want about %v", rest, want)
 			}
@@ -267,14 +267,14 @@
 	core := &fakeCore{lists: make(chan coordinator.EndpointUpdate, 4)}
 	w := NewWatcher(agent(t, paths, answers), reader(), core, metrics.NewCounters())
 	done := make(chan struct{})
-	go func() { defer close(done); w.Run(ctx, Document{Version: 9, Full: true}) }()
+	go func() { defer close(done); w.Run(ctx, EndpointList{Version: 9, Full: true}) }()
 	for _, answer := range []string{"503", `{"version":9,"full":false,"servers":[]}`} {
 		if got := <-paths; got != "/registry/instances?after=9&wait_ms=0" {
 			t.Errorf("asked %q", got)
 		}
 		answers <- answer
 	}
-	<-w.Usable()
+	<-w.Ready()
 	cancel()
 	<-done
 }
@@ -288,7 +288,7 @@
 	core := &fakeCore{lists: make(chan coordinator.EndpointUpdate, 4)}
 	w := NewWatcher(agent(t, paths, answers), reader(), core, metrics.NewCounters())
 	done := make(chan struct{})
-	go func() { defer close(done); w.Run(ctx, Document{Version: 9, Full: true}) }()
+	go func() { defer close(done); w.Run(ctx, EndpointList{Version: 9, Full: true}) }()
 	<-core.lists
 	<-paths
 	answers <- `{"version":8,"full":false,"servers":[` + server + `]}`
@@ -308,7 +308,7 @@
 
 // A start that knows no server, or whose list is of no use, is ready in time though discovery says nothing.
 func TestReadyWithoutAnyList(t *testing.T) {
-	for _, known := range []Document{{}, {Servers: []Server{{ID: "s-1", State: "asleep"}}}} {
+	for _, known := range []EndpointList{{}, {Endpoints: []Endpoint{{ID: "s-1", State: "asleep"}}}} {
 		paths, answers := make(chan string, 1), make(chan string)
 		core := &fakeCore{lists: make(chan coordinator.EndpointUpdate, 4), armed: make(chan limit, 8)}
 		ctx, cancel := context.WithCancel(t.Context())
@@ -320,7 +320,7 @@
 			t.Errorf("ready after %v", limit.at)
 		}
 		limit.fire()
-		<-w.Usable()
+		<-w.Ready()
 		cancel()
 		close(answers)
 		<-done
@@ -351,14 +351,14 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	core := &fakeCore{lists: make(chan coordinator.EndpointUpdate, 4)}
 	w := NewWatcher(broken.Addr().String(), reader(), core, metrics.NewCounters())
-	w.Patience = Pushed(time.Second)
+	w.Timeouts = LocalAgentTimeouts(time.Second)
 	done := make(chan struct{})
-	go func() { defer close(done); w.Run(ctx, Document{Version: 9, Full: true}) }()
+	go func() { defer close(done); w.Run(ctx, EndpointList{Version: 9, Full: true}) }()
 	<-watched
 	for w.Counters.Get("discovery_failed") < 3 { // reset, then refused
 		time.Sleep(time.Millisecond)
 	}
-	w.Move(agent(t, paths, answers))
+	w.SetAddress(agent(t, paths, answers))
 	if got := <-paths; got != "/registry/instances?" {
 		t.Errorf("asked %q", got)
 	}
--- a/internal/discovery/patience_test.go
+++ b/internal/discovery/patience_test.go
@@ -14,7 +14,7 @@
 // list have to end: what it has counts as told from the moment on at which it speaks.
 func TestAnAgentThatSpeaksAgainIsHeardInTime(t *testing.T) {
 	const grace = time.Second
-	p := Pushed(grace)
+	p := LocalAgentTimeouts(grace)
 	for seed := range uint64(200) {
 		chance := rand.New(rand.NewPCG(seed, 0))
 		back := time.Duration(chance.Float64() * float64(10*time.Second))
@@ -37,13 +37,13 @@
 	core := &fakeCore{lists: make(chan coordinator.EndpointUpdate, 4), armed: make(chan limit, 8)}
 	ctx, cancel := context.WithCancel(t.Context())
 	w := NewWatcher(agent(t, paths, answers), reader(), core, metrics.NewCounters())
-	w.Patience = Pushed(time.Second)
+	w.Timeouts = LocalAgentTimeouts(time.Second)
 	done := make(chan struct{})
-	go func() { defer close(done); w.Run(ctx, Document{Version: 9, Full: true}) }()
+	go func() { defer close(done); w.Run(ctx, EndpointList{Version: 9, Full: true}) }()
 	<-core.armed  // of a start that knows no server
 	for range 3 { // silence meets each with nothing
 		dial, call := <-core.armed, <-core.armed
-		if dial.at > w.Patience.dial || call.at > w.Patience.begin {
+		if dial.at > w.Timeouts.dial || call.at > w.Timeouts.begin {
 			t.Errorf("a dial is given up after %v, a call after %v", dial.at, call.at)
 		}
 		<-paths
--- a/internal/discovery/wire_golden_test.go
+++ b/internal/discovery/wire_golden_test.go
@@ -21,14 +21,14 @@
 // goldenList is a golden list, and what the program makes of it.
 type goldenList struct {
 	file     string
-	document Document
+	document EndpointList
 	list     coordinator.EndpointUpdate
 }
 
 var (
-	goldenFirst = Server{ID: "s-5be2a07c", Addr: "127.0.0.1:7001", Zone: "port-louis", Kind: "m4", Cell: 3, State: "in_service",
+	goldenFirst = Endpoint{ID: "s-5be2a07c", Addr: "127.0.0.1:7001", Zone: "port-louis", Kind: "m4", Cell: 3, State: "in_service",
 		Weight: 1.5, StartedMS: 1700000000123}
-	goldenSecond = Server{ID: "s-2", Addr: "[::1]:7002", Zone: "ebene", Kind: "m2", Cell: 5, State: "in_service", Weight: 1,
+	goldenSecond = Endpoint{ID: "s-2", Addr: "[::1]:7002", Zone: "ebene", Kind: "m2", Cell: 5, State: "in_service", Weight: 1,
 		StartedMS: 7}
 
 	goldenFirstMember = coordinator.Endpoint{Name: "s-5be2a07c", Addr: "127.0.0.1:7001", Endpoint: routing.Endpoint{
@@ -38,27 +38,27 @@
 )
 
 func goldenLists() []goldenList {
-	draining, gone := goldenFirst, Server{ID: "s-2", State: "terminated"}
+	draining, gone := goldenFirst, Endpoint{ID: "s-2", State: "terminated"}
 	draining.State = "terminating"
 	drainingMember := goldenFirstMember
 	drainingMember.State = routing.Draining
 	goneMember := coordinator.Endpoint{Name: "s-2", Endpoint: routing.Endpoint{Server: goldenSecondMember.Server, State: routing.Removed}}
-	full := Document{Version: 41, Full: true, Servers: []Server{goldenFirst, goldenSecond}}
+	full := EndpointList{Version: 41, Full: true, Endpoints: []Endpoint{goldenFirst, goldenSecond}}
 	members := []coordinator.Endpoint{goldenFirstMember, goldenSecondMember}
 	return []goldenList{
 		{"full.json", full, coordinator.EndpointUpdate{Mode: routing.UpdateFull, Endpoints: members}},
 		{"full_indented.json", full, coordinator.EndpointUpdate{Mode: routing.UpdateFull, Endpoints: members}},
-		{"full_empty.json", Document{Version: 1, Full: true, Servers: []Server{}}, coordinator.EndpointUpdate{Mode: routing.UpdateFull}},
-		{"delta.json", Document{Version: 42, Servers: []Server{goldenSecond}},
+		{"full_empty.json", EndpointList{Version: 1, Full: true, Endpoints: []Endpoint{}}, coordinator.EndpointUpdate{Mode: routing.UpdateFull}},
+		{"delta.json", EndpointList{Version: 42, Endpoints: []Endpoint{goldenSecond}},
 			coordinator.EndpointUpdate{Mode: routing.UpdateDelta, Endpoints: members[1:]}},
-		{"delta_draining.json", Document{Version: 43, Servers: []Server{draining, gone}},
+		{"delta_draining.json", EndpointList{Version: 43, Endpoints: []Endpoint{draining, gone}},
 			coordinator.EndpointUpdate{Mode: routing.UpdateDelta, Endpoints: []coordinator.Endpoint{drainingMember, goneMember}}},
-		{"delta_empty.json", Document{Version: 43, Servers: []Server{}}, coordinator.EndpointUpdate{Mode: routing.UpdateDelta}},
+		{"delta_empty.json", EndpointList{Version: 43, Endpoints: []Endpoint{}}, coordinator.EndpointUpdate{Mode: routing.UpdateDelta}},
 	}
 }
 
-func goldenReader() *Reader {
-	return &Reader{Zones: []string{"ebene", "port-louis"}, Kinds: []string{"m2", "m4"}, Cells: 6,
+func goldenReader() *Converter {
+	return &Converter{Zones: []string{"ebene", "port-louis"}, Kinds: []string{"m2", "m4"}, Cells: 6,
 		Clock: func(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }}
 }
 
@@ -78,7 +78,7 @@
 			if err != nil || !reflect.DeepEqual(d, c.document) {
 				t.Fatalf("got  %+v, %v\nwant %+v", d, err, c.document)
 			}
-			list, err := goldenReader().List(d)
+			list, err := goldenReader().Convert(d)
 			if err != nil || !reflect.DeepEqual(list, c.list) {
 				t.Errorf("got  %+v, %v\nwant %+v", list, err, c.list)
 			}
@@ -105,7 +105,7 @@
 		t.Run(name, func(t *testing.T) {
 			d, err := Parse([]byte(data))
 			if err == nil {
-				_, err = goldenReader().List(d)
+				_, err = goldenReader().Convert(d)
 			}
 			if err == nil {
 				t.Errorf("took %s", data)
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -12,8 +12,8 @@
 
 	_ "linkpass/internal/seeded"
 
-	"linkpass/internal/end"
-	"linkpass/internal/report"
+	"linkpass/internal/loadreport"
+	"linkpass/internal/outcome"
 )
 
 func TestCallIsWordedAsTheProtocolHasIt(t *testing.T) {
@@ -28,7 +28,7 @@
 	if err != nil || r.ID != "9b1f.3" || r.End != 200 || r.Score != 1840277719 || string(r.Value) != "5be2" {
 		t.Fatalf("%+v %v", r, err)
 	}
-	if got := report.Parse(r.Report, []string{"util", "inflight"}); len(got) != 2 || got[0] != 0.61 || got[1] != 7 {
+	if got := loadreport.Parse(r.Report, []string{"util", "inflight"}); len(got) != 2 || got[0] != 0.61 || got[1] != 7 {
 		t.Errorf("report %v", got)
 	}
 	for _, bad := range []string{"", "a 200 1 -", "a 200 1\nv", "a 404 1 -\nv", " 200 1 -\nv"} {
@@ -45,18 +45,18 @@
 	rapid.Check(t, func(t *rapid.T) {
 		at := rapid.IntRange(0, len(whole)-1).Draw(t, "at")
 		stream := append(bytes.Clone(whole), whole[:at]...)
-		r := Dialect{}.Reader(bytes.NewReader(stream))
+		r := Codec{}.NewReader(bytes.NewReader(stream))
 		m, _, err := r.Next()
-		if err != nil || m.Name != "a.3" || string(m.Value) != "value" || m.End != end.Served {
+		if err != nil || m.Name != "a.3" || string(m.Value) != "value" || m.Outcome != outcome.Success {
 			t.Fatalf("whole frame came as %+v, %v", m, err)
 		}
 		_, e, err := r.Next()
-		if want := map[bool]end.End{true: end.Closed, false: end.Broken}[at == 0]; err == nil || e != want {
+		if want := map[bool]outcome.Outcome{true: outcome.ConnClosed, false: outcome.ConnReset}[at == 0]; err == nil || e != want {
 			t.Fatalf("cut at %d: %s, %v", at, e, err)
 		}
 
 		garbage := rapid.SliceOf(rapid.Byte()).Draw(t, "garbage")
-		r = Dialect{ReportNames: []string{"active"}}.Reader(bytes.NewReader(garbage))
+		r = Codec{ReportNames: []string{"active"}}.NewReader(bytes.NewReader(garbage))
 		for range len(garbage) + 1 {
 			if _, _, err := r.Next(); err != nil {
 				return
--- a/internal/frame/wire_golden_test.go
+++ b/internal/frame/wire_golden_test.go
@@ -9,27 +9,27 @@
 	"testing"
 	"time"
 
-	"linkpass/internal/end"
 	"linkpass/internal/goldentest"
-	"linkpass/internal/peer"
+	"linkpass/internal/outcome"
+	"linkpass/internal/upstream"
 )
 
 // The names of the report's values, in the order in which the settings of the golden messages list them.
 var goldenReportNames = []string{"active", "waiting", "cpu", "avg_ms"}
 
 func TestRequestFrameGolden(t *testing.T) {
-	plain, loaded := Dialect{MaxStreams: 32}, Dialect{MaxStreams: 32, ReportNames: goldenReportNames}
-	part := peer.Part{Name: "9b1f03aa5c7e2d41.3", Collection: "players", Shard: 3, Wait: 240 * time.Millisecond, Text: []byte("c41e77d0")}
-	other := peer.Part{Name: "9b1f03aa5c7e2d41.17", Shard: 17, Wait: 1500*time.Millisecond + 999*time.Microsecond, Text: []byte("line one\nline \x00\xff two")}
-	urgent := peer.Part{Name: "a.0", Wait: 999 * time.Microsecond}
+	plain, loaded := Codec{MaxStreams: 32}, Codec{MaxStreams: 32, ReportNames: goldenReportNames}
+	part := upstream.Part{Name: "9b1f03aa5c7e2d41.3", Collection: "players", Shard: 3, Timeout: 240 * time.Millisecond, Payload: []byte("c41e77d0")}
+	other := upstream.Part{Name: "9b1f03aa5c7e2d41.17", Shard: 17, Timeout: 1500*time.Millisecond + 999*time.Microsecond, Payload: []byte("line one\nline \x00\xff two")}
+	urgent := upstream.Part{Name: "a.0", Timeout: 999 * time.Microsecond}
 	goldentest.CheckEntries(t, "frames_sent.txt", []goldentest.Entry{
-		{Name: "call of one part", Data: string(plain.Call([]peer.Part{part}))},
-		{Name: "call of two parts", Data: string(plain.Call([]peer.Part{part, other}))},
-		{Name: "call without time and text", Data: string(plain.Call([]peer.Part{urgent}))},
-		{Name: "head of a call of 100000 bytes", Data: string(plain.Head(part, 100000))},
-		{Name: "cancel", Data: string(plain.GiveUp(part.Name))},
-		{Name: "probe", Data: string(plain.Probe())},
-		{Name: "probe for load", Data: string(loaded.Probe())},
+		{Name: "call of one part", Data: string(plain.EncodeRequest([]upstream.Part{part}))},
+		{Name: "call of two parts", Data: string(plain.EncodeRequest([]upstream.Part{part, other}))},
+		{Name: "call without time and text", Data: string(plain.EncodeRequest([]upstream.Part{urgent}))},
+		{Name: "head of a call of 100000 bytes", Data: string(plain.EncodeHeader(part, 100000))},
+		{Name: "cancel", Data: string(plain.EncodeCancel(part.Name))},
+		{Name: "probe", Data: string(plain.EncodeHealthCheck())},
+		{Name: "probe for load", Data: string(loaded.EncodeHealthCheck())},
 	})
 }
 
@@ -67,30 +67,30 @@
 func TestReplyFrameGolden(t *testing.T) {
 	received := goldentest.ReadEntries(t, "frames_received.txt")
 	cases := map[string]struct {
-		want  peer.Message
-		end   end.End
+		want  upstream.Message
+		end   outcome.Outcome
 		error error // nil: the frame can be read; io.EOF stands for any other than ErrFrame
 	}{
-		"reply": {want: peer.Message{Name: "9b1f03aa5c7e2d41.3", End: end.Served, Score: 1840277719, Value: []byte("5be2")}},
-		"reply with a report": {want: peer.Message{Name: "9b1f03aa5c7e2d41.3", End: end.Served, Score: -0.25,
-			Report: []float64{7, 2, 0.61, 12.5}, Value: []byte("line one\nline \x00\xff two")}},
-		"reply without score and value": {want: peer.Message{Name: "a.0", End: end.Served, Value: []byte{}}},
-		"reply of a failed part":        {want: peer.Message{Name: "a.0", End: end.ServerError, Value: []byte("disk")}},
-		"reply of a rejected part": {want: peer.Message{Name: "a.0", End: end.TurnedAway,
-			Report: []float64{8, 3, 1, 40}, Value: []byte{}}},
-		"reply with an unknown code":     {want: peer.Message{End: end.Served}, end: end.Garbled, error: ErrFrame},
-		"reply without a line":           {want: peer.Message{End: end.Served}, end: end.Garbled, error: ErrFrame},
-		"answer to a probe":              {want: peer.Message{Probe: true, End: end.Served}},
-		"answer to a probe, failed":      {want: peer.Message{Probe: true, End: end.ServerError}},
-		"answer to a probe for load":     {want: peer.Message{Probe: true, End: end.Served, Report: []float64{7, 2, 0.61, 12.5}}},
-		"answer to a probe, load failed": {want: peer.Message{Probe: true, End: end.ServerError}},
-		"complaint":                      {want: peer.Message{End: end.Served}, end: end.Rejected, error: io.EOF},
-		"unknown letter":                 {want: peer.Message{End: end.Served}, end: end.Garbled, error: ErrFrame},
-		"length of zero":                 {end: end.Garbled, error: ErrFrame},
-		"length over the limit":          {end: end.Garbled, error: ErrFrame},
-		"cut in the length":              {end: end.Broken, error: io.EOF},
-		"cut in the body":                {end: end.Broken, error: io.EOF},
-		"closed between frames":          {end: end.Closed, error: io.EOF},
+		"reply": {want: upstream.Message{Name: "9b1f03aa5c7e2d41.3", Outcome: outcome.Success, Score: 1840277719, Value: []byte("5be2")}},
+		"reply with a report": {want: upstream.Message{Name: "9b1f03aa5c7e2d41.3", Outcome: outcome.Success, Score: -0.25,
+			LoadReport: []float64{7, 2, 0.61, 12.5}, Value: []byte("line one\nline \x00\xff two")}},
+		"reply without score and value": {want: upstream.Message{Name: "a.0", Outcome: outcome.Success, Value: []byte{}}},
+		"reply of a failed part":        {want: upstream.Message{Name: "a.0", Outcome: outcome.ServerError, Value: []byte("disk")}},
+		"reply of a rejected part": {want: upstream.Message{Name: "a.0", Outcome: outcome.Rejected,
+			LoadReport: []float64{8, 3, 1, 40}, Value: []byte{}}},
+		"reply with an unknown code":     {want: upstream.Message{Outcome: outcome.Success}, end: outcome.MalformedResponse, error: ErrFrame},
+		"reply without a line":           {want: upstream.Message{Outcome: outcome.Success}, end: outcome.MalformedResponse, error: ErrFrame},
+		"answer to a probe":              {want: upstream.Message{HealthCheck: true, Outcome: outcome.Success}},
+		"answer to a probe, failed":      {want: upstream.Message{HealthCheck: true, Outcome: outcome.ServerError}},
+		"answer to a probe for load":     {want: upstream.Message{HealthCheck: true, Outcome: outcome.Success, LoadReport: []float64{7, 2, 0.61, 12.5}}},
+		"answer to a probe, load failed": {want: upstream.Message{HealthCheck: true, Outcome: outcome.ServerError}},
+		"complaint":                      {want: upstream.Message{Outcome: outcome.Success}, end: outcome.BadRequest, error: io.EOF},
+		"unknown letter":                 {want: upstream.Message{Outcome: outcome.Success}, end: outcome.MalformedResponse, error: ErrFrame},
+		"length of zero":                 {end: outcome.MalformedResponse, error: ErrFrame},
+		"length over the limit":          {end: outcome.MalformedResponse, error: ErrFrame},
+		"cut in the length":              {end: outcome.ConnReset, error: io.EOF},
+		"cut in the body":                {end: outcome.ConnReset, error: io.EOF},
+		"closed between frames":          {end: outcome.ConnClosed, error: io.EOF},
 	}
 	if len(received) != len(cases) {
 		t.Errorf("%d golden frames, %d cases", len(received), len(cases))
@@ -101,7 +101,7 @@
 			if !ok {
 				t.Fatal("no golden frame")
 			}
-			got, e, err := Dialect{ReportNames: goldenReportNames}.Reader(strings.NewReader(stream)).Next()
+			got, e, err := Codec{ReportNames: goldenReportNames}.NewReader(strings.NewReader(stream)).Next()
 			if !reflect.DeepEqual(got, c.want) || e != c.end {
 				t.Errorf("%+v %v, want %+v %v", got, e, c.want, c.end)
 			}
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -72,11 +72,11 @@
 		s.wg.Done()
 	}()
 	reader := NewReader(&c.ahead, s.MaxBody)
-	reader.Spools = s.Spools
-	limit := s.Clock.Now() + FirstLimit
+	reader.NewBodySink = s.NewBodySink
+	limit := s.Clock.Now() + FirstRequestTimeout
 	for first := true; ; first = false {
 		if !first {
-			limit = s.Clock.Now() + IdleLimit
+			limit = s.Clock.Now() + IdleTimeout
 		}
 		if c.await(reader, limit) != nil {
 			c.part()
@@ -87,7 +87,7 @@
 		}
 		began := s.Clock.Now()
 		if !first {
-			limit = began + MessageLimit
+			limit = began + RequestTimeout
 		}
 		disarm := c.arm(limit)
 		req, err := reader.Request()
@@ -137,8 +137,8 @@
 		}
 	}()
 	res := s.Handler.Serve(ctx, began, req)
-	if req.Spool != nil {
-		req.Spool.Abort() // whatever the handler has made use of stays
+	if req.BodySink != nil {
+		req.BodySink.Abort() // whatever the handler has made use of stays
 	}
 	if ctx.Err() != nil {
 		s.Counters.Add(s.Name+"_unread", 1)
@@ -152,7 +152,7 @@
 }
 
 func (c *conn) write(res *Response) bool {
-	disarm := c.server.Clock.Arm(c.server.Clock.Now()+WriteLimit, func() { _ = c.Close() })
+	disarm := c.server.Clock.Arm(c.server.Clock.Now()+WriteTimeout, func() { _ = c.Close() })
 	err := WriteResponse(c, res)
 	disarm()
 	if err != nil {
--- a/internal/http1/crossings_test.go
+++ b/internal/http1/crossings_test.go
@@ -58,7 +58,7 @@
 	nc, r := dial(t, addr)
 	_ = WriteRequest(nc, "POST", "/", "x", nil, []byte("hello"))
 	until(t, "the request", func() bool { return n.Load() == 1 })
-	s.Clock.(*clock).pass(FirstLimit) // of the wait and of the request, both over
+	s.Clock.(*clock).pass(FirstRequestTimeout) // of the wait and of the request, both over
 	may <- struct{}{}
 	if res, err := r.Response(); err != nil || res.Status != 200 || res.Close {
 		t.Fatalf("%+v %v", res, err)
@@ -217,7 +217,7 @@
 	if !s.mark(c, idle) {
 		t.Fatal("its own goroutine alone closes it")
 	}
-	if err := c.await(NewReader(&c.ahead, 0), IdleLimit); err == nil {
+	if err := c.await(NewReader(&c.ahead, 0), IdleTimeout); err == nil {
 		t.Error("it waits for a request that nobody would answer")
 	}
 }
@@ -230,7 +230,7 @@
 	nc, _ := dial(t, addr)
 	_, _ = io.WriteString(nc, sized)
 	until(t, "the answer's begin", func() bool { _, err := nc.Read(make([]byte, 1)); return err == nil })
-	s.Clock.(*clock).pass(WriteLimit)
+	s.Clock.(*clock).pass(WriteTimeout)
 	until(t, "its end", func() bool { return s.held() == 0 })
 	if s.Counters.Get("test_write_failed") != 1 {
 		t.Error(s.Counters)
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -37,14 +37,14 @@
 	Method, Path, Query string
 	Header              textproto.MIMEHeader
 	Body                []byte
-	Spool               Spool // of a large body, in place of Body; nil: there is none
-	Close               bool  // the sender wants the connection closed
+	BodySink            BodySink // of a large body, in place of Body; nil: there is none
+	Close               bool     // the sender wants the connection closed
 }
 
-// Spool takes a large body in while it arrives, in pieces that it must not keep. An error of
+// BodySink takes a large body in while it arrives, in pieces that it must not keep. An error of
 // Write that is an *Error is told to the client. Abort gives up what was taken, unless somebody
 // else has made use of it.
-type Spool interface {
+type BodySink interface {
 	Write(p []byte) (int, error)
 	Abort()
 }
@@ -68,8 +68,8 @@
 	buf     *bufio.Reader
 	text    *textproto.Reader
 	maxBody int64
-	// Spools makes the spool of a request's body, above a size; nil: it is to lie in Body.
-	Spools func(*Request) Spool
+	// NewBodySink makes the spool of a request's body, above a size; nil: it is to lie in Body.
+	NewBodySink func(*Request) BodySink
 }
 
 // NewReader reads from r; bodies may have up to maxBody bytes, 0 for MaxBody.
@@ -129,14 +129,14 @@
 		return nil, malformed(400, "need one Host header")
 	}
 	req.Close = closes(req.Header, minor)
-	if r.Spools == nil {
+	if r.NewBodySink == nil {
 		req.Body, err = r.body(req.Header, false, nil)
 		return req, err
 	}
-	b := &spooled{req: req, make: r.Spools}
-	if req.Body, err = r.body(req.Header, false, b); err != nil && req.Spool != nil {
-		req.Spool.Abort()
-		req.Spool = nil
+	b := &spooled{req: req, make: r.NewBodySink}
+	if req.Body, err = r.body(req.Header, false, b); err != nil && req.BodySink != nil {
+		req.BodySink.Abort()
+		req.BodySink = nil
 	}
 	return req, err
 }
@@ -144,7 +144,7 @@
 // spooled moves a body to a spool once it is too large to lie in memory.
 type spooled struct {
 	req  *Request
-	make func(*Request) Spool
+	make func(*Request) BodySink
 }
 
 // over tells whether a body of so many bytes goes to a spool; from then on all of it does.
@@ -152,14 +152,14 @@
 	if b == nil || n <= spoolFrom {
 		return false
 	}
-	if b.req.Spool == nil {
-		b.req.Spool = b.make(b.req)
+	if b.req.BodySink == nil {
+		b.req.BodySink = b.make(b.req)
 	}
-	return b.req.Spool != nil
+	return b.req.BodySink != nil
 }
 
 // copy moves so many bytes from the connection to the spool.
-func (r *Reader) copy(to Spool, n int64) error {
+func (r *Reader) copy(to BodySink, n int64) error {
 	buf := make([]byte, min(n, spoolPiece))
 	for n > 0 {
 		piece := buf[:min(n, spoolPiece)]
@@ -271,7 +271,7 @@
 		}
 		r.bounded.N = int64(n)
 		if spool.over(int64(n)) {
-			return nil, r.copy(spool.req.Spool, int64(n))
+			return nil, r.copy(spool.req.BodySink, int64(n))
 		}
 		body := make([]byte, n)
 		if _, err := io.ReadFull(r.buf, body); err != nil {
@@ -323,7 +323,7 @@
 		}
 		r.bounded.N = int64(n) + 2
 		if spool.over(size) {
-			if err := r.chunkTo(spool.req.Spool, body, int64(n)); err != nil {
+			if err := r.chunkTo(spool.req.BodySink, body, int64(n)); err != nil {
 				return nil, err
 			}
 			body = nil
@@ -342,7 +342,7 @@
 }
 
 // chunkTo moves a chunk to a spool, behind what came before it.
-func (r *Reader) chunkTo(to Spool, before []byte, n int64) error {
+func (r *Reader) chunkTo(to BodySink, before []byte, n int64) error {
 	if len(before) > 0 {
 		if _, err := to.Write(before); err != nil {
 			return err
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -308,7 +308,7 @@
 	for !s.at(fresh) {
 		time.Sleep(time.Millisecond)
 	}
-	s.Limit(0) // the limit falls: those not at work go
+	s.SetMaxConns(0) // the limit falls: those not at work go
 	if err := other.Wait(); !errors.Is(err, io.EOF) {
 		t.Errorf("a connection past the limit stayed: %v", err)
 	}
@@ -326,7 +326,7 @@
 	for !s.at(reading) || !s.at(fresh) {
 		time.Sleep(time.Millisecond)
 	}
-	s.Clock.(*clock).pass(FirstLimit)
+	s.Clock.(*clock).pass(FirstRequestTimeout)
 	if res, err := halfReader.Response(); err != nil || res.Status != 408 || !res.Close {
 		t.Errorf("half a request: %+v %v", res, err)
 	}
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -37,16 +37,16 @@
 // Time limits of a connection. Those who connect and say nothing, or say it drop
 // by drop, are told or closed within them, whatever they send.
 const (
-	FirstLimit   = 2500 * time.Millisecond // from connecting to the last byte of the first request
-	MessageLimit = 2 * time.Second         // from a later request's first byte to its last
-	IdleLimit    = 30 * time.Second        // between requests
-	WriteLimit   = 5 * time.Second
-	lingerLimit  = 500 * time.Millisecond // for a client to read the last that it is told, and to close
-	lingerBytes  = 256 << 10              // of what it still sends are read meanwhile
-	lingerOver   = 8                      // connections past the cap that may linger at a time
-	aheadLimit   = MaxHeader + MaxBody    // bytes behind a request that are read while it is answered
-	silentLimit  = 250 * time.Millisecond // a new connection that has said nothing for so long goes first
-	stuckLimit   = time.Second            // a request so long on its way makes room for others
+	FirstRequestTimeout = 2500 * time.Millisecond // from connecting to the last byte of the first request
+	RequestTimeout      = 2 * time.Second         // from a later request's first byte to its last
+	IdleTimeout         = 30 * time.Second        // between requests
+	WriteTimeout        = 5 * time.Second
+	lingerLimit         = 500 * time.Millisecond // for a client to read the last that it is told, and to close
+	lingerBytes         = 256 << 10              // of what it still sends are read meanwhile
+	lingerOver          = 8                      // connections past the cap that may linger at a time
+	aheadLimit          = MaxHeader + MaxBody    // bytes behind a request that are read while it is answered
+	silentLimit         = 250 * time.Millisecond // a new connection that has said nothing for so long goes first
+	stuckLimit          = time.Second            // a request so long on its way makes room for others
 
 	// While the server drains: idle connections have so long to be used once more, and
 	// a look is taken so often at those that say nothing or do not come to an end.
@@ -56,13 +56,13 @@
 
 // Server serves one listener.
 type Server struct {
-	Name     string // of the front, for the log
-	Handler  Handler
-	Clock    Clock
-	Counters *metrics.Counters
-	MaxConns int
-	MaxBody  int64
-	Spools   func(*Request) Spool // of large bodies; nil: they lie in memory
+	Name        string // of the front, for the log
+	Handler     Handler
+	Clock       Clock
+	Counters    *metrics.Counters
+	MaxConns    int
+	MaxBody     int64
+	NewBodySink func(*Request) BodySink // of large bodies; nil: they lie in memory
 
 	lines    eventlog.RateLimited // on requests that can't be read
 	mu       sync.Mutex
@@ -225,9 +225,9 @@
 	return true
 }
 
-// Limit sets how many connections there may be. Beyond it, those that wait for nothing
+// SetMaxConns sets how many connections there may be. Beyond it, those that wait for nothing
 // are closed, the one idle for longest first.
-func (s *Server) Limit(conns int) {
+func (s *Server) SetMaxConns(conns int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.MaxConns = conns
--- a/internal/http1/spool_test.go
+++ b/internal/http1/spool_test.go
@@ -59,18 +59,18 @@
 		}
 		s := newSpool(1 << 20)
 		r := NewReader(&wire, 0)
-		r.Spools = func(*Request) Spool { return s }
+		r.NewBodySink = func(*Request) BodySink { return s }
 		req, err := r.Request()
 		if err != nil {
 			t.Fatal(err)
 		}
 		got := req.Body
-		if req.Spool != nil {
+		if req.BodySink != nil {
 			spooledOnce++
 			got = append(s.data, got...)
 		}
-		if !bytes.Equal(got, body) || (req.Spool != nil) != (len(body) > spoolFrom) || s.largest > spoolPiece {
-			t.Fatalf("%d bytes of %d, spooled %v, a piece of %d", len(got), len(body), req.Spool != nil, s.largest)
+		if !bytes.Equal(got, body) || (req.BodySink != nil) != (len(body) > spoolFrom) || s.largest > spoolPiece {
+			t.Fatalf("%d bytes of %d, spooled %v, a piece of %d", len(got), len(body), req.BodySink != nil, s.largest)
 		}
 	})
 	if spooledOnce == 0 {
@@ -86,12 +86,12 @@
 		then         func(*Server, io.Closer)
 	}{
 		"gone":    {1 << 20, 0, func(_ *Server, nc io.Closer) { nc.Close() }},
-		"slow":    {1 << 20, 408, func(s *Server, _ io.Closer) { s.Clock.(*clock).pass(FirstLimit) }},
+		"slow":    {1 << 20, 408, func(s *Server, _ io.Closer) { s.Clock.(*clock).pass(FirstRequestTimeout) }},
 		"crowded": {20_000, 429, func(*Server, io.Closer) {}},
 	} {
 		there := newSpool(c.room)
 		s, addr := serve(t, func(context.Context, time.Duration, *Request) *Response { return &Response{Status: 200} }, 9,
-			func(s *Server) { s.Spools = func(*Request) Spool { return there } })
+			func(s *Server) { s.NewBodySink = func(*Request) BodySink { return there } })
 		nc, r := dial(t, addr)
 		_, _ = io.WriteString(nc, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 60000\r\n\r\n"+strings.Repeat("x", 40_000))
 		for c.room > 40_000 {
@@ -119,11 +119,11 @@
 func TestUnusedSpoolsAreAborted(t *testing.T) {
 	there := newSpool(1 << 20)
 	_, addr := serve(t, func(_ context.Context, _ time.Duration, req *Request) *Response {
-		if req.Spool == nil {
+		if req.BodySink == nil {
 			return &Response{Status: 500}
 		}
 		return &Response{Status: 200}
-	}, 9, func(s *Server) { s.Spools = func(*Request) Spool { return there } })
+	}, 9, func(s *Server) { s.NewBodySink = func(*Request) BodySink { return there } })
 	nc, r := dial(t, addr)
 	if err := WriteRequest(nc, "POST", "/", "x", nil, make([]byte, 50_000)); err != nil {
 		t.Fatal(err)
--- a/internal/lab/bodies.go
+++ b/internal/lab/bodies.go
@@ -16,8 +16,8 @@
 	"sync"
 	"time"
 
-	"linkpass/internal/bodies"
-	"linkpass/internal/bodies/tier"
+	"linkpass/internal/bodystore"
+	"linkpass/internal/bodystore/tier"
 	"linkpass/internal/metrics"
 	"linkpass/internal/standin"
 )
@@ -246,7 +246,7 @@
 	}
 	defer os.RemoveAll(dir)
 	began := time.Now()
-	s := bodies.Open(bodies.Config{Limits: tier.Limits{Memory: budget, Files: 1 << 30, Largest: 1 << 20}, Classes: []string{"lookup"}, Dir: dir,
+	s := bodystore.Open(bodystore.Config{Limits: tier.Limits{Memory: budget, Files: 1 << 30, Largest: 1 << 20}, Classes: []string{"lookup"}, Dir: dir,
 		Counters: metrics.NewCounters(), Now: func() time.Duration { return time.Since(began) }})
 	defer s.Close()
 	data := make([]byte, holdSize)
@@ -254,7 +254,7 @@
 	for i := range data {
 		data[i] = byte(rng.Uint32())
 	}
-	var held []*bodies.Body
+	var held []*bodystore.Body
 	for i := range count {
 		n := i
 		if what == "shared" {
@@ -267,7 +267,7 @@
 		}
 		held = append(held, b)
 	}
-	f := s.Figures()
+	f := s.Totals()
 	for i, b := range held { // each is read once more, as for a retry
 		if err := readOne(b); err != nil {
 			return fmt.Errorf("lab: body %d: %w", i, err)
@@ -295,22 +295,22 @@
 	return 0
 }
 
-func keepOne(s *bodies.Store, data []byte) (*bodies.Body, error) {
+func keepOne(s *bodystore.Store, data []byte) (*bodystore.Body, error) {
 	for {
-		w := s.Arrive(0, 1)
+		w := s.NewWriter(0, 1)
 		_, err := w.Write(data)
-		if errors.Is(err, bodies.ErrNoRoom) { // its mover is behind: a client would come again
+		if errors.Is(err, bodystore.ErrNoCapacity) { // its mover is behind: a client would come again
 			time.Sleep(time.Millisecond)
 			continue
 		}
 		if err != nil {
 			return nil, err
 		}
-		return w.Done()
+		return w.Commit()
 	}
 }
 
-func readOne(b *bodies.Body) error {
+func readOne(b *bodystore.Body) error {
 	r, err := b.Open()
 	if err != nil {
 		return err
--- a/internal/report/report.go
+++ b/internal/loadreport/loadreport.go
@@ -1,6 +1,6 @@
-// Package report reads the load reports that servers send: name=value, comma
+// Package loadreport reads the load reports that servers send: name=value, comma
 // separated, whatever message they come in.
-package report
+package loadreport
 
 import (
 	"math"
--- a/internal/report/wire_golden_test.go
+++ b/internal/loadreport/wire_golden_test.go
@@ -1,4 +1,4 @@
-package report
+package loadreport
 
 import (
 	"math"
--- a/internal/opensearch/dialect.go
+++ b/internal/opensearch/dialect.go
@@ -12,16 +12,16 @@
 	"strconv"
 
 	"linkpass/internal/coordinator"
-	"linkpass/internal/end"
 	"linkpass/internal/http1"
-	"linkpass/internal/peer"
-	"linkpass/internal/report"
+	"linkpass/internal/loadreport"
+	"linkpass/internal/outcome"
 	"linkpass/internal/shardmap"
+	"linkpass/internal/upstream"
 )
 
-// Dialect speaks searches to a league server: each part is a search of one
+// Codec speaks searches to a league server: each part is a search of one
 // shard, on a connection that carries one at a time.
-type Dialect struct {
+type Codec struct {
 	ReportNames []string // names of a report's values, in the header X-Server-Load
 }
 
@@ -41,24 +41,24 @@
 	host     = "league-server"
 )
 
-// Room is one part a connection.
-func (Dialect) Room() peer.Room {
-	return peer.Room{Streams: 1, Conns: maxConns, Exclusive: true, Ranges: true}
+// Limits is one part a connection.
+func (Codec) Limits() upstream.Limits {
+	return upstream.Limits{MaxStreams: 1, MaxConns: maxConns, Exclusive: true, Subranges: true}
 }
 
-// Call words one part as a search.
-func (Dialect) Call(parts []peer.Part) []byte {
+// EncodeRequest words one part as a search.
+func (Codec) EncodeRequest(parts []upstream.Part) []byte {
 	var b bytes.Buffer
 	for _, p := range parts {
 		path, header := target(p)
 		// Writes to a buffer do not fail.
-		_ = http1.WriteRequest(&b, "POST", path, host, header, searchOf(p.Text))
+		_ = http1.WriteRequest(&b, "POST", path, host, header, searchOf(p.Payload))
 	}
 	return b.Bytes()
 }
 
-// Head words a search up to its body. The platform's text is no search: it is worded whole.
-func (Dialect) Head(p peer.Part, size int64) []byte {
+// EncodeHeader words a search up to its body. The platform's text is no search: it is worded whole.
+func (Codec) EncodeHeader(p upstream.Part, size int64) []byte {
 	if p.Collection == "" {
 		return nil
 	}
@@ -67,19 +67,19 @@
 }
 
 // target is the path and the header of a part.
-func target(p peer.Part) (path string, header textproto.MIMEHeader) {
+func target(p upstream.Part) (path string, header textproto.MIMEHeader) {
 	path = "/_search"
 	if p.Collection != "" {
 		path = "/" + url.PathEscape(p.Collection) + path
 	}
 	slice := uint64(p.Shard)
 	header = textproto.MIMEHeader{"Content-Type": {"application/json"}, "X-Opaque-Id": {p.Name}}
-	if p.Ask != nil {
-		slice = uint64(p.Ask.Slice)
-		header.Set(HeaderVersion, strconv.FormatUint(p.Ask.Version, 10))
-		header.Set(HeaderRange, p.Ask.Range.String())
+	if p.Request != nil {
+		slice = uint64(p.Request.Shard)
+		header.Set(HeaderVersion, strconv.FormatUint(p.Request.MapVersion, 10))
+		header.Set(HeaderRange, p.Request.Range.String())
 	}
-	return path + fmt.Sprintf("?preference=_shards:%d&timeout=%dms", slice, max(1, p.Wait.Milliseconds())), header
+	return path + fmt.Sprintf("?preference=_shards:%d&timeout=%dms", slice, max(1, p.Timeout.Milliseconds())), header
 }
 
 // searchOf is a part's text where that is a search's body already, as the
@@ -98,23 +98,23 @@
 	return out
 }
 
-// GiveUp has no words: an exclusive connection is closed.
-func (Dialect) GiveUp(string) []byte { return nil }
+// EncodeCancel has no words: an exclusive connection is closed.
+func (Codec) EncodeCancel(string) []byte { return nil }
 
-// Probe asks for the server's greeting.
-func (Dialect) Probe() []byte {
+// EncodeHealthCheck asks for the server's greeting.
+func (Codec) EncodeHealthCheck() []byte {
 	var b bytes.Buffer
 	_ = http1.WriteRequest(&b, "GET", "/", host, nil, nil)
 	return b.Bytes()
 }
 
-// Reader reads a server's answers.
-func (d Dialect) Reader(r io.Reader) peer.Reader {
+// NewReader reads a server's answers.
+func (d Codec) NewReader(r io.Reader) upstream.Reader {
 	return &dialectReader{d, http1.NewReader(r, maxReply)}
 }
 
 type dialectReader struct {
-	Dialect
+	Codec
 	*http1.Reader
 }
 
@@ -138,48 +138,48 @@
 
 // Next reads one answer. An answer that is not whole is an error of the server's:
 // a part of a part is never taken for the part.
-func (r *dialectReader) Next() (peer.Message, end.End, error) {
+func (r *dialectReader) Next() (upstream.Message, outcome.Outcome, error) {
 	res, err := r.Response()
 	if err != nil {
-		return peer.Message{}, end.OfRead(err, false), err
+		return upstream.Message{}, outcome.FromReadError(err, false), err
 	}
-	m := peer.Message{End: end.ServerError, Last: res.Close, Report: report.Parse(res.Header.Get("X-Server-Load"), r.ReportNames)}
+	m := upstream.Message{Outcome: outcome.ServerError, ConnCloses: res.Close, LoadReport: loadreport.Parse(res.Header.Get("X-Server-Load"), r.ReportNames)}
 	if text := res.Header.Get(HeaderVersion); text != "" {
-		if m.Layout, err = strconv.ParseUint(text, 10, 64); err != nil {
-			return m, end.Garbled, fmt.Errorf("opensearch: %s %.40q: %w", HeaderVersion, text, err)
+		if m.ShardMapVersion, err = strconv.ParseUint(text, 10, 64); err != nil {
+			return m, outcome.MalformedResponse, fmt.Errorf("opensearch: %s %.40q: %w", HeaderVersion, text, err)
 		}
 	}
 	if text := res.Header.Get(HeaderCovers); text != "" {
 		r, err := shardmap.ParseRange(text)
 		if err != nil {
-			return m, end.Garbled, fmt.Errorf("opensearch: %s: %w", HeaderCovers, err)
+			return m, outcome.MalformedResponse, fmt.Errorf("opensearch: %s: %w", HeaderCovers, err)
 		}
 		m.Covers = &r
 	}
 	switch {
-	case res.Status == 409 && m.Layout > 0:
-		m.End = end.Moved
+	case res.Status == 409 && m.ShardMapVersion > 0:
+		m.Outcome = outcome.ShardMoved
 		return m, 0, nil
 	case res.Status == 429:
-		m.End = end.TurnedAway
+		m.Outcome = outcome.Rejected
 		return m, 0, nil
 	case res.Status != 200:
 		return m, 0, nil
 	}
-	m.End, m.Value = end.Served, res.Body
+	m.Outcome, m.Value = outcome.Success, res.Body
 	var s serverResult
 	if err := json.Unmarshal(res.Body, &s); err != nil {
-		return m, end.Garbled, fmt.Errorf("opensearch: answer: %w", err)
+		return m, outcome.MalformedResponse, fmt.Errorf("opensearch: answer: %w", err)
 	}
 	if s.Hits == nil && s.Shards == nil {
-		m.Probe = true // a greeting, which is no answer to a part
+		m.HealthCheck = true // a greeting, which is no answer to a part
 		return m, 0, nil
 	}
 	if s.Hits == nil || s.Shards == nil || s.Hits.Total.Value < 0 {
-		return m, end.Garbled, errors.New("opensearch: answer without hits or counts")
+		return m, outcome.MalformedResponse, errors.New("opensearch: answer without hits or counts")
 	}
 	if s.TimedOut || s.Shards.Failed > 0 || s.Shards.Successful < s.Shards.Total {
-		m.End, m.Value = end.ServerError, nil
+		m.Outcome, m.Value = outcome.ServerError, nil
 		return m, 0, nil
 	}
 	m.Hits = &coordinator.Hits{Total: s.Hits.Total.Value, AtLeast: s.Hits.Total.Relation == "gte"}
--- a/internal/opensearch/errors.go
+++ b/internal/opensearch/errors.go
@@ -5,8 +5,8 @@
 	"net/textproto"
 
 	"linkpass/internal/coordinator"
-	"linkpass/internal/end"
 	"linkpass/internal/http1"
+	"linkpass/internal/outcome"
 )
 
 // cause is OpenSearch's error object.
@@ -66,27 +66,27 @@
 }
 
 // reasonOf words how a slice's latest attempt ended.
-func reasonOf(m coordinator.Miss) cause {
-	e, bare := m.Last, ""
-	if m.Bare {
+func reasonOf(m coordinator.MissingPart) cause {
+	e, bare := m.LastOutcome, ""
+	if m.BodyEvicted {
 		bare = "; its body is not kept any more, so it was not sent again"
 	}
-	if !m.Tried {
+	if !m.Attempted {
 		return cause{Type: "no_shard_available_action_exception", Reason: "no league server was tried" + bare}
 	}
 	kind := "remote_transport_exception"
 	switch e {
-	case end.TurnedAway, end.Crowded:
+	case outcome.Rejected, outcome.QueueFull:
 		kind = "rejected_execution_exception"
-	case end.DialRefused, end.DialTimeout, end.DialFailed, end.CutInWrite:
+	case outcome.DialRefused, outcome.DialTimeout, outcome.DialFailed, outcome.WriteInterrupted:
 		kind = "connect_transport_exception"
-	case end.Broken, end.Closed:
+	case outcome.ConnReset, outcome.ConnClosed:
 		kind = "node_disconnected_exception"
-	case end.Silent:
+	case outcome.Timeout:
 		kind = "receive_timeout_transport_exception"
-	case end.Moved, end.Ahead, end.Pieced:
+	case outcome.ShardMoved, outcome.UnknownShardMap, outcome.PartialCoverage:
 		kind = "illegal_index_shard_state_exception"
-	case end.CalledOff, end.Withheld, end.Unkept:
+	case outcome.Canceled, outcome.NotSent, outcome.BodyEvicted:
 		kind = "task_cancelled_exception"
 	}
 	return cause{Type: kind, Reason: "the latest attempt ended as " + e.String() + bare}
--- a/internal/opensearch/front.go
+++ b/internal/opensearch/front.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"linkpass/internal/bodies"
+	"linkpass/internal/bodystore"
 	"linkpass/internal/coordinator"
 	"linkpass/internal/eventlog"
 	"linkpass/internal/http1"
@@ -29,22 +29,22 @@
 
 // Class is what the front needs of a class.
 type Class struct {
-	Name     string
-	Deadline time.Duration
-	Worth    float64
+	Name           string
+	Deadline       time.Duration
+	PriorityWeight float64
 }
 
 // Front answers searches.
 type Front struct {
-	Core     Core
-	Classes  []Class
-	Shards   int
-	Catalog  func() *searchconfig.Config
-	Settings http1.Handler // of /_cluster/settings
-	Changes  Changes       // of layouts; nil: they are a file's
-	Bodies   *bodies.Store // of large searches; nil: they lie in memory
-	Prefix   string        // makes this instance's names of searches its own
-	Counters *metrics.Counters
+	Core            Core
+	Classes         []Class
+	Shards          int
+	SearchConfig    func() *searchconfig.Config
+	Settings        http1.Handler    // of /_cluster/settings
+	SettingsUpdater SettingsUpdater  // of layouts; nil: they are a file's
+	BodyStore       *bodystore.Store // of large searches; nil: they lie in memory
+	Prefix          string           // makes this instance's names of searches its own
+	Counters        *metrics.Counters
 
 	searches atomic.Uint64
 	lines    eventlog.RateLimited // on searches that are turned down
@@ -114,13 +114,13 @@
 // plan reads a search and finds its class and slices. Nothing is sent unless
 // all of it is known.
 func (f *Front) plan(index string, req *http1.Request) (s search, body coordinator.Body, bad *cause) {
-	settings := f.Catalog()
+	settings := f.SearchConfig()
 	where, ok := settings.Indices[index]
 	if !ok {
 		return s, nil, noIndex(index)
 	}
 	class := slices.IndexFunc(f.Classes, func(c Class) bool { return c.Name == where.Class })
-	if req.Spool != nil {
+	if req.BodySink != nil {
 		s, body, bad = f.readLarge(max(0, class), req, settings)
 	} else {
 		s, bad = readSearch(req.Query, req.Body, settings)
@@ -175,12 +175,12 @@
 	}
 	parts := make([]coordinator.Part, len(s.slices))
 	for i, slice := range s.slices {
-		parts[i] = coordinator.Part{Shard: slice, Weight: 1 / float64(len(s.slices)), Text: text}
+		parts[i] = coordinator.Part{Shard: slice, Weight: 1 / float64(len(s.slices)), Payload: text}
 	}
 	done := make(chan coordinator.Answer, 1)
 	leave := f.Core.Submit(coordinator.Query{
 		Name: f.Prefix + "-" + strconv.FormatUint(f.searches.Add(1), 10), Collection: index, Class: s.class,
-		Began: began, Timeout: s.timeout, Parts: parts, Wanted: s.wanted, Text: text, Body: body, Reply: func(a coordinator.Answer) { done <- a },
+		StartedAt: began, Timeout: s.timeout, Parts: parts, KeyRanges: s.wanted, Payload: text, Body: body, Reply: func(a coordinator.Answer) { done <- a },
 	})
 	var a coordinator.Answer
 	select {
@@ -200,35 +200,35 @@
 	}
 	for _, m := range a.Missing {
 		lost := failure{Shard: m.Shard, Index: s.index, Reason: reasonOf(m)}
-		if m.Ask != nil {
-			lost.Shard, lost.Range, lost.Version = int(m.Ask.Slice), m.Ask.Range.String(), m.Ask.Version
+		if m.Request != nil {
+			lost.Shard, lost.Range, lost.Version = int(m.Request.Shard), m.Request.Range.String(), m.Request.MapVersion
 		}
 		counts.Failures = append(counts.Failures, lost)
 	}
 	res := f.word(s, a, took, counts)
-	if a.Layout > 0 {
-		res.Header[HeaderVersion] = []string{strconv.FormatUint(a.Layout, 10)}
+	if a.ShardMapVersion > 0 {
+		res.Header[HeaderVersion] = []string{strconv.FormatUint(a.ShardMapVersion, 10)}
 	}
 	return res
 }
 
 // word words an answer of which so much is in.
 func (*Front) word(s search, a coordinator.Answer, took int64, counts shards) *http1.Response {
-	if a.Verdict == coordinator.Answered && (a.Whole || s.allowPartial) {
-		return jsonResponse(200, result{Took: took, TimedOut: a.TimedOut && !a.Whole, Shards: counts, Hits: s.merge(a.Values)})
+	if a.Status == coordinator.Answered && (a.Complete || s.allowPartial) {
+		return jsonResponse(200, result{Took: took, TimedOut: a.TimedOut && !a.Complete, Shards: counts, Hits: s.merge(a.Values)})
 	}
 	c := &cause{Type: "search_phase_execution_exception", Reason: "all shards failed", Phase: "query", Grouped: true,
 		FailedShards: counts.Failures, Status: 503}
 	switch {
-	case a.Verdict == coordinator.Refused:
+	case a.Status == coordinator.Rejected:
 		c.Type, c.Reason, c.Status = "rejected_execution_exception", "the search was refused for want of room; asking again is harmless", 429
 	case a.TimedOut:
 		c.Reason, c.Status = "the search's time is over", 504
-	case a.Verdict == coordinator.Answered:
+	case a.Status == coordinator.Answered:
 		c.Reason = "Partial shards failure"
 	}
 	res := begunError(c, &took, &a.TimedOut, &counts)
-	if a.Verdict == coordinator.Refused && a.RetryAfter > 0 {
+	if a.Status == coordinator.Rejected && a.RetryAfter > 0 {
 		res.Header["Retry-After"] = []string{strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64)}
 	}
 	return res
@@ -243,8 +243,8 @@
 		if v.Hits == nil {
 			score := v.Score
 			slice := v.Shard
-			if v.Ask != nil {
-				slice = int(v.Ask.Slice)
+			if v.Request != nil {
+				slice = int(v.Request.Shard)
 			}
 			source, err := json.Marshal(map[string]any{"slice": slice, "data": string(v.Data)})
 			if err != nil { // a number and a string always encode
--- a/internal/opensearch/large.go
+++ b/internal/opensearch/large.go
@@ -6,23 +6,23 @@
 	"fmt"
 	"io"
 
-	"linkpass/internal/bodies"
+	"linkpass/internal/bodystore"
 	"linkpass/internal/coordinator"
 	"linkpass/internal/http1"
 	"linkpass/internal/searchconfig"
 )
 
-// Arriving is a large body on its way into the store, as the server's spool.
-type Arriving struct {
-	*bodies.Writer
-	Refused *http1.Error // what its client is told where there is no room
+// BodyUpload is a large body on its way into the store, as the server's spool.
+type BodyUpload struct {
+	*bodystore.Writer
+	Rejection *http1.Error // what its client is told where there is no room
 }
 
 // Write takes more of it.
-func (a *Arriving) Write(p []byte) (int, error) {
+func (a *BodyUpload) Write(p []byte) (int, error) {
 	n, err := a.Writer.Write(p)
-	if errors.Is(err, bodies.ErrNoRoom) {
-		err = a.Refused
+	if errors.Is(err, bodystore.ErrNoCapacity) {
+		err = a.Rejection
 	}
 	return n, err
 }
@@ -30,11 +30,11 @@
 // readLarge reads a search whose body has come into the store, and puts what the parts are to
 // send there in its place: the body's query, as it stands, with our own from and size.
 func (f *Front) readLarge(class int, req *http1.Request, settings *searchconfig.Config) (search, coordinator.Body, *cause) {
-	arrived, ok := req.Spool.(*Arriving)
+	arrived, ok := req.BodySink.(*BodyUpload)
 	if !ok {
 		return search{}, nil, badRequest("illegal_state_exception", "a large body without a store")
 	}
-	raw, err := arrived.Done()
+	raw, err := arrived.Commit()
 	if err != nil {
 		return search{}, nil, noRoom()
 	}
@@ -71,7 +71,7 @@
 	return &cause{Type: "rejected_execution_exception", Reason: "the search's body could not be kept; asking again is harmless", Status: 429}
 }
 
-func scanBody(raw *bodies.Body) (scanned, error) {
+func scanBody(raw *bodystore.Body) (scanned, error) {
 	r, err := raw.Open()
 	if err != nil {
 		return scanned{}, err
@@ -81,13 +81,13 @@
 }
 
 // rebuild writes the parts' body, piece by piece, from the one that came.
-func (f *Front) rebuild(class int, raw *bodies.Body, s search, b scanned) (coordinator.Body, error) {
+func (f *Front) rebuild(class int, raw *bodystore.Body, s search, b scanned) (coordinator.Body, error) {
 	r, err := raw.Open()
 	if err != nil {
 		return nil, err
 	}
 	defer r.Close()
-	w := f.Bodies.Arrive(class, f.Classes[class].Worth)
+	w := f.BodyStore.NewWriter(class, f.Classes[class].PriorityWeight)
 	defer w.Abort()
 	if _, err := io.WriteString(w, `{"from":0,"query":`); err != nil {
 		return nil, err
@@ -103,7 +103,7 @@
 	if err != nil {
 		return nil, err
 	}
-	body, err := w.Done()
+	body, err := w.Commit()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/opensearch/large_test.go
+++ b/internal/opensearch/large_test.go
@@ -12,24 +12,24 @@
 
 	"pgregory.net/rapid"
 
-	"linkpass/internal/bodies"
-	"linkpass/internal/bodies/tier"
+	"linkpass/internal/bodystore"
+	"linkpass/internal/bodystore/tier"
 	"linkpass/internal/coordinator"
 	"linkpass/internal/http1"
 	"linkpass/internal/metrics"
 )
 
 // large is a front with a store, and a search's body on its way in.
-func large(t *testing.T, k *core, l tier.Limits, body string) (*Front, *http1.Request, *bodies.Store) {
-	s := bodies.Open(bodies.Config{Limits: l, Dir: t.TempDir(), Counters: metrics.NewCounters(), Now: func() time.Duration { return 0 }})
+func large(t *testing.T, k *core, l tier.Limits, body string) (*Front, *http1.Request, *bodystore.Store) {
+	s := bodystore.Open(bodystore.Config{Limits: l, Dir: t.TempDir(), Counters: metrics.NewCounters(), Now: func() time.Duration { return 0 }})
 	t.Cleanup(s.Close)
 	f := front(k)
-	f.Bodies = s
-	w := &Arriving{Writer: s.Arrive(1, 1), Refused: &http1.Error{Status: 429}}
+	f.BodyStore = s
+	w := &BodyUpload{Writer: s.NewWriter(1, 1), Rejection: &http1.Error{Status: 429}}
 	if _, err := io.WriteString(w, body); err != nil {
 		t.Fatal(err)
 	}
-	return f, &http1.Request{Method: "POST", Path: "/players/_search", Spool: w}, s
+	return f, &http1.Request{Method: "POST", Path: "/players/_search", BodySink: w}, s
 }
 
 func terms(n int) string {
@@ -47,7 +47,7 @@
 		query := terms(20_000)
 		var text []byte
 		k := &core{answer: func(q coordinator.Query) coordinator.Answer {
-			if q.Body == nil || len(q.Parts[0].Text) > 100 && string(q.Parts[0].Text) != `{"from":0,"query":{"match_all":{}},"size":7}` {
+			if q.Body == nil || len(q.Parts[0].Payload) > 100 && string(q.Parts[0].Payload) != `{"from":0,"query":{"match_all":{}},"size":7}` {
 				t.Errorf("%+v", q)
 			}
 			r, err := q.Body.Open()
@@ -57,7 +57,7 @@
 			text, _ = io.ReadAll(r)
 			_ = r.Close()
 			q.Body.Release()
-			return coordinator.Answer{Verdict: coordinator.Answered, Whole: true}
+			return coordinator.Answer{Status: coordinator.Answered, Complete: true}
 		}}
 		f, req, s := large(t, k, limits, `{"size": 5, "query" : `+query+`, "timeout":"300ms", "from":2}`)
 		res := f.Serve(context.Background(), 0, req)
@@ -67,7 +67,7 @@
 		if want := `{"from":0,"query":` + query + `,"size":7}`; string(text) != want {
 			t.Errorf("sent %d bytes %.60q, want %d", len(text), text, len(want))
 		}
-		if f := s.Figures(); f.Bodies != 0 || f.Memory+f.Files != 0 {
+		if f := s.Totals(); f.Bodies != 0 || f.Memory+f.Files != 0 {
 			t.Errorf("left: %+v", f)
 		}
 	}
@@ -88,8 +88,8 @@
 		res := f.Serve(context.Background(), 0, req)
 		var out struct{ Error struct{ Type string } }
 		_ = json.Unmarshal(res.Body, &out)
-		if res.Status != 400 || out.Error.Type != kind || len(k.queries) != 0 || s.Figures().Bodies != 0 {
-			t.Errorf("%.40s: %d %s, %d queries, %+v", body, res.Status, res.Body, len(k.queries), s.Figures())
+		if res.Status != 400 || out.Error.Type != kind || len(k.queries) != 0 || s.Totals().Bodies != 0 {
+			t.Errorf("%.40s: %d %s, %d queries, %+v", body, res.Status, res.Body, len(k.queries), s.Totals())
 		}
 	}
 }
--- a/internal/opensearch/layouts.go
+++ b/internal/opensearch/layouts.go
@@ -20,9 +20,9 @@
 	"linkpass/internal/store"
 )
 
-// Changes takes changes of the document, each a compare-and-set. The search front has
+// SettingsUpdater takes changes of the document, each a compare-and-set. The search front has
 // none where its settings are a file's.
-type Changes interface {
+type SettingsUpdater interface {
 	UpdateSettings(func(*searchconfig.Config) (*searchconfig.Config, error)) (*searchconfig.Config, error)
 }
 
@@ -112,7 +112,7 @@
 	if err != nil {
 		return f.reject(badRequest("illegal_argument_exception", err.Error()))
 	}
-	c := f.Catalog()
+	c := f.SearchConfig()
 	var all []shardRow
 	for _, name := range slices.Sorted(maps.Keys(c.Indices)) {
 		if index != "" && index != name {
@@ -159,7 +159,7 @@
 
 // searchShards answers GET /{index}/_search_shards: the copies that a search would choose from.
 func (f *Front) searchShards(index string, req *http1.Request) *http1.Response {
-	c := f.Catalog()
+	c := f.SearchConfig()
 	if _, ok := c.Indices[index]; !ok {
 		return f.reject(noIndex(index))
 	}
@@ -275,7 +275,7 @@
 	if _, err := d.Token(); !errors.Is(err, io.EOF) || len(body.Commands) == 0 || len(body.Commands) > maxCommands {
 		return f.reject(badRequest("illegal_argument_exception", fmt.Sprintf("1 to %d commands are taken, and nothing after them", maxCommands)))
 	}
-	if f.Changes == nil {
+	if f.SettingsUpdater == nil {
 		return f.reject(badRequest("illegal_state_exception", "layouts change in the replicated store only, and this instance has none"))
 	}
 	touched := map[string]bool{}
@@ -285,9 +285,9 @@
 	}
 	var next *searchconfig.Config
 	if dry := params.Get("dry_run"); dry == "true" {
-		next, err = change(f.Catalog())
+		next, err = change(f.SearchConfig())
 	} else if dry == "" || dry == "false" {
-		next, err = f.Changes.UpdateSettings(change)
+		next, err = f.SettingsUpdater.UpdateSettings(change)
 	} else {
 		return f.reject(badRequest("illegal_argument_exception", fmt.Sprintf("Failed to parse value [%.40s] as only [true] or [false] are allowed.", dry)))
 	}
--- a/internal/opensearch/layouts_test.go
+++ b/internal/opensearch/layouts_test.go
@@ -10,10 +10,10 @@
 	"pgregory.net/rapid"
 
 	"linkpass/internal/coordinator"
-	"linkpass/internal/end"
-	"linkpass/internal/peer"
+	"linkpass/internal/outcome"
 	"linkpass/internal/searchconfig"
 	"linkpass/internal/shardmap"
+	"linkpass/internal/upstream"
 )
 
 // changes stands in for the store.
@@ -35,7 +35,7 @@
 	}
 	store := &changes{c}
 	f := front(k)
-	f.Catalog, f.Changes = func() *searchconfig.Config { return store.now }, store
+	f.SearchConfig, f.SettingsUpdater = func() *searchconfig.Config { return store.now }, store
 	return f, store
 }
 
@@ -53,12 +53,12 @@
 		fmt.Sprintf("/players/_search?preference=_shards:%d,%d", first+1, first): {halves[0]},
 	} {
 		k := &core{answer: func(_ coordinator.Query) coordinator.Answer {
-			return coordinator.Answer{Verdict: coordinator.Answered, Layout: 7, Missing: []coordinator.Miss{
-				{Last: end.Moved, Tried: true, Ask: &coordinator.Ask{Slice: 9, Range: halves[1], Version: 7}}}}
+			return coordinator.Answer{Status: coordinator.Answered, ShardMapVersion: 7, Missing: []coordinator.MissingPart{
+				{LastOutcome: outcome.ShardMoved, Attempted: true, Request: &coordinator.ShardRequest{Shard: 9, Range: halves[1], MapVersion: 7}}}}
 		}}
 		f, _ := movable(t, k)
 		res, _ := ask(f, "POST", target, ``)
-		if len(k.queries) != 1 || fmt.Sprint(k.queries[0].Wanted) != fmt.Sprint(want) || len(k.queries[0].Parts) != 0 {
+		if len(k.queries) != 1 || fmt.Sprint(k.queries[0].KeyRanges) != fmt.Sprint(want) || len(k.queries[0].Parts) != 0 {
 			t.Errorf("%s wants %v", target, k.queries)
 		}
 		for _, s := range []string{`"failed":1`, `"range":"` + halves[1].String(), `"layout_version":7`, "ended as moved"} {
@@ -126,7 +126,7 @@
 	if res, _ := ask(f, "GET", "/players/_search_shards?routing=li", ""); bytes.Count(res.Body, []byte(`"node"`)) != 2 {
 		t.Errorf("%s", res.Body)
 	}
-	f.Changes = nil
+	f.SettingsUpdater = nil
 	if status, _ := order("", split); status != 400 {
 		t.Errorf("without a store: %d", status)
 	}
@@ -134,36 +134,36 @@
 
 // What a server says of its version and ranges is read, and nothing that it says breaks the reader.
 func TestServersSayWhatTheyHold(t *testing.T) {
-	reply := func(status, headers, body string) (peer.Message, end.End, error) {
+	reply := func(status, headers, body string) (upstream.Message, outcome.Outcome, error) {
 		text := fmt.Sprintf("HTTP/1.1 %s x\r\n%sContent-Length: %d\r\n\r\n%s", status, headers, len(body), body)
-		return Dialect{}.Reader(strings.NewReader(text)).Next()
+		return Codec{}.NewReader(strings.NewReader(text)).Next()
 	}
 	const hits = `{"_shards":{"total":1,"successful":1},"hits":{"total":{"value":0},"hits":[]}}`
-	if m, _, err := reply("409", "X-Layout-Version: 12\r\n", ""); err != nil || m.End != end.Moved || m.Layout != 12 {
+	if m, _, err := reply("409", "X-Layout-Version: 12\r\n", ""); err != nil || m.Outcome != outcome.ShardMoved || m.ShardMapVersion != 12 {
 		t.Errorf("%+v %v", m, err)
 	}
-	if m, _, err := reply("409", "", ""); err != nil || m.End != end.ServerError {
+	if m, _, err := reply("409", "", ""); err != nil || m.Outcome != outcome.ServerError {
 		t.Errorf("a conflict without a version: %+v %v", m, err)
 	}
-	if m, _, err := reply("200", "X-Layout-Covers: 0-ff\r\n", hits); err != nil || m.End != end.Served || *m.Covers != (shardmap.Range{First: 0, Last: 255}) {
+	if m, _, err := reply("200", "X-Layout-Covers: 0-ff\r\n", hits); err != nil || m.Outcome != outcome.Success || *m.Covers != (shardmap.Range{First: 0, Last: 255}) {
 		t.Errorf("%+v %v", m, err)
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		value := rapid.StringMatching(`[ -~]{0,40}`).Draw(t, "value")
 		name := rapid.SampledFrom([]string{HeaderVersion, HeaderCovers}).Draw(t, "name")
 		m, e, err := reply("200", name+": "+value+"\r\n", hits)
-		if err != nil && e != end.Garbled || err == nil && m.Covers != nil && !m.Covers.Valid() {
+		if err != nil && e != outcome.MalformedResponse || err == nil && m.Covers != nil && !m.Covers.Valid() {
 			t.Fatalf("%q: %+v %v %v", value, m, e, err)
 		}
 	})
-	ask := &coordinator.Ask{Slice: 1 << 20, Version: 3, Range: shardmap.Range{First: 1, Last: 2}}
-	wire := string(Dialect{}.Call([]peer.Part{{Name: "q.1", Collection: "players", Shard: 1 << 33, Wait: time.Second, Ask: ask}}))
+	ask := &coordinator.ShardRequest{Shard: 1 << 20, MapVersion: 3, Range: shardmap.Range{First: 1, Last: 2}}
+	wire := string(Codec{}.EncodeRequest([]upstream.Part{{Name: "q.1", Collection: "players", Shard: 1 << 33, Timeout: time.Second, Request: ask}}))
 	for _, s := range []string{"/players/_search?preference=_shards:1048576&", "X-Layout-Version: 3\r\n", "X-Layout-Range: 0000000000000001-0000000000000002\r\n"} {
 		if !strings.Contains(wire, s) {
 			t.Errorf("%q lacks %q", wire, s)
 		}
 	}
-	if wire := string(Dialect{}.Call([]peer.Part{{Name: "q.1", Collection: "players", Shard: 1}})); strings.Contains(wire, "Layout") {
+	if wire := string(Codec{}.EncodeRequest([]upstream.Part{{Name: "q.1", Collection: "players", Shard: 1}})); strings.Contains(wire, "Layout") {
 		t.Errorf("a fixed layout's part says %q", wire)
 	}
 }
--- a/internal/opensearch/opensearch_test.go
+++ b/internal/opensearch/opensearch_test.go
@@ -12,13 +12,13 @@
 	"pgregory.net/rapid"
 
 	"linkpass/internal/coordinator"
-	"linkpass/internal/end"
 	"linkpass/internal/http1"
 	"linkpass/internal/metrics"
-	"linkpass/internal/peer"
+	"linkpass/internal/outcome"
 	"linkpass/internal/searchconfig"
 	_ "linkpass/internal/seeded"
 	"linkpass/internal/store"
+	"linkpass/internal/upstream"
 )
 
 // core stands in for the core: it keeps the queries and answers as told.
@@ -31,7 +31,7 @@
 func (c *core) Submit(q coordinator.Query) func() {
 	c.queries = append(c.queries, q)
 	if c.answer == nil {
-		return func() { q.Reply(coordinator.Answer{Verdict: coordinator.Failed}) }
+		return func() { q.Reply(coordinator.Answer{Status: coordinator.Failed}) }
 	}
 	q.Reply(c.answer(q))
 	return func() {}
@@ -44,7 +44,7 @@
 }
 
 func front(c *core) *Front {
-	return &Front{Core: c, Shards: 6, Prefix: "n0", Counters: metrics.NewCounters(), Catalog: settings,
+	return &Front{Core: c, Shards: 6, Prefix: "n0", Counters: metrics.NewCounters(), SearchConfig: settings,
 		Classes:  []Class{{"league-table", 5 * time.Second, 3}, {"team-lookup", 2500 * time.Millisecond, 1}},
 		Settings: FixedSettings(settings)}
 }
@@ -58,7 +58,7 @@
 }
 
 func whole(q coordinator.Query) coordinator.Answer {
-	a := coordinator.Answer{Whole: true}
+	a := coordinator.Answer{Complete: true}
 	for _, p := range q.Parts {
 		v := coordinator.Value{Shard: p.Shard, Data: []byte("v"), Score: float64(p.Shard)}
 		if p.Shard == 1 {
@@ -78,8 +78,8 @@
 	}
 	q := c.queries[0]
 	if q.Class != 1 || q.Timeout != 300*time.Millisecond || q.Collection != "players" || len(q.Parts) != 3 ||
-		string(q.Parts[0].Text) != `{"from":0,"query":{"match":{"name":"li"}},"size":3}` {
-		t.Errorf("query %+v, text %s", q, q.Parts[0].Text)
+		string(q.Parts[0].Payload) != `{"from":0,"query":{"match":{"name":"li"}},"size":3}` {
+		t.Errorf("query %+v, text %s", q, q.Parts[0].Payload)
 	}
 	var got result
 	if err := json.Unmarshal(res.Body, &got); err != nil {
@@ -140,15 +140,15 @@
 }
 
 func TestWhatIsMissingIsTold(t *testing.T) {
-	missing := []coordinator.Miss{{Shard: 2, Last: end.Silent, Tried: true}}
+	missing := []coordinator.MissingPart{{Shard: 2, LastOutcome: outcome.Timeout, Attempted: true}}
 	part := func(q coordinator.Query) coordinator.Answer {
 		a := whole(q)
-		a.Whole, a.Values, a.Missing, a.TimedOut = false, a.Values[:2], missing, true
+		a.Complete, a.Values, a.Missing, a.TimedOut = false, a.Values[:2], missing, true
 		return a
 	}
-	as := func(v coordinator.Verdict, retry time.Duration, late bool) func(coordinator.Query) coordinator.Answer {
+	as := func(v coordinator.Status, retry time.Duration, late bool) func(coordinator.Query) coordinator.Answer {
 		return func(coordinator.Query) coordinator.Answer {
-			return coordinator.Answer{Verdict: v, RetryAfter: retry, TimedOut: late, Missing: missing}
+			return coordinator.Answer{Status: v, RetryAfter: retry, TimedOut: late, Missing: missing}
 		}
 	}
 	for name, c := range map[string]struct {
@@ -160,7 +160,7 @@
 	}{
 		"in part":         {part, "", 200, true, ""},
 		"part not wanted": {part, "?allow_partial_search_results=false", 504, true, ""},
-		"refused":         {as(coordinator.Refused, 250*time.Millisecond, false), "", 429, false, "0.250"},
+		"refused":         {as(coordinator.Rejected, 250*time.Millisecond, false), "", 429, false, "0.250"},
 		"timeout":         {as(coordinator.Failed, 0, true), "", 504, true, ""},
 		"failed":          {as(coordinator.Failed, 0, false), "", 503, false, ""},
 	} {
@@ -190,33 +190,33 @@
 }
 
 func TestServersAnswers(t *testing.T) {
-	next := func(text string) (peer.Message, end.End, error) {
-		return Dialect{ReportNames: []string{"active"}}.Reader(strings.NewReader(text)).Next()
+	next := func(text string) (upstream.Message, outcome.Outcome, error) {
+		return Codec{ReportNames: []string{"active"}}.NewReader(strings.NewReader(text)).Next()
 	}
 	m, _, err := next(response(200, answered))
-	if err != nil || m.End != end.Served || m.Probe || string(m.Value) != answered || m.Report[0] != 3 ||
+	if err != nil || m.Outcome != outcome.Success || m.HealthCheck || string(m.Value) != answered || m.LoadReport[0] != 3 ||
 		m.Hits.Total != 12 || !m.Hits.AtLeast || m.Hits.List[0].ID != "7" || m.Score != 2.5 {
 		t.Errorf("%+v %v", m, err)
 	}
-	if m, _, err := next(response(200, `{"name":"s-1"}`)); err != nil || !m.Probe {
+	if m, _, err := next(response(200, `{"name":"s-1"}`)); err != nil || !m.HealthCheck {
 		t.Errorf("greeting: %+v %v", m, err)
 	}
-	for text, want := range map[string]end.End{
-		response(429, "{}"): end.TurnedAway, response(503, "{}"): end.ServerError, response(404, "{}"): end.ServerError,
-		response(200, strings.Replace(answered, `"timed_out":false`, `"timed_out":true`, 1)): end.ServerError,
-		response(200, strings.Replace(answered, `"failed":0`, `"failed":1`, 1)):              end.ServerError,
+	for text, want := range map[string]outcome.Outcome{
+		response(429, "{}"): outcome.Rejected, response(503, "{}"): outcome.ServerError, response(404, "{}"): outcome.ServerError,
+		response(200, strings.Replace(answered, `"timed_out":false`, `"timed_out":true`, 1)): outcome.ServerError,
+		response(200, strings.Replace(answered, `"failed":0`, `"failed":1`, 1)):              outcome.ServerError,
 	} {
-		if m, _, err := next(text); err != nil || m.End != want || m.Hits != nil {
+		if m, _, err := next(text); err != nil || m.Outcome != want || m.Hits != nil {
 			t.Errorf("%.80q: %+v %v", text, m, err)
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		text := response(200, answered)
-		if _, e, err := next(text[:rapid.IntRange(0, len(text)-1).Draw(t, "at")]); err == nil || e != end.Broken && e != end.Garbled {
+		if _, e, err := next(text[:rapid.IntRange(0, len(text)-1).Draw(t, "at")]); err == nil || e != outcome.ConnReset && e != outcome.MalformedResponse {
 			t.Fatalf("cut: %s %v", e, err)
 		}
 		garbage := string(rapid.SliceOf(rapid.Byte()).Draw(t, "garbage"))
-		if m, _, err := next(response(200, garbage)); err == nil && !m.Probe && m.Hits == nil {
+		if m, _, err := next(response(200, garbage)); err == nil && !m.HealthCheck && m.Hits == nil {
 			t.Fatalf("garbage %q as %+v", garbage, m)
 		}
 		_, _, _ = next(garbage)
@@ -228,7 +228,7 @@
 	for text, want := range map[string]string{
 		"c41e77d0": `{"query":{"query_string":{"query":"c41e77d0"}}}`, `{"query":{"match_all":{}}}`: `{"query":{"match_all":{}}}`,
 	} {
-		out := Dialect{}.Call([]peer.Part{{Name: "q.3", Collection: "players", Shard: 3, Wait: 240 * time.Millisecond, Text: []byte(text)}})
+		out := Codec{}.EncodeRequest([]upstream.Part{{Name: "q.3", Collection: "players", Shard: 3, Timeout: 240 * time.Millisecond, Payload: []byte(text)}})
 		req, err := http1.NewReader(bytes.NewReader(out), 0).Request()
 		if err != nil || req.Path != "/players/_search" || req.Query != "preference=_shards:3&timeout=240ms" ||
 			req.Header.Get("X-Opaque-Id") != "q.3" || string(req.Body) != want {
--- a/internal/opensearch/wire_golden_test.go
+++ b/internal/opensearch/wire_golden_test.go
@@ -12,13 +12,13 @@
 	"time"
 
 	"linkpass/internal/coordinator"
-	"linkpass/internal/end"
 	"linkpass/internal/goldentest"
 	"linkpass/internal/http1"
-	"linkpass/internal/peer"
+	"linkpass/internal/outcome"
 	"linkpass/internal/searchconfig"
 	"linkpass/internal/shardmap"
 	"linkpass/internal/store"
+	"linkpass/internal/upstream"
 )
 
 // sortedHead is a request's or response's bytes with the header lines sorted, as maps have no order.
@@ -43,31 +43,31 @@
 	return sortedHead(t, b.Bytes())
 }
 
-func goldenAsk() *coordinator.Ask {
-	return &coordinator.Ask{Slice: shardmap.FirstDynamicID + 4, Version: 7, Range: shardmap.Range{First: 1, Last: 0xff}}
+func goldenAsk() *coordinator.ShardRequest {
+	return &coordinator.ShardRequest{Shard: shardmap.FirstDynamicID + 4, MapVersion: 7, Range: shardmap.Range{First: 1, Last: 0xff}}
 }
 
 // What a league server is sent for a part, for a probe and for a body that follows in pieces.
 func TestServerRequestsGolden(t *testing.T) {
 	text := []byte(`{"from":0,"query":{"match":{"name":"li"}},"size":3}`)
-	fixed := peer.Part{Name: "n0-1.3", Collection: "players", Shard: 3, Wait: 240 * time.Millisecond, Text: text}
-	moving := peer.Part{Name: "n0-1.4", Collection: "pl/ayers", Shard: 9, Wait: time.Microsecond, Text: text, Ask: goldenAsk()}
-	plain := peer.Part{Name: "q.3", Shard: 3, Wait: time.Second, Text: []byte("c41e77d0")}
-	d := Dialect{}
+	fixed := upstream.Part{Name: "n0-1.3", Collection: "players", Shard: 3, Timeout: 240 * time.Millisecond, Payload: text}
+	moving := upstream.Part{Name: "n0-1.4", Collection: "pl/ayers", Shard: 9, Timeout: time.Microsecond, Payload: text, Request: goldenAsk()}
+	plain := upstream.Part{Name: "q.3", Shard: 3, Timeout: time.Second, Payload: []byte("c41e77d0")}
+	d := Codec{}
 	for _, c := range []struct {
 		file string
 		got  []byte
 	}{
-		{"server_part_fixed.http", d.Call([]peer.Part{fixed})},
-		{"server_part_layout.http", d.Call([]peer.Part{moving})},
-		{"server_part_plain.http", d.Call([]peer.Part{plain})},
-		{"server_head_fixed.http", d.Head(fixed, 123456)},
-		{"server_head_layout.http", d.Head(moving, 123456)},
-		{"server_probe.http", d.Probe()},
+		{"server_part_fixed.http", d.EncodeRequest([]upstream.Part{fixed})},
+		{"server_part_layout.http", d.EncodeRequest([]upstream.Part{moving})},
+		{"server_part_plain.http", d.EncodeRequest([]upstream.Part{plain})},
+		{"server_head_fixed.http", d.EncodeHeader(fixed, 123456)},
+		{"server_head_layout.http", d.EncodeHeader(moving, 123456)},
+		{"server_probe.http", d.EncodeHealthCheck()},
 	} {
 		t.Run(c.file, func(t *testing.T) { goldentest.Bytes(t, c.file, sortedHead(t, c.got)) })
 	}
-	if got := d.Head(plain, 1); got != nil {
+	if got := d.EncodeHeader(plain, 1); got != nil {
 		t.Errorf("head of a plain part: %q", got)
 	}
 }
@@ -81,21 +81,21 @@
 	}
 	for _, c := range []struct {
 		file string
-		want peer.Message
+		want upstream.Message
 	}{
-		{"server_answer.http", peer.Message{End: end.Served, Report: []float64{3, 0.5}, Value: body("server_answer.http"), Score: 2.5, Layout: 8, Covers: &covers,
+		{"server_answer.http", upstream.Message{Outcome: outcome.Success, LoadReport: []float64{3, 0.5}, Value: body("server_answer.http"), Score: 2.5, ShardMapVersion: 8, Covers: &covers,
 			Hits: &coordinator.Hits{Total: 12, AtLeast: true, List: []coordinator.Hit{
 				{ID: "7", Score: 2.5, Source: []byte(`{"name":"li"}`)}, {ID: "8", Source: []byte(`{"name":"wu"}`)}}}}},
-		{"server_answer_timed_out.http", peer.Message{End: end.ServerError, Report: []float64{3, 0.5}}},
-		{"server_answer_failed.http", peer.Message{End: end.ServerError, Report: []float64{3, 0.5}}},
-		{"server_answer_short.http", peer.Message{End: end.ServerError, Report: []float64{3, 0.5}}},
-		{"server_moved.http", peer.Message{End: end.Moved, Report: []float64{3, 0.5}, Layout: 9}},
-		{"server_rejected.http", peer.Message{End: end.TurnedAway, Report: []float64{3, 0.5}}},
-		{"server_error.http", peer.Message{End: end.ServerError, Report: []float64{3, 0.5}, Last: true}},
-		{"server_greeting.http", peer.Message{Probe: true, End: end.Served, Report: []float64{3, 0.5}, Value: body("server_greeting.http")}},
+		{"server_answer_timed_out.http", upstream.Message{Outcome: outcome.ServerError, LoadReport: []float64{3, 0.5}}},
+		{"server_answer_failed.http", upstream.Message{Outcome: outcome.ServerError, LoadReport: []float64{3, 0.5}}},
+		{"server_answer_short.http", upstream.Message{Outcome: outcome.ServerError, LoadReport: []float64{3, 0.5}}},
+		{"server_moved.http", upstream.Message{Outcome: outcome.ShardMoved, LoadReport: []float64{3, 0.5}, ShardMapVersion: 9}},
+		{"server_rejected.http", upstream.Message{Outcome: outcome.Rejected, LoadReport: []float64{3, 0.5}}},
+		{"server_error.http", upstream.Message{Outcome: outcome.ServerError, LoadReport: []float64{3, 0.5}, ConnCloses: true}},
+		{"server_greeting.http", upstream.Message{HealthCheck: true, Outcome: outcome.Success, LoadReport: []float64{3, 0.5}, Value: body("server_greeting.http")}},
 	} {
 		t.Run(c.file, func(t *testing.T) {
-			got, _, err := Dialect{ReportNames: []string{"active", "cpu"}}.Reader(bytes.NewReader(goldentest.Read(t, c.file))).Next()
+			got, _, err := Codec{ReportNames: []string{"active", "cpu"}}.NewReader(bytes.NewReader(goldentest.Read(t, c.file))).Next()
 			if err != nil || !reflect.DeepEqual(got, c.want) {
 				t.Errorf("got  %+v, %v\nwant %+v", got, err, c.want)
 			}
@@ -103,7 +103,7 @@
 	}
 	for _, file := range []string{"server_answer_without_counts.http", "server_answer_without_hits.http"} {
 		t.Run(file, func(t *testing.T) {
-			if _, e, err := (Dialect{}).Reader(bytes.NewReader(goldentest.Read(t, file))).Next(); err == nil || e != end.Garbled {
+			if _, e, err := (Codec{}).NewReader(bytes.NewReader(goldentest.Read(t, file))).Next(); err == nil || e != outcome.MalformedResponse {
 				t.Errorf("ended as %v, %v", e, err)
 			}
 		})
@@ -123,16 +123,16 @@
 				t.Fatalf("%d %s", res.Status, res.Body)
 			}
 			for _, p := range k.queries[0].Parts {
-				goldentest.Bytes(t, c.file, p.Text)
+				goldentest.Bytes(t, c.file, p.Payload)
 			}
-			goldentest.Bytes(t, c.file, k.queries[0].Text)
+			goldentest.Bytes(t, c.file, k.queries[0].Payload)
 		})
 	}
 }
 
 // Final answers of searches, with status and header.
 func TestSearchAnswersGolden(t *testing.T) {
-	missing := []coordinator.Miss{{Shard: 2, Last: end.TurnedAway, Tried: true}, {Shard: 0, Bare: true}}
+	missing := []coordinator.MissingPart{{Shard: 2, LastOutcome: outcome.Rejected, Attempted: true}, {Shard: 0, BodyEvicted: true}}
 	value := []coordinator.Value{{Shard: 1, Hits: &coordinator.Hits{Total: 7, AtLeast: true, List: []coordinator.Hit{
 		{ID: "best", Score: 9, Source: []byte(`{"name":"x"}`)}, {ID: "low", Score: 0.5}}}}, {Shard: 0, Data: []byte("v"), Score: 4}}
 	for _, c := range []struct {
@@ -140,20 +140,20 @@
 		target string
 		answer coordinator.Answer
 	}{
-		{"answer_whole.http", "/players/_search", coordinator.Answer{Whole: true, Values: value}},
-		{"answer_no_hits.http", "/players/_search", coordinator.Answer{Whole: true, Values: []coordinator.Value{{Hits: &coordinator.Hits{}}}}},
+		{"answer_whole.http", "/players/_search", coordinator.Answer{Complete: true, Values: value}},
+		{"answer_no_hits.http", "/players/_search", coordinator.Answer{Complete: true, Values: []coordinator.Value{{Hits: &coordinator.Hits{}}}}},
 		{"answer_partial.http", "/players/_search", coordinator.Answer{Values: value[:1], Missing: missing, TimedOut: true}},
 		{"answer_partial_refused.http", "/players/_search?allow_partial_search_results=false", coordinator.Answer{Values: value[:1], Missing: missing}},
-		{"answer_rejected.http", "/players/_search", coordinator.Answer{Verdict: coordinator.Refused, Missing: missing, RetryAfter: 1250 * time.Millisecond}},
-		{"answer_failed.http", "/players/_search", coordinator.Answer{Verdict: coordinator.Failed, Missing: missing}},
-		{"answer_timeout.http", "/players/_search", coordinator.Answer{Verdict: coordinator.Failed, Missing: missing, TimedOut: true}},
-		{"answer_layout.http", "/movable/_search", coordinator.Answer{Layout: 7, Values: value[:1],
-			Missing: []coordinator.Miss{{Last: end.Moved, Tried: true, Ask: goldenAsk()}}}},
+		{"answer_rejected.http", "/players/_search", coordinator.Answer{Status: coordinator.Rejected, Missing: missing, RetryAfter: 1250 * time.Millisecond}},
+		{"answer_failed.http", "/players/_search", coordinator.Answer{Status: coordinator.Failed, Missing: missing}},
+		{"answer_timeout.http", "/players/_search", coordinator.Answer{Status: coordinator.Failed, Missing: missing, TimedOut: true}},
+		{"answer_layout.http", "/movable/_search", coordinator.Answer{ShardMapVersion: 7, Values: value[:1],
+			Missing: []coordinator.MissingPart{{LastOutcome: outcome.ShardMoved, Attempted: true, Request: goldenAsk()}}}},
 	} {
 		t.Run(c.file, func(t *testing.T) {
 			k := &core{answer: func(coordinator.Query) coordinator.Answer { return c.answer }}
 			f := front(k)
-			f.Catalog = goldenSettings(t)
+			f.SearchConfig = goldenSettings(t)
 			res, _ := ask(f, "POST", c.target, "")
 			goldentest.Bytes(t, c.file, responseBytes(t, res))
 		})
@@ -186,8 +186,8 @@
 
 func TestShardListsGolden(t *testing.T) {
 	f := front(&core{})
-	f.Catalog = goldenSettings(t)
-	f.Settings = FixedSettings(f.Catalog)
+	f.SearchConfig = goldenSettings(t)
+	f.Settings = FixedSettings(f.SearchConfig)
 	for _, c := range []struct{ file, method, target string }{
 		{"cat_shards.http", "GET", "/_cat/shards"},
 		{"cat_shards_v.http", "GET", "/_cat/shards/movable?v"},
@@ -320,19 +320,19 @@
 
 // The types of a missing slice's reasons by how its latest attempt ended.
 func TestMissingReasonTypes(t *testing.T) {
-	want := map[end.End]string{end.TurnedAway: "rejected_execution_exception", end.Crowded: "rejected_execution_exception",
-		end.DialRefused: "connect_transport_exception", end.DialTimeout: "connect_transport_exception", end.DialFailed: "connect_transport_exception",
-		end.CutInWrite: "connect_transport_exception", end.Broken: "node_disconnected_exception", end.Closed: "node_disconnected_exception",
-		end.Silent: "receive_timeout_transport_exception", end.Moved: "illegal_index_shard_state_exception",
-		end.Ahead: "illegal_index_shard_state_exception", end.Pieced: "illegal_index_shard_state_exception",
-		end.CalledOff: "task_cancelled_exception", end.Withheld: "task_cancelled_exception", end.Unkept: "task_cancelled_exception",
-		end.ServerError: "remote_transport_exception", end.Garbled: "remote_transport_exception"}
+	want := map[outcome.Outcome]string{outcome.Rejected: "rejected_execution_exception", outcome.QueueFull: "rejected_execution_exception",
+		outcome.DialRefused: "connect_transport_exception", outcome.DialTimeout: "connect_transport_exception", outcome.DialFailed: "connect_transport_exception",
+		outcome.WriteInterrupted: "connect_transport_exception", outcome.ConnReset: "node_disconnected_exception", outcome.ConnClosed: "node_disconnected_exception",
+		outcome.Timeout: "receive_timeout_transport_exception", outcome.ShardMoved: "illegal_index_shard_state_exception",
+		outcome.UnknownShardMap: "illegal_index_shard_state_exception", outcome.PartialCoverage: "illegal_index_shard_state_exception",
+		outcome.Canceled: "task_cancelled_exception", outcome.NotSent: "task_cancelled_exception", outcome.BodyEvicted: "task_cancelled_exception",
+		outcome.ServerError: "remote_transport_exception", outcome.MalformedResponse: "remote_transport_exception"}
 	for e, kind := range want {
-		if got := reasonOf(coordinator.Miss{Last: e, Tried: true}).Type; got != kind {
+		if got := reasonOf(coordinator.MissingPart{LastOutcome: e, Attempted: true}).Type; got != kind {
 			t.Errorf("%v: %s, want %s", e, got, kind)
 		}
 	}
-	if got := reasonOf(coordinator.Miss{}).Type; got != "no_shard_available_action_exception" {
+	if got := reasonOf(coordinator.MissingPart{}).Type; got != "no_shard_available_action_exception" {
 		t.Errorf("not tried: %s", got)
 	}
 }
--- a/internal/end/end_test.go
+++ b/internal/outcome/outcome_test.go
@@ -1,4 +1,4 @@
-package end
+package outcome
 
 import (
 	"context"
@@ -16,19 +16,19 @@
 // last byte was written must never give that proof.
 func TestEndsGiveNoFalseProof(t *testing.T) {
 	never := map[routing.Code]bool{routing.Overloaded: true, routing.ConnectFailed: true, routing.NotSent: true}
-	mayHaveRun := []End{Served, ServerError, Broken, Closed, Garbled, Rejected, Silent, CalledOff}
+	mayHaveRun := []Outcome{Success, ServerError, ConnReset, ConnClosed, MalformedResponse, BadRequest, Timeout, Canceled}
 	for _, e := range mayHaveRun {
-		if never[e.Code()] {
+		if never[e.RoutingCode()] {
 			t.Errorf("%s counts as proof", e)
 		}
 	}
-	for _, e := range []End{TurnedAway, DialRefused, DialTimeout, DialFailed, CutInWrite, Withheld, Crowded} {
-		if !never[e.Code()] {
+	for _, e := range []Outcome{Rejected, DialRefused, DialTimeout, DialFailed, WriteInterrupted, NotSent, QueueFull} {
+		if !never[e.RoutingCode()] {
 			t.Errorf("%s is no proof", e)
 		}
 	}
 	for e := range Count {
-		if s := End(e).String(); s == "" || strings.Contains(s, "(") {
+		if s := Outcome(e).String(); s == "" || strings.Contains(s, "(") {
 			t.Errorf("end %d has no name", e)
 		}
 	}
@@ -39,18 +39,18 @@
 	for _, c := range []struct {
 		err   error
 		clean bool
-		want  End
+		want  Outcome
 	}{
-		{io.EOF, true, Closed}, {op(net.ErrClosed), false, Closed}, {io.ErrUnexpectedEOF, false, Broken},
-		{op(syscall.ECONNRESET), false, Broken}, {errors.New("odd"), false, Garbled},
+		{io.EOF, true, ConnClosed}, {op(net.ErrClosed), false, ConnClosed}, {io.ErrUnexpectedEOF, false, ConnReset},
+		{op(syscall.ECONNRESET), false, ConnReset}, {errors.New("odd"), false, MalformedResponse},
 	} {
-		if got := OfRead(c.err, c.clean); got != c.want {
+		if got := FromReadError(c.err, c.clean); got != c.want {
 			t.Errorf("read %v: %s, want %s", c.err, got, c.want)
 		}
 	}
-	for err, want := range map[error]End{op(syscall.ECONNREFUSED): DialRefused,
+	for err, want := range map[error]Outcome{op(syscall.ECONNREFUSED): DialRefused,
 		op(context.DeadlineExceeded): DialTimeout, errors.New("odd"): DialFailed} {
-		if got := OfDial(err); got != want {
+		if got := FromDialError(err); got != want {
 			t.Errorf("dial %v: %s, want %s", err, got, want)
 		}
 	}
--- a/internal/platform/bench_test.go
+++ b/internal/platform/bench_test.go
@@ -14,7 +14,7 @@
 type instant struct{}
 
 func (instant) Submit(q coordinator.Query) func() {
-	q.Reply(coordinator.Answer{Verdict: coordinator.Refused})
+	q.Reply(coordinator.Answer{Status: coordinator.Rejected})
 	return func() {}
 }
 
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"linkpass/internal/bodies"
+	"linkpass/internal/bodystore"
 	"linkpass/internal/coordinator"
 	"linkpass/internal/eventlog"
 	"linkpass/internal/http1"
@@ -29,15 +29,15 @@
 
 // Front answers the platform's requests.
 type Front struct {
-	Core     Core
-	Classes  []string // names, by number
-	Tenants  []string // the same; nil: the site has none
-	Shards   int
-	Counters *metrics.Counters
-	Ready    func() bool
-	Bodies   *bodies.Store // of large texts; nil: they lie in memory
-	Worth    []float64     // of the classes, by number
-	Retry    string        // what a client is told whose body finds no room, in seconds; "": nothing
+	Core            Core
+	Classes         []string // names, by number
+	Tenants         []string // the same; nil: the site has none
+	Shards          int
+	Counters        *metrics.Counters
+	Ready           func() bool
+	BodyStore       *bodystore.Store // of large texts; nil: they lie in memory
+	PriorityWeights []float64        // of the classes, by number
+	RetryAfter      string           // what a client is told whose body finds no room, in seconds; "": nothing
 
 	lines eventlog.RateLimited // on requests that are no query
 
@@ -92,12 +92,12 @@
 	if !f.keep(&query) {
 		f.Counters.Add("platform_no_room", 1)
 		res := &http1.Response{Status: 503, Body: []byte("no room for the query's text\n"), Header: textproto.MIMEHeader{}}
-		if f.Retry != "" {
-			res.Header.Set("Retry-After", f.Retry)
+		if f.RetryAfter != "" {
+			res.Header.Set("Retry-After", f.RetryAfter)
 		}
 		return res
 	}
-	query.Began = began
+	query.StartedAt = began
 	done := make(chan coordinator.Answer, 1)
 	query.Reply = func(a coordinator.Answer) { done <- a }
 	leave := f.Core.Submit(query)
@@ -112,21 +112,21 @@
 
 // keep hands a large text to the store of bodies. It is false where that has no room.
 func (f *Front) keep(q *coordinator.Query) bool {
-	text := q.Parts[0].Text // the same for all
-	if f.Bodies == nil || len(text) <= bodies.Small {
+	text := q.Parts[0].Payload // the same for all
+	if f.BodyStore == nil || len(text) <= bodystore.InlineLimit {
 		return true
 	}
-	w := f.Bodies.Arrive(q.Class, f.Worth[q.Class])
+	w := f.BodyStore.NewWriter(q.Class, f.PriorityWeights[q.Class])
 	if _, err := w.Write(text); err != nil {
 		return false
 	}
-	body, err := w.Done()
+	body, err := w.Commit()
 	if err != nil {
 		return false
 	}
 	q.Body = body
 	for i := range q.Parts {
-		q.Parts[i].Text = nil
+		q.Parts[i].Payload = nil
 	}
 	return true
 }
@@ -174,7 +174,7 @@
 		return q, 400, fmt.Errorf("X-Timeout-Ms %.40q", req.Header.Get("X-Timeout-Ms"))
 	}
 	q.Timeout = time.Duration(ms) * time.Millisecond
-	q.Repeat = req.Header.Get("X-Retried") == "1"
+	q.IsRetry = req.Header.Get("X-Retried") == "1"
 	if q.Tenant, err = f.tenant(req.Header.Get("X-Tenant-Id")); err != nil {
 		return q, 400, err
 	}
@@ -226,7 +226,7 @@
 		}
 		seen[*p.ID] = true
 		parts = append(parts, coordinator.Part{Shard: *p.ID, Weight: p.W, Key: key,
-			Hint: time.Duration(p.Hint) * time.Microsecond, Text: text})
+			ExpectedWork: time.Duration(p.Hint) * time.Microsecond, Payload: text})
 	}
 	if math.Abs(sum-1) > rounding { // what is missing from such a query could not be told honestly
 		return nil, fmt.Errorf("body: the weights add up to %g", sum)
@@ -236,9 +236,9 @@
 
 // response words the core's answer.
 func response(a coordinator.Answer) *http1.Response {
-	switch a.Verdict {
+	switch a.Status {
 	case coordinator.Answered:
-		out := answer{Exact: a.Whole, Rows: []row{}}
+		out := answer{Exact: a.Complete, Rows: []row{}}
 		for _, v := range a.Values {
 			out.Rows = append(out.Rows, row{ID: v.Shard, Data: string(v.Data)})
 		}
@@ -248,7 +248,7 @@
 		}
 		return &http1.Response{Status: 200, Body: data,
 			Header: textproto.MIMEHeader{"Content-Type": {"application/json"}}}
-	case coordinator.Refused:
+	case coordinator.Rejected:
 		res := &http1.Response{Status: 503, Body: []byte(bare(a))}
 		if a.RetryAfter > 0 {
 			seconds := strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64)
@@ -262,7 +262,7 @@
 // bare words that a query ended because its text could not be sent again.
 func bare(a coordinator.Answer) string {
 	for _, m := range a.Missing {
-		if m.Bare {
+		if m.BodyEvicted {
 			return "its text is not kept any more, so it was not sent again\n"
 		}
 	}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -46,7 +46,7 @@
 }
 
 func TestQueriesAndAnswers(t *testing.T) {
-	c := &core{answer: coordinator.Answer{Verdict: coordinator.Answered, Whole: true,
+	c := &core{answer: coordinator.Answer{Status: coordinator.Answered, Complete: true,
 		Values: []coordinator.Value{{Shard: 3, Data: []byte("5be2")}}}}
 	f := front(c)
 	res := f.Serve(context.Background(), time.Second, request("/checkout", valid))
@@ -54,15 +54,15 @@
 		t.Errorf("%d %s", res.Status, res.Body)
 	}
 	q := c.queries[0]
-	if q.Name != "9b1f03aa5c7e2d41" || q.Class != 1 || q.Timeout != 480*time.Millisecond || q.Began != time.Second || !q.Repeat ||
-		len(q.Parts) != 2 || q.Parts[0].Hint != 9*time.Millisecond || q.Parts[1].Key != 255 || string(q.Parts[1].Text) != "c41e77d0" {
+	if q.Name != "9b1f03aa5c7e2d41" || q.Class != 1 || q.Timeout != 480*time.Millisecond || q.StartedAt != time.Second || !q.IsRetry ||
+		len(q.Parts) != 2 || q.Parts[0].ExpectedWork != 9*time.Millisecond || q.Parts[1].Key != 255 || string(q.Parts[1].Payload) != "c41e77d0" {
 		t.Errorf("%+v", q)
 	}
-	c.answer = coordinator.Answer{Verdict: coordinator.Refused, RetryAfter: 375 * time.Millisecond}
+	c.answer = coordinator.Answer{Status: coordinator.Rejected, RetryAfter: 375 * time.Millisecond}
 	if res := f.Serve(context.Background(), 0, request("/checkout", valid)); res.Status != 503 || res.Header.Get("Retry-After") != "0.375" {
 		t.Errorf("%+v", res)
 	}
-	c.answer = coordinator.Answer{Verdict: coordinator.Failed}
+	c.answer = coordinator.Answer{Status: coordinator.Failed}
 	if res := f.Serve(context.Background(), 0, request("/checkout", valid)); res.Status != 500 {
 		t.Errorf("%+v", res)
 	}
@@ -127,7 +127,7 @@
 
 // Who takes the name of another client's open query is told so, and that query goes on.
 func TestNameOfAnOpenQuery(t *testing.T) {
-	c := &core{answer: coordinator.Answer{Verdict: coordinator.Answered}}
+	c := &core{answer: coordinator.Answer{Status: coordinator.Answered}}
 	f := front(c)
 	c.during = func() {
 		c.during = nil
@@ -161,7 +161,7 @@
 // Whatever bytes a league server gave as a value, the answer stays readable.
 func TestValuesOfAnyBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		res := response(coordinator.Answer{Verdict: coordinator.Answered,
+		res := response(coordinator.Answer{Status: coordinator.Answered,
 			Values: []coordinator.Value{{Shard: 1, Data: rapid.SliceOf(rapid.Byte()).Draw(t, "value")}}})
 		if res.Status != 200 || !json.Valid(res.Body) {
 			t.Fatalf("%d %q", res.Status, res.Body)
--- a/internal/platform/wire_golden_test.go
+++ b/internal/platform/wire_golden_test.go
@@ -9,13 +9,13 @@
 	"testing"
 	"time"
 
-	"linkpass/internal/bodies"
-	"linkpass/internal/bodies/tier"
+	"linkpass/internal/bodystore"
+	"linkpass/internal/bodystore/tier"
 	"linkpass/internal/coordinator"
-	"linkpass/internal/end"
 	"linkpass/internal/goldentest"
 	"linkpass/internal/http1"
 	"linkpass/internal/metrics"
+	"linkpass/internal/outcome"
 )
 
 func goldenFront(c *core) *Front {
@@ -41,15 +41,15 @@
 	requests := goldentest.ReadEntries(t, "requests.txt")
 	both := []byte("c41e77d0 \"quoted\" \u00e9\n")
 	cases := map[string]coordinator.Query{
-		"every field": {Name: "9b1f03aa5c7e2d41", Class: 1, Tenant: 2, Began: 3 * time.Second, Timeout: 480 * time.Millisecond, Repeat: true,
+		"every field": {Name: "9b1f03aa5c7e2d41", Class: 1, Tenant: 2, StartedAt: 3 * time.Second, Timeout: 480 * time.Millisecond, IsRetry: true,
 			Parts: []coordinator.Part{
-				{Shard: 3, Weight: 0.25, Hint: 9 * time.Millisecond, Key: 0xff00000000000001, Text: both},
-				{Shard: 5, Weight: 0.75, Hint: 1500 * time.Microsecond, Key: 0xff, Text: both},
+				{Shard: 3, Weight: 0.25, ExpectedWork: 9 * time.Millisecond, Key: 0xff00000000000001, Payload: both},
+				{Shard: 5, Weight: 0.75, ExpectedWork: 1500 * time.Microsecond, Key: 0xff, Payload: both},
 			}},
-		"needed fields only": {Name: "a", Class: 0, Began: 3 * time.Second, Timeout: 36000000 * time.Millisecond,
-			Parts: []coordinator.Part{{Shard: 0, Weight: 1, Text: []byte{}}}},
-		"unknown fields are skipped": {Name: "a", Class: 0, Began: 3 * time.Second, Timeout: time.Millisecond,
-			Parts: []coordinator.Part{{Shard: 1, Weight: 1, Text: []byte("x")}}},
+		"needed fields only": {Name: "a", Class: 0, StartedAt: 3 * time.Second, Timeout: 36000000 * time.Millisecond,
+			Parts: []coordinator.Part{{Shard: 0, Weight: 1, Payload: []byte{}}}},
+		"unknown fields are skipped": {Name: "a", Class: 0, StartedAt: 3 * time.Second, Timeout: time.Millisecond,
+			Parts: []coordinator.Part{{Shard: 1, Weight: 1, Payload: []byte("x")}}},
 	}
 	if len(requests) != len(cases) {
 		t.Errorf("%d golden requests, %d cases", len(requests), len(cases))
@@ -89,7 +89,7 @@
 	}
 	get := func(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: router\r\n\r\n" }
 	values := []coordinator.Value{{Shard: 3, Data: []byte("5be2")}, {Shard: 5, Data: []byte("<a & \"b\">\n\u00e9\u2028\xff")}}
-	bare := []coordinator.Miss{{Shard: 3, Last: end.Served}, {Shard: 5, Last: end.Unkept, Tried: true, Bare: true}}
+	bare := []coordinator.MissingPart{{Shard: 3, LastOutcome: outcome.Success}, {Shard: 5, LastOutcome: outcome.BodyEvicted, Attempted: true, BodyEvicted: true}}
 	var got []goldentest.Entry
 	for _, c := range []struct {
 		name    string
@@ -97,18 +97,18 @@
 		set     func(*Front)
 		request string
 	}{
-		{name: "complete answer", answer: coordinator.Answer{Verdict: coordinator.Answered, Whole: true, Values: values}, request: every},
-		{name: "partial answer", answer: coordinator.Answer{Verdict: coordinator.Answered, Values: values[:1], Missing: bare}, request: every},
-		{name: "answer without rows", answer: coordinator.Answer{Verdict: coordinator.Answered}, request: every},
-		{name: "overloaded", answer: coordinator.Answer{Verdict: coordinator.Refused}, request: every},
-		{name: "overloaded, with retry after", answer: coordinator.Answer{Verdict: coordinator.Refused, RetryAfter: 1375 * time.Millisecond}, request: every},
-		{name: "overloaded, body no longer kept", answer: coordinator.Answer{Verdict: coordinator.Refused, Missing: bare, RetryAfter: time.Millisecond}, request: every},
-		{name: "failed", answer: coordinator.Answer{Verdict: coordinator.Failed}, request: every},
-		{name: "failed, body no longer kept", answer: coordinator.Answer{Verdict: coordinator.Failed, Missing: bare}, request: every},
+		{name: "complete answer", answer: coordinator.Answer{Status: coordinator.Answered, Complete: true, Values: values}, request: every},
+		{name: "partial answer", answer: coordinator.Answer{Status: coordinator.Answered, Values: values[:1], Missing: bare}, request: every},
+		{name: "answer without rows", answer: coordinator.Answer{Status: coordinator.Answered}, request: every},
+		{name: "overloaded", answer: coordinator.Answer{Status: coordinator.Rejected}, request: every},
+		{name: "overloaded, with retry after", answer: coordinator.Answer{Status: coordinator.Rejected, RetryAfter: 1375 * time.Millisecond}, request: every},
+		{name: "overloaded, body no longer kept", answer: coordinator.Answer{Status: coordinator.Rejected, Missing: bare, RetryAfter: time.Millisecond}, request: every},
+		{name: "failed", answer: coordinator.Answer{Status: coordinator.Failed}, request: every},
+		{name: "failed, body no longer kept", answer: coordinator.Answer{Status: coordinator.Failed, Missing: bare}, request: every},
 		{name: "ready", request: get("/health/ready")},
 		{name: "not ready", set: func(f *Front) { f.Ready = func() bool { return false } }, request: get("/health/ready")},
-		{name: "no room for the body", set: fullStore(t, ""), request: body(`{"parts":[{"id":0,"w":1}],"expr":"` + strings.Repeat("x", bodies.Small+1) + `"}`)},
-		{name: "no room for the body, with retry after", set: fullStore(t, "2"), request: body(`{"parts":[{"id":0,"w":1}],"expr":"` + strings.Repeat("x", bodies.Small+1) + `"}`)},
+		{name: "no room for the body", set: fullStore(t, ""), request: body(`{"parts":[{"id":0,"w":1}],"expr":"` + strings.Repeat("x", bodystore.InlineLimit+1) + `"}`)},
+		{name: "no room for the body, with retry after", set: fullStore(t, "2"), request: body(`{"parts":[{"id":0,"w":1}],"expr":"` + strings.Repeat("x", bodystore.InlineLimit+1) + `"}`)},
 		{name: "unknown class", request: with("/checkout", "/nowhere")},
 		{name: "other method", request: get("/checkout")},
 		{name: "class of header and path differ", request: with("X-Priority-Class: checkout", "X-Priority-Class: browse")},
@@ -134,7 +134,7 @@
 		}
 		got = append(got, goldentest.Entry{Name: c.name, Data: exchange(t, f, c.request)})
 	}
-	c := &core{answer: coordinator.Answer{Verdict: coordinator.Answered}}
+	c := &core{answer: coordinator.Answer{Status: coordinator.Answered}}
 	f := goldenFront(c)
 	c.during = func() {
 		c.during = nil
@@ -147,9 +147,9 @@
 // fullStore gives a front a store of bodies without room for any.
 func fullStore(t *testing.T, retry string) func(*Front) {
 	return func(f *Front) {
-		s := bodies.Open(bodies.Config{Limits: tier.Limits{Memory: 16, Largest: 16}, Classes: f.Classes, Counters: f.Counters,
+		s := bodystore.Open(bodystore.Config{Limits: tier.Limits{Memory: 16, Largest: 16}, Classes: f.Classes, Counters: f.Counters,
 			Now: func() time.Duration { return 0 }})
 		t.Cleanup(s.Close)
-		f.Bodies, f.Worth, f.Retry = s, []float64{1, 2}, retry
+		f.BodyStore, f.PriorityWeights, f.RetryAfter = s, []float64{1, 2}, retry
 	}
 }
--- a/internal/standin/agent.go
+++ b/internal/standin/agent.go
@@ -16,9 +16,9 @@
 type Agent struct {
 	mu      sync.Mutex
 	version int64
-	list    map[string]discovery.Server
-	changes []discovery.Document // the latest, by version
-	news    chan struct{}        // closed by the next change
+	list    map[string]discovery.Endpoint
+	changes []discovery.EndpointList // the latest, by version
+	news    chan struct{}            // closed by the next change
 	ln      net.Listener
 	web     *http.Server
 }
@@ -31,7 +31,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("standin: discovery: %w", err)
 	}
-	a := &Agent{list: map[string]discovery.Server{}, news: make(chan struct{}), ln: ln, version: 1}
+	a := &Agent{list: map[string]discovery.Endpoint{}, news: make(chan struct{}), ln: ln, version: 1}
 	a.web = &http.Server{Handler: http.HandlerFunc(a.serve), ReadHeaderTimeout: 10 * time.Second}
 	go func() { _ = a.web.Serve(ln) }()
 	return a, nil
@@ -44,7 +44,7 @@
 func (a *Agent) Close() { _ = a.web.Close() }
 
 // Tell changes the list: lines that are new, changed, or terminated.
-func (a *Agent) Tell(lines ...discovery.Server) {
+func (a *Agent) Tell(lines ...discovery.Endpoint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.version++
@@ -55,32 +55,32 @@
 			a.list[s.ID] = s
 		}
 	}
-	a.changes = append(a.changes, discovery.Document{Version: a.version, Servers: lines})
+	a.changes = append(a.changes, discovery.EndpointList{Version: a.version, Endpoints: lines})
 	a.changes = a.changes[max(0, len(a.changes)-keptChanges):]
 	close(a.news)
 	a.news = make(chan struct{})
 }
 
 // Document is the whole list.
-func (a *Agent) Document() discovery.Document {
+func (a *Agent) Document() discovery.EndpointList {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.whole()
 }
 
-func (a *Agent) whole() discovery.Document {
-	d := discovery.Document{Version: a.version, Full: true}
+func (a *Agent) whole() discovery.EndpointList {
+	d := discovery.EndpointList{Version: a.version, Full: true}
 	for _, s := range a.list {
-		d.Servers = append(d.Servers, s)
+		d.Endpoints = append(d.Endpoints, s)
 	}
 	return d
 }
 
 // since is what changed after a version, or the whole list where that is too long ago.
-func (a *Agent) since(after int64) (discovery.Document, chan struct{}) {
+func (a *Agent) since(after int64) (discovery.EndpointList, chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	d := discovery.Document{Version: a.version}
+	d := discovery.EndpointList{Version: a.version}
 	if after >= a.version {
 		return d, a.news
 	}
@@ -89,7 +89,7 @@
 	}
 	for _, c := range a.changes {
 		if c.Version > after {
-			d.Servers = append(d.Servers, c.Servers...)
+			d.Endpoints = append(d.Endpoints, c.Endpoints...)
 		}
 	}
 	return d, nil
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -65,7 +65,7 @@
 	f.mu.Lock()
 	f.state[s.Name] = state
 	f.mu.Unlock()
-	f.Agent.Tell(discovery.Server{ID: s.Name, Addr: s.Addr(), Zone: "ebene", Kind: "std-2core", State: state, Weight: 1, StartedMS: s.Started()})
+	f.Agent.Tell(discovery.Endpoint{ID: s.Name, Addr: s.Addr(), Zone: "ebene", Kind: "std-2core", State: state, Weight: 1, StartedMS: s.Started()})
 	if state == "terminating" {
 		s.Drained(time.Now())
 	} else {
--- a/internal/link/link.go
+++ b/internal/transport/transport.go
@@ -1,6 +1,6 @@
-// Package link holds the way to each listed server: which protocol it speaks,
+// Package transport holds the way to each listed server: which protocol it speaks,
 // and the carrier that speaks it.
-package link
+package transport
 
 import (
 	"slices"
@@ -11,27 +11,27 @@
 	"linkpass/internal/routing"
 )
 
-// Carrier is the actor that speaks with one server.
-type Carrier interface {
-	Call([]coordinator.Attempt) bool
+// Transport is the actor that speaks with one server.
+type Transport interface {
+	Send([]coordinator.Attempt) bool
 	Cancel(coordinator.AttemptID)
-	Probe(number uint64) bool
-	Forget(number uint64)
-	Fit(bool)                // whether the list wants new work sent
-	Restarted(time.Duration) // the server's process began anew then
-	Retire()                 // no new work; ends once nothing is out
+	CheckHealth(number uint64) bool
+	AbandonHealthCheck(number uint64)
+	SetAcceptsWork(bool)           // whether the list wants new work sent
+	ServerRestarted(time.Duration) // the server's process began anew then
+	Drain()                        // no new work; ends once nothing is out
 	Close()
-	Ended() bool
+	Stopped() bool
 	Wait()
 }
 
-// Make starts the carrier of a server.
-type Make func(name, addr string) Carrier
+// Constructor starts the carrier of a server.
+type Constructor func(name, addr string) Transport
 
 // Protocols tells how each protocol is spoken, and which one a server speaks.
 type Protocols struct {
-	Makers map[string]Make
-	Of     func(server string) string
+	Constructors map[string]Constructor
+	ForServer    func(server string) string
 }
 
 // Set is every server's link. All calls come from the core's goroutine, and
@@ -39,13 +39,13 @@
 type Set struct {
 	protocols Protocols
 	members   map[routing.ServerID]*member
-	retired   []Carrier
+	retired   []Transport
 }
 
 type member struct {
 	coordinator.Endpoint
 	protocol string
-	carrier  Carrier
+	carrier  Transport
 }
 
 // NewSet makes an empty set.
@@ -58,23 +58,23 @@
 	named := map[routing.ServerID]bool{}
 	for _, m := range l.Endpoints {
 		named[m.Server] = true
-		s.follow(m)
+		s.updateEndpoint(m)
 	}
 	if l.Mode == routing.UpdateDelta {
 		return
 	}
 	for id, m := range s.members {
 		if !named[id] {
-			s.leave(id, m)
+			s.removeEndpoint(id, m)
 		}
 	}
 }
 
-func (s *Set) follow(m coordinator.Endpoint) {
+func (s *Set) updateEndpoint(m coordinator.Endpoint) {
 	old := s.members[m.Server]
 	if m.State == routing.Removed {
 		if old != nil {
-			s.leave(m.Server, old)
+			s.removeEndpoint(m.Server, old)
 		}
 		return
 	}
@@ -83,50 +83,50 @@
 		s.members[m.Server] = old
 	}
 	if old.carrier != nil && old.Addr != m.Addr {
-		s.retire(old)
+		s.drain(old)
 	}
 	if old.carrier != nil && m.StartedAt > old.StartedAt {
-		old.carrier.Restarted(m.StartedAt)
+		old.carrier.ServerRestarted(m.StartedAt)
 	}
 	old.Endpoint = m
-	s.speak(old)
-	old.carrier.Fit(m.State == routing.Ready)
+	s.selectProtocol(old)
+	old.carrier.SetAcceptsWork(m.State == routing.Ready)
 }
 
-// speak sees to it that a member's carrier speaks the server's protocol of the
+// selectProtocol sees to it that a member's carrier speaks the server's protocol of the
 // day: later parts go out in the new one, what is out ends in the old.
-func (s *Set) speak(m *member) {
-	protocol := s.protocols.Of(m.Name)
+func (s *Set) selectProtocol(m *member) {
+	protocol := s.protocols.ForServer(m.Name)
 	if m.carrier != nil && m.protocol != protocol {
 		eventlog.ProtocolChanged.Log(m.Name, m.protocol, protocol)
-		s.retire(m)
+		s.drain(m)
 	}
 	if m.carrier == nil {
-		m.protocol, m.carrier = protocol, s.protocols.Makers[protocol](m.Name, m.Addr)
-		m.carrier.Fit(m.State == routing.Ready)
+		m.protocol, m.carrier = protocol, s.protocols.Constructors[protocol](m.Name, m.Addr)
+		m.carrier.SetAcceptsWork(m.State == routing.Ready)
 	}
 }
 
-func (s *Set) retire(m *member) {
-	m.carrier.Retire()
-	s.retired = slices.DeleteFunc(s.retired, Carrier.Ended)
+func (s *Set) drain(m *member) {
+	m.carrier.Drain()
+	s.retired = slices.DeleteFunc(s.retired, Transport.Stopped)
 	s.retired = append(s.retired, m.carrier)
 	m.carrier = nil
 }
 
-func (s *Set) leave(id routing.ServerID, m *member) {
-	s.retire(m)
+func (s *Set) removeEndpoint(id routing.ServerID, m *member) {
+	s.drain(m)
 	delete(s.members, id)
 }
 
-// Call hands on one call.
-func (s *Set) Call(id routing.ServerID, list []coordinator.Attempt) bool {
+// Send hands on one call.
+func (s *Set) Send(id routing.ServerID, list []coordinator.Attempt) bool {
 	m := s.members[id]
 	if m == nil {
 		return false
 	}
-	s.speak(m)
-	return m.carrier.Call(list)
+	s.selectProtocol(m)
+	return m.carrier.Send(list)
 }
 
 // Cancel gives an attempt up, whichever carrier has it.
@@ -139,20 +139,20 @@
 	}
 }
 
-// Probe asks a server for a sign of life.
-func (s *Set) Probe(id routing.ServerID, number uint64) bool {
+// CheckHealth asks a server for a sign of life.
+func (s *Set) CheckHealth(id routing.ServerID, number uint64) bool {
 	m := s.members[id]
 	if m == nil {
 		return false
 	}
-	s.speak(m)
-	return m.carrier.Probe(number)
+	s.selectProtocol(m)
+	return m.carrier.CheckHealth(number)
 }
 
-// Forget says that a probe is no longer awaited.
-func (s *Set) Forget(id routing.ServerID, number uint64) {
+// AbandonHealthCheck says that a probe is no longer awaited.
+func (s *Set) AbandonHealthCheck(id routing.ServerID, number uint64) {
 	if m := s.members[id]; m != nil {
-		m.carrier.Forget(number)
+		m.carrier.AbandonHealthCheck(number)
 	}
 }
 
