--- a/internal/link/link_test.go
+++ b/internal/transport/transport_test.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"fmt"
@@ -10,35 +10,38 @@
 	"linkpass/internal/routing"
 )
 
-// carrier notes what it is told.
-type carrier struct {
+// fakeTransport notes what it is told.
+type fakeTransport struct {
 	name  string
 	notes *[]string
 	ended bool
 }
 
-func (c *carrier) note(format string, args ...any) {
+func (c *fakeTransport) note(format string, args ...any) {
 	*c.notes = append(*c.notes, c.name+" "+fmt.Sprintf(format, args...))
 }
-func (c *carrier) Call(list []coordinator.Attempt) bool { c.note("call %d", len(list)); return true }
-func (c *carrier) Cancel(id coordinator.AttemptID)      { c.note("cancel %d", id.No) }
-func (c *carrier) Probe(n uint64) bool                  { c.note("probe %d", n); return true }
-func (c *carrier) Forget(n uint64)                      { c.note("forget %d", n) }
-func (c *carrier) Fit(fit bool)                         { c.note("fit %t", fit) }
-func (c *carrier) Restarted(since time.Duration)        { c.note("restarted %d", since) }
-func (c *carrier) Retire()                              { c.note("retire") }
-func (c *carrier) Close()                               { c.note("close") }
-func (c *carrier) Ended() bool                          { return c.ended }
-func (*carrier) Wait()                                  {}
+func (c *fakeTransport) Send(list []coordinator.Attempt) bool {
+	c.note("call %d", len(list))
+	return true
+}
+func (c *fakeTransport) Cancel(id coordinator.AttemptID)     { c.note("cancel %d", id.No) }
+func (c *fakeTransport) CheckHealth(n uint64) bool           { c.note("probe %d", n); return true }
+func (c *fakeTransport) AbandonHealthCheck(n uint64)         { c.note("forget %d", n) }
+func (c *fakeTransport) SetAcceptsWork(fit bool)             { c.note("fit %t", fit) }
+func (c *fakeTransport) ServerRestarted(since time.Duration) { c.note("restarted %d", since) }
+func (c *fakeTransport) Drain()                              { c.note("retire") }
+func (c *fakeTransport) Close()                              { c.note("close") }
+func (c *fakeTransport) Stopped() bool                       { return c.ended }
+func (*fakeTransport) Wait()                                 {}
 
 func TestCarriersFollowTheListAndTheProtocol(t *testing.T) {
 	var notes []string
 	protocol := "search"
-	maker := func(kind string) Make {
-		return func(name, addr string) Carrier { return &carrier{name: kind + "@" + addr, notes: &notes} }
+	maker := func(kind string) Constructor {
+		return func(name, addr string) Transport { return &fakeTransport{name: kind + "@" + addr, notes: &notes} }
 	}
-	s := NewSet(Protocols{Makers: map[string]Make{"plain": maker("plain"), "search": maker("search")},
-		Of: func(string) string { return protocol }})
+	s := NewSet(Protocols{Constructors: map[string]Constructor{"plain": maker("plain"), "search": maker("search")},
+		ForServer: func(string) string { return protocol }})
 	list := func(mode routing.UpdateMode, addr string, state routing.EndpointState, since time.Duration) {
 		s.UpdateEndpoints(coordinator.EndpointUpdate{Mode: mode, Endpoints: []coordinator.Endpoint{{Name: "s", Addr: addr,
 			Endpoint: routing.Endpoint{Server: 1, State: state, StartedAt: since}}}})
@@ -52,15 +55,15 @@
 	}
 	part := []coordinator.Attempt{{}}
 
-	if s.Call(1, part) || s.Probe(1, 5) {
+	if s.Send(1, part) || s.CheckHealth(1, 5) {
 		t.Error("work for a server that no list has named was taken")
 	}
 	list(routing.UpdateFull, "a", routing.Ready, 0)
 	notes = nil
-	s.Call(1, part)
+	s.Send(1, part)
 	step("a part", "search@a call 1")
 	protocol = "plain" // later parts go out in the new protocol, what is out ends in the old
-	s.Call(1, part)
+	s.Send(1, part)
 	step("the protocol changes", "search@a retire", "plain@a fit true", "plain@a call 1")
 	s.Cancel(1, coordinator.AttemptID{No: 2})
 	step("an attempt of either carrier", "plain@a cancel 2", "search@a cancel 2")
@@ -75,7 +78,7 @@
 	notes = nil
 	s.UpdateEndpoints(coordinator.EndpointUpdate{Mode: routing.UpdateFull})
 	step("a full list without it", "plain@b retire")
-	if s.Call(1, part) {
+	if s.Send(1, part) {
 		t.Error("work for a server that is gone was taken")
 	}
 	s.Close()
--- a/internal/peer/peer.go
+++ b/internal/upstream/client.go
@@ -1,6 +1,6 @@
-// Package peer is the actor of one league server: its mailbox, its connections,
+// Package upstream is the actor of one league server: its mailbox, its connections,
 // and what is out on each. How messages are worded is a dialect's concern.
-package peer
+package upstream
 
 import (
 	"context"
@@ -14,19 +14,19 @@
 	"time"
 
 	"linkpass/internal/coordinator"
-	"linkpass/internal/end"
 	"linkpass/internal/eventlog"
 	"linkpass/internal/metrics"
+	"linkpass/internal/outcome"
 	"linkpass/internal/shardmap"
 )
 
-// Sink takes the ends of attempts and probes, and keeps the deadlines.
-type Sink interface {
+// ResultSink takes the ends of attempts and probes, and keeps the deadlines.
+type ResultSink interface {
 	Now() time.Duration
 	Arm(at time.Duration, fire func()) (disarm func())
-	Ended(coordinator.AttemptID, coordinator.Result)
-	ProbeEnded(number uint64, r coordinator.Result)
-	Written(coordinator.AttemptID) // whole, of a part with a body
+	AttemptEnded(coordinator.AttemptID, coordinator.Result)
+	HealthCheckEnded(number uint64, r coordinator.Result)
+	BodySent(coordinator.AttemptID) // whole, of a part with a body
 }
 
 // Part is one part of a call, about to be written.
@@ -34,78 +34,78 @@
 	Name       string // the query's name, a dot, the shard
 	Collection string
 	Shard      int
-	Wait       time.Duration
-	Text       []byte
-	Ask        *coordinator.Ask // nil: the layout is fixed
+	Timeout    time.Duration
+	Payload    []byte
+	Request    *coordinator.ShardRequest // nil: the layout is fixed
 }
 
 // Message is what a server sent. Where one thing at a time is out, it needs no
 // name and is about that; Probe is then set on what can't answer a part.
 type Message struct {
-	Probe  bool
-	Name   string
-	End    end.End
-	Report []float64
-	Value  []byte
-	Score  float64
-	Hits   *coordinator.Hits
-	Layout uint64          // the version that the server is at; 0: it says none
-	Covers *shardmap.Range // the keys that the value is about; nil: it does not say
-	Last   bool            // the server closes the connection after it
-}
-
-// Room says how much a dialect can have out.
-type Room struct {
-	Streams   int  // parts at a time on a connection
-	Conns     int  // connections to a server
-	Exclusive bool // one part or probe at a time; given up by closing
-	Ranges    bool // a part may ask for some keys of a slice
-}
-
-// Dialect words messages to a server and reads its messages.
-type Dialect interface {
-	Room() Room
-	Call([]Part) []byte
-	// Head words what goes before a part's body of that size, which then ends the message;
+	HealthCheck     bool
+	Name            string
+	Outcome         outcome.Outcome
+	LoadReport      []float64
+	Value           []byte
+	Score           float64
+	Hits            *coordinator.Hits
+	ShardMapVersion uint64          // the version that the server is at; 0: it says none
+	Covers          *shardmap.Range // the keys that the value is about; nil: it does not say
+	ConnCloses      bool            // the server closes the connection after it
+}
+
+// Limits says how much a dialect can have out.
+type Limits struct {
+	MaxStreams int  // parts at a time on a connection
+	MaxConns   int  // connections to a server
+	Exclusive  bool // one part or probe at a time; given up by closing
+	Subranges  bool // a part may ask for some keys of a slice
+}
+
+// Codec words messages to a server and reads its messages.
+type Codec interface {
+	Limits() Limits
+	EncodeRequest([]Part) []byte
+	// EncodeHeader words what goes before a part's body of that size, which then ends the message;
 	// nil: the part has to be worded whole.
-	Head(part Part, size int64) []byte
-	GiveUp(name string) []byte
-	Probe() []byte
-	Reader(io.Reader) Reader
+	EncodeHeader(part Part, size int64) []byte
+	EncodeCancel(name string) []byte
+	EncodeHealthCheck() []byte
+	NewReader(io.Reader) Reader
 }
 
 // Reader reads the messages of one connection. Wait returns once a message
 // begins; an error of Next comes with what it means for the connection.
 type Reader interface {
 	Wait() error
-	Next() (Message, end.End, error)
+	Next() (Message, outcome.Outcome, error)
 }
 
 // Config is what all peers have in common.
 type Config struct {
-	Sink           Sink
+	Sink           ResultSink
 	Counters       *metrics.Counters
-	Figures        *metrics.Totals
+	Totals         *metrics.Totals
 	ConnectTimeout time.Duration
 	Keepalive      time.Duration
-	Places         *Places // nil: no bound
+	ConnLimiter    *ConnLimiter // nil: no bound
 }
 
-// Places bounds the connections of all peers together: a descriptor each.
-type Places struct{ all, left atomic.Int64 }
+// ConnLimiter bounds the connections of all peers together: a descriptor each.
+type ConnLimiter struct{ all, left atomic.Int64 }
 
-// NewPlaces makes so many places.
-func NewPlaces(n int) *Places {
-	p := &Places{}
-	p.Limit(n)
+// NewConnLimiter makes so many places.
+func NewConnLimiter(n int) *ConnLimiter {
+	p := &ConnLimiter{}
+	p.SetLimit(n)
 	return p
 }
 
-// Limit sets how many places there are. Where more are taken, connections are closed
+// SetLimit sets how many places there are. Where more are taken, connections are closed
 // as they fall idle.
-func (p *Places) Limit(n int) { p.left.Add(int64(n) - p.all.Swap(int64(n))) }
+func (p *ConnLimiter) SetLimit(n int) { p.left.Add(int64(n) - p.all.Swap(int64(n))) }
 
-func (p *Places) take() bool {
+func (p *ConnLimiter) take() bool {
 	if p == nil || p.left.Add(-1) >= 0 {
 		return true
 	}
@@ -113,14 +113,14 @@
 	return false
 }
 
-func (p *Places) give() {
+func (p *ConnLimiter) give() {
 	if p != nil {
 		p.left.Add(1)
 	}
 }
 
 // over tells whether more places are taken than there are.
-func (p *Places) over() bool { return p != nil && p.left.Load() < 0 }
+func (p *ConnLimiter) over() bool { return p != nil && p.left.Load() < 0 }
 
 const (
 	mailboxSize = 256 // orders that wait
@@ -131,11 +131,11 @@
 	muteShare   = 5   // of the connect timeout one part in so many without a word to a probe is too long
 )
 
-// Peer is the actor of one server.
-type Peer struct {
+// Client is the actor of one server.
+type Client struct {
 	cfg     Config
-	dialect Dialect
-	room    Room
+	dialect Codec
+	room    Limits
 	name    string
 	addr    string
 	mailbox chan func() // orders
@@ -166,22 +166,22 @@
 	waits   bool     // a probe was sent at asked, and nothing has come since
 	asked   time.Duration
 	dead    bool
-	how     end.End     // once dead: what it died of
-	disarm  func()      // of the idle limit
-	shut    func()      // closes it and gives its place back, once
-	free    func() bool // of the close at the actor's end
+	how     outcome.Outcome // once dead: what it died of
+	disarm  func()          // of the idle limit
+	shut    func()          // closes it and gives its place back, once
+	free    func() bool     // of the close at the actor's end
 }
 
 // New starts the actor of a server.
-func New(cfg Config, dialect Dialect, name, addr string) *Peer {
+func New(cfg Config, dialect Codec, name, addr string) *Client {
 	ctx, stop := context.WithCancel(context.Background())
-	p := &Peer{cfg: cfg, dialect: dialect, room: dialect.Room(), name: name, addr: addr,
+	p := &Client{cfg: cfg, dialect: dialect, room: dialect.Limits(), name: name, addr: addr,
 		ctx: ctx, stop: stop, mailbox: make(chan func(), mailboxSize), news: make(chan func(), newsSize)}
 	p.wg.Go(p.run)
 	return p
 }
 
-func (p *Peer) run() {
+func (p *Client) run() {
 	for {
 		select {
 		case m := <-p.news:
@@ -197,7 +197,7 @@
 				(<-p.mailbox)()
 			}
 			for _, c := range slices.Clone(p.conns) {
-				p.drop(c, end.Closed)
+				p.drop(c, outcome.ConnClosed)
 			}
 			return
 		}
@@ -209,18 +209,18 @@
 
 // hear takes the news that wait. Before each order, it guards a call against a connection whose end
 // is known already.
-func (p *Peer) hear() {
+func (p *Client) hear() {
 	for range len(p.news) {
 		(<-p.news)()
 	}
 }
 
-func (p *Peer) busy() bool {
+func (p *Client) busy() bool {
 	return slices.ContainsFunc(p.conns, func(c *conn) bool { return len(c.parts)+c.held > 0 })
 }
 
 // try posts without waiting; it tells whether there was room.
-func (p *Peer) try(m func()) bool {
+func (p *Client) try(m func()) bool {
 	if p.ctx.Err() != nil {
 		return false
 	}
@@ -234,7 +234,7 @@
 }
 
 // tell posts news of a connection and waits for room.
-func (p *Peer) tell(m func()) bool {
+func (p *Client) tell(m func()) bool {
 	select {
 	case p.news <- m:
 		return true
@@ -243,23 +243,23 @@
 	}
 }
 
-// Fit says whether the list wants new work sent; it holds from this moment on.
-func (p *Peer) Fit(fit bool) { p.fit.Store(fit) }
+// SetAcceptsWork says whether the list wants new work sent; it holds from this moment on.
+func (p *Client) SetAcceptsWork(fit bool) { p.fit.Store(fit) }
 
-// Restarted says that the server's process began anew at the time given:
+// ServerRestarted says that the server's process began anew at the time given:
 // connections older than that lead nowhere.
-func (p *Peer) Restarted(since time.Duration) {
+func (p *Client) ServerRestarted(since time.Duration) {
 	p.try(func() {
 		for _, c := range slices.Clone(p.conns) {
 			if c.birth < since {
-				p.drop(c, end.Broken)
+				p.drop(c, outcome.ConnReset)
 			}
 		}
 	})
 }
 
-// Retire takes no new work and ends the actor once what is out has ended.
-func (p *Peer) Retire() {
+// Drain takes no new work and ends the actor once what is out has ended.
+func (p *Client) Drain() {
 	p.fit.Store(false)
 	if !p.try(func() { p.retiring = true }) {
 		p.stop()
@@ -267,16 +267,16 @@
 }
 
 // Close ends the actor and its connections; it does not wait.
-func (p *Peer) Close() { p.stop() }
+func (p *Client) Close() { p.stop() }
 
-// Ended tells whether the actor has been stopped.
-func (p *Peer) Ended() bool { return p.ctx.Err() != nil }
+// Stopped tells whether the actor has been stopped.
+func (p *Client) Stopped() bool { return p.ctx.Err() != nil }
 
 // Wait waits until the actor and all that it started have ended.
-func (p *Peer) Wait() { p.wg.Wait() }
+func (p *Client) Wait() { p.wg.Wait() }
 
-// Call sends the parts of one call.
-func (p *Peer) Call(list []coordinator.Attempt) bool {
+// Send sends the parts of one call.
+func (p *Client) Send(list []coordinator.Attempt) bool {
 	return p.try(func() {
 		if !p.room.Exclusive {
 			p.call(list)
@@ -288,19 +288,19 @@
 	})
 }
 
-func (p *Peer) call(list []coordinator.Attempt) {
-	p.when(len(list), func(c *conn) { p.write(c, list) }, func(e end.End) { p.endAll(list, e) })
+func (p *Client) call(list []coordinator.Attempt) {
+	p.when(len(list), func(c *conn) { p.write(c, list) }, func(e outcome.Outcome) { p.endAll(list, e) })
 }
 
-func (p *Peer) endAll(list []coordinator.Attempt, e end.End) {
+func (p *Client) endAll(list []coordinator.Attempt, e outcome.Outcome) {
 	for _, a := range list {
-		p.cfg.Sink.Ended(a.ID, coordinator.Result{End: e, At: p.cfg.Sink.Now()})
+		p.cfg.Sink.AttemptEnded(a.ID, coordinator.Result{Outcome: e, At: p.cfg.Sink.Now()})
 	}
 }
 
 // Cancel gives up an attempt that was written; one that still waits is found
 // dead when its turn comes.
-func (p *Peer) Cancel(id coordinator.AttemptID) {
+func (p *Client) Cancel(id coordinator.AttemptID) {
 	p.try(func() {
 		for _, c := range p.conns {
 			for name, at := range c.parts {
@@ -311,9 +311,9 @@
 				if c.stream != nil && c.stream.attempt.ID != id { // not into the middle of another's message
 					c.stream.after = append(c.stream.after, name)
 				} else if p.room.Exclusive || c.stream != nil {
-					p.drop(c, end.CalledOff)
-				} else if p.put(c, p.dialect.GiveUp(name)) && p.spent(c) {
-					p.drop(c, end.Silent)
+					p.drop(c, outcome.Canceled)
+				} else if p.put(c, p.dialect.EncodeCancel(name)) && p.spent(c) {
+					p.drop(c, outcome.Timeout)
 				}
 				return
 			}
@@ -321,41 +321,41 @@
 	})
 }
 
-// Probe asks for a sign of life.
-func (p *Peer) Probe(number uint64) bool {
+// CheckHealth asks for a sign of life.
+func (p *Client) CheckHealth(number uint64) bool {
 	room := 0
 	if p.room.Exclusive {
 		room = 1
 	}
 	return p.try(func() {
-		failed := func(e end.End) {
-			p.cfg.Sink.ProbeEnded(number, coordinator.Result{End: e, At: p.cfg.Sink.Now()})
+		failed := func(e outcome.Outcome) {
+			p.cfg.Sink.HealthCheckEnded(number, coordinator.Result{Outcome: e, At: p.cfg.Sink.Now()})
 		}
 		p.when(room, func(c *conn) {
 			if len(c.probes) >= maxProbes {
-				failed(end.Crowded)
+				failed(outcome.QueueFull)
 				return
 			}
 			c.probes = append(c.probes, number)
 			if !c.waits {
 				c.waits, c.asked = true, p.cfg.Sink.Now()
 			}
-			p.put(c, p.dialect.Probe())
+			p.put(c, p.dialect.EncodeHealthCheck())
 		}, failed)
 	})
 }
 
-// Forget says that a probe is no longer awaited. Where its answer would stand
+// AbandonHealthCheck says that a probe is no longer awaited. Where its answer would stand
 // in the way of others, its connection goes. Elsewhere the answer may still come
 // in its place; a mute connection goes once nothing is out.
-func (p *Peer) Forget(number uint64) {
+func (p *Client) AbandonHealthCheck(number uint64) {
 	p.try(func() {
 		for _, c := range p.conns {
 			if !slices.Contains(c.probes, number) {
 				continue
 			}
 			if p.room.Exclusive || p.spent(c) {
-				p.drop(c, end.Silent)
+				p.drop(c, outcome.Timeout)
 			}
 			return
 		}
@@ -366,20 +366,20 @@
 // while ago. It may stand in half a message, or lead nowhere, and looks sound to the
 // machine all the same: it takes no new work until something comes. One to a server
 // that only stands still for a moment costs another connection and no more.
-func (p *Peer) mute(c *conn) bool {
+func (p *Client) mute(c *conn) bool {
 	return c.waits && p.cfg.Sink.Now() >= c.asked+p.cfg.ConnectTimeout/muteShare
 }
 
 // spent tells whether a mute connection has nothing out that could still come.
-func (p *Peer) spent(c *conn) bool { return p.mute(c) && len(c.parts)+c.held == 0 }
+func (p *Client) spent(c *conn) bool { return p.mute(c) && len(c.parts)+c.held == 0 }
 
 // dropSilent ends the connections that have been mute while the server spoke on another:
 // it is not the server that stands still, and what is out there will never come. Left
 // alone those parts would look like a queue at the server until their time was over.
-func (p *Peer) dropSilent(spoke *conn, at time.Duration) {
+func (p *Client) dropSilent(spoke *conn, at time.Duration) {
 	for _, c := range slices.Clone(p.conns) {
 		if c != spoke && p.mute(c) && at >= c.asked+p.cfg.ConnectTimeout/muteShare {
-			p.drop(c, end.Silent)
+			p.drop(c, outcome.Timeout)
 		}
 	}
 }
@@ -394,7 +394,7 @@
 }
 
 // load is how many places of a connection are taken.
-func (p *Peer) load(c *conn) int {
+func (p *Client) load(c *conn) int {
 	if p.room.Exclusive {
 		return len(c.parts) + len(c.probes) + c.held
 	}
@@ -403,15 +403,15 @@
 
 // pick finds a connection with room for so many parts, one that is up rather
 // than one that still comes up, or starts one.
-func (p *Peer) pick(parts int) *conn {
+func (p *Client) pick(parts int) *conn {
 	for _, up := range []bool{true, false} {
 		for _, c := range p.conns {
-			if (c.nc != nil) == up && c.stream == nil && !p.mute(c) && p.load(c)+parts <= p.room.Streams {
+			if (c.nc != nil) == up && c.stream == nil && !p.mute(c) && p.load(c)+parts <= p.room.MaxStreams {
 				return c
 			}
 		}
 	}
-	if p.ended || len(p.conns) >= p.room.Conns || !p.cfg.Places.take() {
+	if p.ended || len(p.conns) >= p.room.MaxConns || !p.cfg.ConnLimiter.take() {
 		return nil
 	}
 	return p.dial()
@@ -419,10 +419,10 @@
 
 // when does something on a connection with room, once that is up, or something
 // else if there is none.
-func (p *Peer) when(parts int, up func(*conn), failed func(end.End)) {
+func (p *Client) when(parts int, up func(*conn), failed func(outcome.Outcome)) {
 	c := p.pick(parts)
 	if c == nil {
-		failed(end.Crowded)
+		failed(outcome.QueueFull)
 		return
 	}
 	if c.nc != nil {
@@ -444,7 +444,7 @@
 }
 
 // dial starts a connection; its deadline lies with all others.
-func (p *Peer) dial() *conn {
+func (p *Client) dial() *conn {
 	ctx, cancel := context.WithCancelCause(p.ctx)
 	c := &conn{birth: p.cfg.Sink.Now(), parts: map[string]coordinator.AttemptID{},
 		hangUp: func() { cancel(context.Canceled) }}
@@ -458,7 +458,7 @@
 			// Frees a write that blocks when the actor is to end, and what it never hears of.
 			c.shut = sync.OnceFunc(func() {
 				_ = nc.Close()
-				p.cfg.Places.give()
+				p.cfg.ConnLimiter.give()
 			})
 			c.free = context.AfterFunc(p.ctx, c.shut)
 			p.tell(func() { p.up(c, nc) })
@@ -467,10 +467,10 @@
 			}
 			return
 		}
-		p.cfg.Places.give()
-		e := end.OfDial(err)
+		p.cfg.ConnLimiter.give()
+		e := outcome.FromDialError(err)
 		if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
-			e = end.DialTimeout
+			e = outcome.DialTimeout
 		}
 		cancel(nil)
 		if p.tell(func() { p.drop(c, e) }) {
@@ -481,7 +481,7 @@
 }
 
 // up sends what has waited for a connection, and starts its reader.
-func (p *Peer) up(c *conn, nc net.Conn) {
+func (p *Client) up(c *conn, nc net.Conn) {
 	if c.dead {
 		c.free()
 		c.shut()
@@ -504,7 +504,7 @@
 
 // watchIdle closes a connection before the server would: what crosses the
 // server's close ends in a reset.
-func (p *Peer) watchIdle(c *conn) {
+func (p *Client) watchIdle(c *conn) {
 	limit := p.cfg.Keepalive - p.cfg.Keepalive/ownMargin
 	if limit <= 0 {
 		return
@@ -518,7 +518,7 @@
 				c.used = p.cfg.Sink.Now()
 			case p.cfg.Sink.Now() >= c.used+limit:
 				p.cfg.Counters.Add("peer_idle_closed", 1)
-				p.drop(c, end.Closed)
+				p.drop(c, outcome.ConnClosed)
 				return
 			}
 			p.watchIdle(c)
@@ -528,54 +528,54 @@
 
 // write sends one call. Just before that it looks again at whether the query
 // is still open and whether the server still wants work.
-func (p *Peer) write(c *conn, list []coordinator.Attempt) {
+func (p *Client) write(c *conn, list []coordinator.Attempt) {
 	now := p.cfg.Sink.Now()
 	var parts []Part
 	var sent, withheld, moved, whole []coordinator.Attempt
 	for _, a := range list {
 		name := a.Query + "." + strconv.Itoa(a.Shard)
 		_, twin := c.parts[name] // two open queries of one name: answers could not be told apart
-		if a.Late(now) || !p.fit.Load() || a.Dead() || twin {
+		if a.Expired(now) || !p.fit.Load() || a.Canceled() || twin {
 			withheld = append(withheld, a)
 			continue
 		}
-		if a.Gone() { // its slice has left this server since the module chose it
+		if a.ShardMoved() { // its slice has left this server since the module chose it
 			moved = append(moved, a)
 			continue
 		}
-		if a.Ask != nil && a.Ask.Piece && !p.room.Ranges { // the answer would hold more than was asked for
+		if a.Request != nil && a.Request.Subrange && !p.room.Subranges { // the answer would hold more than was asked for
 			whole = append(whole, a)
 			continue
 		}
-		parts = append(parts, Part{Name: name, Collection: a.Collection, Shard: a.Shard, Text: a.Text, Wait: a.Ends - now, Ask: a.Ask})
+		parts = append(parts, Part{Name: name, Collection: a.Collection, Shard: a.Shard, Payload: a.Payload, Timeout: a.Deadline - now, Request: a.Request})
 		sent = append(sent, a)
 	}
 	parts, sent = p.split(c, parts, sent)
-	p.endAll(withheld, end.Withheld)
-	p.endAll(moved, end.Moved)
-	p.endAll(whole, end.Unversioned)
+	p.endAll(withheld, outcome.NotSent)
+	p.endAll(moved, outcome.ShardMoved)
+	p.endAll(whole, outcome.UnknownCoverage)
 	if len(parts) == 0 {
 		return
 	}
-	if !p.put(c, p.dialect.Call(parts)) {
-		p.endAll(sent, end.CutInWrite)
+	if !p.put(c, p.dialect.EncodeRequest(parts)) {
+		p.endAll(sent, outcome.WriteInterrupted)
 		return
 	}
 	p.cfg.Counters.Add("peer_parts_written", int64(len(parts)))
-	p.cfg.Figures.Attempts.Add(int64(len(parts)))
+	p.cfg.Totals.Attempts.Add(int64(len(parts)))
 	for i, a := range sent {
 		c.parts[parts[i].Name] = a.ID
 	}
 }
 
 // put writes a message. A peer that takes none for too long loses the connection.
-func (p *Peer) put(c *conn, b []byte) bool {
+func (p *Client) put(c *conn, b []byte) bool {
 	nc := c.nc
 	disarm := p.cfg.Sink.Arm(p.cfg.Sink.Now()+p.cfg.ConnectTimeout, func() { _ = nc.Close() })
 	_, err := nc.Write(b)
 	disarm()
 	if err != nil {
-		p.drop(c, end.Broken)
+		p.drop(c, outcome.ConnReset)
 		return false
 	}
 	c.used = p.cfg.Sink.Now()
@@ -583,7 +583,7 @@
 }
 
 // drop ends a connection and all that was out on it.
-func (p *Peer) drop(c *conn, e end.End) {
+func (p *Client) drop(c *conn, e outcome.Outcome) {
 	if c.dead {
 		return
 	}
@@ -597,7 +597,7 @@
 		c.free()
 		c.shut()
 	}
-	if len(c.parts)+len(c.probes) > 0 && e != end.Silent && e != end.CalledOff {
+	if len(c.parts)+len(c.probes) > 0 && e != outcome.Timeout && e != outcome.Canceled {
 		p.lines.Log(eventlog.ConnLost, p.name, e, len(c.parts), len(c.probes))
 	}
 	p.cfg.Counters.Add("peer_conn_"+e.String(), 1)
@@ -608,23 +608,23 @@
 		if c.stream != nil {
 			how = c.stream.how(id, e)
 		}
-		p.cfg.Sink.Ended(id, coordinator.Result{End: how, At: at})
+		p.cfg.Sink.AttemptEnded(id, coordinator.Result{Outcome: how, At: at})
 	}
 	for _, number := range c.probes {
-		p.cfg.Sink.ProbeEnded(number, coordinator.Result{End: e, At: at})
+		p.cfg.Sink.HealthCheckEnded(number, coordinator.Result{Outcome: e, At: at})
 	}
 }
 
 // read hands the messages of a connection to the actor until it ends.
-func (p *Peer) read(c *conn) {
-	r := p.dialect.Reader(c.nc)
+func (p *Client) read(c *conn) {
+	r := p.dialect.NewReader(c.nc)
 	for {
 		var m Message
-		var e end.End
+		var e outcome.Outcome
 		err := r.Wait()
 		at := p.cfg.Sink.Now()
 		if err != nil {
-			e = end.OfRead(err, errors.Is(err, io.EOF))
+			e = outcome.FromReadError(err, errors.Is(err, io.EOF))
 		} else if m, e, err = r.Next(); err != nil && !errors.Is(err, net.ErrClosed) { // not closed on this side
 			p.cfg.Counters.Add("peer_messages_bad", 1)
 			p.lines.Log(eventlog.MessageMalformed, p.name, e, err)
@@ -638,39 +638,39 @@
 }
 
 // take books one message.
-func (p *Peer) take(c *conn, m Message, at time.Duration) {
+func (p *Client) take(c *conn, m Message, at time.Duration) {
 	if c.dead {
 		return
 	}
 	c.waits = false
 	p.dropSilent(c, at)
-	result := coordinator.Result{End: m.End, Report: m.Report, Value: m.Value, Score: m.Score, Hits: m.Hits, At: at,
-		Layout: m.Layout, Covers: m.Covers}
+	result := coordinator.Result{Outcome: m.Outcome, LoadReport: m.LoadReport, Value: m.Value, Score: m.Score, Hits: m.Hits, At: at,
+		ShardMapVersion: m.ShardMapVersion, Covers: m.Covers}
 	if p.room.Exclusive {
-		m.Probe = m.Probe || len(c.probes) > 0
+		m.HealthCheck = m.HealthCheck || len(c.probes) > 0
 		for name := range c.parts {
 			m.Name = name
 		}
 	}
 	id, out := c.parts[m.Name]
 	switch {
-	case m.Probe && len(c.probes) > 0:
+	case m.HealthCheck && len(c.probes) > 0:
 		number := c.probes[0]
 		c.probes = c.probes[1:]
-		p.cfg.Sink.ProbeEnded(number, result)
-	case !m.Probe && out:
+		p.cfg.Sink.HealthCheckEnded(number, result)
+	case !m.HealthCheck && out:
 		c.forget(m.Name)
-		p.cfg.Sink.Ended(id, result)
-	case m.Probe || p.room.Exclusive || !slices.Contains(c.past, m.Name):
+		p.cfg.Sink.AttemptEnded(id, result)
+	case m.HealthCheck || p.room.Exclusive || !slices.Contains(c.past, m.Name):
 		// Guards the parts that are out: an answer with a name that was never asked here is one of
 		// theirs, spoilt, and such a connection is of no further use.
 		p.cfg.Counters.Add("peer_messages_bad", 1)
-		p.lines.Log(eventlog.MessageMalformed, p.name, end.Garbled, "an answer to nothing")
-		p.drop(c, end.Garbled)
+		p.lines.Log(eventlog.MessageMalformed, p.name, outcome.MalformedResponse, "an answer to nothing")
+		p.drop(c, outcome.MalformedResponse)
 	default:
 		p.cfg.Counters.Add("peer_answers_late", 1)
 	}
-	if m.Last || p.cfg.Places.over() && len(c.parts)+len(c.probes)+c.held == 0 {
-		p.drop(c, end.Closed)
+	if m.ConnCloses || p.cfg.ConnLimiter.over() && len(c.parts)+len(c.probes)+c.held == 0 {
+		p.drop(c, outcome.ConnClosed)
 	}
 }
--- a/internal/peer/peer_test.go
+++ b/internal/upstream/client_test.go
@@ -1,4 +1,4 @@
-package peer_test
+package upstream_test
 
 import (
 	"bufio"
@@ -14,12 +14,12 @@
 	"time"
 
 	"linkpass/internal/coordinator"
-	"linkpass/internal/end"
 	"linkpass/internal/frame"
 	"linkpass/internal/http1"
 	"linkpass/internal/metrics"
 	"linkpass/internal/opensearch"
-	"linkpass/internal/peer"
+	"linkpass/internal/outcome"
+	"linkpass/internal/upstream"
 )
 
 // sink stands in for the core: time stands still unless the test moves it.
@@ -80,9 +80,9 @@
 		s.mu.Unlock()
 	}
 }
-func (s *sink) Ended(id coordinator.AttemptID, r coordinator.Result) { s.ended <- ended{id, r} }
-func (s *sink) Written(id coordinator.AttemptID)                     { s.written <- id }
-func (s *sink) ProbeEnded(_ uint64, r coordinator.Result)            { s.probed <- r }
+func (s *sink) AttemptEnded(id coordinator.AttemptID, r coordinator.Result) { s.ended <- ended{id, r} }
+func (s *sink) BodySent(id coordinator.AttemptID)                           { s.written <- id }
+func (s *sink) HealthCheckEnded(_ uint64, r coordinator.Result)             { s.probed <- r }
 
 // server takes connections of a stand-in and hands their frames to the test.
 type server struct {
@@ -120,26 +120,26 @@
 	return s
 }
 
-func start(t *testing.T, addr string) (*peer.Peer, *sink) {
+func start(t *testing.T, addr string) (*upstream.Client, *sink) {
 	s := newSink()
-	p := peer.New(peer.Config{Sink: s, Counters: metrics.NewCounters(), Figures: metrics.NewTotals(nil), ConnectTimeout: 250 * time.Millisecond, Keepalive: 30 * time.Second},
-		frame.Dialect{MaxStreams: 2, ReportNames: []string{"active"}}, "s-1", addr)
-	p.Fit(true)
+	p := upstream.New(upstream.Config{Sink: s, Counters: metrics.NewCounters(), Totals: metrics.NewTotals(nil), ConnectTimeout: 250 * time.Millisecond, Keepalive: 30 * time.Second},
+		frame.Codec{MaxStreams: 2, ReportNames: []string{"active"}}, "s-1", addr)
+	p.SetAcceptsWork(true)
 	t.Cleanup(func() { p.Close(); p.Wait() })
 	return p, s
 }
 
 func attempt(query string, shard, no int) []coordinator.Attempt {
-	return []coordinator.Attempt{{ID: coordinator.AttemptID{Part: 1, No: no}, Query: query, Shard: shard, Text: []byte("x"), Ends: time.Hour}}
+	return []coordinator.Attempt{{ID: coordinator.AttemptID{Part: 1, No: no}, Query: query, Shard: shard, Payload: []byte("x"), Deadline: time.Hour}}
 }
 
 func reply(nc net.Conn, text string) { _, _ = nc.Write(frame.Append(nil, frame.Answer, []byte(text))) }
 
-func (s *sink) want(t *testing.T, e end.End) ended {
+func (s *sink) want(t *testing.T, e outcome.Outcome) ended {
 	t.Helper()
 	got := <-s.ended
-	if got.End != e {
-		t.Fatalf("%v ended as %s, want %s", got.id, got.End, e)
+	if got.Outcome != e {
+		t.Fatalf("%v ended as %s, want %s", got.id, got.Outcome, e)
 	}
 	return got
 }
@@ -147,30 +147,30 @@
 func TestPartsAndProbes(t *testing.T) {
 	srv := listen(t)
 	p, s := start(t, srv.ln.Addr().String())
-	p.Call(attempt("a", 3, 0))
+	p.Send(attempt("a", 3, 0))
 	if got := <-srv.frames; got != "Da.3 3 d=3600000 1\nx" {
 		t.Fatalf("wrote %q", got)
 	}
 	nc := <-srv.conns
 	reply(nc, "a.3 200 17 active=4\nvalue")
-	if r := s.want(t, end.Served); string(r.Value) != "value" || r.Score != 17 || r.Report[0] != 4 {
+	if r := s.want(t, outcome.Success); string(r.Value) != "value" || r.Score != 17 || r.LoadReport[0] != 4 {
 		t.Errorf("%+v", r)
 	}
-	for text, want := range map[string]end.End{"500": end.ServerError, "503": end.TurnedAway} {
-		p.Call(attempt("a", 3, 1))
+	for text, want := range map[string]outcome.Outcome{"500": outcome.ServerError, "503": outcome.Rejected} {
+		p.Send(attempt("a", 3, 1))
 		<-srv.frames
 		reply(nc, "a.3 "+text+" 0 -\n")
 		s.want(t, want)
 	}
-	p.Probe(1)
+	p.CheckHealth(1)
 	if got := <-srv.frames; got != "U" {
 		t.Fatalf("probed by %q", got)
 	}
 	_, _ = nc.Write(frame.Append(nil, frame.LoadProbe, []byte("active=2")))
-	if r := <-s.probed; r.End != end.Served || r.Report[0] != 2 {
+	if r := <-s.probed; r.Outcome != outcome.Success || r.LoadReport[0] != 2 {
 		t.Errorf("%+v", r)
 	}
-	p.Call(attempt("c", 1, 2))
+	p.Send(attempt("c", 1, 2))
 	<-srv.frames
 	p.Cancel(coordinator.AttemptID{Part: 1, No: 2})
 	if got := <-srv.frames; got != "Kc.1" {
@@ -184,17 +184,17 @@
 	srv := listen(t)
 	p, s := start(t, srv.ln.Addr().String())
 	late := attempt("late", 3, 0)
-	late[0].Ends = 0
-	p.Call(late)
-	s.want(t, end.Withheld)
-	p.Fit(false)
-	p.Call(attempt("drained", 3, 1))
-	s.want(t, end.Withheld)
-	p.Fit(true)
-	p.Call(attempt("twin", 3, 2))
+	late[0].Deadline = 0
+	p.Send(late)
+	s.want(t, outcome.NotSent)
+	p.SetAcceptsWork(false)
+	p.Send(attempt("drained", 3, 1))
+	s.want(t, outcome.NotSent)
+	p.SetAcceptsWork(true)
+	p.Send(attempt("twin", 3, 2))
 	<-srv.frames
-	p.Call(attempt("twin", 3, 3)) // the answers of the two could not be told apart
-	s.want(t, end.Withheld)
+	p.Send(attempt("twin", 3, 3)) // the answers of the two could not be told apart
+	s.want(t, outcome.NotSent)
 	if len(srv.frames) != 0 {
 		t.Errorf("wrote %q", <-srv.frames)
 	}
@@ -205,23 +205,23 @@
 	p, s := start(t, srv.ln.Addr().String())
 	for _, c := range []struct {
 		cut  func(net.Conn)
-		want end.End
+		want outcome.Outcome
 	}{
-		{func(nc net.Conn) { _ = nc.(*net.TCPConn).SetLinger(0); nc.Close() }, end.Broken},
-		{func(nc net.Conn) { nc.Close() }, end.Closed},
-		{func(nc net.Conn) { nc.Write(frame.Append(nil, 'Q', nil)) }, end.Garbled},
-		{func(nc net.Conn) { nc.Write(frame.Append(nil, frame.Complaint, []byte("what?"))) }, end.Rejected},
-		{func(nc net.Conn) { nc.Write([]byte{9, 0, 0, 0, 'O'}); nc.Close() }, end.Broken},
-		{func(nc net.Conn) { reply(nc, "nothing of use") }, end.Garbled},
+		{func(nc net.Conn) { _ = nc.(*net.TCPConn).SetLinger(0); nc.Close() }, outcome.ConnReset},
+		{func(nc net.Conn) { nc.Close() }, outcome.ConnClosed},
+		{func(nc net.Conn) { nc.Write(frame.Append(nil, 'Q', nil)) }, outcome.MalformedResponse},
+		{func(nc net.Conn) { nc.Write(frame.Append(nil, frame.Complaint, []byte("what?"))) }, outcome.BadRequest},
+		{func(nc net.Conn) { nc.Write([]byte{9, 0, 0, 0, 'O'}); nc.Close() }, outcome.ConnReset},
+		{func(nc net.Conn) { reply(nc, "nothing of use") }, outcome.MalformedResponse},
 	} {
-		p.Call(attempt("a", 3, 0))
+		p.Send(attempt("a", 3, 0))
 		<-srv.frames
 		c.cut(<-srv.conns)
 		s.want(t, c.want)
 	}
 	srv.ln.Close()
-	p.Call(attempt("a", 3, 0))
-	s.want(t, end.DialRefused)
+	p.Send(attempt("a", 3, 0))
+	s.want(t, outcome.DialRefused)
 }
 
 // A process that began anew does not know the connections of the old one; a silent
@@ -229,22 +229,22 @@
 func TestRestartEndsOldConnections(t *testing.T) {
 	srv := listen(t)
 	p, s := start(t, srv.ln.Addr().String())
-	p.Call(attempt("a", 3, 0))
+	p.Send(attempt("a", 3, 0))
 	<-srv.frames
-	p.Restarted(1)
-	s.want(t, end.Broken)
+	p.ServerRestarted(1)
+	s.want(t, outcome.ConnReset)
 }
 
 func TestIdleConnectionsAreClosedBeforeTheServerDoes(t *testing.T) {
 	srv := listen(t)
 	p, s := start(t, srv.ln.Addr().String())
-	p.Call(attempt("a", 3, 0))
+	p.Send(attempt("a", 3, 0))
 	<-srv.frames
 	nc := <-srv.conns
 	reply(nc, "a.3 200 1 -\n")
-	s.want(t, end.Served)
+	s.want(t, outcome.Success)
 	s.pass(29 * time.Second)
-	p.Call(attempt("b", 3, 0)) // goes out on a new connection
+	p.Send(attempt("b", 3, 0)) // goes out on a new connection
 	<-srv.frames
 	<-srv.conns
 }
@@ -256,15 +256,15 @@
 	p, s := start(t, srv.ln.Addr().String())
 	const room = 2 * 8
 	for i := range room {
-		p.Call(attempt(fmt.Sprint("q", i), 3, i))
+		p.Send(attempt(fmt.Sprint("q", i), 3, i))
 	}
 	for range room {
 		if got := <-srv.frames; !strings.HasPrefix(got, "Dq") {
 			t.Fatalf("%q", got)
 		}
 	}
-	p.Call(attempt("over", 3, room))
-	if r := s.want(t, end.Crowded); r.id.No != room {
+	p.Send(attempt("over", 3, room))
+	if r := s.want(t, outcome.QueueFull); r.id.No != room {
 		t.Errorf("%+v", r)
 	}
 }
@@ -272,13 +272,13 @@
 func TestRetiredPeerEndsWithItsWork(t *testing.T) {
 	srv := listen(t)
 	p, s := start(t, srv.ln.Addr().String())
-	p.Call(attempt("a", 3, 0))
+	p.Send(attempt("a", 3, 0))
 	<-srv.frames
-	p.Retire()
+	p.Drain()
 	reply(<-srv.conns, "a.3 200 1 -\nv")
-	s.want(t, end.Served)
+	s.want(t, outcome.Success)
 	p.Wait()
-	if p.Call(attempt("b", 3, 0)) {
+	if p.Send(attempt("b", 3, 0)) {
 		t.Error("took work after its end")
 	}
 }
@@ -319,27 +319,27 @@
 		}
 	}
 	s := newSink()
-	p := peer.New(peer.Config{Sink: s, Counters: metrics.NewCounters(), Figures: metrics.NewTotals(nil), ConnectTimeout: time.Second}, opensearch.Dialect{}, "s-1", ln.Addr().String())
+	p := upstream.New(upstream.Config{Sink: s, Counters: metrics.NewCounters(), Totals: metrics.NewTotals(nil), ConnectTimeout: time.Second}, opensearch.Codec{}, "s-1", ln.Addr().String())
 	defer func() { p.Close(); p.Wait() }()
-	p.Fit(true)
-	p.Probe(1)
+	p.SetAcceptsWork(true)
+	p.CheckHealth(1)
 	next("/")
-	p.Forget(1)
+	p.AbandonHealthCheck(1)
 	next("end")
-	if r := <-s.probed; r.End != end.Silent {
-		t.Errorf("probe ended as %s", r.End)
+	if r := <-s.probed; r.Outcome != outcome.Timeout {
+		t.Errorf("probe ended as %s", r.Outcome)
 	}
-	p.Call(attempt("a", 3, 0))
+	p.Send(attempt("a", 3, 0))
 	next("/_search")
 	p.Cancel(coordinator.AttemptID{Part: 1, No: 0})
 	next("end")
 	<-conns
 	<-conns
-	p.Call(attempt("b", 3, 1))
+	p.Send(attempt("b", 3, 1))
 	next("/_search")
 	nc := <-conns
 	_ = http1.WriteResponse(nc, &http1.Response{Status: 200, Body: []byte(`{"name":"s-1"}`)})
-	s.want(t, end.Garbled)
+	s.want(t, outcome.MalformedResponse)
 	next("end")
 }
 
@@ -347,29 +347,29 @@
 // is free again: connects that end while their peer does must not add up over a day.
 func TestPlacesComeBack(t *testing.T) {
 	srv := listen(t)
-	places := peer.NewPlaces(1)
+	places := upstream.NewConnLimiter(1)
 	s := newSink()
-	cfg := peer.Config{Sink: s, Counters: metrics.NewCounters(), Figures: metrics.NewTotals(nil), ConnectTimeout: time.Second, Places: places}
-	first := peer.New(cfg, frame.Dialect{MaxStreams: 1}, "s-1", srv.ln.Addr().String())
-	first.Fit(true)
-	first.Call(attempt("a", 3, 0))
+	cfg := upstream.Config{Sink: s, Counters: metrics.NewCounters(), Totals: metrics.NewTotals(nil), ConnectTimeout: time.Second, ConnLimiter: places}
+	first := upstream.New(cfg, frame.Codec{MaxStreams: 1}, "s-1", srv.ln.Addr().String())
+	first.SetAcceptsWork(true)
+	first.Send(attempt("a", 3, 0))
 	<-srv.frames
-	first.Call(attempt("b", 3, 1)) // there is no place for a second connection
-	s.want(t, end.Crowded)
+	first.Send(attempt("b", 3, 1)) // there is no place for a second connection
+	s.want(t, outcome.QueueFull)
 	first.Close()
-	s.want(t, end.Closed)
+	s.want(t, outcome.ConnClosed)
 	first.Wait()
 	for range 20 { // some end before their connection is up, some after
-		p := peer.New(cfg, frame.Dialect{MaxStreams: 1}, "s-1", srv.ln.Addr().String())
-		p.Fit(true)
-		p.Call(attempt("c", 3, 2))
+		p := upstream.New(cfg, frame.Codec{MaxStreams: 1}, "s-1", srv.ln.Addr().String())
+		p.SetAcceptsWork(true)
+		p.Send(attempt("c", 3, 2))
 		p.Close()
 		p.Wait()
 	}
-	last := peer.New(cfg, frame.Dialect{MaxStreams: 1}, "s-1", srv.ln.Addr().String())
+	last := upstream.New(cfg, frame.Codec{MaxStreams: 1}, "s-1", srv.ln.Addr().String())
 	defer func() { last.Close(); last.Wait() }()
-	last.Fit(true)
-	last.Call(attempt("d", 3, 3))
+	last.SetAcceptsWork(true)
+	last.Send(attempt("d", 3, 3))
 	for !strings.HasPrefix(<-srv.frames, "Dd.3") {
 	}
 }
@@ -377,28 +377,28 @@
 // Where fewer places are left than are taken, a connection goes as it falls idle, not before.
 func TestFewerPlaces(t *testing.T) {
 	srv := listen(t)
-	places, s := peer.NewPlaces(2), newSink()
-	p := peer.New(peer.Config{Sink: s, Counters: metrics.NewCounters(), Figures: metrics.NewTotals(nil), ConnectTimeout: time.Second, Places: places},
-		frame.Dialect{MaxStreams: 2}, "s-1", srv.ln.Addr().String())
+	places, s := upstream.NewConnLimiter(2), newSink()
+	p := upstream.New(upstream.Config{Sink: s, Counters: metrics.NewCounters(), Totals: metrics.NewTotals(nil), ConnectTimeout: time.Second, ConnLimiter: places},
+		frame.Codec{MaxStreams: 2}, "s-1", srv.ln.Addr().String())
 	defer func() { p.Close(); p.Wait() }()
-	p.Fit(true)
-	p.Call(attempt("a", 3, 0))
-	p.Call(attempt("b", 3, 1))
+	p.SetAcceptsWork(true)
+	p.Send(attempt("a", 3, 0))
+	p.Send(attempt("b", 3, 1))
 	<-srv.frames
 	<-srv.frames
 	nc := <-srv.conns
-	places.Limit(0)
+	places.SetLimit(0)
 	reply(nc, "a.3 200 1 -\nv")
-	s.want(t, end.Served)
+	s.want(t, outcome.Success)
 	reply(nc, "b.3 200 1 -\nv")
-	s.want(t, end.Served)
+	s.want(t, outcome.Success)
 	if _, err := nc.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("an idle connection past the limit stayed: %v", err)
 	}
-	p.Call(attempt("c", 3, 2))
-	s.want(t, end.Crowded)
-	places.Limit(1)
-	p.Call(attempt("d", 3, 3))
+	p.Send(attempt("c", 3, 2))
+	s.want(t, outcome.QueueFull)
+	places.SetLimit(1)
+	p.Send(attempt("d", 3, 3))
 	<-srv.frames
 }
 
@@ -408,23 +408,23 @@
 func TestSpoiltNameEndsItsConnection(t *testing.T) {
 	srv := listen(t)
 	p, s := start(t, srv.ln.Addr().String())
-	p.Call(attempt("a", 3, 0))
+	p.Send(attempt("a", 3, 0))
 	<-srv.frames
 	nc := <-srv.conns
 	reply(nc, "a.3 200 1 -\nv")
-	s.want(t, end.Served)
+	s.want(t, outcome.Success)
 	reply(nc, "a.3 200 1 -\nv")
-	p.Call(attempt("b", 3, 1))
+	p.Send(attempt("b", 3, 1))
 	<-srv.frames
 	p.Cancel(coordinator.AttemptID{Part: 1, No: 1})
 	<-srv.frames
 	reply(nc, "b.3 200 1 -\nv")
-	p.Call(attempt("c", 3, 2))
+	p.Send(attempt("c", 3, 2))
 	if got := <-srv.frames; !strings.HasPrefix(got, "Dc.3") || len(srv.conns) != 0 {
 		t.Errorf("%q, %d new connections", got, len(srv.conns))
 	}
 	reply(nc, "x.3 200 1 -\nv")
-	s.want(t, end.Garbled)
+	s.want(t, outcome.MalformedResponse)
 }
 
 // A connection that stands in half a message looks sound to the machine: once a probe
@@ -432,22 +432,22 @@
 func TestMuteConnectionTakesNoNewWork(t *testing.T) {
 	srv := listen(t)
 	p, s := start(t, srv.ln.Addr().String())
-	p.Call(attempt("a", 3, 0))
+	p.Send(attempt("a", 3, 0))
 	<-srv.frames
 	first := <-srv.conns
 	_, _ = first.Write([]byte{200, 0, 0, 0, 'O'})
-	p.Probe(7)
+	p.CheckHealth(7)
 	<-srv.frames
 	s.quiet(250 * time.Millisecond)
 	s.pass(250 * time.Millisecond)
-	p.Forget(7)
-	p.Call(attempt("b", 3, 1))
+	p.AbandonHealthCheck(7)
+	p.Send(attempt("b", 3, 1))
 	<-srv.frames
 	p.Cancel(coordinator.AttemptID{Part: 1, No: 0}) // nothing is out on the first any more: it goes
 	p.First()                                       // the order is carried out: what the server says next comes behind it
 	reply(<-srv.conns, "b.3 200 1 -\nv")
-	s.want(t, end.Served)
-	p.Probe(8) // goes out on the second one, which stays
+	s.want(t, outcome.Success)
+	p.CheckHealth(8) // goes out on the second one, which stays
 	for got := ""; got != "U"; {
 		got = <-srv.frames
 	}
@@ -461,25 +461,25 @@
 func TestSilentConnectionFreesItsParts(t *testing.T) {
 	srv := listen(t)
 	p, s := start(t, srv.ln.Addr().String())
-	p.Call(attempt("a", 3, 0))
+	p.Send(attempt("a", 3, 0))
 	<-srv.frames
 	<-srv.conns // says nothing from here on
-	p.Probe(7)
+	p.CheckHealth(7)
 	<-srv.frames
 	s.pass(50 * time.Millisecond)
-	p.Call(attempt("b", 3, 1)) // goes out on a second connection
+	p.Send(attempt("b", 3, 1)) // goes out on a second connection
 	<-srv.frames
 	second := <-srv.conns
 	reply(second, "b.3 200 1 -\nv")
-	if got := s.want(t, end.Silent); got.id.No != 0 {
+	if got := s.want(t, outcome.Timeout); got.id.No != 0 {
 		t.Errorf("attempt %d ended", got.id.No)
 	}
-	s.want(t, end.Served)
-	if r := <-s.probed; r.End != end.Silent {
-		t.Errorf("the probe on it ended as %s", r.End)
+	s.want(t, outcome.Success)
+	if r := <-s.probed; r.Outcome != outcome.Timeout {
+		t.Errorf("the probe on it ended as %s", r.Outcome)
 	}
-	p.Call(attempt("c", 3, 2)) // the second connection is sound
+	p.Send(attempt("c", 3, 2)) // the second connection is sound
 	<-srv.frames
 	reply(second, "c.3 200 1 -\nv")
-	s.want(t, end.Served)
+	s.want(t, outcome.Success)
 }
--- a/internal/peer/crossings_test.go
+++ b/internal/upstream/crossings_test.go
@@ -1,4 +1,4 @@
-package peer_test
+package upstream_test
 
 import (
 	"bufio"
@@ -10,11 +10,11 @@
 	"time"
 
 	"linkpass/internal/coordinator"
-	"linkpass/internal/end"
 	"linkpass/internal/frame"
 	"linkpass/internal/metrics"
-	"linkpass/internal/peer"
+	"linkpass/internal/outcome"
 	"linkpass/internal/routing"
+	"linkpass/internal/upstream"
 )
 
 // stage is a sink whose events the test puts in order: it can hold up the actor and the dials.
@@ -33,13 +33,13 @@
 	}
 	return func() {}
 }
-func (s *stage) Ended(_ coordinator.AttemptID, r coordinator.Result) {
+func (s *stage) AttemptEnded(_ coordinator.AttemptID, r coordinator.Result) {
 	s.telling.Add(1)
 	s.ended <- r
 	s.telling.Add(-1)
 }
-func (*stage) ProbeEnded(uint64, coordinator.Result) {}
-func (*stage) Written(coordinator.AttemptID)         {}
+func (*stage) HealthCheckEnded(uint64, coordinator.Result) {}
+func (*stage) BodySent(coordinator.AttemptID)              {}
 
 const (
 	dialTime = 250 * time.Millisecond
@@ -55,16 +55,16 @@
 	return ln
 }
 
-func play(t *testing.T, s *stage) (p *peer.Peer, ln net.Listener) {
-	return playAs(t, s, frame.Dialect{MaxStreams: 2})
+func play(t *testing.T, s *stage) (p *upstream.Client, ln net.Listener) {
+	return playAs(t, s, frame.Codec{MaxStreams: 2})
 }
 
-func playAs(t *testing.T, s *stage, d peer.Dialect) (p *peer.Peer, ln net.Listener) {
+func playAs(t *testing.T, s *stage, d upstream.Codec) (p *upstream.Client, ln net.Listener) {
 	ln = listenTCP(t)
 	s.ended = make(chan coordinator.Result)
-	p = peer.New(peer.Config{Sink: s, Counters: metrics.NewCounters(), Figures: metrics.NewTotals(nil), ConnectTimeout: dialTime},
+	p = upstream.New(upstream.Config{Sink: s, Counters: metrics.NewCounters(), Totals: metrics.NewTotals(nil), ConnectTimeout: dialTime},
 		d, "s-1", ln.Addr().String())
-	p.Fit(true)
+	p.SetAcceptsWork(true)
 	t.Cleanup(func() {
 		ln.Close()
 		p.Close()
@@ -79,7 +79,7 @@
 }
 
 func part(query string, no int) []coordinator.Attempt {
-	return []coordinator.Attempt{{ID: coordinator.AttemptID{Part: 1, No: no}, Query: query, Text: []byte("x"), Ends: time.Hour}}
+	return []coordinator.Attempt{{ID: coordinator.AttemptID{Part: 1, No: no}, Query: query, Payload: []byte("x"), Deadline: time.Hour}}
 }
 
 func accept(t *testing.T, ln net.Listener) (net.Conn, *bufio.Reader) {
@@ -103,12 +103,12 @@
 	return string(rest[:1])
 }
 
-func want(t *testing.T, s *stage, e end.End) {
+func want(t *testing.T, s *stage, e outcome.Outcome) {
 	t.Helper()
 	select {
 	case r := <-s.ended:
-		if r.End != e {
-			t.Fatalf("ended as %s, want %s", r.End, e)
+		if r.Outcome != e {
+			t.Fatalf("ended as %s, want %s", r.Outcome, e)
 		}
 	case <-time.After(patience):
 		t.Fatalf("never ended; want %s", e)
@@ -120,32 +120,32 @@
 func TestACallThatWaitsBehindTheEndOfItsConnection(t *testing.T) {
 	s := &stage{}
 	p, ln := play(t, s)
-	p.Call(part("a", 0))
+	p.Send(part("a", 0))
 	first, r := accept(t, ln)
 	next(t, r)
 	_, _ = first.Write(frame.Append(nil, frame.Answer, []byte("a.0 200 1 -\nv")))
-	want(t, s, end.Served)
+	want(t, s, outcome.Success)
 	late := part("l", 1)
-	late[0].Ends = 0
+	late[0].Deadline = 0
 	for s.telling.Load() > 0 { // of the end of the first
 		time.Sleep(time.Millisecond)
 	}
-	p.Call(late)
+	p.Send(late)
 	for s.telling.Load() == 0 { // the actor waits for the test to hear of its end
 		time.Sleep(time.Millisecond)
 	}
-	p.Call(part("b", 2))
+	p.Send(part("b", 2))
 	_ = first.Close()
 	for p.News() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	want(t, s, end.Withheld)
+	want(t, s, outcome.NotSent)
 	second, r := accept(t, ln)
 	if got := next(t, r); got != "b" {
 		t.Errorf("%q came", got)
 	}
 	_, _ = second.Write(frame.Append(nil, frame.Answer, []byte("b.0 200 1 -\nv")))
-	want(t, s, end.Served)
+	want(t, s, outcome.Success)
 }
 
 // Crossing: a connection comes up after the time until which what may have run may be repeated, or after
@@ -155,19 +155,19 @@
 		s := &stage{late: make(chan struct{})}
 		p, ln := play(t, s)
 		list := part("a", 1)
-		list[0].Until = 100 * time.Millisecond
-		p.Call(list)
+		list[0].WriteBefore = 100 * time.Millisecond
+		p.Send(list)
 		if drains {
-			p.Fit(false)
+			p.SetAcceptsWork(false)
 		} else {
 			s.now.Store(int64(100 * time.Millisecond))
 		}
 		s.late <- struct{}{}
 		_, r := accept(t, ln)
-		want(t, s, end.Withheld)
+		want(t, s, outcome.NotSent)
 		s.now.Store(0)
-		p.Fit(true)
-		p.Call(part("b", 2))
+		p.SetAcceptsWork(true)
+		p.Send(part("b", 2))
 		if got := next(t, r); got != "b" {
 			t.Errorf("%q came", got)
 		}
@@ -178,7 +178,7 @@
 func TestSmallWritesAreNotHeldBack(t *testing.T) {
 	s := &stage{}
 	p, ln := play(t, s)
-	p.Call(part("a", 0))
+	p.Send(part("a", 0))
 	_, r := accept(t, ln)
 	next(t, r)
 	raw, err := p.First().(*net.TCPConn).SyscallConn()
@@ -194,14 +194,14 @@
 
 // deaf is a dialect whose reader hears nothing until it may.
 type deaf struct {
-	frame.Dialect
+	frame.Codec
 	may chan struct{}
 }
 
-func (d deaf) Reader(r io.Reader) peer.Reader { return deafReader{d.Dialect.Reader(r), d.may} }
+func (d deaf) NewReader(r io.Reader) upstream.Reader { return deafReader{d.Codec.NewReader(r), d.may} }
 
 type deafReader struct {
-	peer.Reader
+	upstream.Reader
 	may chan struct{}
 }
 
@@ -212,8 +212,8 @@
 func TestAResetBetweenTwoWrites(t *testing.T) {
 	s := &stage{}
 	may := make(chan struct{})
-	p, ln := playAs(t, s, deaf{frame.Dialect{MaxStreams: 2}, may})
-	p.Call(part("a", 0))
+	p, ln := playAs(t, s, deaf{frame.Codec{MaxStreams: 2}, may})
+	p.Send(part("a", 0))
 	nc, r := accept(t, ln)
 	next(t, r)
 	_ = nc.(*net.TCPConn).SetLinger(0)
@@ -228,10 +228,10 @@
 			reset = err != syscall.EAGAIN
 		})
 	}
-	p.Call(part("b", 1))
-	want(t, s, end.Broken)
-	want(t, s, end.CutInWrite)
-	if end.CutInWrite.Code() != routing.ConnectFailed || end.Broken.Code() != routing.ConnReset {
+	p.Send(part("b", 1))
+	want(t, s, outcome.ConnReset)
+	want(t, s, outcome.WriteInterrupted)
+	if outcome.WriteInterrupted.RoutingCode() != routing.ConnectFailed || outcome.ConnReset.RoutingCode() != routing.ConnReset {
 		t.Error("the module is told otherwise")
 	}
 	close(may)
--- a/internal/peer/stream.go
+++ b/internal/upstream/stream.go
@@ -1,4 +1,4 @@
-package peer
+package upstream
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 	"sync/atomic"
 
 	"linkpass/internal/coordinator"
-	"linkpass/internal/end"
+	"linkpass/internal/outcome"
 )
 
 // chunk is how much of a body is read and written at a time.
@@ -24,15 +24,15 @@
 // how is what an attempt ends of when its connection goes while a body is written. Before
 // the last write the server has never had that one whole. What ends the writing says nothing
 // of the others that are out on the connection: they may run.
-func (s *stream) how(id coordinator.AttemptID, e end.End) end.End {
-	own := e == end.CalledOff || e == end.Unkept || e == end.Withheld
+func (s *stream) how(id coordinator.AttemptID, e outcome.Outcome) outcome.Outcome {
+	own := e == outcome.Canceled || e == outcome.BodyEvicted || e == outcome.NotSent
 	switch {
 	case s.attempt.ID != id && own:
-		return end.Closed
+		return outcome.ConnClosed
 	case s.attempt.ID != id, s.last.Load(), own:
 		return e
 	}
-	return end.CutInWrite
+	return outcome.WriteInterrupted
 }
 
 var (
@@ -43,7 +43,7 @@
 
 // split takes the parts with bodies kept elsewhere out of a call: each is a message of its own. What
 // the dialect words whole joins the others with its text.
-func (p *Peer) split(c *conn, parts []Part, sent []coordinator.Attempt) ([]Part, []coordinator.Attempt) {
+func (p *Client) split(c *conn, parts []Part, sent []coordinator.Attempt) ([]Part, []coordinator.Attempt) {
 	kept := 0
 	for i, a := range sent {
 		switch {
@@ -52,23 +52,23 @@
 			p.call([]coordinator.Attempt{a}) // on another connection
 			continue
 		default:
-			if head := p.dialect.Head(parts[i], a.Body.Size()); head != nil {
+			if head := p.dialect.EncodeHeader(parts[i], a.Body.Size()); head != nil {
 				p.stream(c, a, parts[i].Name, head)
 				continue
 			}
 			text, err := readWhole(a.Body)
 			if err != nil {
-				p.endAll([]coordinator.Attempt{a}, end.Unkept)
+				p.endAll([]coordinator.Attempt{a}, outcome.BodyEvicted)
 				continue
 			}
-			parts[i].Text = text
-			p.cfg.Sink.Written(a.ID) // its bytes are here now
+			parts[i].Payload = text
+			p.cfg.Sink.BodySent(a.ID) // its bytes are here now
 		}
 		parts[kept], sent[kept] = parts[i], a
 		kept++
 	}
 	if c.dead {
-		p.endAll(sent[:kept], end.CutInWrite)
+		p.endAll(sent[:kept], outcome.WriteInterrupted)
 		return nil, nil
 	}
 	if c.stream != nil && kept > 0 { // these wait for the body's end no more than for another connection
@@ -88,10 +88,10 @@
 }
 
 // stream begins to write a part.
-func (p *Peer) stream(c *conn, a coordinator.Attempt, name string, head []byte) {
+func (p *Client) stream(c *conn, a coordinator.Attempt, name string, head []byte) {
 	body, err := a.Body.Open()
 	if err != nil {
-		p.endAll([]coordinator.Attempt{a}, end.Unkept)
+		p.endAll([]coordinator.Attempt{a}, outcome.BodyEvicted)
 		return
 	}
 	s := &stream{attempt: a, name: name}
@@ -106,7 +106,7 @@
 
 // copyBody writes head and body. Before each write it looks again at whether the query is open and
 // the server wants work; each must end within the time that a connection may take to come up.
-func (p *Peer) copyBody(c *conn, s *stream, head []byte, body io.Reader) error {
+func (p *Client) copyBody(c *conn, s *stream, head []byte, body io.Reader) error {
 	left := s.attempt.Body.Size()
 	buf := append(make([]byte, 0, len(head)+chunk), head...)
 	for {
@@ -121,10 +121,10 @@
 		}
 		left -= n
 		now := p.cfg.Sink.Now()
-		if s.attempt.Late(now) || s.attempt.Dead() {
+		if s.attempt.Expired(now) || s.attempt.Canceled() {
 			return errOver
 		}
-		if !p.fit.Load() || s.attempt.Gone() {
+		if !p.fit.Load() || s.attempt.ShardMoved() {
 			return errUnfit
 		}
 		if left == 0 {
@@ -144,7 +144,7 @@
 }
 
 // streamed books the end of a write. A message that was cut short leaves a connection of no use.
-func (p *Peer) streamed(c *conn, s *stream, err error) {
+func (p *Client) streamed(c *conn, s *stream, err error) {
 	if c.dead {
 		return
 	}
@@ -152,18 +152,18 @@
 	case err == nil:
 		c.stream, c.used = nil, p.cfg.Sink.Now()
 		p.cfg.Counters.Add("peer_parts_written", 1)
-		p.cfg.Figures.Attempts.Add(1)
-		p.cfg.Sink.Written(s.attempt.ID)
+		p.cfg.Totals.Attempts.Add(1)
+		p.cfg.Sink.BodySent(s.attempt.ID)
 		for _, name := range s.after {
 			if !c.dead {
-				p.put(c, p.dialect.GiveUp(name))
+				p.put(c, p.dialect.EncodeCancel(name))
 			}
 		}
 	case errors.Is(err, errBody):
-		p.drop(c, end.Unkept)
+		p.drop(c, outcome.BodyEvicted)
 	case errors.Is(err, errOver), errors.Is(err, errUnfit):
-		p.drop(c, end.Withheld)
+		p.drop(c, outcome.NotSent)
 	default:
-		p.drop(c, end.Broken)
+		p.drop(c, outcome.ConnReset)
 	}
 }
--- a/internal/peer/stream_test.go
+++ b/internal/upstream/stream_test.go
@@ -1,4 +1,4 @@
-package peer_test
+package upstream_test
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"time"
 
 	"linkpass/internal/coordinator"
-	"linkpass/internal/end"
+	"linkpass/internal/outcome"
 )
 
 // body is a stand-in for one that is kept elsewhere.
@@ -29,10 +29,10 @@
 	}
 	return io.NopCloser(bytes.NewReader(b.data)), nil
 }
-func (*body) Written()      {}
-func (*body) Waits()        {}
-func (*body) OnGone(func()) {}
-func (*body) Release()      {}
+func (*body) MarkSent()        {}
+func (*body) MarkPending()     {}
+func (*body) OnEvicted(func()) {}
+func (*body) Release()         {}
 
 type failing struct{}
 
@@ -40,7 +40,7 @@
 
 func withBody(query string, no int, b *body) []coordinator.Attempt {
 	list := attempt(query, 3, no)
-	list[0].Text, list[0].Body = nil, b
+	list[0].Payload, list[0].Body = nil, b
 	return list
 }
 
@@ -50,9 +50,9 @@
 	srv := listen(t)
 	p, s := start(t, srv.ln.Addr().String())
 	big := bytes.Repeat([]byte("0123456789"), 20_000)
-	p.Call(withBody("a", 0, &body{data: big}))
-	p.Call(withBody("b", 1, &body{data: big}))
-	p.Call(attempt("c", 3, 2))
+	p.Send(withBody("a", 0, &body{data: big}))
+	p.Send(withBody("b", 1, &body{data: big}))
+	p.Send(attempt("c", 3, 2))
 	heads := map[string]bool{"Da.3 3 d=3600000 200000\n": true, "Db.3 3 d=3600000 200000\n": true, "Dc.3 3 d=3600000 1\n": true}
 	for range 3 {
 		got := <-srv.frames
@@ -72,10 +72,10 @@
 	srv := listen(t)
 	p, s := start(t, srv.ln.Addr().String())
 	for no, b := range []*body{{data: make([]byte, 100_000), cut: -1}, {data: make([]byte, 100_000), cut: 50_000}} {
-		p.Call(withBody("a", no, b))
-		s.want(t, end.Unkept)
+		p.Send(withBody("a", no, b))
+		s.want(t, outcome.BodyEvicted)
 	}
-	p.Call(attempt("after", 3, 9))
+	p.Send(attempt("after", 3, 9))
 	if got := <-srv.frames; got != "Dafter.3 3 d=3600000 1\nx" {
 		t.Errorf("a message that was cut came whole: %.40q", got)
 	}
@@ -90,7 +90,7 @@
 	}
 	defer ln.Close()
 	p, s := start(t, ln.Addr().String())
-	p.Call(withBody("a", 0, &body{data: make([]byte, 64<<20)}))
+	p.Send(withBody("a", 0, &body{data: make([]byte, 64<<20)}))
 	first, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -99,7 +99,7 @@
 	if _, err := io.ReadFull(first, make([]byte, 100)); err != nil { // it is under way
 		t.Fatal(err)
 	}
-	p.Call(attempt("b", 3, 1))
+	p.Send(attempt("b", 3, 1))
 	second, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -109,12 +109,12 @@
 		t.Fatal(err)
 	}
 	reply(second, "b.3 200 1 -\nv")
-	s.want(t, end.Served)
+	s.want(t, outcome.Success)
 	for len(s.ended) == 0 { // its writes fill what the machine holds for it, and then stand still
 		s.pass(300 * time.Millisecond)
 		time.Sleep(time.Millisecond)
 	}
-	if r := s.want(t, end.CutInWrite); r.id.No != 0 {
+	if r := s.want(t, outcome.WriteInterrupted); r.id.No != 0 {
 		t.Errorf("%+v", r)
 	}
 }
@@ -128,7 +128,7 @@
 	defer ln.Close()
 	for _, drain := range []bool{false, true} {
 		p, s := start(t, ln.Addr().String())
-		p.Call(withBody("a", 0, &body{data: make([]byte, 64<<20)}))
+		p.Send(withBody("a", 0, &body{data: make([]byte, 64<<20)}))
 		nc, err := ln.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -137,7 +137,7 @@
 			t.Fatal(err)
 		}
 		if drain {
-			p.Fit(false)
+			p.SetAcceptsWork(false)
 		} else {
 			s.now.Add(int64(2 * time.Hour))
 		}
@@ -145,7 +145,7 @@
 		if n >= 64<<20 {
 			t.Errorf("drain %v: all %d bytes came", drain, n)
 		}
-		s.want(t, end.Withheld)
+		s.want(t, outcome.NotSent)
 		nc.Close()
 	}
 }
@@ -159,7 +159,7 @@
 	}
 	defer ln.Close()
 	p, s := start(t, ln.Addr().String())
-	p.Call(attempt("a", 3, 0))
+	p.Send(attempt("a", 3, 0))
 	nc, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -168,16 +168,16 @@
 	if _, err := io.ReadFull(nc, make([]byte, 4)); err != nil {
 		t.Fatal(err)
 	}
-	p.Call(withBody("b", 1, &body{data: make([]byte, 64<<20)}))
+	p.Send(withBody("b", 1, &body{data: make([]byte, 64<<20)}))
 	if _, err := io.ReadFull(nc, make([]byte, 100)); err != nil { // it is under way
 		t.Fatal(err)
 	}
-	p.Fit(false)
+	p.SetAcceptsWork(false)
 	go func() { _, _ = io.Copy(io.Discard, nc) }()
 	for range 2 {
 		got := <-s.ended
-		if want := []end.End{end.Closed, end.Withheld}[got.id.No]; got.End != want {
-			t.Errorf("part %d ended as %s, want %s", got.id.No, got.End, want)
+		if want := []outcome.Outcome{outcome.ConnClosed, outcome.NotSent}[got.id.No]; got.Outcome != want {
+			t.Errorf("part %d ended as %s, want %s", got.id.No, got.Outcome, want)
 		}
 	}
 }
