--- /dev/null
+++ b/internal/platform/front_test.go
@@ -0,0 +1,168 @@
+package platform
+
+import (
+	"context"
+	"strings"
+	"testing"
+	"time"
+
+	"linkpass/internal/coordinator"
+	"linkpass/internal/http1"
+	"linkpass/internal/metrics"
+	_ "linkpass/internal/seeded"
+)
+
+const validBody = `{"parts":[{"id":3,"w":0.5,"hint":9000},{"id":5,"w":0.5,"tag":"00000000000000ff"}],"expr":"c41e77d0"}`
+
+// fakeCore records the queries and gives each the same answer.
+type fakeCore struct {
+	queries []coordinator.Query
+	answer  coordinator.Answer
+	during  func() // runs while the query is in flight
+}
+
+func (c *fakeCore) Submit(q coordinator.Query) func() {
+	c.queries = append(c.queries, q)
+	if c.during != nil {
+		c.during()
+	}
+	q.Reply(c.answer)
+	return func() {}
+}
+
+// newRequest is a valid request but for its path, its body and the header lines, given as names and values.
+func newRequest(path, body string, header ...string) *http1.Request {
+	r := &http1.Request{Method: "POST", Path: path, Body: []byte(body), Header: map[string][]string{
+		"X-Request-Id":     {"9b1f03aa5c7e2d41"},
+		"X-Timeout-Ms":     {"480"},
+		"X-Priority-Class": {"checkout"},
+		"X-Retried":        {"1"},
+	}}
+	for i := 0; i < len(header); i += 2 {
+		r.Header.Set(header[i], header[i+1])
+	}
+	return r
+}
+
+func newFront(c *fakeCore) *Front {
+	return &Front{
+		Core:     c,
+		Classes:  []string{"browse", "checkout"},
+		Shards:   6,
+		Counters: metrics.NewCounters(),
+		Ready:    func() bool { return true },
+	}
+}
+
+func serve(f *Front, req *http1.Request) *http1.Response {
+	return f.Serve(context.Background(), 0, req)
+}
+
+func TestServeSubmitsQueryAndEncodesAnswer(t *testing.T) {
+	c := &fakeCore{answer: coordinator.Answer{Status: coordinator.Answered, Complete: true,
+		Values: []coordinator.Value{{Shard: 3, Data: []byte("5be2")}}}}
+	f := newFront(c)
+	res := f.Serve(context.Background(), time.Second, newRequest("/checkout", validBody))
+	if res.Status != 200 || string(res.Body) != `{"exact":true,"rows":[{"id":3,"data":"5be2"}]}` {
+		t.Errorf("%d %s", res.Status, res.Body)
+	}
+	q := c.queries[0]
+	if q.Name != "9b1f03aa5c7e2d41" || q.Class != 1 || q.Timeout != 480*time.Millisecond ||
+		q.StartedAt != time.Second || !q.IsRetry || len(q.Parts) != 2 ||
+		q.Parts[0].ExpectedWork != 9*time.Millisecond || q.Parts[1].Key != 255 ||
+		string(q.Parts[1].Payload) != "c41e77d0" {
+		t.Errorf("%+v", q)
+	}
+	c.answer = coordinator.Answer{Status: coordinator.Rejected, RetryAfter: 375 * time.Millisecond}
+	if res := serve(f, newRequest("/checkout", validBody)); res.Status != 503 || res.Header.Get("Retry-After") != "0.375" {
+		t.Errorf("%+v", res)
+	}
+	c.answer = coordinator.Answer{Status: coordinator.Failed}
+	if res := serve(f, newRequest("/checkout", validBody)); res.Status != 500 {
+		t.Errorf("%+v", res)
+	}
+	if res := serve(f, &http1.Request{Method: "GET", Path: "/health/ready"}); res.Status != 200 {
+		t.Errorf("%+v", res)
+	}
+	f.Ready = func() bool { return false }
+	if res := serve(f, &http1.Request{Method: "GET", Path: "/health/ready"}); res.Status != 503 {
+		t.Errorf("%+v", res)
+	}
+}
+
+// Guards against a query that counts against the quota of another tenant, or of any where it names none.
+func TestServeNumbersTenants(t *testing.T) {
+	c := &fakeCore{}
+	f := newFront(c)
+	for name, want := range map[string]int{"north": 0, "": 0} { // the site has none
+		serve(f, newRequest("/checkout", validBody, "X-Tenant-Id", name))
+		if q := c.queries[len(c.queries)-1]; q.Tenant != want {
+			t.Errorf("%q is tenant %d", name, q.Tenant)
+		}
+	}
+	f.Tenants = []string{"north", "south_coast"} // as the settings encode them
+	for name, want := range map[string]int{"north": 1, "south coast": 2, "": 0} {
+		serve(f, newRequest("/checkout", validBody, "X-Tenant-Id", name))
+		if q := c.queries[len(c.queries)-1]; q.Tenant != want {
+			t.Errorf("%q is tenant %d, want %d", name, q.Tenant, want)
+		}
+	}
+	res := serve(f, newRequest("/checkout", validBody, "X-Tenant-Id", "east"))
+	if res.Status != 400 || f.Counters.Get("platform_rejected") != 1 {
+		t.Errorf("an unknown tenant: %d", res.Status)
+	}
+}
+
+func TestServeRejectsInvalidRequests(t *testing.T) {
+	c := &fakeCore{}
+	f := newFront(c)
+	rejected := 0
+	for _, r := range []*http1.Request{
+		newRequest("/nowhere", validBody),
+		newRequest("/checkout", validBody, "X-Priority-Class", "browse"),
+		newRequest("/checkout", validBody, "X-Timeout-Ms", "soon"),
+		newRequest("/checkout", validBody, "X-Timeout-Ms", "0"),
+		newRequest("/checkout", validBody, "X-Request-Id", ""),
+		newRequest("/checkout", validBody, "X-Request-Id", "a b"),
+		newRequest("/checkout", validBody, "X-Request-Id", strings.Repeat("x", 200)),
+		newRequest("/checkout", `{}`),
+		newRequest("/checkout", `{"parts":[],"expr":"x"}`),
+		newRequest("/checkout", `{"parts":[{"id":3,"w":1}]}`),
+		newRequest("/checkout", `{"parts":[{"id":6,"w":1}],"expr":"x"}`),
+		newRequest("/checkout", `{"parts":[{"w":1}],"expr":"x"}`),
+		newRequest("/checkout", `{"parts":[{"id":3,"w":1},{"id":3,"w":1}],"expr":"x"}`),
+		newRequest("/checkout", `{"parts":[{"id":3,"w":-1}],"expr":"x"}`),
+		newRequest("/checkout", `{"parts":[{"id":3,"w":1,"tag":"xyz"}],"expr":"x"}`),
+		newRequest("/checkout", `{"parts":[{"id":3,"w":0.5},{"id":4,"w":0.4}],"expr":"x"}`),
+		newRequest("/checkout", `{"parts":[{"id":3,"w":1.5}],"expr":"x"}`),
+		newRequest("/checkout", `{"parts":[{"id":3,"w":1},{"id":4,"w":1}],"expr":"x"}`),
+		{Method: "GET", Path: "/checkout"},
+	} {
+		if res := serve(f, r); res.Status < 400 || res.Status > 499 {
+			t.Errorf("%s %s %v: %d", r.Path, r.Body, r.Header, res.Status)
+		}
+		rejected++
+	}
+	if len(c.queries) != 0 || f.Counters.Get("platform_rejected") != int64(rejected) {
+		t.Errorf("%d reached the core; %s", len(c.queries), f.Counters)
+	}
+}
+
+func TestServeRejectsRequestIDInUse(t *testing.T) {
+	c := &fakeCore{answer: coordinator.Answer{Status: coordinator.Answered}}
+	f := newFront(c)
+	c.during = func() {
+		c.during = nil
+		if res := serve(f, newRequest("/checkout", validBody)); res.Status != 409 {
+			t.Errorf("while it is in flight: %d", res.Status)
+		}
+	}
+	for range 2 { // the name is free once its query has ended
+		if res := serve(f, newRequest("/checkout", validBody)); res.Status != 200 {
+			t.Errorf("%d", res.Status)
+		}
+	}
+	if len(c.queries) != 2 {
+		t.Errorf("%d reached the core", len(c.queries))
+	}
+}
