--- a/internal/daemon/search_front.go
+++ b/internal/daemon/search_front.go
@@ -42,13 +42,13 @@
 		return nil, nil
 	}
 	f.shards.publisher.publish(f.settings.fromFile.Load())
-	answers := opensearch.FixedSettings(f.settings.fromFile.Load)
+	answers := opensearch.FixedSettingsHandler(f.settings.fromFile.Load)
 	if f.cfg.Search.Store.ID != "" {
 		s, err := f.openStore()
 		if err != nil {
 			return nil, err
 		}
-		answers = opensearch.StoreSettings(searchSettings{s})
+		answers = opensearch.StoreSettingsHandler(searchSettings{s})
 	}
 	ln, err := net.Listen("tcp", f.cfg.Search.Listen)
 	if err != nil {
--- a/internal/daemon/search_settings.go
+++ b/internal/daemon/search_settings.go
@@ -13,8 +13,8 @@
 type searchSettings struct{ store *store.Store }
 
 var (
-	_ opensearch.Replicated      = searchSettings{}
-	_ opensearch.SettingsUpdater = searchSettings{}
+	_ opensearch.ReplicatedSettings = searchSettings{}
+	_ opensearch.SettingsUpdater    = searchSettings{}
 )
 
 // ReadWith returns the settings with the consistency that is asked for.
--- a/internal/opensearch/dialect.go
+++ b/internal/opensearch/dialect.go
@@ -30,29 +30,29 @@
 // answers 409 with the version that it is at, without having run anything; an answer
 // says which keys it covers.
 const (
-	HeaderVersion = "X-Layout-Version"
-	HeaderRange   = "X-Layout-Range"
-	HeaderCovers  = "X-Layout-Covers"
+	headerMapVersion   = "X-Layout-Version"
+	headerKeyRange     = "X-Layout-Range"
+	headerCoveredRange = "X-Layout-Covers"
 )
 
 const (
-	maxConns = 16        // to one server: one descriptor each
-	maxReply = 256 << 10 // bytes of an answer: all parts held at once must fit in memory
-	host     = "league-server"
+	maxConnsPerServer = 16        // to one server: one descriptor each
+	maxResponseBytes  = 256 << 10 // bytes of an answer: all parts held at once must fit in memory
+	hostHeader        = "league-server"
 )
 
 // Limits is one part a connection.
 func (Codec) Limits() upstream.Limits {
-	return upstream.Limits{MaxStreams: 1, MaxConns: maxConns, Exclusive: true, Subranges: true}
+	return upstream.Limits{MaxStreams: 1, MaxConns: maxConnsPerServer, Exclusive: true, Subranges: true}
 }
 
 // EncodeRequest words one part as a search.
 func (Codec) EncodeRequest(parts []upstream.Part) []byte {
 	var b bytes.Buffer
 	for _, p := range parts {
-		path, header := target(p)
+		path, header := requestTarget(p)
 		// Writes to a buffer do not fail.
-		_ = http1.WriteRequest(&b, "POST", path, host, header, searchOf(p.Payload))
+		_ = http1.WriteRequest(&b, "POST", path, hostHeader, header, searchBody(p.Payload))
 	}
 	return b.Bytes()
 }
@@ -62,12 +62,12 @@
 	if p.Collection == "" {
 		return nil
 	}
-	path, header := target(p)
-	return http1.RequestHead("POST", path, host, header, size)
+	path, header := requestTarget(p)
+	return http1.RequestHead("POST", path, hostHeader, header, size)
 }
 
-// target is the path and the header of a part.
-func target(p upstream.Part) (path string, header textproto.MIMEHeader) {
+// requestTarget is the path and the header of a part.
+func requestTarget(p upstream.Part) (path string, header textproto.MIMEHeader) {
 	path = "/_search"
 	if p.Collection != "" {
 		path = "/" + url.PathEscape(p.Collection) + path
@@ -76,15 +76,15 @@
 	header = textproto.MIMEHeader{"Content-Type": {"application/json"}, "X-Opaque-Id": {p.Name}}
 	if p.Request != nil {
 		slice = uint64(p.Request.Shard)
-		header.Set(HeaderVersion, strconv.FormatUint(p.Request.MapVersion, 10))
-		header.Set(HeaderRange, p.Request.Range.String())
+		header.Set(headerMapVersion, strconv.FormatUint(p.Request.MapVersion, 10))
+		header.Set(headerKeyRange, p.Request.Range.String())
 	}
 	return path + fmt.Sprintf("?preference=_shards:%d&timeout=%dms", slice, max(1, p.Timeout.Milliseconds())), header
 }
 
-// searchOf is a part's text where that is a search's body already, as the
+// searchBody is a part's text where that is a search's body already, as the
 // search front makes it; the platform's text is looked for as it stands.
-func searchOf(text []byte) []byte {
+func searchBody(text []byte) []byte {
 	var body struct {
 		Query json.RawMessage `json:"query"`
 	}
@@ -104,16 +104,16 @@
 // EncodeHealthCheck asks for the server's greeting.
 func (Codec) EncodeHealthCheck() []byte {
 	var b bytes.Buffer
-	_ = http1.WriteRequest(&b, "GET", "/", host, nil, nil)
+	_ = http1.WriteRequest(&b, "GET", "/", hostHeader, nil, nil)
 	return b.Bytes()
 }
 
 // NewReader reads a server's answers.
 func (d Codec) NewReader(r io.Reader) upstream.Reader {
-	return &dialectReader{d, http1.NewReader(r, maxReply)}
+	return &responseReader{d, http1.NewReader(r, maxResponseBytes)}
 }
 
-type dialectReader struct {
+type responseReader struct {
 	Codec
 	*http1.Reader
 }
@@ -138,21 +138,21 @@
 
 // Next reads one answer. An answer that is not whole is an error of the server's:
 // a part of a part is never taken for the part.
-func (r *dialectReader) Next() (upstream.Message, outcome.Outcome, error) {
+func (r *responseReader) Next() (upstream.Message, outcome.Outcome, error) {
 	res, err := r.Response()
 	if err != nil {
 		return upstream.Message{}, outcome.FromReadError(err, false), err
 	}
 	m := upstream.Message{Outcome: outcome.ServerError, ConnCloses: res.Close, LoadReport: loadreport.Parse(res.Header.Get("X-Server-Load"), r.ReportNames)}
-	if text := res.Header.Get(HeaderVersion); text != "" {
+	if text := res.Header.Get(headerMapVersion); text != "" {
 		if m.ShardMapVersion, err = strconv.ParseUint(text, 10, 64); err != nil {
-			return m, outcome.MalformedResponse, fmt.Errorf("opensearch: %s %.40q: %w", HeaderVersion, text, err)
+			return m, outcome.MalformedResponse, fmt.Errorf("opensearch: %s %.40q: %w", headerMapVersion, text, err)
 		}
 	}
-	if text := res.Header.Get(HeaderCovers); text != "" {
+	if text := res.Header.Get(headerCoveredRange); text != "" {
 		r, err := shardmap.ParseRange(text)
 		if err != nil {
-			return m, outcome.MalformedResponse, fmt.Errorf("opensearch: %s: %w", HeaderCovers, err)
+			return m, outcome.MalformedResponse, fmt.Errorf("opensearch: %s: %w", headerCoveredRange, err)
 		}
 		m.Covers = &r
 	}
--- a/internal/opensearch/front.go
+++ b/internal/opensearch/front.go
@@ -46,16 +46,16 @@
 	Prefix          string           // makes this instance's names of searches its own
 	Counters        *metrics.Counters
 
-	searches atomic.Uint64
-	lines    eventlog.RateLimited // on searches that are turned down
+	searchCount atomic.Uint64
+	rejections  eventlog.RateLimited // on searches that are turned down
 }
 
-type shards struct {
-	Total      int       `json:"total"`
-	Successful int       `json:"successful"`
-	Skipped    int       `json:"skipped"`
-	Failed     int       `json:"failed"`
-	Failures   []failure `json:"failures,omitempty"`
+type shardCounts struct {
+	Total      int            `json:"total"`
+	Successful int            `json:"successful"`
+	Skipped    int            `json:"skipped"`
+	Failed     int            `json:"failed"`
+	Failures   []shardFailure `json:"failures,omitempty"`
 }
 
 type total struct {
@@ -63,24 +63,24 @@
 	Relation string `json:"relation"`
 }
 
-type hit struct {
+type searchHit struct {
 	Index  string          `json:"_index"`
 	ID     string          `json:"_id"`
 	Score  *float64        `json:"_score"`
 	Source json.RawMessage `json:"_source,omitempty"`
 }
 
-type hits struct {
-	Total    total    `json:"total"`
-	MaxScore *float64 `json:"max_score"`
-	Hits     []hit    `json:"hits"`
+type searchHits struct {
+	Total    total       `json:"total"`
+	MaxScore *float64    `json:"max_score"`
+	Hits     []searchHit `json:"hits"`
 }
 
-type result struct {
-	Took     int64  `json:"took"`
-	TimedOut bool   `json:"timed_out"`
-	Shards   shards `json:"_shards"`
-	Hits     hits   `json:"hits"`
+type searchResponse struct {
+	Took     int64       `json:"took"`
+	TimedOut bool        `json:"timed_out"`
+	Shards   shardCounts `json:"_shards"`
+	Hits     searchHits  `json:"hits"`
 }
 
 // Serve answers one request.
@@ -97,7 +97,7 @@
 		return f.reroute(req)
 	case len(steps) == 2 && steps[1] == "_search":
 		if req.Method != "POST" && req.Method != "GET" {
-			return errorResponse(&cause{Type: "illegal_argument_exception", Status: 405,
+			return errorResponse(&apiError{Type: "illegal_argument_exception", Status: 405,
 				Reason: fmt.Sprintf("Incorrect HTTP method for uri [%s] and method [%s], allowed: [POST, GET]", req.Path, req.Method)})
 		}
 		return f.search(ctx, began, steps[0], req)
@@ -105,29 +105,29 @@
 	return f.reject(badRequest("illegal_argument_exception", fmt.Sprintf("no handler found for uri [%.200s] and method [%s]", req.Path, req.Method)))
 }
 
-func (f *Front) reject(c *cause) *http1.Response {
+func (f *Front) reject(c *apiError) *http1.Response {
 	f.Counters.Add("search_rejected", 1)
-	f.lines.Log(eventlog.SearchRejected, c.Status, c.Type, c.Reason)
+	f.rejections.Log(eventlog.SearchRejected, c.Status, c.Type, c.Reason)
 	return errorResponse(c)
 }
 
-// plan reads a search and finds its class and slices. Nothing is sent unless
+// planSearch reads a search and finds its class and slices. Nothing is sent unless
 // all of it is known.
-func (f *Front) plan(index string, req *http1.Request) (s search, body coordinator.Body, bad *cause) {
+func (f *Front) planSearch(index string, req *http1.Request) (s searchRequest, body coordinator.Body, bad *apiError) {
 	settings := f.SearchConfig()
 	where, ok := settings.Indices[index]
 	if !ok {
-		return s, nil, noIndex(index)
+		return s, nil, indexNotFound(index)
 	}
 	class := slices.IndexFunc(f.Classes, func(c Class) bool { return c.Name == where.Class })
 	if req.BodySink != nil {
-		s, body, bad = f.readLarge(max(0, class), req, settings)
+		s, body, bad = f.readLargeSearch(max(0, class), req, settings)
 	} else {
 		s, bad = readSearch(req.Query, req.Body, settings)
 	}
 	if bad == nil {
 		s.index, s.class = index, class
-		bad = f.place(&s, where, settings)
+		bad = f.resolveShards(&s, where, settings)
 	}
 	if bad != nil && body != nil {
 		body.Release()
@@ -136,26 +136,26 @@
 	return s, body, bad
 }
 
-// place finds a search's slices or keys.
-func (f *Front) place(s *search, where searchconfig.Index, settings *searchconfig.Config) (bad *cause) {
+// resolveShards finds a search's slices or keys.
+func (f *Front) resolveShards(s *searchRequest, where searchconfig.Index, settings *searchconfig.Config) (bad *apiError) {
 	index := s.index
 	if l := settings.ShardMap(index); l != nil {
-		if s.wanted, bad = s.wantedKeys(l); bad != nil {
+		if s.keyRanges, bad = s.requestedRanges(l); bad != nil {
 			return bad
 		}
-	} else if s.slices = where.Shards; s.preferred != nil {
-		s.slices = s.preferred
+	} else if s.fixedShards = where.Shards; s.preferredShards != nil {
+		s.fixedShards = s.preferredShards
 	}
-	if s.wanted == nil && (s.ranges != nil || s.routing != nil) {
+	if s.keyRanges == nil && (s.preferredRanges != nil || s.routingValues != nil) {
 		return badRequest("illegal_argument_exception", fmt.Sprintf("index [%s] has a fixed layout: neither routing nor _ranges is known there", index))
 	}
-	for _, slice := range s.slices {
+	for _, slice := range s.fixedShards {
 		if !slices.Contains(where.Shards, slice) || slice >= f.Shards {
-			return &cause{Type: "shard_not_found_exception", Reason: fmt.Sprintf("no such shard [%d] in index [%s]", slice, index), Index: index, Status: 404}
+			return &apiError{Type: "shard_not_found_exception", Reason: fmt.Sprintf("no such shard [%d] in index [%s]", slice, index), Index: index, Status: 404}
 		}
 	}
 	if s.class < 0 {
-		return &cause{Type: "illegal_state_exception", Reason: fmt.Sprintf("index [%s] is of class [%s], which is not served here", index, where.Class), Index: index, Status: 500}
+		return &apiError{Type: "illegal_state_exception", Reason: fmt.Sprintf("index [%s] is of class [%s], which is not served here", index, where.Class), Index: index, Status: 500}
 	}
 	if limit := f.Classes[s.class].Deadline; s.timeout <= 0 || s.timeout > limit {
 		s.timeout = limit
@@ -165,7 +165,7 @@
 
 // search puts one search through the core.
 func (f *Front) search(ctx context.Context, began time.Duration, index string, req *http1.Request) *http1.Response {
-	s, body, refusal := f.plan(index, req)
+	s, body, refusal := f.planSearch(index, req)
 	if refusal != nil {
 		return f.reject(refusal)
 	}
@@ -173,14 +173,14 @@
 	if err != nil {
 		return f.reject(badRequest("json_parse_exception", err.Error()))
 	}
-	parts := make([]coordinator.Part, len(s.slices))
-	for i, slice := range s.slices {
-		parts[i] = coordinator.Part{Shard: slice, Weight: 1 / float64(len(s.slices)), Payload: text}
+	parts := make([]coordinator.Part, len(s.fixedShards))
+	for i, slice := range s.fixedShards {
+		parts[i] = coordinator.Part{Shard: slice, Weight: 1 / float64(len(s.fixedShards)), Payload: text}
 	}
 	done := make(chan coordinator.Answer, 1)
 	leave := f.Core.Submit(coordinator.Query{
-		Name: f.Prefix + "-" + strconv.FormatUint(f.searches.Add(1), 10), Collection: index, Class: s.class,
-		StartedAt: began, Timeout: s.timeout, Parts: parts, KeyRanges: s.wanted, Payload: text, Body: body, Reply: func(a coordinator.Answer) { done <- a },
+		Name: f.Prefix + "-" + strconv.FormatUint(f.searchCount.Add(1), 10), Collection: index, Class: s.class,
+		StartedAt: began, Timeout: s.timeout, Parts: parts, KeyRanges: s.keyRanges, Payload: text, Body: body, Reply: func(a coordinator.Answer) { done <- a },
 	})
 	var a coordinator.Answer
 	select {
@@ -189,35 +189,35 @@
 		leave()
 		a = <-done
 	}
-	return f.response(s, a, (f.Core.Now() - began).Milliseconds())
+	return f.encodeAnswer(s, a, (f.Core.Now() - began).Milliseconds())
 }
 
-// response words the core's answer. What is missing is always told.
-func (f *Front) response(s search, a coordinator.Answer, took int64) *http1.Response {
-	counts := shards{Total: len(s.slices), Successful: len(s.slices) - len(a.Missing), Failed: len(a.Missing)}
-	if s.wanted != nil { // as many as it was cut into in the end
+// encodeAnswer words the core's answer. What is missing is always told.
+func (f *Front) encodeAnswer(s searchRequest, a coordinator.Answer, took int64) *http1.Response {
+	counts := shardCounts{Total: len(s.fixedShards), Successful: len(s.fixedShards) - len(a.Missing), Failed: len(a.Missing)}
+	if s.keyRanges != nil { // as many as it was cut into in the end
 		counts.Total, counts.Successful = len(a.Values)+len(a.Missing), len(a.Values)
 	}
 	for _, m := range a.Missing {
-		lost := failure{Shard: m.Shard, Index: s.index, Reason: reasonOf(m)}
+		lost := shardFailure{Shard: m.Shard, Index: s.index, Reason: missingReason(m)}
 		if m.Request != nil {
-			lost.Shard, lost.Range, lost.Version = int(m.Request.Shard), m.Request.Range.String(), m.Request.MapVersion
+			lost.Shard, lost.KeyRange, lost.MapVersion = int(m.Request.Shard), m.Request.Range.String(), m.Request.MapVersion
 		}
 		counts.Failures = append(counts.Failures, lost)
 	}
-	res := f.word(s, a, took, counts)
+	res := f.encodeOutcome(s, a, took, counts)
 	if a.ShardMapVersion > 0 {
-		res.Header[HeaderVersion] = []string{strconv.FormatUint(a.ShardMapVersion, 10)}
+		res.Header[headerMapVersion] = []string{strconv.FormatUint(a.ShardMapVersion, 10)}
 	}
 	return res
 }
 
-// word words an answer of which so much is in.
-func (*Front) word(s search, a coordinator.Answer, took int64, counts shards) *http1.Response {
+// encodeOutcome words an answer of which so much is in.
+func (*Front) encodeOutcome(s searchRequest, a coordinator.Answer, took int64, counts shardCounts) *http1.Response {
 	if a.Status == coordinator.Answered && (a.Complete || s.allowPartial) {
-		return jsonResponse(200, result{Took: took, TimedOut: a.TimedOut && !a.Complete, Shards: counts, Hits: s.merge(a.Values)})
+		return jsonResponse(200, searchResponse{Took: took, TimedOut: a.TimedOut && !a.Complete, Shards: counts, Hits: s.merge(a.Values)})
 	}
-	c := &cause{Type: "search_phase_execution_exception", Reason: "all shards failed", Phase: "query", Grouped: true,
+	c := &apiError{Type: "search_phase_execution_exception", Reason: "all shards failed", Phase: "query", Grouped: true,
 		FailedShards: counts.Failures, Status: 503}
 	switch {
 	case a.Status == coordinator.Rejected:
@@ -227,7 +227,7 @@
 	case a.Status == coordinator.Answered:
 		c.Reason = "Partial shards failure"
 	}
-	res := begunError(c, &took, &a.TimedOut, &counts)
+	res := searchError(c, &took, &a.TimedOut, &counts)
 	if a.Status == coordinator.Rejected && a.RetryAfter > 0 {
 		res.Header["Retry-After"] = []string{strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64)}
 	}
@@ -236,9 +236,9 @@
 
 // merge brings the hits of all slices into one list, best first; a plain value
 // counts as one hit with the score that its server gave.
-func (s *search) merge(values []coordinator.Value) hits {
-	out := hits{Total: total{Relation: "eq"}, Hits: []hit{}}
-	all := []hit{}
+func (s *searchRequest) merge(values []coordinator.Value) searchHits {
+	out := searchHits{Total: total{Relation: "eq"}, Hits: []searchHit{}}
+	all := []searchHit{}
 	for _, v := range values {
 		if v.Hits == nil {
 			score := v.Score
@@ -250,7 +250,7 @@
 			if err != nil { // a number and a string always encode
 				continue
 			}
-			all = append(all, hit{Index: s.index, ID: strconv.Itoa(slice), Score: &score, Source: source})
+			all = append(all, searchHit{Index: s.index, ID: strconv.Itoa(slice), Score: &score, Source: source})
 			out.Total.Value++
 			continue
 		}
@@ -260,10 +260,10 @@
 		}
 		for _, h := range v.Hits.List {
 			score := h.Score
-			all = append(all, hit{Index: s.index, ID: h.ID, Score: &score, Source: h.Source})
+			all = append(all, searchHit{Index: s.index, ID: h.ID, Score: &score, Source: h.Source})
 		}
 	}
-	slices.SortStableFunc(all, func(a, b hit) int {
+	slices.SortStableFunc(all, func(a, b searchHit) int {
 		switch {
 		case *a.Score > *b.Score:
 			return -1
@@ -280,8 +280,8 @@
 	return out
 }
 
-// FixedSettings answers for settings that come from the file alone.
-func FixedSettings(current func() *searchconfig.Config) http1.Handler {
+// FixedSettingsHandler answers for settings that come from the file alone.
+func FixedSettingsHandler(current func() *searchconfig.Config) http1.Handler {
 	return http1.HandlerFunc(func(_ context.Context, _ time.Duration, req *http1.Request) *http1.Response {
 		if req.Method != "GET" {
 			return errorResponse(badRequest("illegal_argument_exception", "the store is off: settings come from the file and stay as they are"))
--- a/internal/opensearch/large.go
+++ b/internal/opensearch/large.go
@@ -27,16 +27,16 @@
 	return n, err
 }
 
-// readLarge reads a search whose body has come into the store, and puts what the parts are to
+// readLargeSearch reads a search whose body has come into the store, and puts what the parts are to
 // send there in its place: the body's query, as it stands, with our own from and size.
-func (f *Front) readLarge(class int, req *http1.Request, settings *searchconfig.Config) (search, coordinator.Body, *cause) {
+func (f *Front) readLargeSearch(class int, req *http1.Request, settings *searchconfig.Config) (searchRequest, coordinator.Body, *apiError) {
 	arrived, ok := req.BodySink.(*BodyUpload)
 	if !ok {
-		return search{}, nil, badRequest("illegal_state_exception", "a large body without a store")
+		return searchRequest{}, nil, badRequest("illegal_state_exception", "a large body without a store")
 	}
 	raw, err := arrived.Commit()
 	if err != nil {
-		return search{}, nil, noRoom()
+		return searchRequest{}, nil, bodyNotStored()
 	}
 	defer raw.Release()
 	s, bad := readSearch(req.Query, nil, settings)
@@ -45,7 +45,7 @@
 	}
 	b, err := scanBody(raw)
 	if err == nil {
-		err = s.takeBody(b)
+		err = s.applyBody(b)
 	}
 	if err == nil { // the URL goes before the body
 		err = s.readParams(req.Query)
@@ -53,35 +53,35 @@
 	if err == nil {
 		err = s.checkWindow(settings)
 	}
-	var c *cause
+	var c *apiError
 	switch {
 	case errors.As(err, &c):
 		return s, nil, c
 	case err != nil:
-		return s, nil, noRoom()
+		return s, nil, bodyNotStored()
 	}
-	body, err := f.rebuild(class, raw, s, b)
+	body, err := f.writePartBody(class, raw, s, b)
 	if err != nil {
-		return s, nil, noRoom()
+		return s, nil, bodyNotStored()
 	}
 	return s, body, nil
 }
 
-func noRoom() *cause {
-	return &cause{Type: "rejected_execution_exception", Reason: "the search's body could not be kept; asking again is harmless", Status: 429}
+func bodyNotStored() *apiError {
+	return &apiError{Type: "rejected_execution_exception", Reason: "the search's body could not be kept; asking again is harmless", Status: 429}
 }
 
-func scanBody(raw *bodystore.Body) (scanned, error) {
+func scanBody(raw *bodystore.Body) (scannedBody, error) {
 	r, err := raw.Open()
 	if err != nil {
-		return scanned{}, err
+		return scannedBody{}, err
 	}
 	defer r.Close()
 	return scanSearch(r)
 }
 
-// rebuild writes the parts' body, piece by piece, from the one that came.
-func (f *Front) rebuild(class int, raw *bodystore.Body, s search, b scanned) (coordinator.Body, error) {
+// writePartBody writes the parts' body, piece by piece, from the one that came.
+func (f *Front) writePartBody(class int, raw *bodystore.Body, s searchRequest, b scannedBody) (coordinator.Body, error) {
 	r, err := raw.Open()
 	if err != nil {
 		return nil, err
@@ -92,10 +92,10 @@
 	if _, err := io.WriteString(w, `{"from":0,"query":`); err != nil {
 		return nil, err
 	}
-	if b.queryTo == 0 {
+	if b.queryEnd == 0 {
 		_, err = w.Write(s.query)
 	} else {
-		err = copyQuery(w, r, b.queryFrom, b.queryTo)
+		err = copyQuery(w, r, b.queryStart, b.queryEnd)
 	}
 	if err == nil {
 		_, err = fmt.Fprintf(w, `,"size":%d}`, s.from+s.size)
--- a/internal/opensearch/large_test.go
+++ b/internal/opensearch/large_test.go
@@ -19,11 +19,11 @@
 	"linkpass/internal/metrics"
 )
 
-// large is a front with a store, and a search's body on its way in.
-func large(t *testing.T, k *core, l tier.Limits, body string) (*Front, *http1.Request, *bodystore.Store) {
+// newLargeSearch is a front with a store, and a search's body on its way in.
+func newLargeSearch(t *testing.T, k *fakeCore, l tier.Limits, body string) (*Front, *http1.Request, *bodystore.Store) {
 	s := bodystore.Open(bodystore.Config{Limits: l, Dir: t.TempDir(), Counters: metrics.NewCounters(), Now: func() time.Duration { return 0 }})
 	t.Cleanup(s.Close)
-	f := front(k)
+	f := newFront(k)
 	f.BodyStore = s
 	w := &BodyUpload{Writer: s.NewWriter(1, 1), Rejection: &http1.Error{Status: 429}}
 	if _, err := io.WriteString(w, body); err != nil {
@@ -32,7 +32,7 @@
 	return f, &http1.Request{Method: "POST", Path: "/players/_search", BodySink: w}, s
 }
 
-func terms(n int) string {
+func termsQuery(n int) string {
 	var ids []string
 	for i := range n {
 		ids = append(ids, fmt.Sprintf("%q", fmt.Sprint("player-", i)))
@@ -44,9 +44,9 @@
 // it is answered nothing is kept.
 func TestALargeSearchIsReadWhereItLies(t *testing.T) {
 	for _, limits := range []tier.Limits{{Memory: 4 << 20, Files: 0, Largest: 4 << 20}, {Memory: 64 << 10, Files: 4 << 20, Largest: 16 << 10}} {
-		query := terms(20_000)
+		query := termsQuery(20_000)
 		var text []byte
-		k := &core{answer: func(q coordinator.Query) coordinator.Answer {
+		k := &fakeCore{answer: func(q coordinator.Query) coordinator.Answer {
 			if q.Body == nil || len(q.Parts[0].Payload) > 100 && string(q.Parts[0].Payload) != `{"from":0,"query":{"match_all":{}},"size":7}` {
 				t.Errorf("%+v", q)
 			}
@@ -59,7 +59,7 @@
 			q.Body.Release()
 			return coordinator.Answer{Status: coordinator.Answered, Complete: true}
 		}}
-		f, req, s := large(t, k, limits, `{"size": 5, "query" : `+query+`, "timeout":"300ms", "from":2}`)
+		f, req, s := newLargeSearch(t, k, limits, `{"size": 5, "query" : `+query+`, "timeout":"300ms", "from":2}`)
 		res := f.Serve(context.Background(), 0, req)
 		if res.Status != 200 || k.queries[0].Timeout != 300*time.Millisecond {
 			t.Fatalf("%d %s", res.Status, res.Body)
@@ -76,15 +76,15 @@
 // What can't be served is refused by its reason, sends nothing and leaves nothing.
 func TestALargeSearchThatIsNone(t *testing.T) {
 	for body, kind := range map[string]string{
-		`{"query":` + terms(2000) + `,"aggs":{}}`:                             "parsing_exception",
-		`{"query":` + terms(2000):                                             "json_parse_exception",
-		`{"query":{"knn":` + terms(2000) + `}}`:                               "parsing_exception",
-		`{"from":99999,"query":` + terms(2000) + `}`:                          "illegal_argument_exception",
-		`{"timeout":"soon","query":` + terms(10) + `}`:                        "illegal_argument_exception",
-		`{"query":{"match":{"a":"` + strings.Repeat("x", 2*maxToken) + `"}}}`: "json_parse_exception",
+		`{"query":` + termsQuery(2000) + `,"aggs":{}}`:                             "parsing_exception",
+		`{"query":` + termsQuery(2000):                                             "json_parse_exception",
+		`{"query":{"knn":` + termsQuery(2000) + `}}`:                               "parsing_exception",
+		`{"from":99999,"query":` + termsQuery(2000) + `}`:                          "illegal_argument_exception",
+		`{"timeout":"soon","query":` + termsQuery(10) + `}`:                        "illegal_argument_exception",
+		`{"query":{"match":{"a":"` + strings.Repeat("x", 2*maxTokenBytes) + `"}}}`: "json_parse_exception",
 	} {
-		k := &core{answer: whole}
-		f, req, s := large(t, k, tier.Limits{Memory: 8 << 20, Largest: 8 << 20}, body)
+		k := &fakeCore{answer: completeAnswer}
+		f, req, s := newLargeSearch(t, k, tier.Limits{Memory: 8 << 20, Largest: 8 << 20}, body)
 		res := f.Serve(context.Background(), 0, req)
 		var out struct{ Error struct{ Type string } }
 		_ = json.Unmarshal(res.Body, &out)
@@ -109,7 +109,7 @@
 		if err != nil || *got.from != 3 || got.size != nil || *got.timeout != "1s" {
 			t.Fatalf("%s: %+v %v", body, got, err)
 		}
-		if found := bytes.TrimRight(afterColon([]byte(body[got.queryFrom:got.queryTo])), " "); string(found) != query {
+		if found := bytes.TrimRight(trimColon([]byte(body[got.queryStart:got.queryEnd])), " "); string(found) != query {
 			t.Fatalf("found %q, want %q", found, query)
 		}
 	})
--- a/internal/opensearch/layouts.go
+++ b/internal/opensearch/layouts.go
@@ -29,19 +29,19 @@
 // maxCommands bounds one call of /_cluster/reroute.
 const maxCommands = 64
 
-// wantedKeys are the keys that a search on a layout asks for: by routing values, ranges or
+// requestedRanges are the keys that a search on a layout asks for: by routing values, ranges or
 // slices, or all.
-func (s *search) wantedKeys(l *shardmap.Map) ([]shardmap.Range, *cause) {
+func (s *searchRequest) requestedRanges(l *shardmap.Map) ([]shardmap.Range, *apiError) {
 	var out []shardmap.Range
-	for _, value := range s.routing {
+	for _, value := range s.routingValues {
 		key := shardmap.HashKey(value)
 		out = append(out, shardmap.Range{First: key, Last: key})
 	}
-	out = append(out, s.ranges...)
-	for _, id := range s.preferred {
+	out = append(out, s.preferredRanges...)
+	for _, id := range s.preferredShards {
 		found, ok := l.Shard(shardmap.ShardID(id))
 		if !ok {
-			return nil, &cause{Type: "shard_not_found_exception", Index: s.index, Status: 404,
+			return nil, &apiError{Type: "shard_not_found_exception", Index: s.index, Status: 404,
 				Reason: fmt.Sprintf("no such shard [%d] in index [%s] at layout version [%d]", id, s.index, l.Version())}
 		}
 		out = append(out, found.Range)
@@ -54,21 +54,21 @@
 
 // shardRow is one copy of a slice, in the terms of /_cat/shards and /_search_shards.
 type shardRow struct {
-	Index   string  `json:"index"`
-	Shard   uint64  `json:"shard"`
-	State   string  `json:"state"`
-	Range   string  `json:"range"`
-	Epoch   uint64  `json:"epoch"`
-	Node    string  `json:"node"`
-	Plan    uint64  `json:"plan,omitempty"`
-	Step    string  `json:"step,omitempty"`
-	Version uint64  `json:"version"`
-	Primary bool    `json:"primary"`
-	Share   float64 `json:"share"` // of the key space
+	Index         string  `json:"index"`
+	Shard         uint64  `json:"shard"`
+	State         string  `json:"state"`
+	Range         string  `json:"range"`
+	Epoch         uint64  `json:"epoch"`
+	Node          string  `json:"node"`
+	PlanID        uint64  `json:"plan,omitempty"`
+	Step          string  `json:"step,omitempty"`
+	MapVersion    uint64  `json:"version"`
+	Primary       bool    `json:"primary"`
+	KeySpaceShare float64 `json:"share"` // of the key space
 }
 
-// rows lists the copies of an index's slices: those that serve, then those of open plans.
-func rows(index string, l *shardmap.Map) (out []shardRow) {
+// shardRows lists the copies of an index's slices: those that serve, then those of open plans.
+func shardRows(index string, l *shardmap.Map) (out []shardRow) {
 	planned := map[shardmap.ShardID]shardmap.Plan{}
 	for _, p := range l.Plans() {
 		for _, s := range append(slices.Clone(p.From), p.To...) {
@@ -78,9 +78,9 @@
 	add := func(s shardmap.Shard, state string) {
 		for i, node := range s.Replicas {
 			row := shardRow{Index: index, Shard: uint64(s.ID), State: state, Range: s.Range.String(), Epoch: s.Epoch,
-				Node: node, Version: l.Version(), Primary: i == 0, Share: s.Range.Size() / shardmap.FullRange.Size()}
+				Node: node, MapVersion: l.Version(), Primary: i == 0, KeySpaceShare: s.Range.Size() / shardmap.FullRange.Size()}
 			if p, ok := planned[s.ID]; ok {
-				row.Plan, row.Step = uint64(p.ID), string(p.Step)
+				row.PlanID, row.Step = uint64(p.ID), string(p.Step)
 			}
 			out = append(out, row)
 		}
@@ -119,7 +119,7 @@
 			continue
 		}
 		if l := c.ShardMap(name); l != nil {
-			all = append(all, rows(name, l)...)
+			all = append(all, shardRows(name, l)...)
 			continue
 		}
 		for _, s := range c.Indices[name].Shards { // who holds those is the module's to know
@@ -127,7 +127,7 @@
 		}
 	}
 	if _, ok := c.Indices[index]; index != "" && !ok {
-		return f.reject(noIndex(index))
+		return f.reject(indexNotFound(index))
 	}
 	if params.Get("format") == "json" {
 		return jsonResponse(200, all)
@@ -138,8 +138,8 @@
 	}
 	for _, r := range all {
 		plan := "-"
-		if r.Plan > 0 {
-			plan = strconv.FormatUint(r.Plan, 10)
+		if r.PlanID > 0 {
+			plan = strconv.FormatUint(r.PlanID, 10)
 		}
 		fmt.Fprintf(&b, "%s %d %s %s %d %s %s %s\n", r.Index, r.Shard, r.State, orDash(r.Range), r.Epoch, r.Node, plan, orDash(r.Step))
 	}
@@ -153,15 +153,15 @@
 	return s
 }
 
-func noIndex(index string) *cause {
-	return &cause{Type: "index_not_found_exception", Reason: fmt.Sprintf("no such index [%.255s]", index), Index: index, Status: 404}
+func indexNotFound(index string) *apiError {
+	return &apiError{Type: "index_not_found_exception", Reason: fmt.Sprintf("no such index [%.255s]", index), Index: index, Status: 404}
 }
 
 // searchShards answers GET /{index}/_search_shards: the copies that a search would choose from.
 func (f *Front) searchShards(index string, req *http1.Request) *http1.Response {
 	c := f.SearchConfig()
 	if _, ok := c.Indices[index]; !ok {
-		return f.reject(noIndex(index))
+		return f.reject(indexNotFound(index))
 	}
 	l := c.ShardMap(index)
 	if l == nil {
@@ -172,7 +172,7 @@
 		return f.reject(bad)
 	}
 	s.index = index
-	wanted, bad := s.wantedKeys(l)
+	wanted, bad := s.requestedRanges(l)
 	if bad != nil {
 		return f.reject(bad)
 	}
@@ -183,7 +183,7 @@
 			for i, node := range s.Replicas {
 				nodes[node] = struct{}{}
 				group = append(group, shardRow{Index: index, Shard: uint64(s.ID), State: "STARTED", Range: s.Range.String(),
-					Epoch: s.Epoch, Node: node, Version: l.Version(), Primary: i == 0, Share: s.Range.Size() / shardmap.FullRange.Size()})
+					Epoch: s.Epoch, Node: node, MapVersion: l.Version(), Primary: i == 0, KeySpaceShare: s.Range.Size() / shardmap.FullRange.Size()})
 			}
 			if n := len(groups); n == 0 || groups[n-1][0].Shard != group[0].Shard {
 				groups = append(groups, group)
@@ -196,54 +196,54 @@
 
 // rerouteCommand is one command of /_cluster/reroute, by its name.
 type rerouteCommand struct {
-	Index  string     `json:"index"`
-	Shard  uint64     `json:"shard"`
-	Shards []uint64   `json:"shards"`
-	From   string     `json:"from_node"`
-	To     string     `json:"to_node"`
-	Nodes  [][]string `json:"to_nodes"`
-	Into   int        `json:"into"`
-	Plan   uint64     `json:"plan"`
+	Index       string     `json:"index"`
+	Shard       uint64     `json:"shard"`
+	Shards      []uint64   `json:"shards"`
+	FromNode    string     `json:"from_node"`
+	ToNode      string     `json:"to_node"`
+	ReplicaSets [][]string `json:"to_nodes"`
+	Pieces      int        `json:"into"`
+	PlanID      uint64     `json:"plan"`
 }
 
-// command is the layout's command for it, on a version.
-func (r rerouteCommand) command(name string, l *shardmap.Map) (shardmap.Command, error) {
+// shardMapCommand is the layout's shardMapCommand for it, on a version.
+func (r rerouteCommand) shardMapCommand(name string, l *shardmap.Map) (shardmap.Command, error) {
 	ids := []shardmap.ShardID{shardmap.ShardID(r.Shard)}
 	switch name {
 	case "move":
-		to := r.Nodes
+		to := r.ReplicaSets
 		if len(to) == 0 {
 			s, ok := l.Shard(ids[0])
 			if !ok {
 				return shardmap.Command{}, fmt.Errorf("%w: slice %d", shardmap.ErrNotFound, r.Shard)
 			}
-			i := slices.Index(s.Replicas, r.From)
-			if i < 0 || r.To == "" {
-				return shardmap.Command{}, fmt.Errorf("%w: slice %d is not on node %.80q, or no to_node", shardmap.ErrInvalidRequest, r.Shard, r.From)
+			i := slices.Index(s.Replicas, r.FromNode)
+			if i < 0 || r.ToNode == "" {
+				return shardmap.Command{}, fmt.Errorf("%w: slice %d is not on node %.80q, or no to_node", shardmap.ErrInvalidRequest, r.Shard, r.FromNode)
 			}
 			set := slices.Clone(s.Replicas)
-			set[i] = r.To
+			set[i] = r.ToNode
 			to = [][]string{set}
 		}
 		return shardmap.Command{Request: &shardmap.PlanRequest{Kind: shardmap.Move, Shards: ids, ReplicaSets: to}}, nil
 	case "split":
-		return shardmap.Command{Request: &shardmap.PlanRequest{Kind: shardmap.Split, Shards: ids, Pieces: max(2, r.Into), ReplicaSets: r.Nodes}}, nil
+		return shardmap.Command{Request: &shardmap.PlanRequest{Kind: shardmap.Split, Shards: ids, Pieces: max(2, r.Pieces), ReplicaSets: r.ReplicaSets}}, nil
 	case "merge":
 		ids = ids[:0]
 		for _, s := range r.Shards {
 			ids = append(ids, shardmap.ShardID(s))
 		}
-		return shardmap.Command{Request: &shardmap.PlanRequest{Kind: shardmap.Merge, Shards: ids, ReplicaSets: r.Nodes}}, nil
+		return shardmap.Command{Request: &shardmap.PlanRequest{Kind: shardmap.Merge, Shards: ids, ReplicaSets: r.ReplicaSets}}, nil
 	case "abandon":
-		return shardmap.Command{Abandon: &shardmap.Abandon{Plan: shardmap.PlanID(r.Plan), Reason: "ordered"}}, nil
+		return shardmap.Command{Abandon: &shardmap.Abandon{Plan: shardmap.PlanID(r.PlanID), Reason: "ordered"}}, nil
 	case "resume":
-		return resume(l, shardmap.PlanID(r.Plan))
+		return resumeCommand(l, shardmap.PlanID(r.PlanID))
 	}
 	return shardmap.Command{}, fmt.Errorf("%w: command %.40q; known are move, split, merge, abandon, resume", shardmap.ErrInvalidRequest, name)
 }
 
-// resume orders once more what an abandoned plan was to do.
-func resume(l *shardmap.Map, id shardmap.PlanID) (shardmap.Command, error) {
+// resumeCommand orders once more what an abandoned plan was to do.
+func resumeCommand(l *shardmap.Map, id shardmap.PlanID) (shardmap.Command, error) {
 	p, ok := l.Plan(id)
 	if !ok || p.Step != shardmap.Abandoned {
 		return shardmap.Command{}, fmt.Errorf("%w: plan %d was not abandoned, or too long ago", shardmap.ErrNotFound, id)
@@ -281,7 +281,7 @@
 	touched := map[string]bool{}
 	change := func(c *searchconfig.Config) (*searchconfig.Config, error) {
 		clear(touched)
-		return orderAll(c, body.Commands, touched)
+		return applyCommands(c, body.Commands, touched)
 	}
 	var next *searchconfig.Config
 	if dry := params.Get("dry_run"); dry == "true" {
@@ -303,8 +303,8 @@
 	return jsonResponse(200, map[string]any{"acknowledged": true, "dry_run": params.Get("dry_run") == "true", "plans": plans, "versions": versions})
 }
 
-// orderAll is the document after all commands.
-func orderAll(c *searchconfig.Config, commands []map[string]rerouteCommand, touched map[string]bool) (*searchconfig.Config, error) {
+// applyCommands is the document after all commands.
+func applyCommands(c *searchconfig.Config, commands []map[string]rerouteCommand, touched map[string]bool) (*searchconfig.Config, error) {
 	for i, one := range commands {
 		if len(one) != 1 {
 			return nil, fmt.Errorf("%w: command %d must be an object with one name", shardmap.ErrInvalidRequest, i)
@@ -314,7 +314,7 @@
 			if l == nil {
 				return nil, fmt.Errorf("%w: command %d: index %.80q has no layout that can change", shardmap.ErrNotFound, i, r.Index)
 			}
-			cmd, err := r.command(name, l)
+			cmd, err := r.shardMapCommand(name, l)
 			if err == nil {
 				l, err = l.Apply(cmd)
 			}
@@ -336,7 +336,7 @@
 		}
 	}
 	if errors.Is(err, store.ErrConflict) {
-		return errorResponse(&cause{Type: "version_conflict_engine_exception", Reason: err.Error(), Status: 409})
+		return errorResponse(&apiError{Type: "version_conflict_engine_exception", Reason: err.Error(), Status: 409})
 	}
 	return storeError(err, "/_cluster/reroute")
 }
--- a/internal/opensearch/layouts_test.go
+++ b/internal/opensearch/layouts_test.go
@@ -16,10 +16,10 @@
 	"linkpass/internal/upstream"
 )
 
-// changes stands in for the store.
-type changes struct{ now *searchconfig.Config }
+// fakeSettingsUpdater stands in for the store.
+type fakeSettingsUpdater struct{ now *searchconfig.Config }
 
-func (c *changes) UpdateSettings(change func(*searchconfig.Config) (*searchconfig.Config, error)) (*searchconfig.Config, error) {
+func (c *fakeSettingsUpdater) UpdateSettings(change func(*searchconfig.Config) (*searchconfig.Config, error)) (*searchconfig.Config, error) {
 	next, err := change(c.now)
 	if err == nil {
 		c.now = next
@@ -27,14 +27,14 @@
 	return next, err
 }
 
-// movable is a front with an index of four slices that can move.
-func movable(t *testing.T, k *core) (*Front, *changes) {
+// newDynamicFront is a front with an index of four slices that can move.
+func newDynamicFront(t *testing.T, k *fakeCore) (*Front, *fakeSettingsUpdater) {
 	c, err := searchconfig.Parse([]byte(`{"search":{},"indices":{"players":{"class":"team-lookup","spread":{"slices":4,"sets":[["a","b"],["c","d"]]}},"fixed":{"class":"team-lookup","slices":[0]}}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	store := &changes{c}
-	f := front(k)
+	store := &fakeSettingsUpdater{c}
+	f := newFront(k)
 	f.SearchConfig, f.SettingsUpdater = func() *searchconfig.Config { return store.now }, store
 	return f, store
 }
@@ -52,12 +52,12 @@
 		"/players/_search?preference=_ranges:" + halves[0].String():              {halves[0]},
 		fmt.Sprintf("/players/_search?preference=_shards:%d,%d", first+1, first): {halves[0]},
 	} {
-		k := &core{answer: func(_ coordinator.Query) coordinator.Answer {
+		k := &fakeCore{answer: func(_ coordinator.Query) coordinator.Answer {
 			return coordinator.Answer{Status: coordinator.Answered, ShardMapVersion: 7, Missing: []coordinator.MissingPart{
 				{LastOutcome: outcome.ShardMoved, Attempted: true, Request: &coordinator.ShardRequest{Shard: 9, Range: halves[1], MapVersion: 7}}}}
 		}}
-		f, _ := movable(t, k)
-		res, _ := ask(f, "POST", target, ``)
+		f, _ := newDynamicFront(t, k)
+		res, _ := serve(f, "POST", target, ``)
 		if len(k.queries) != 1 || fmt.Sprint(k.queries[0].KeyRanges) != fmt.Sprint(want) || len(k.queries[0].Parts) != 0 {
 			t.Errorf("%s wants %v", target, k.queries)
 		}
@@ -66,13 +66,13 @@
 				t.Errorf("%s lacks %s", res.Body, s)
 			}
 		}
-		if res.Header.Get(HeaderVersion) != "7" {
+		if res.Header.Get(headerMapVersion) != "7" {
 			t.Errorf("headers %v", res.Header)
 		}
 	}
-	f, _ := movable(t, &core{})
+	f, _ := newDynamicFront(t, &fakeCore{})
 	for _, target := range []string{"/players/_search?preference=_shards:1", "/players/_search?preference=_ranges:9-1", "/fixed/_search?routing=a"} {
-		if res, _ := ask(f, "POST", target, ``); res.Status != 404 && res.Status != 400 {
+		if res, _ := serve(f, "POST", target, ``); res.Status != 404 && res.Status != 400 {
 			t.Errorf("%s: %d", target, res.Status)
 		}
 	}
@@ -81,10 +81,10 @@
 // Orders are taken whole or not at all, an impossible one names what it would break, and a dry run
 // changes nothing.
 func TestReroute(t *testing.T) {
-	f, store := movable(t, &core{})
+	f, store := newDynamicFront(t, &fakeCore{})
 	split := fmt.Sprintf(`{"split":{"index":"players","shard":%d,"into":3}}`, first)
 	order := func(params string, commands ...string) (int, string) {
-		res, _ := ask(f, "POST", "/_cluster/reroute"+params, `{"commands":[`+strings.Join(commands, ",")+`]}`)
+		res, _ := serve(f, "POST", "/_cluster/reroute"+params, `{"commands":[`+strings.Join(commands, ",")+`]}`)
 		return res.Status, string(res.Body)
 	}
 	for _, c := range []struct{ params, commands, says string }{
@@ -119,11 +119,11 @@
 	if status, body := order("", `{"resume":{"index":"players","plan":1}}`); status != 200 || len(store.now.ShardMap("players").Plans()) != 1 {
 		t.Errorf("resume: %d %s", status, body)
 	}
-	res, _ := ask(f, "GET", "/_cat/shards/players?v", "")
+	res, _ := serve(f, "GET", "/_cat/shards/players?v", "")
 	if got := string(res.Body); strings.Count(got, "RELOCATING") != 2 || strings.Count(got, "INITIALIZING") != 6 || strings.Count(got, "STARTED") != 6 {
 		t.Errorf("%s", got)
 	}
-	if res, _ := ask(f, "GET", "/players/_search_shards?routing=li", ""); bytes.Count(res.Body, []byte(`"node"`)) != 2 {
+	if res, _ := serve(f, "GET", "/players/_search_shards?routing=li", ""); bytes.Count(res.Body, []byte(`"node"`)) != 2 {
 		t.Errorf("%s", res.Body)
 	}
 	f.SettingsUpdater = nil
@@ -150,7 +150,7 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		value := rapid.StringMatching(`[ -~]{0,40}`).Draw(t, "value")
-		name := rapid.SampledFrom([]string{HeaderVersion, HeaderCovers}).Draw(t, "name")
+		name := rapid.SampledFrom([]string{headerMapVersion, headerCoveredRange}).Draw(t, "name")
 		m, e, err := reply("200", name+": "+value+"\r\n", hits)
 		if err != nil && e != outcome.MalformedResponse || err == nil && m.Covers != nil && !m.Covers.Valid() {
 			t.Fatalf("%q: %+v %v %v", value, m, e, err)
--- a/internal/opensearch/opensearch_test.go
+++ b/internal/opensearch/opensearch_test.go
@@ -21,14 +21,14 @@
 	"linkpass/internal/upstream"
 )
 
-// core stands in for the core: it keeps the queries and answers as told.
-type core struct {
+// fakeCore stands in for the fakeCore: it keeps the queries and answers as told.
+type fakeCore struct {
 	queries []coordinator.Query
 	answer  func(coordinator.Query) coordinator.Answer // nil: only once the client has left
 }
 
-func (*core) Now() time.Duration { return 40 * time.Millisecond }
-func (c *core) Submit(q coordinator.Query) func() {
+func (*fakeCore) Now() time.Duration { return 40 * time.Millisecond }
+func (c *fakeCore) Submit(q coordinator.Query) func() {
 	c.queries = append(c.queries, q)
 	if c.answer == nil {
 		return func() { q.Reply(coordinator.Answer{Status: coordinator.Failed}) }
@@ -37,19 +37,19 @@
 	return func() {}
 }
 
-func settings() *searchconfig.Config {
+func testConfig() *searchconfig.Config {
 	return &searchconfig.Config{Search: searchconfig.Defaults{MaxResultWindow: 100}, Indices: map[string]searchconfig.Index{
 		"players": {Class: "team-lookup", Shards: []int{0, 1, 2}}, "broken": {Class: "team-lookup", Shards: []int{0, 99}},
 		"odd": {Class: "unheard", Shards: []int{0}}}}
 }
 
-func front(c *core) *Front {
-	return &Front{Core: c, Shards: 6, Prefix: "n0", Counters: metrics.NewCounters(), SearchConfig: settings,
+func newFront(c *fakeCore) *Front {
+	return &Front{Core: c, Shards: 6, Prefix: "n0", Counters: metrics.NewCounters(), SearchConfig: testConfig,
 		Classes:  []Class{{"league-table", 5 * time.Second, 3}, {"team-lookup", 2500 * time.Millisecond, 1}},
-		Settings: FixedSettings(settings)}
+		Settings: FixedSettingsHandler(testConfig)}
 }
 
-func ask(f *Front, method, target, body string) (*http1.Response, map[string]any) {
+func serve(f *Front, method, target, body string) (*http1.Response, map[string]any) {
 	path, query, _ := strings.Cut(target, "?")
 	res := f.Serve(context.Background(), 0, &http1.Request{Method: method, Path: path, Query: query, Body: []byte(body)})
 	var out map[string]any
@@ -57,7 +57,7 @@
 	return res, out
 }
 
-func whole(q coordinator.Query) coordinator.Answer {
+func completeAnswer(q coordinator.Query) coordinator.Answer {
 	a := coordinator.Answer{Complete: true}
 	for _, p := range q.Parts {
 		v := coordinator.Value{Shard: p.Shard, Data: []byte("v"), Score: float64(p.Shard)}
@@ -71,8 +71,8 @@
 }
 
 func TestSearchIsMergedByScore(t *testing.T) {
-	c := &core{answer: whole}
-	res, out := ask(front(c), "POST", "/players/_search?from=1&timeout=300ms", `{"query":{"match":{"name":"li"}},"size":2}`)
+	c := &fakeCore{answer: completeAnswer}
+	res, out := serve(newFront(c), "POST", "/players/_search?from=1&timeout=300ms", `{"query":{"match":{"name":"li"}},"size":2}`)
 	if res.Status != 200 {
 		t.Fatalf("%d %s", res.Status, res.Body)
 	}
@@ -81,7 +81,7 @@
 		string(q.Parts[0].Payload) != `{"from":0,"query":{"match":{"name":"li"}},"size":3}` {
 		t.Errorf("query %+v, text %s", q, q.Parts[0].Payload)
 	}
-	var got result
+	var got searchResponse
 	if err := json.Unmarshal(res.Body, &got); err != nil {
 		t.Fatal(err)
 	}
@@ -124,8 +124,8 @@
 		{"/players/_search?preference=_local", ``, 400, "illegal_argument_exception"},
 		{"/players/_count", ``, 400, "illegal_argument_exception"},
 	} {
-		k := &core{answer: whole}
-		res, out := ask(front(k), "POST", c.target, c.body)
+		k := &fakeCore{answer: completeAnswer}
+		res, out := serve(newFront(k), "POST", c.target, c.body)
 		e, _ := out["error"].(map[string]any)
 		if res.Status != c.status || e["type"] != c.kind || e["root_cause"] == nil || out["status"] != float64(c.status) {
 			t.Errorf("%s %.80s: %d %s", c.target, c.body, res.Status, res.Body)
@@ -134,7 +134,7 @@
 			t.Errorf("%s %.80s was sent", c.target, c.body)
 		}
 	}
-	if res, _ := ask(front(&core{}), "DELETE", "/players/_search", ""); res.Status != 405 {
+	if res, _ := serve(newFront(&fakeCore{}), "DELETE", "/players/_search", ""); res.Status != 405 {
 		t.Errorf("%d", res.Status)
 	}
 }
@@ -142,7 +142,7 @@
 func TestWhatIsMissingIsTold(t *testing.T) {
 	missing := []coordinator.MissingPart{{Shard: 2, LastOutcome: outcome.Timeout, Attempted: true}}
 	part := func(q coordinator.Query) coordinator.Answer {
-		a := whole(q)
+		a := completeAnswer(q)
 		a.Complete, a.Values, a.Missing, a.TimedOut = false, a.Values[:2], missing, true
 		return a
 	}
@@ -164,7 +164,7 @@
 		"timeout":         {as(coordinator.Failed, 0, true), "", 504, true, ""},
 		"failed":          {as(coordinator.Failed, 0, false), "", 503, false, ""},
 	} {
-		res, out := ask(front(&core{answer: c.answer}), "POST", "/players/_search"+c.params, "")
+		res, out := serve(newFront(&fakeCore{answer: c.answer}), "POST", "/players/_search"+c.params, "")
 		counts, _ := out["_shards"].(map[string]any)
 		failures, _ := counts["failures"].([]any)
 		if res.Status != c.status || out["timed_out"] != c.timedOut || res.Header.Get("Retry-After") != c.retry ||
@@ -174,12 +174,12 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel() // the client has gone
-	if res := front(&core{}).Serve(ctx, 0, &http1.Request{Method: "POST", Path: "/players/_search"}); res.Status == 200 {
+	if res := newFront(&fakeCore{}).Serve(ctx, 0, &http1.Request{Method: "POST", Path: "/players/_search"}); res.Status == 200 {
 		t.Error("an answer to a client that left")
 	}
 }
 
-const answered = `{"took":3,"timed_out":false,"_shards":{"total":1,"successful":1,"failed":0},` +
+const searchAnswer = `{"took":3,"timed_out":false,"_shards":{"total":1,"successful":1,"failed":0},` +
 	`"hits":{"total":{"value":12,"relation":"gte"},"max_score":2.5,"hits":[{"_index":"players","_id":"7","_score":2.5,"_source":{"a":1}}]}}`
 
 func response(status int, body string) string {
@@ -193,8 +193,8 @@
 	next := func(text string) (upstream.Message, outcome.Outcome, error) {
 		return Codec{ReportNames: []string{"active"}}.NewReader(strings.NewReader(text)).Next()
 	}
-	m, _, err := next(response(200, answered))
-	if err != nil || m.Outcome != outcome.Success || m.HealthCheck || string(m.Value) != answered || m.LoadReport[0] != 3 ||
+	m, _, err := next(response(200, searchAnswer))
+	if err != nil || m.Outcome != outcome.Success || m.HealthCheck || string(m.Value) != searchAnswer || m.LoadReport[0] != 3 ||
 		m.Hits.Total != 12 || !m.Hits.AtLeast || m.Hits.List[0].ID != "7" || m.Score != 2.5 {
 		t.Errorf("%+v %v", m, err)
 	}
@@ -203,15 +203,15 @@
 	}
 	for text, want := range map[string]outcome.Outcome{
 		response(429, "{}"): outcome.Rejected, response(503, "{}"): outcome.ServerError, response(404, "{}"): outcome.ServerError,
-		response(200, strings.Replace(answered, `"timed_out":false`, `"timed_out":true`, 1)): outcome.ServerError,
-		response(200, strings.Replace(answered, `"failed":0`, `"failed":1`, 1)):              outcome.ServerError,
+		response(200, strings.Replace(searchAnswer, `"timed_out":false`, `"timed_out":true`, 1)): outcome.ServerError,
+		response(200, strings.Replace(searchAnswer, `"failed":0`, `"failed":1`, 1)):              outcome.ServerError,
 	} {
 		if m, _, err := next(text); err != nil || m.Outcome != want || m.Hits != nil {
 			t.Errorf("%.80q: %+v %v", text, m, err)
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		text := response(200, answered)
+		text := response(200, searchAnswer)
 		if _, e, err := next(text[:rapid.IntRange(0, len(text)-1).Draw(t, "at")]); err == nil || e != outcome.ConnReset && e != outcome.MalformedResponse {
 			t.Fatalf("cut: %s %v", e, err)
 		}
@@ -239,45 +239,45 @@
 
 func TestSearchesFromAnything(t *testing.T) {
 	const valid = `{"query":{"bool":{"must":[{"match":{"name":"x"}}],"filter":{"term":{"a":1}}}},"from":1,"size":3,"timeout":"1s"}`
-	if _, err := parseSearch("", []byte(valid), settings()); err != nil {
+	if _, err := parseSearch("", []byte(valid), testConfig()); err != nil {
 		t.Fatal(err)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		if _, err := parseSearch("", []byte(valid[:rapid.IntRange(1, len(valid)-1).Draw(t, "at")]), settings()); err == nil {
+		if _, err := parseSearch("", []byte(valid[:rapid.IntRange(1, len(valid)-1).Draw(t, "at")]), testConfig()); err == nil {
 			t.Fatal("took a cut search")
 		}
-		_, _ = parseSearch(rapid.String().Draw(t, "params"), rapid.SliceOf(rapid.Byte()).Draw(t, "garbage"), settings())
+		_, _ = parseSearch(rapid.String().Draw(t, "params"), rapid.SliceOf(rapid.Byte()).Draw(t, "garbage"), testConfig())
 	})
 }
 
-// replicated stands in for the store.
-type replicated struct {
+// fakeSettingsStore stands in for the store.
+type fakeSettingsStore struct {
 	err   error
 	patch string
 }
 
-func (r *replicated) ReadWith(how store.ReadOptions) (*searchconfig.Config, error) {
+func (r *fakeSettingsStore) ReadWith(how store.ReadOptions) (*searchconfig.Config, error) {
 	if how.Consistency == store.Local {
-		return settings(), nil
+		return testConfig(), nil
 	}
-	return settings(), r.err
+	return testConfig(), r.err
 }
-func (r *replicated) PatchSettings(p []byte) (*searchconfig.Config, error) {
+func (r *fakeSettingsStore) PatchSettings(p []byte) (*searchconfig.Config, error) {
 	r.patch = string(p)
-	return settings(), r.err
+	return testConfig(), r.err
 }
 
 func TestClusterSettings(t *testing.T) {
-	r := &replicated{}
-	f := front(&core{})
-	f.Settings = StoreSettings(r)
+	r := &fakeSettingsStore{}
+	f := newFront(&fakeCore{})
+	f.Settings = StoreSettingsHandler(r)
 	const body = `{"persistent":{"indices.players.class":"league-table"},"transient":{}}`
-	if res, out := ask(f, "PUT", "/_cluster/settings", body); res.Status != 200 || out["acknowledged"] != true ||
+	if res, out := serve(f, "PUT", "/_cluster/settings", body); res.Status != 200 || out["acknowledged"] != true ||
 		r.patch != `{"indices.players.class":"league-table"}` {
 		t.Errorf("%d %s, patch %s", res.Status, res.Body, r.patch)
 	}
 	for _, bad := range []string{``, `{}`, `{"transient":{"a":1}}`, `[]`} {
-		if res, _ := ask(f, "PUT", "/_cluster/settings", bad); res.Status != 400 {
+		if res, _ := serve(f, "PUT", "/_cluster/settings", bad); res.Status != 400 {
 			t.Errorf("%q: %d", bad, res.Status)
 		}
 	}
@@ -289,7 +289,7 @@
 		{store.ErrNoLeader, 503}, {store.ErrNoQuorum, 503}, {searchconfig.ErrInvalid, 400}, {errors.New("odd"), 503},
 	} {
 		r.err = c.err
-		res, out := ask(f, "PUT", "/_cluster/settings", body)
+		res, out := serve(f, "PUT", "/_cluster/settings", body)
 		if res.Status != c.status || out["error"] == nil {
 			t.Errorf("%v: %d %s", c.err, res.Status, res.Body)
 		}
@@ -297,10 +297,10 @@
 			t.Errorf("the follower names %q", res.Header.Get("Location"))
 		}
 	}
-	if res, out := ask(f, "GET", "/_cluster/settings?local=true", ""); res.Status != 200 || out["persistent"] == nil {
+	if res, out := serve(f, "GET", "/_cluster/settings?local=true", ""); res.Status != 200 || out["persistent"] == nil {
 		t.Errorf("%d %s", res.Status, res.Body)
 	}
-	if res, _ := ask(front(&core{}), "PUT", "/_cluster/settings", body); res.Status != 400 {
+	if res, _ := serve(newFront(&fakeCore{}), "PUT", "/_cluster/settings", body); res.Status != 400 {
 		t.Errorf("without a store: %d", res.Status)
 	}
 }
--- a/internal/opensearch/query.go
+++ b/internal/opensearch/query.go
@@ -15,32 +15,32 @@
 	"linkpass/internal/shardmap"
 )
 
-// search is one search as its client asked for it.
-type search struct {
-	index        string
-	class        int
-	slices       []int            // of a fixed layout
-	wanted       []shardmap.Range // keys of a layout that can move
-	preferred    []int
-	routing      []string
-	ranges       []shardmap.Range
-	query        json.RawMessage
-	from, size   int
-	timeout      time.Duration // 0: that of the class
-	allowPartial bool
+// searchRequest is one searchRequest as its client asked for it.
+type searchRequest struct {
+	index           string
+	class           int
+	fixedShards     []int            // of a fixed layout
+	keyRanges       []shardmap.Range // keys of a layout that can move
+	preferredShards []int
+	routingValues   []string
+	preferredRanges []shardmap.Range
+	query           json.RawMessage
+	from, size      int
+	timeout         time.Duration // 0: that of the class
+	allowPartial    bool
 }
 
 const (
-	defaultSize = 10
-	maxDepth    = 16   // of nested bool queries
-	maxNesting  = 64   // of other values
-	maxChoices  = 1024 // shards, ranges or routing values of a search
+	defaultSize   = 10
+	maxBoolDepth  = 16   // of nested bool queries
+	maxValueDepth = 64   // of other values
+	maxSelectors  = 1024 // shards, ranges or routing values of a search
 )
 
 // parseSearch reads a search of an index; its slices and class are looked up
 // by the front.
-func parseSearch(params string, data []byte, settings *searchconfig.Config) (s search, err error) {
-	s = search{query: json.RawMessage(`{"match_all":{}}`), size: defaultSize,
+func parseSearch(params string, data []byte, settings *searchconfig.Config) (s searchRequest, err error) {
+	s = searchRequest{query: json.RawMessage(`{"match_all":{}}`), size: defaultSize,
 		timeout: settings.Timeout(), allowPartial: settings.AllowPartial()}
 	if len(bytes.TrimSpace(data)) > 0 {
 		if err := s.readBody(data); err != nil {
@@ -54,7 +54,7 @@
 }
 
 // checkWindow holds from and size to the limits.
-func (s *search) checkWindow(settings *searchconfig.Config) error {
+func (s *searchRequest) checkWindow(settings *searchconfig.Config) error {
 	switch {
 	case s.from < 0:
 		return badRequest("illegal_argument_exception", "[from] parameter cannot be negative")
@@ -68,9 +68,9 @@
 }
 
 // readSearch is parseSearch with its error as a cause.
-func readSearch(params string, data []byte, settings *searchconfig.Config) (search, *cause) {
+func readSearch(params string, data []byte, settings *searchconfig.Config) (searchRequest, *apiError) {
 	s, err := parseSearch(params, data, settings)
-	if c, ok := err.(*cause); ok {
+	if c, ok := err.(*apiError); ok {
 		return s, c
 	}
 	if err != nil {
@@ -80,26 +80,26 @@
 }
 
 // readBody reads a body that lies here.
-func (s *search) readBody(data []byte) error {
+func (s *searchRequest) readBody(data []byte) error {
 	b, err := scanSearch(bytes.NewReader(data))
 	if err != nil {
 		return err
 	}
-	if b.queryTo > 0 {
+	if b.queryEnd > 0 {
 		var compact bytes.Buffer
-		if err := json.Compact(&compact, afterColon(data[b.queryFrom:b.queryTo])); err != nil {
+		if err := json.Compact(&compact, trimColon(data[b.queryStart:b.queryEnd])); err != nil {
 			return badRequest("json_parse_exception", err.Error())
 		}
 		s.query = compact.Bytes()
 	}
-	return s.takeBody(b)
+	return s.applyBody(b)
 }
 
-// afterColon is a value without the colon before it.
-func afterColon(b []byte) []byte { return bytes.TrimLeft(b, " \t\r\n:") }
+// trimColon is a value without the colon before it.
+func trimColon(b []byte) []byte { return bytes.TrimLeft(b, " \t\r\n:") }
 
-// takeBody takes what a body says beside its query.
-func (s *search) takeBody(b scanned) error {
+// applyBody takes what a body says beside its query.
+func (s *searchRequest) applyBody(b scannedBody) error {
 	if b.from != nil {
 		s.from = *b.from
 	}
@@ -112,7 +112,7 @@
 	return nil
 }
 
-func (s *search) readTimeout(text string) error {
+func (s *searchRequest) readTimeout(text string) error {
 	d, err := searchconfig.ParseDuration(text)
 	if err != nil {
 		return badRequest("illegal_argument_exception", err.Error())
@@ -122,12 +122,12 @@
 }
 
 // readParams reads the parameters of the URL, which go before the body's.
-func (s *search) readParams(params string) error {
+func (s *searchRequest) readParams(params string) error {
 	values, err := url.ParseQuery(params)
 	if err != nil {
 		return badRequest("illegal_argument_exception", err.Error())
 	}
-	s.preferred, s.ranges = nil, nil
+	s.preferredShards, s.preferredRanges = nil, nil
 	for _, name := range slices.Sorted(maps.Keys(values)) {
 		text := values.Get(name)
 		switch name {
@@ -156,9 +156,9 @@
 				return err
 			}
 		case "routing":
-			s.routing = strings.Split(text, ",")
-			if len(s.routing) > maxChoices {
-				return badRequest("illegal_argument_exception", fmt.Sprintf("more than %d routing values", maxChoices))
+			s.routingValues = strings.Split(text, ",")
+			if len(s.routingValues) > maxSelectors {
+				return badRequest("illegal_argument_exception", fmt.Sprintf("more than %d routing values", maxSelectors))
 			}
 		default:
 			return badRequest("illegal_argument_exception", fmt.Sprintf("request [_search] contains unrecognized parameter: [%.40s]", name))
@@ -169,14 +169,14 @@
 
 // readPreference reads which part of the index is asked: _shards:N,… or, of a layout that
 // can move, _ranges:FIRST-LAST,…
-func (s *search) readPreference(text string) error {
+func (s *searchRequest) readPreference(text string) error {
 	kind, list, _ := strings.Cut(text, ":")
 	if kind != "_shards" && kind != "_ranges" {
 		return badRequest("illegal_argument_exception", fmt.Sprintf("preference [%.40s] is not supported", text))
 	}
 	items := strings.Split(list, ",")
-	if len(items) > maxChoices {
-		return badRequest("illegal_argument_exception", fmt.Sprintf("preference names more than %d", maxChoices))
+	if len(items) > maxSelectors {
+		return badRequest("illegal_argument_exception", fmt.Sprintf("preference names more than %d", maxSelectors))
 	}
 	for _, item := range items {
 		if kind == "_ranges" {
@@ -184,21 +184,21 @@
 			if err != nil {
 				return badRequest("illegal_argument_exception", err.Error())
 			}
-			s.ranges = append(s.ranges, r)
+			s.preferredRanges = append(s.preferredRanges, r)
 			continue
 		}
 		n, err := strconv.Atoi(item)
-		if err != nil || n < 0 || slices.Contains(s.preferred, n) {
+		if err != nil || n < 0 || slices.Contains(s.preferredShards, n) {
 			return badRequest("illegal_argument_exception", fmt.Sprintf("preference names no shard or one twice: [%.40s]", item))
 		}
-		s.preferred = append(s.preferred, n)
+		s.preferredShards = append(s.preferredShards, n)
 	}
 	return nil
 }
 
-// leaves are the queries that are handed on to the league servers, with
+// leafQueries are the queries that are handed on to the league servers, with
 // whether they are about one field.
-var leaves = map[string]bool{
+var leafQueries = map[string]bool{
 	"match_all": false, "match_none": false, "ids": false, "query_string": false, "simple_query_string": false,
 	"exists": false, "multi_match": false,
 	"match": true, "match_phrase": true, "match_phrase_prefix": true, "term": true, "terms": true,
--- a/internal/opensearch/scan.go
+++ b/internal/opensearch/scan.go
@@ -8,48 +8,48 @@
 	"strconv"
 )
 
-// maxToken bounds one value of a body, as it lies in memory while it is read: a long string, or
+// maxTokenBytes bounds one value of a body, as it lies in memory while it is read: a long string, or
 // the white space between two.
-const maxToken = 1 << 20
+const maxTokenBytes = 1 << 20
 
 // scanner reads a search's body token by token, so that a large one never lies in memory whole.
 type scanner struct {
-	d     *json.Decoder
-	guard *tokenGuard
+	decoder *json.Decoder
+	guard   *tokenGuard
 }
 
 // tokenGuard ends a stream that goes on for too long without a token's end.
 type tokenGuard struct {
-	r    io.Reader
-	left int
+	r         io.Reader
+	remaining int
 }
 
-var errToken = fmt.Errorf("a value of the body is longer than %d bytes", maxToken)
+var errTokenTooLong = fmt.Errorf("a value of the body is longer than %d bytes", maxTokenBytes)
 
 func (g *tokenGuard) Read(p []byte) (int, error) {
-	if g.left <= 0 {
-		return 0, errToken
+	if g.remaining <= 0 {
+		return 0, errTokenTooLong
 	}
-	n, err := g.r.Read(p[:min(len(p), g.left)])
-	g.left -= n
+	n, err := g.r.Read(p[:min(len(p), g.remaining)])
+	g.remaining -= n
 	return n, err
 }
 
-// scanned is what a search's body says. From and To are where its query stands, after its key and the
+// scannedBody is what a search's body says. From and To are where its query stands, after its key and the
 // colon's white space before it; 0: there is none.
-type scanned struct {
+type scannedBody struct {
 	from, size *int
 	timeout    *string
-	queryFrom  int64
-	queryTo    int64
+	queryStart int64
+	queryEnd   int64
 }
 
 // scanSearch reads a body whole. Anything that is not known is refused, never ignored: an answer to
 // another question would be no answer.
-func scanSearch(r io.Reader) (out scanned, err error) {
-	guard := &tokenGuard{r: r, left: maxToken}
-	s := &scanner{d: json.NewDecoder(guard), guard: guard}
-	s.d.UseNumber()
+func scanSearch(r io.Reader) (out scannedBody, err error) {
+	guard := &tokenGuard{r: r, remaining: maxTokenBytes}
+	s := &scanner{decoder: json.NewDecoder(guard), guard: guard}
+	s.decoder.UseNumber()
 	t, err := s.token()
 	if err != nil {
 		return out, err
@@ -57,16 +57,16 @@
 	if t != json.Delim('{') {
 		return out, badRequest("parsing_exception", "a search must be an object")
 	}
-	for s.d.More() {
+	for s.decoder.More() {
 		key, err := s.key()
 		if err != nil {
 			return out, err
 		}
 		switch key {
 		case "query":
-			out.queryFrom = s.d.InputOffset()
+			out.queryStart = s.decoder.InputOffset()
 			err = s.query(0)
-			out.queryTo = s.d.InputOffset()
+			out.queryEnd = s.decoder.InputOffset()
 		case "from":
 			out.from, err = s.number(key)
 		case "size":
@@ -83,7 +83,7 @@
 	if _, err := s.token(); err != nil {
 		return out, err
 	}
-	if _, err := s.d.Token(); !errors.Is(err, io.EOF) {
+	if _, err := s.decoder.Token(); !errors.Is(err, io.EOF) {
 		return out, badRequest("json_parse_exception", "something follows the search")
 	}
 	return out, nil
@@ -91,8 +91,8 @@
 
 // token reads the next one. More, which looks ahead, tells of no errors: they come here.
 func (s *scanner) token() (json.Token, error) {
-	s.guard.left = maxToken
-	t, err := s.d.Token()
+	s.guard.remaining = maxTokenBytes
+	t, err := s.decoder.Token()
 	if err != nil {
 		return nil, badRequest("json_parse_exception", err.Error())
 	}
@@ -152,7 +152,7 @@
 		if depth == 0 {
 			return nil
 		}
-		if depth > maxNesting {
+		if depth > maxValueDepth {
 			return badRequest("parsing_exception", "values are nested too deep")
 		}
 	}
@@ -169,11 +169,11 @@
 
 // queryAt is the same from its first token on.
 func (s *scanner) queryAt(t json.Token, depth int) error {
-	if depth > maxDepth {
+	if depth > maxBoolDepth {
 		return badRequest("parsing_exception", "queries are nested too deep")
 	}
 	malformed := badRequest("parsing_exception", "[query] must be an object with one query type")
-	if t != json.Delim('{') || !s.d.More() {
+	if t != json.Delim('{') || !s.decoder.More() {
 		return malformed
 	}
 	name, err := s.key()
@@ -183,7 +183,7 @@
 	if err := s.clause(name, depth); err != nil {
 		return err
 	}
-	if s.d.More() {
+	if s.decoder.More() {
 		return malformed
 	}
 	_, err = s.token()
@@ -199,12 +199,12 @@
 	if t != json.Delim('{') {
 		return badRequest("parsing_exception", fmt.Sprintf("[%.40s] query malformed, no start_object after query name", name))
 	}
-	field, known := leaves[name]
+	field, known := leafQueries[name]
 	if !known && name != "bool" {
 		return badRequest("parsing_exception", fmt.Sprintf("unknown query [%.40s]", name))
 	}
 	keys := 0
-	for ; s.d.More(); keys++ {
+	for ; s.decoder.More(); keys++ {
 		key, err := s.key()
 		if err == nil && name == "bool" {
 			err = s.occurrence(key, depth)
@@ -238,7 +238,7 @@
 	if t != json.Delim('[') {
 		return s.queryAt(t, depth+1)
 	}
-	for s.d.More() {
+	for s.decoder.More() {
 		if err := s.query(depth + 1); err != nil {
 			return err
 		}
--- a/internal/opensearch/settings.go
+++ b/internal/opensearch/settings.go
@@ -14,15 +14,15 @@
 	"linkpass/internal/store"
 )
 
-// Replicated is the settings' store.
-type Replicated interface {
+// ReplicatedSettings is the settings' store.
+type ReplicatedSettings interface {
 	ReadWith(store.ReadOptions) (*searchconfig.Config, error)
 	PatchSettings(patch []byte) (*searchconfig.Config, error)
 }
 
-// StoreSettings answers /_cluster/settings from a store: GET reads (with
+// StoreSettingsHandler answers /_cluster/settings from a store: GET reads (with
 // local=true what this instance has), PUT changes by a merge patch.
-func StoreSettings(s Replicated) http1.Handler {
+func StoreSettingsHandler(s ReplicatedSettings) http1.Handler {
 	return http1.HandlerFunc(func(_ context.Context, _ time.Duration, req *http1.Request) *http1.Response {
 		params, err := url.ParseQuery(req.Query)
 		if err != nil {
@@ -50,13 +50,13 @@
 			}
 			return settingsResponse(c, true)
 		}
-		return errorResponse(&cause{Type: "illegal_argument_exception", Status: 405,
+		return errorResponse(&apiError{Type: "illegal_argument_exception", Status: 405,
 			Reason: fmt.Sprintf("Incorrect HTTP method for uri [%s] and method [%s], allowed: [GET, PUT]", req.Path, req.Method)})
 	})
 }
 
 // patchOf takes the persistent part of a change.
-func patchOf(body []byte) (json.RawMessage, *cause) {
+func patchOf(body []byte) (json.RawMessage, *apiError) {
 	var change map[string]json.RawMessage
 	if err := json.Unmarshal(body, &change); err != nil {
 		return nil, badRequest("json_parse_exception", err.Error())
@@ -75,18 +75,18 @@
 // storeError words why the store could not answer. A follower names the leader.
 func storeError(err error, path string) *http1.Response {
 	var other *store.NotLeaderError
-	c := &cause{Type: "cluster_manager_not_discovered_exception", Reason: err.Error(), Status: 503}
+	c := &apiError{Type: "cluster_manager_not_discovered_exception", Reason: err.Error(), Status: 503}
 	switch {
 	case errors.As(err, &other):
-		res := errorResponse(&cause{Type: "not_cluster_manager_exception", Reason: err.Error(), Status: 307})
+		res := errorResponse(&apiError{Type: "not_cluster_manager_exception", Reason: err.Error(), Status: 307})
 		res.Header["Location"] = []string{"http://" + other.Leader.HTTP + path}
 		return res
 	case errors.Is(err, searchconfig.ErrInvalid):
 		return errorResponse(badRequest("illegal_argument_exception", err.Error()))
 	case errors.Is(err, store.ErrTooLarge):
-		return errorResponse(&cause{Type: "content_too_long_exception", Reason: err.Error(), Status: 413})
+		return errorResponse(&apiError{Type: "content_too_long_exception", Reason: err.Error(), Status: 413})
 	case errors.Is(err, store.ErrBusy):
-		return errorResponse(&cause{Type: "circuit_breaking_exception", Reason: err.Error(), Status: 429})
+		return errorResponse(&apiError{Type: "circuit_breaking_exception", Reason: err.Error(), Status: 429})
 	case errors.Is(err, store.ErrNoQuorum):
 		c.Type = "process_cluster_event_timeout_exception"
 	}
--- a/internal/opensearch/wire_golden_test.go
+++ b/internal/opensearch/wire_golden_test.go
@@ -43,7 +43,7 @@
 	return sortedHead(t, b.Bytes())
 }
 
-func goldenAsk() *coordinator.ShardRequest {
+func goldenShardRequest() *coordinator.ShardRequest {
 	return &coordinator.ShardRequest{Shard: shardmap.FirstDynamicID + 4, MapVersion: 7, Range: shardmap.Range{First: 1, Last: 0xff}}
 }
 
@@ -51,7 +51,7 @@
 func TestServerRequestsGolden(t *testing.T) {
 	text := []byte(`{"from":0,"query":{"match":{"name":"li"}},"size":3}`)
 	fixed := upstream.Part{Name: "n0-1.3", Collection: "players", Shard: 3, Timeout: 240 * time.Millisecond, Payload: text}
-	moving := upstream.Part{Name: "n0-1.4", Collection: "pl/ayers", Shard: 9, Timeout: time.Microsecond, Payload: text, Request: goldenAsk()}
+	moving := upstream.Part{Name: "n0-1.4", Collection: "pl/ayers", Shard: 9, Timeout: time.Microsecond, Payload: text, Request: goldenShardRequest()}
 	plain := upstream.Part{Name: "q.3", Shard: 3, Timeout: time.Second, Payload: []byte("c41e77d0")}
 	d := Codec{}
 	for _, c := range []struct {
@@ -118,8 +118,8 @@
 		{"search_text_params.json", "/players/_search?from=4&size=5&allow_partial_search_results=false&preference=_shards:2,0", `{"from":1}`},
 	} {
 		t.Run(c.file, func(t *testing.T) {
-			k := &core{answer: whole}
-			if res, _ := ask(front(k), "POST", c.target, c.body); res.Status != 200 {
+			k := &fakeCore{answer: completeAnswer}
+			if res, _ := serve(newFront(k), "POST", c.target, c.body); res.Status != 200 {
 				t.Fatalf("%d %s", res.Status, res.Body)
 			}
 			for _, p := range k.queries[0].Parts {
@@ -148,20 +148,20 @@
 		{"answer_failed.http", "/players/_search", coordinator.Answer{Status: coordinator.Failed, Missing: missing}},
 		{"answer_timeout.http", "/players/_search", coordinator.Answer{Status: coordinator.Failed, Missing: missing, TimedOut: true}},
 		{"answer_layout.http", "/movable/_search", coordinator.Answer{ShardMapVersion: 7, Values: value[:1],
-			Missing: []coordinator.MissingPart{{LastOutcome: outcome.ShardMoved, Attempted: true, Request: goldenAsk()}}}},
+			Missing: []coordinator.MissingPart{{LastOutcome: outcome.ShardMoved, Attempted: true, Request: goldenShardRequest()}}}},
 	} {
 		t.Run(c.file, func(t *testing.T) {
-			k := &core{answer: func(coordinator.Query) coordinator.Answer { return c.answer }}
-			f := front(k)
-			f.SearchConfig = goldenSettings(t)
-			res, _ := ask(f, "POST", c.target, "")
+			k := &fakeCore{answer: func(coordinator.Query) coordinator.Answer { return c.answer }}
+			f := newFront(k)
+			f.SearchConfig = goldenConfig(t)
+			res, _ := serve(f, "POST", c.target, "")
 			goldentest.Bytes(t, c.file, responseBytes(t, res))
 		})
 	}
 }
 
-// goldenSettings are a fixed index and one of two slices, of which the first is being split and the second was moved.
-func goldenSettings(t *testing.T) func() *searchconfig.Config {
+// goldenConfig are a fixed index and one of two slices, of which the first is being split and the second was moved.
+func goldenConfig(t *testing.T) func() *searchconfig.Config {
 	t.Helper()
 	c, err := searchconfig.Parse([]byte(`{"search":{"max_result_window":100},"indices":{"players":{"class":"team-lookup","slices":[0,1,2]},
 		"movable":{"class":"team-lookup","spread":{"slices":2,"sets":[["s-1","s-2"],["s-3"]]}}},"servers":{"s-1":{"protocol":"search"}}}`))
@@ -185,9 +185,9 @@
 }
 
 func TestShardListsGolden(t *testing.T) {
-	f := front(&core{})
-	f.SearchConfig = goldenSettings(t)
-	f.Settings = FixedSettings(f.SearchConfig)
+	f := newFront(&fakeCore{})
+	f.SearchConfig = goldenConfig(t)
+	f.Settings = FixedSettingsHandler(f.SearchConfig)
 	for _, c := range []struct{ file, method, target string }{
 		{"cat_shards.http", "GET", "/_cat/shards"},
 		{"cat_shards_v.http", "GET", "/_cat/shards/movable?v"},
@@ -206,7 +206,7 @@
 		{"search_unknown_parameter.http", "POST", "/players/_search?scroll=1m"},
 	} {
 		t.Run(c.file, func(t *testing.T) {
-			res, _ := ask(f, c.method, c.target, "")
+			res, _ := serve(f, c.method, c.target, "")
 			goldentest.Bytes(t, c.file, responseBytes(t, res))
 		})
 	}
@@ -216,32 +216,32 @@
 func TestRerouteGolden(t *testing.T) {
 	for _, name := range []string{"move", "move_set", "split", "merge", "abandon", "resume"} {
 		t.Run(name, func(t *testing.T) {
-			f, _ := movable(t, &core{})
+			f, _ := newDynamicFront(t, &fakeCore{})
 			var request json.RawMessage = goldentest.Read(t, "reroute_"+name+".json")
 			if name == "abandon" || name == "resume" {
-				if res, _ := ask(f, "POST", "/_cluster/reroute", string(goldentest.Read(t, "reroute_split.json"))); res.Status != 200 {
+				if res, _ := serve(f, "POST", "/_cluster/reroute", string(goldentest.Read(t, "reroute_split.json"))); res.Status != 200 {
 					t.Fatalf("%d %s", res.Status, res.Body)
 				}
 			}
 			if name == "resume" {
-				if res, _ := ask(f, "POST", "/_cluster/reroute", string(goldentest.Read(t, "reroute_abandon.json"))); res.Status != 200 {
+				if res, _ := serve(f, "POST", "/_cluster/reroute", string(goldentest.Read(t, "reroute_abandon.json"))); res.Status != 200 {
 					t.Fatalf("%d %s", res.Status, res.Body)
 				}
 			}
-			dry, _ := ask(f, "POST", "/_cluster/reroute?dry_run=true", string(request))
+			dry, _ := serve(f, "POST", "/_cluster/reroute?dry_run=true", string(request))
 			goldentest.Bytes(t, "reroute_"+name+"_dry_run.http", responseBytes(t, dry))
-			res, _ := ask(f, "POST", "/_cluster/reroute", string(request))
+			res, _ := serve(f, "POST", "/_cluster/reroute", string(request))
 			goldentest.Bytes(t, "reroute_"+name+".http", responseBytes(t, res))
 		})
 	}
 	t.Run("unknown command", func(t *testing.T) {
-		f, _ := movable(t, &core{})
-		res, _ := ask(f, "POST", "/_cluster/reroute", `{"commands":[{"allocate":{"index":"players"}}]}`)
+		f, _ := newDynamicFront(t, &fakeCore{})
+		res, _ := serve(f, "POST", "/_cluster/reroute", `{"commands":[{"allocate":{"index":"players"}}]}`)
 		goldentest.Bytes(t, "reroute_unknown.http", responseBytes(t, res))
 	})
 	t.Run("unknown key", func(t *testing.T) {
-		f, _ := movable(t, &core{})
-		if res, _ := ask(f, "POST", "/_cluster/reroute", `{"commands":[{"split":{"index":"players","shard":1048576,"pieces":2}}]}`); res.Status != 400 {
+		f, _ := newDynamicFront(t, &fakeCore{})
+		if res, _ := serve(f, "POST", "/_cluster/reroute", `{"commands":[{"split":{"index":"players","shard":1048576,"pieces":2}}]}`); res.Status != 400 {
 			t.Errorf("status %d", res.Status)
 		}
 	})
@@ -262,10 +262,10 @@
 			&store.NotLeaderError{Leader: store.Member{ID: "b", Raft: "127.0.0.1:9301", HTTP: "127.0.0.1:9201"}}},
 	} {
 		t.Run(c.file, func(t *testing.T) {
-			r := &replicated{err: c.err}
-			f := front(&core{})
-			f.Settings = StoreSettings(r)
-			res, _ := ask(f, c.method, c.target, c.body)
+			r := &fakeSettingsStore{err: c.err}
+			f := newFront(&fakeCore{})
+			f.Settings = StoreSettingsHandler(r)
+			res, _ := serve(f, c.method, c.target, c.body)
 			goldentest.Bytes(t, c.file, responseBytes(t, res))
 			if c.file == "store_settings_put.http" && r.patch != `{"search.max_result_window":100}` {
 				t.Errorf("patch %s", r.patch)
@@ -282,7 +282,7 @@
 		{store.ErrBusy, 429, "circuit_breaking_exception"},
 	} {
 		t.Run(c.kind, func(t *testing.T) {
-			res := StoreSettings(&replicated{err: c.err}).Serve(context.Background(), 0, &http1.Request{Method: "GET", Path: "/_cluster/settings"})
+			res := StoreSettingsHandler(&fakeSettingsStore{err: c.err}).Serve(context.Background(), 0, &http1.Request{Method: "GET", Path: "/_cluster/settings"})
 			quoted, err := json.Marshal(c.err.Error())
 			if err != nil {
 				t.Fatal(err)
@@ -298,23 +298,23 @@
 // Every field of the bodies, both ways.
 func TestBodiesGolden(t *testing.T) {
 	score, took, timedOut := 1.5, int64(12), true
-	reason := cause{Type: "t-1", Reason: "r-1", Phase: "query", Grouped: true, Index: "players",
-		RootCause: []cause{{Type: "t-2", Reason: "r-2"}}, FailedShards: []failure{{Shard: 1, Index: "i-1", Reason: cause{Type: "t-3", Reason: "r-3"}, Range: "a-b", Version: 2}}}
-	counts := shards{Total: 3, Successful: 4, Skipped: 5, Failed: 6, Failures: []failure{{Shard: 7, Index: "i-2", Reason: reason, Range: "c-d", Version: 8}}}
+	reason := apiError{Type: "t-1", Reason: "r-1", Phase: "query", Grouped: true, Index: "players",
+		RootCause: []apiError{{Type: "t-2", Reason: "r-2"}}, FailedShards: []shardFailure{{Shard: 1, Index: "i-1", Reason: apiError{Type: "t-3", Reason: "r-3"}, KeyRange: "a-b", MapVersion: 2}}}
+	counts := shardCounts{Total: 3, Successful: 4, Skipped: 5, Failed: 6, Failures: []shardFailure{{Shard: 7, Index: "i-2", Reason: reason, KeyRange: "c-d", MapVersion: 8}}}
 	t.Run("result", func(t *testing.T) {
-		goldentest.JSON(t, "result.json", result{Took: 9, TimedOut: true, Shards: counts, Hits: hits{Total: total{Value: 10, Relation: "gte"}, MaxScore: &score,
-			Hits: []hit{{Index: "players", ID: "11", Score: &score, Source: json.RawMessage(`{"name":"li"}`)}}}})
+		goldentest.JSON(t, "result.json", searchResponse{Took: 9, TimedOut: true, Shards: counts, Hits: searchHits{Total: total{Value: 10, Relation: "gte"}, MaxScore: &score,
+			Hits: []searchHit{{Index: "players", ID: "11", Score: &score, Source: json.RawMessage(`{"name":"li"}`)}}}})
 	})
 	t.Run("error", func(t *testing.T) {
 		goldentest.JSON(t, "error.json", errorBody{Error: reason, Status: 503, Took: &took, TimedOut: &timedOut, Shards: &counts})
 	})
 	t.Run("shard row", func(t *testing.T) {
-		goldentest.JSON(t, "shard_row.json", shardRow{Index: "players", Shard: 1, State: "STARTED", Range: "a-b", Epoch: 2, Node: "s-1", Plan: 3,
-			Step: "copying", Version: 4, Primary: true, Share: 0.5})
+		goldentest.JSON(t, "shard_row.json", shardRow{Index: "players", Shard: 1, State: "STARTED", Range: "a-b", Epoch: 2, Node: "s-1", PlanID: 3,
+			Step: "copying", MapVersion: 4, Primary: true, KeySpaceShare: 0.5})
 	})
 	t.Run("reroute command", func(t *testing.T) {
-		goldentest.JSON(t, "reroute_command.json", rerouteCommand{Index: "players", Shard: 1, Shards: []uint64{2, 3}, From: "s-1", To: "s-2",
-			Nodes: [][]string{{"s-3"}, {"s-4"}}, Into: 5, Plan: 6})
+		goldentest.JSON(t, "reroute_command.json", rerouteCommand{Index: "players", Shard: 1, Shards: []uint64{2, 3}, FromNode: "s-1", ToNode: "s-2",
+			ReplicaSets: [][]string{{"s-3"}, {"s-4"}}, Pieces: 5, PlanID: 6})
 	})
 }
 
@@ -328,11 +328,11 @@
 		outcome.Canceled: "task_cancelled_exception", outcome.NotSent: "task_cancelled_exception", outcome.BodyEvicted: "task_cancelled_exception",
 		outcome.ServerError: "remote_transport_exception", outcome.MalformedResponse: "remote_transport_exception"}
 	for e, kind := range want {
-		if got := reasonOf(coordinator.MissingPart{LastOutcome: e, Attempted: true}).Type; got != kind {
+		if got := missingReason(coordinator.MissingPart{LastOutcome: e, Attempted: true}).Type; got != kind {
 			t.Errorf("%v: %s, want %s", e, got, kind)
 		}
 	}
-	if got := reasonOf(coordinator.MissingPart{}).Type; got != "no_shard_available_action_exception" {
+	if got := missingReason(coordinator.MissingPart{}).Type; got != "no_shard_available_action_exception" {
 		t.Errorf("not tried: %s", got)
 	}
 }
