--- a/internal/opensearch/errors.go
+++ b/internal/opensearch/errors.go
@@ -1,12 +1,35 @@
 package opensearch
 
 import (
-	"encoding/json"
-	"net/textproto"
+	"fmt"
 
-	"linkpass/internal/coordinator"
 	"linkpass/internal/http1"
-	"linkpass/internal/outcome"
+)
+
+// Exception types of OpenSearch, as clients know them, by what they stand for here.
+const (
+	errTypeIllegalArgument  = "illegal_argument_exception"               // a parameter, method or path
+	errTypeValidation       = "action_request_validation_exception"      // a change of settings without any
+	errTypeJSONParse        = "json_parse_exception"                     // a body that is not JSON
+	errTypeParsing          = "parsing_exception"                        // a body with unknown or invalid fields
+	errTypeIndexNotFound    = "index_not_found_exception"                // an index that the settings don't have
+	errTypeShardNotFound    = "shard_not_found_exception"                // a shard that the index doesn't have
+	errTypeIllegalState     = "illegal_state_exception"                  // not served by this instance
+	errTypeSearchPhase      = "search_phase_execution_exception"         // a search that failed, in part or in full
+	errTypeRejected         = "rejected_execution_exception"             // rejected: overload, a full queue or store
+	errTypeContentTooLong   = "content_too_long_exception"               // store: settings too large
+	errTypeCircuitBreaking  = "circuit_breaking_exception"               // store: too many proposals in flight
+	errTypeNotLeader        = "not_cluster_manager_exception"            // store: another member leads
+	errTypeNoLeader         = "cluster_manager_not_discovered_exception" // store: no leader known
+	errTypeNoQuorum         = "process_cluster_event_timeout_exception"  // store: no quorum within the time
+	errTypeVersionConflict  = "version_conflict_engine_exception"        // store: compare-and-set failed
+	errTypeNoShardAvailable = "no_shard_available_action_exception"      // attempt: none was made
+	errTypeRemoteTransport  = "remote_transport_exception"               // attempt: any other failure
+	errTypeConnect          = "connect_transport_exception"              // attempt: dial or write failed
+	errTypeDisconnected     = "node_disconnected_exception"              // attempt: connection lost
+	errTypeReceiveTimeout   = "receive_timeout_transport_exception"      // attempt: timed out
+	errTypeShardState       = "illegal_index_shard_state_exception"      // attempt: the shard moved
+	errTypeTaskCanceled     = "task_cancelled_exception"                 // attempt: canceled or not sent
 )
 
 // apiError is OpenSearch's error object.
@@ -18,78 +41,64 @@
 	Grouped      bool           `json:"grouped,omitempty"`
 	FailedShards []shardFailure `json:"failed_shards,omitempty"`
 	Index        string         `json:"index,omitempty"`
-	Status       int            `json:"-"`
+	Status       int            `json:"-"` // of the response
 }
 
-// Error is the reason.
-func (c *apiError) Error() string { return c.Type + ": " + c.Reason }
+// Error is the type and the reason.
+func (e *apiError) Error() string { return e.Type + ": " + e.Reason }
 
-// shardFailure is one slice that gave nothing.
+// shardFailure is a shard, or a key range of a shard map, that gave no result.
 type shardFailure struct {
 	Shard  int      `json:"shard"`
 	Index  string   `json:"index"`
 	Reason apiError `json:"reason"`
-	// Of a layout that can move: the keys that are missing, and the version they were asked on.
+	// Of an index with a shard map only: the keys without a result, and the map's version that they were
+	// requested at.
 	KeyRange   string `json:"range,omitempty"`
 	MapVersion uint64 `json:"layout_version,omitempty"`
 }
 
-func badRequest(kind, reason string) *apiError {
-	return &apiError{Type: kind, Reason: reason, Status: 400}
+func badRequest(errType, reason string) *apiError {
+	return &apiError{Type: errType, Reason: reason, Status: 400}
 }
 
-// errorBody is the body of an answer that is an error. Took, timed_out and the
-// counts are there where a search was begun.
-type errorBody struct {
-	Error    apiError     `json:"error"`
-	Status   int          `json:"status"`
-	Took     *int64       `json:"took,omitempty"`
-	TimedOut *bool        `json:"timed_out,omitempty"`
-	Shards   *shardCounts `json:"_shards,omitempty"`
+func illegalArgument(format string, args ...any) *apiError {
+	return badRequest(errTypeIllegalArgument, fmt.Sprintf(format, args...))
 }
 
-func errorResponse(c *apiError) *http1.Response { return searchError(c, nil, nil, nil) }
+func parsingError(format string, args ...any) *apiError {
+	return badRequest(errTypeParsing, fmt.Sprintf(format, args...))
+}
 
-func searchError(c *apiError, took *int64, timedOut *bool, counts *shardCounts) *http1.Response {
-	out := *c
-	if out.RootCause == nil {
-		out.RootCause = []apiError{{Type: c.Type, Reason: c.Reason, Index: c.Index}}
-	}
-	return jsonResponse(c.Status, errorBody{Error: out, Status: c.Status, Took: took, TimedOut: timedOut, Shards: counts})
+func invalidBool(text string) *apiError {
+	return illegalArgument("Failed to parse value [%.40s] as only [true] or [false] are allowed.", text)
 }
 
-func jsonResponse(status int, v any) *http1.Response {
-	data, err := json.Marshal(v)
-	if err != nil {
-		status, data = 500, []byte(`{"error":{"type":"exception","reason":"the answer could not be encoded"},"status":500}`)
-	}
-	return &http1.Response{Status: status, Body: data,
-		Header: textproto.MIMEHeader{"Content-Type": {"application/json; charset=UTF-8"}}}
+func methodNotAllowed(req *http1.Request, allowed string) *apiError {
+	reason := fmt.Sprintf("Incorrect HTTP method for uri [%s] and method [%s], allowed: [%s]",
+		req.Path, req.Method, allowed)
+	return &apiError{Type: errTypeIllegalArgument, Status: 405, Reason: reason}
 }
 
-// missingReason words how a slice's latest attempt ended.
-func missingReason(m coordinator.MissingPart) apiError {
-	e, bare := m.LastOutcome, ""
-	if m.BodyEvicted {
-		bare = "; its body is not kept any more, so it was not sent again"
-	}
-	if !m.Attempted {
-		return apiError{Type: "no_shard_available_action_exception", Reason: "no league server was tried" + bare}
-	}
-	kind := "remote_transport_exception"
-	switch e {
-	case outcome.Rejected, outcome.QueueFull:
-		kind = "rejected_execution_exception"
-	case outcome.DialRefused, outcome.DialTimeout, outcome.DialFailed, outcome.WriteInterrupted:
-		kind = "connect_transport_exception"
-	case outcome.ConnReset, outcome.ConnClosed:
-		kind = "node_disconnected_exception"
-	case outcome.Timeout:
-		kind = "receive_timeout_transport_exception"
-	case outcome.ShardMoved, outcome.UnknownShardMap, outcome.PartialCoverage:
-		kind = "illegal_index_shard_state_exception"
-	case outcome.Canceled, outcome.NotSent, outcome.BodyEvicted:
-		kind = "task_cancelled_exception"
+func indexNotFound(index string) *apiError {
+	reason := fmt.Sprintf("no such index [%.255s]", index)
+	return &apiError{Type: errTypeIndexNotFound, Reason: reason, Index: index, Status: 404}
+}
+
+func shardNotFound(index, format string, args ...any) *apiError {
+	return &apiError{Type: errTypeShardNotFound, Reason: fmt.Sprintf(format, args...), Index: index, Status: 404}
+}
+
+func classNotServed(index, class string) *apiError {
+	reason := fmt.Sprintf("index [%s] is of class [%s], which is not served here", index, class)
+	return &apiError{Type: errTypeIllegalState, Reason: reason, Index: index, Status: 500}
+}
+
+// bodyNotStored is the error of a large search that the body store has no capacity for.
+func bodyNotStored() *apiError {
+	return &apiError{
+		Type:   errTypeRejected,
+		Reason: "the search's body could not be kept; asking again is harmless",
+		Status: 429,
 	}
-	return apiError{Type: kind, Reason: "the latest attempt ended as " + e.String() + bare}
 }
--- /dev/null
+++ b/internal/opensearch/search.go
@@ -0,0 +1,111 @@
+package opensearch
+
+import (
+	"context"
+	"encoding/json"
+	"slices"
+	"strconv"
+	"time"
+
+	"linkpass/internal/coordinator"
+	"linkpass/internal/http1"
+	"linkpass/internal/searchconfig"
+)
+
+// search runs one search of an index and answers it.
+func (f *Front) search(ctx context.Context, startedAt time.Duration, index string, req *http1.Request) *http1.Response {
+	s, body, err := f.planSearch(index, req)
+	if err != nil {
+		return f.reject(err)
+	}
+	payload, err := json.Marshal(map[string]any{"query": s.query, "from": 0, "size": s.from + s.size})
+	if err != nil {
+		return f.reject(badRequest(errTypeJSONParse, err.Error()))
+	}
+	answer := f.await(ctx, coordinator.Query{
+		Name:       f.Prefix + "-" + strconv.FormatUint(f.searchCount.Add(1), 10),
+		Collection: index,
+		Class:      s.class,
+		StartedAt:  startedAt,
+		Timeout:    s.timeout,
+		Parts:      s.parts(payload),
+		KeyRanges:  s.keyRanges,
+		Payload:    payload,
+		Body:       body,
+	})
+	return encodeAnswer(s, answer, (f.Core.Now() - startedAt).Milliseconds())
+}
+
+// await submits a query and waits for its answer. A query that ctx cancels is answered by the core too.
+func (f *Front) await(ctx context.Context, query coordinator.Query) coordinator.Answer {
+	answers := make(chan coordinator.Answer, 1) // buffered: the core's event loop never waits for this goroutine
+	query.Reply = func(a coordinator.Answer) { answers <- a }
+	cancel := f.Core.Submit(query)
+	select {
+	case a := <-answers:
+		return a
+	case <-ctx.Done():
+		cancel()
+		return <-answers
+	}
+}
+
+// parts are the parts of a search of fixed shards, of equal weights; the core divides a search of key ranges.
+func (s *searchRequest) parts(payload []byte) []coordinator.Part {
+	parts := make([]coordinator.Part, len(s.fixedShards))
+	for i, shard := range s.fixedShards {
+		parts[i] = coordinator.Part{Shard: shard, Weight: 1 / float64(len(s.fixedShards)), Payload: payload}
+	}
+	return parts
+}
+
+// planSearch reads a search and finds its class, and its shards or key ranges. A body that it returns is the
+// caller's to release. Its error is an apiError.
+func (f *Front) planSearch(index string, req *http1.Request) (s searchRequest, body coordinator.Body, err error) {
+	config := f.SearchConfig()
+	entry, ok := config.Indices[index]
+	if !ok {
+		return s, nil, indexNotFound(index)
+	}
+	class := slices.IndexFunc(f.Classes, func(c Class) bool { return c.Name == entry.Class })
+	if req.BodySink != nil {
+		s, body, err = f.readLargeSearch(max(0, class), req, config)
+	} else {
+		s, err = parseSearch(req.Query, req.Body, config)
+	}
+	if err == nil {
+		s.index, s.class = index, class
+		err = f.resolveShards(&s, entry, config)
+	}
+	if err != nil && body != nil {
+		body.Release()
+		body = nil
+	}
+	return s, body, err
+}
+
+// resolveShards sets the shards or key ranges of a search, and its timeout, from its index.
+func (f *Front) resolveShards(s *searchRequest, entry searchconfig.Index, config *searchconfig.Config) (err error) {
+	if m := config.ShardMap(s.index); m != nil {
+		if s.keyRanges, err = s.requestedRanges(m); err != nil {
+			return err
+		}
+	} else if s.fixedShards = entry.Shards; s.preferredShards != nil {
+		s.fixedShards = s.preferredShards
+	}
+	if s.keyRanges == nil && (s.preferredRanges != nil || s.routingValues != nil) {
+		return illegalArgument("index [%s] has a fixed layout: neither routing nor _ranges is known there", s.index)
+	}
+	for _, shard := range s.fixedShards {
+		if !slices.Contains(entry.Shards, shard) || shard >= f.Shards {
+			return shardNotFound(s.index, "no such shard [%d] in index [%s]", shard, s.index)
+		}
+	}
+	if s.class < 0 {
+		return classNotServed(s.index, entry.Class)
+	}
+	if limit := f.Classes[s.class].Deadline; s.timeout <= 0 || s.timeout > limit {
+		s.timeout = limit
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/opensearch/store_error.go
@@ -0,0 +1,34 @@
+package opensearch
+
+import (
+	"errors"
+
+	"linkpass/internal/eventlog"
+	"linkpass/internal/http1"
+	"linkpass/internal/searchconfig"
+	"linkpass/internal/store"
+)
+
+// storeError is the response to a request for path that the store failed. A follower redirects to the leader.
+func storeError(err error, path string) *http1.Response {
+	reason := err.Error()
+	var notLeader *store.NotLeaderError
+	switch {
+	case errors.As(err, &notLeader):
+		res := errorResponse(&apiError{Type: errTypeNotLeader, Reason: reason, Status: 307})
+		res.Header["Location"] = []string{"http://" + notLeader.Leader.HTTP + path}
+		return res
+	case errors.Is(err, searchconfig.ErrInvalid):
+		return errorResponse(badRequest(errTypeIllegalArgument, reason))
+	case errors.Is(err, store.ErrTooLarge):
+		return errorResponse(&apiError{Type: errTypeContentTooLong, Reason: reason, Status: 413})
+	case errors.Is(err, store.ErrBusy):
+		return errorResponse(&apiError{Type: errTypeCircuitBreaking, Reason: reason, Status: 429})
+	}
+	e := &apiError{Type: errTypeNoLeader, Reason: reason, Status: 503}
+	if errors.Is(err, store.ErrNoQuorum) {
+		e.Type = errTypeNoQuorum
+	}
+	eventlog.StoreFailed.Log(err)
+	return errorResponse(e)
+}
