--- /dev/null
+++ b/internal/opensearch/codec_golden_test.go
@@ -0,0 +1,77 @@
+package opensearch
+
+import (
+	"bytes"
+	"reflect"
+	"testing"
+	"time"
+
+	"linkpass/internal/coordinator"
+	"linkpass/internal/goldentest"
+	"linkpass/internal/outcome"
+	"linkpass/internal/shardmap"
+	"linkpass/internal/upstream"
+)
+
+// What a league server is sent for a part, for a probe and for a body that follows in pieces.
+func TestServerRequestsGolden(t *testing.T) {
+	text := []byte(`{"from":0,"query":{"match":{"name":"li"}},"size":3}`)
+	fixed := upstream.Part{Name: "n0-1.3", Collection: "players", Shard: 3, Timeout: 240 * time.Millisecond, Payload: text}
+	moving := upstream.Part{Name: "n0-1.4", Collection: "pl/ayers", Shard: 9, Timeout: time.Microsecond, Payload: text, Request: goldenShardRequest()}
+	plain := upstream.Part{Name: "q.3", Shard: 3, Timeout: time.Second, Payload: []byte("c41e77d0")}
+	d := Codec{}
+	for _, c := range []struct {
+		file string
+		got  []byte
+	}{
+		{"server_part_fixed.http", d.EncodeRequest([]upstream.Part{fixed})},
+		{"server_part_layout.http", d.EncodeRequest([]upstream.Part{moving})},
+		{"server_part_plain.http", d.EncodeRequest([]upstream.Part{plain})},
+		{"server_head_fixed.http", d.EncodeHeader(fixed, 123456)},
+		{"server_head_layout.http", d.EncodeHeader(moving, 123456)},
+		{"server_probe.http", d.EncodeHealthCheck()},
+	} {
+		t.Run(c.file, func(t *testing.T) { goldentest.Bytes(t, c.file, sortedHead(t, c.got)) })
+	}
+	if got := d.EncodeHeader(plain, 1); got != nil {
+		t.Errorf("head of a plain part: %q", got)
+	}
+}
+
+// What league servers answer, read in full.
+func TestServerResponsesGolden(t *testing.T) {
+	covers := shardmap.Range{First: 1, Last: 0xff}
+	body := func(file string) []byte {
+		_, b, _ := bytes.Cut(goldentest.Read(t, file), []byte("\r\n\r\n"))
+		return b
+	}
+	for _, c := range []struct {
+		file string
+		want upstream.Message
+	}{
+		{"server_answer.http", upstream.Message{Outcome: outcome.Success, LoadReport: []float64{3, 0.5}, Value: body("server_answer.http"), Score: 2.5, ShardMapVersion: 8, Covers: &covers,
+			Hits: &coordinator.Hits{Total: 12, AtLeast: true, List: []coordinator.Hit{
+				{ID: "7", Score: 2.5, Source: []byte(`{"name":"li"}`)}, {ID: "8", Source: []byte(`{"name":"wu"}`)}}}}},
+		{"server_answer_timed_out.http", upstream.Message{Outcome: outcome.ServerError, LoadReport: []float64{3, 0.5}}},
+		{"server_answer_failed.http", upstream.Message{Outcome: outcome.ServerError, LoadReport: []float64{3, 0.5}}},
+		{"server_answer_short.http", upstream.Message{Outcome: outcome.ServerError, LoadReport: []float64{3, 0.5}}},
+		{"server_moved.http", upstream.Message{Outcome: outcome.ShardMoved, LoadReport: []float64{3, 0.5}, ShardMapVersion: 9}},
+		{"server_rejected.http", upstream.Message{Outcome: outcome.Rejected, LoadReport: []float64{3, 0.5}}},
+		{"server_error.http", upstream.Message{Outcome: outcome.ServerError, LoadReport: []float64{3, 0.5}, ConnCloses: true}},
+		{"server_greeting.http", upstream.Message{HealthCheck: true, Outcome: outcome.Success, LoadReport: []float64{3, 0.5}, Value: body("server_greeting.http")}},
+	} {
+		t.Run(c.file, func(t *testing.T) {
+			got, _, err := Codec{ReportNames: []string{"active", "cpu"}}.NewReader(bytes.NewReader(goldentest.Read(t, c.file))).Next()
+			if err != nil || !reflect.DeepEqual(got, c.want) {
+				t.Errorf("got  %+v, %v\nwant %+v", got, err, c.want)
+			}
+		})
+	}
+	for _, file := range []string{"server_answer_without_counts.http", "server_answer_without_hits.http"} {
+		t.Run(file, func(t *testing.T) {
+			if _, e, err := (Codec{}).NewReader(bytes.NewReader(goldentest.Read(t, file))).Next(); err == nil || e != outcome.MalformedResponse {
+				t.Errorf("ended as %v, %v", e, err)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/opensearch/fakes_test.go
@@ -0,0 +1,110 @@
+package opensearch
+
+import (
+	"context"
+	"encoding/json"
+	"strings"
+	"testing"
+	"time"
+
+	"linkpass/internal/coordinator"
+	"linkpass/internal/http1"
+	"linkpass/internal/metrics"
+	"linkpass/internal/searchconfig"
+	_ "linkpass/internal/seeded"
+	"linkpass/internal/shardmap"
+	"linkpass/internal/store"
+)
+
+// fakeCore records the queries and answers each at once.
+type fakeCore struct {
+	queries []coordinator.Query
+	answer  func(coordinator.Query) coordinator.Answer // nil: only once the query is canceled
+}
+
+func (*fakeCore) Now() time.Duration { return 40 * time.Millisecond }
+
+func (c *fakeCore) Submit(q coordinator.Query) func() {
+	c.queries = append(c.queries, q)
+	if c.answer == nil {
+		return func() { q.Reply(coordinator.Answer{Status: coordinator.Failed}) }
+	}
+	q.Reply(c.answer(q))
+	return func() {}
+}
+
+func testConfig() *searchconfig.Config {
+	return &searchconfig.Config{Search: searchconfig.Defaults{MaxResultWindow: 100}, Indices: map[string]searchconfig.Index{
+		"players": {Class: "team-lookup", Shards: []int{0, 1, 2}}, "broken": {Class: "team-lookup", Shards: []int{0, 99}},
+		"odd": {Class: "unheard", Shards: []int{0}}}}
+}
+
+func newFront(c *fakeCore) *Front {
+	return &Front{Core: c, Shards: 6, Prefix: "n0", Counters: metrics.NewCounters(), SearchConfig: testConfig,
+		Classes:  []Class{{"league-table", 5 * time.Second, 3}, {"team-lookup", 2500 * time.Millisecond, 1}},
+		Settings: FixedSettingsHandler(testConfig)}
+}
+
+func serve(f *Front, method, target, body string) (*http1.Response, map[string]any) {
+	path, query, _ := strings.Cut(target, "?")
+	res := f.Serve(context.Background(), 0, &http1.Request{Method: method, Path: path, Query: query, Body: []byte(body)})
+	var out map[string]any
+	_ = json.Unmarshal(res.Body, &out)
+	return res, out
+}
+
+func completeAnswer(q coordinator.Query) coordinator.Answer {
+	a := coordinator.Answer{Complete: true}
+	for _, p := range q.Parts {
+		v := coordinator.Value{Shard: p.Shard, Data: []byte("v"), Score: float64(p.Shard)}
+		if p.Shard == 1 {
+			v.Hits = &coordinator.Hits{Total: 7, List: []coordinator.Hit{
+				{ID: "best", Score: 9, Source: []byte(`{"name":"x"}`)}, {ID: "low", Score: 0.5}}}
+		}
+		a.Values = append(a.Values, v)
+	}
+	return a
+}
+
+// fakeSettingsStore stands in for the store.
+type fakeSettingsStore struct {
+	err   error
+	patch string
+}
+
+func (r *fakeSettingsStore) ReadWith(how store.ReadOptions) (*searchconfig.Config, error) {
+	if how.Consistency == store.Local {
+		return testConfig(), nil
+	}
+	return testConfig(), r.err
+}
+
+func (r *fakeSettingsStore) PatchSettings(p []byte) (*searchconfig.Config, error) {
+	r.patch = string(p)
+	return testConfig(), r.err
+}
+
+// fakeSettingsUpdater stands in for the store.
+type fakeSettingsUpdater struct{ now *searchconfig.Config }
+
+func (c *fakeSettingsUpdater) UpdateSettings(change func(*searchconfig.Config) (*searchconfig.Config, error)) (*searchconfig.Config, error) {
+	next, err := change(c.now)
+	if err == nil {
+		c.now = next
+	}
+	return next, err
+}
+
+// newDynamicFront is a front with an index of four slices that can move.
+func newDynamicFront(t *testing.T, k *fakeCore) (*Front, *fakeSettingsUpdater) {
+	c, err := searchconfig.Parse([]byte(`{"search":{},"indices":{"players":{"class":"team-lookup","spread":{"slices":4,"sets":[["a","b"],["c","d"]]}},"fixed":{"class":"team-lookup","slices":[0]}}}`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	store := &fakeSettingsUpdater{c}
+	f := newFront(k)
+	f.SearchConfig, f.SettingsUpdater = func() *searchconfig.Config { return store.now }, store
+	return f, store
+}
+
+const firstShardID = uint64(shardmap.FirstDynamicID)
--- /dev/null
+++ b/internal/opensearch/golden_test.go
@@ -0,0 +1,63 @@
+package opensearch
+
+import (
+	"bytes"
+	"slices"
+	"strings"
+	"testing"
+
+	"linkpass/internal/coordinator"
+	"linkpass/internal/http1"
+	"linkpass/internal/searchconfig"
+	"linkpass/internal/shardmap"
+)
+
+// sortedHead is a request's or response's bytes with the header lines sorted, as maps have no order.
+func sortedHead(t *testing.T, message []byte) []byte {
+	t.Helper()
+	head, body, ok := bytes.Cut(message, []byte("\r\n\r\n"))
+	if !ok {
+		t.Fatalf("no end of the header: %q", message)
+	}
+	lines := strings.Split(string(head), "\r\n")
+	slices.Sort(lines[1:])
+	return append([]byte(strings.Join(lines, "\r\n")+"\r\n\r\n"), body...)
+}
+
+// responseBytes is a response with its status and header.
+func responseBytes(t *testing.T, res *http1.Response) []byte {
+	t.Helper()
+	var b bytes.Buffer
+	if err := http1.WriteResponse(&b, res); err != nil {
+		t.Fatal(err)
+	}
+	return sortedHead(t, b.Bytes())
+}
+
+func goldenShardRequest() *coordinator.ShardRequest {
+	return &coordinator.ShardRequest{Shard: shardmap.FirstDynamicID + 4, MapVersion: 7, Range: shardmap.Range{First: 1, Last: 0xff}}
+}
+
+// goldenConfig are a fixed index and one of two slices, of which the first is being split and the second was moved.
+func goldenConfig(t *testing.T) func() *searchconfig.Config {
+	t.Helper()
+	c, err := searchconfig.Parse([]byte(`{"search":{"max_result_window":100},"indices":{"players":{"class":"team-lookup","slices":[0,1,2]},
+		"movable":{"class":"team-lookup","spread":{"slices":2,"sets":[["s-1","s-2"],["s-3"]]}}},"servers":{"s-1":{"protocol":"search"}}}`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	first, l := shardmap.FirstDynamicID, c.ShardMap("movable")
+	for _, step := range []shardmap.Command{
+		{Request: &shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{first}, Pieces: 2, ReplicaSets: [][]string{{"s-4"}, {"s-5"}}}},
+		{Request: &shardmap.PlanRequest{Kind: shardmap.Move, Shards: []shardmap.ShardID{first + 1}, ReplicaSets: [][]string{{"s-6"}}}},
+		{Advance: &shardmap.Advance{Plan: 2, Step: shardmap.Copying}},
+		{Advance: &shardmap.Advance{Plan: 2, Step: shardmap.Replicated, Replicas: map[shardmap.ShardID][]string{first + 4: {"s-6"}}}},
+		{Advance: &shardmap.Advance{Plan: 2, Step: shardmap.Switched, Replicas: map[shardmap.ShardID][]string{first + 4: {"s-6"}}}},
+	} {
+		if l, err = l.Apply(step); err != nil {
+			t.Fatal(err)
+		}
+	}
+	c = c.WithShardMap("movable", l)
+	return func() *searchconfig.Config { return c }
+}
--- a/internal/opensearch/large_test.go
+++ b/internal/opensearch/large_body_test.go
@@ -1,7 +1,6 @@
 package opensearch
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
 	"fmt"
@@ -10,8 +9,6 @@
 	"testing"
 	"time"
 
-	"pgregory.net/rapid"
-
 	"linkpass/internal/bodystore"
 	"linkpass/internal/bodystore/tier"
 	"linkpass/internal/coordinator"
@@ -42,7 +39,7 @@
 
 // A large search is read where it lies, and what the parts send is its query with our from and size; once
 // it is answered nothing is kept.
-func TestALargeSearchIsReadWhereItLies(t *testing.T) {
+func TestLargeSearchSendsStoredQuery(t *testing.T) {
 	for _, limits := range []tier.Limits{{Memory: 4 << 20, Files: 0, Largest: 4 << 20}, {Memory: 64 << 10, Files: 4 << 20, Largest: 16 << 10}} {
 		query := termsQuery(20_000)
 		var text []byte
@@ -74,7 +71,7 @@
 }
 
 // What can't be served is refused by its reason, sends nothing and leaves nothing.
-func TestALargeSearchThatIsNone(t *testing.T) {
+func TestLargeSearchRejectsInvalidBody(t *testing.T) {
 	for body, kind := range map[string]string{
 		`{"query":` + termsQuery(2000) + `,"aggs":{}}`:                             "parsing_exception",
 		`{"query":` + termsQuery(2000):                                             "json_parse_exception",
@@ -93,24 +90,3 @@
 		}
 	}
 }
-
-// The scanner takes what a decoder of the whole takes, and finds the same query.
-func TestTheScannerFindsTheQuery(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		space := rapid.StringMatching(`[ \n\t]{0,3}`)
-		query := rapid.SampledFrom([]string{`{"match_all":{}}`, `{"bool":{"must":{"ids":{"values":["a",1,null,{"x":[]}]}},"boost":2}}`,
-			`{"term":{"a":"}\"]"}}`}).Draw(t, "query")
-		var fields []string
-		for _, f := range []string{`"from"%s:%s3`, `"query"%s:%s` + query, `"size"%s:%snull`, `"timeout"%s:%s"1s"`} {
-			fields = append(fields, fmt.Sprintf(f, space.Draw(t, "s"), space.Draw(t, "s")))
-		}
-		body := "{" + strings.Join(rapid.Permutation(fields).Draw(t, "order"), space.Draw(t, "s")+","+space.Draw(t, "s")) + "}"
-		got, err := scanSearch(strings.NewReader(body))
-		if err != nil || *got.from != 3 || got.size != nil || *got.timeout != "1s" {
-			t.Fatalf("%s: %+v %v", body, got, err)
-		}
-		if found := bytes.TrimRight(trimColon([]byte(body[got.queryStart:got.queryEnd])), " "); string(found) != query {
-			t.Fatalf("found %q, want %q", found, query)
-		}
-	})
-}
--- /dev/null
+++ b/internal/opensearch/search_test.go
@@ -0,0 +1,119 @@
+package opensearch
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"linkpass/internal/coordinator"
+	"linkpass/internal/outcome"
+	"linkpass/internal/shardmap"
+)
+
+func TestSearchMergesHitsByScore(t *testing.T) {
+	c := &fakeCore{answer: completeAnswer}
+	res, out := serve(newFront(c), "POST", "/players/_search?from=1&timeout=300ms", `{"query":{"match":{"name":"li"}},"size":2}`)
+	if res.Status != 200 {
+		t.Fatalf("%d %s", res.Status, res.Body)
+	}
+	q := c.queries[0]
+	if q.Class != 1 || q.Timeout != 300*time.Millisecond || q.Collection != "players" || len(q.Parts) != 3 ||
+		string(q.Parts[0].Payload) != `{"from":0,"query":{"match":{"name":"li"}},"size":3}` {
+		t.Errorf("query %+v, text %s", q, q.Parts[0].Payload)
+	}
+	var got searchResponse
+	if err := json.Unmarshal(res.Body, &got); err != nil {
+		t.Fatal(err)
+	}
+	if got.Took != 40 || got.TimedOut || got.Shards.Total != 3 || got.Shards.Successful != 3 || got.Shards.Failed != 0 {
+		t.Errorf("%s", res.Body)
+	}
+	if got.Hits.Total != (total{9, "eq"}) || *got.Hits.MaxScore != 9 || len(got.Hits.Hits) != 2 ||
+		got.Hits.Hits[0].ID != "2" || got.Hits.Hits[1].ID != "low" { // best 9, then 2, 0.5, 0
+		t.Errorf("hits %s %v", res.Body, out["hits"])
+	}
+}
+
+// What the coordinator can't serve as asked is refused with its error, and nothing
+// is sent: an unknown slice, index or class, a query that no server supports.
+func TestServeRejectsInvalidSearches(t *testing.T) {
+	for _, c := range []struct {
+		target, body string
+		status       int
+		kind         string
+	}{
+		{"/players/_search?preference=_shards:0,99", ``, 404, "shard_not_found_exception"},
+		{"/players/_search?preference=_shards:4", ``, 404, "shard_not_found_exception"}, // known, but not of the index
+		{"/broken/_search", ``, 404, "shard_not_found_exception"},
+		{"/nowhere/_search", ``, 404, "index_not_found_exception"},
+		{"/odd/_search", ``, 500, "illegal_state_exception"},
+		{"/players/_search", `{"query":`, 400, "json_parse_exception"},
+		{"/players/_search", `{} {}`, 400, "json_parse_exception"},
+		{"/players/_search", `{"aggs":{}}`, 400, "parsing_exception"},
+		{"/players/_search", `{"sort":["name"]}`, 400, "parsing_exception"},
+		{"/players/_search", `{"query":{"knn":{}}}`, 400, "parsing_exception"},
+		{"/players/_search", `{"query":null}`, 400, "parsing_exception"},
+		{"/players/_search", `{"query":{"match":{"a":1,"b":2}}}`, 400, "parsing_exception"},
+		{"/players/_search", `{"query":{"bool":{"must":[{"match_all":{}},{"script":{}}]}}}`, 400, "parsing_exception"},
+		{"/players/_search", `{"query":` + strings.Repeat(`{"bool":{"must":`, 20) + `{"match_all":{}}` + strings.Repeat(`}}`, 20) + `}`, 400, "parsing_exception"},
+		{"/players/_search", `{"size":-1}`, 400, "illegal_argument_exception"},
+		{"/players/_search", `{"from":60,"size":41}`, 400, "illegal_argument_exception"},
+		{"/players/_search?size=9223372036854775807", `{"from":1}`, 400, "illegal_argument_exception"},
+		{"/players/_search?timeout=soon", ``, 400, "illegal_argument_exception"},
+		{"/players/_search?routing=x", ``, 400, "illegal_argument_exception"},
+		{"/players/_search?preference=_local", ``, 400, "illegal_argument_exception"},
+		{"/players/_count", ``, 400, "illegal_argument_exception"},
+	} {
+		k := &fakeCore{answer: completeAnswer}
+		res, out := serve(newFront(k), "POST", c.target, c.body)
+		e, _ := out["error"].(map[string]any)
+		if res.Status != c.status || e["type"] != c.kind || e["root_cause"] == nil || out["status"] != float64(c.status) {
+			t.Errorf("%s %.80s: %d %s", c.target, c.body, res.Status, res.Body)
+		}
+		if len(k.queries) != 0 {
+			t.Errorf("%s %.80s was sent", c.target, c.body)
+		}
+	}
+	if res, _ := serve(newFront(&fakeCore{}), "DELETE", "/players/_search", ""); res.Status != 405 {
+		t.Errorf("%d", res.Status)
+	}
+}
+
+// A search is handed on as the keys that it wants, whatever slices they lie in now; what is missing
+// is told by its ranges.
+func TestSearchWithShardMapRequestsKeyRanges(t *testing.T) {
+	halves := shardmap.FullRange.Split(2)
+	key := shardmap.HashKey("li")
+	for target, want := range map[string][]shardmap.Range{
+		"/players/_search":            {shardmap.FullRange},
+		"/players/_search?routing=li": {{First: key, Last: key}},
+		"/players/_search?preference=_ranges:" + halves[0].String():              {halves[0]},
+		fmt.Sprintf("/players/_search?preference=_shards:%d,%d", firstShardID+1, firstShardID): {halves[0]},
+	} {
+		k := &fakeCore{answer: func(_ coordinator.Query) coordinator.Answer {
+			return coordinator.Answer{Status: coordinator.Answered, ShardMapVersion: 7, Missing: []coordinator.MissingPart{
+				{LastOutcome: outcome.ShardMoved, Attempted: true, Request: &coordinator.ShardRequest{Shard: 9, Range: halves[1], MapVersion: 7}}}}
+		}}
+		f, _ := newDynamicFront(t, k)
+		res, _ := serve(f, "POST", target, ``)
+		if len(k.queries) != 1 || fmt.Sprint(k.queries[0].KeyRanges) != fmt.Sprint(want) || len(k.queries[0].Parts) != 0 {
+			t.Errorf("%s wants %v", target, k.queries)
+		}
+		for _, s := range []string{`"failed":1`, `"range":"` + halves[1].String(), `"layout_version":7`, "ended as moved"} {
+			if !strings.Contains(string(res.Body), s) {
+				t.Errorf("%s lacks %s", res.Body, s)
+			}
+		}
+		if res.Header.Get(headerMapVersion) != "7" {
+			t.Errorf("headers %v", res.Header)
+		}
+	}
+	f, _ := newDynamicFront(t, &fakeCore{})
+	for _, target := range []string{"/players/_search?preference=_shards:1", "/players/_search?preference=_ranges:9-1", "/fixed/_search?routing=a"} {
+		if res, _ := serve(f, "POST", target, ``); res.Status != 404 && res.Status != 400 {
+			t.Errorf("%s: %d", target, res.Status)
+		}
+	}
+}
