--- a/internal/opensearch/body_scanner_test.go
+++ b/internal/opensearch/body_scanner_test.go
@@ -9,22 +9,27 @@
 	"pgregory.net/rapid"
 )
 
-// The scanner takes what a decoder of the whole takes, and finds the same query.
+// Guards against a query that is cut at the wrong bytes of a body that is never decoded whole.
 func TestScanSearchFindsQuery(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		space := rapid.StringMatching(`[ \n\t]{0,3}`)
-		query := rapid.SampledFrom([]string{`{"match_all":{}}`, `{"bool":{"must":{"ids":{"values":["a",1,null,{"x":[]}]}},"boost":2}}`,
-			`{"term":{"a":"}\"]"}}`}).Draw(t, "query")
+		query := rapid.SampledFrom([]string{
+			`{"match_all":{}}`,
+			`{"bool":{"must":{"ids":{"values":["a",1,null,{"x":[]}]}},"boost":2}}`,
+			`{"term":{"a":"}\"]"}}`,
+		}).Draw(t, "query")
 		var fields []string
 		for _, f := range []string{`"from"%s:%s3`, `"query"%s:%s` + query, `"size"%s:%snull`, `"timeout"%s:%s"1s"`} {
 			fields = append(fields, fmt.Sprintf(f, space.Draw(t, "s"), space.Draw(t, "s")))
 		}
-		body := "{" + strings.Join(rapid.Permutation(fields).Draw(t, "order"), space.Draw(t, "s")+","+space.Draw(t, "s")) + "}"
+		ordered := rapid.Permutation(fields).Draw(t, "order")
+		body := "{" + strings.Join(ordered, space.Draw(t, "s")+","+space.Draw(t, "s")) + "}"
 		got, err := scanSearch(strings.NewReader(body))
 		if err != nil || *got.from != 3 || got.size != nil || *got.timeout != "1s" {
 			t.Fatalf("%s: %+v %v", body, got, err)
 		}
-		if found := bytes.TrimRight(trimColon([]byte(body[got.queryStart:got.queryEnd])), " "); string(found) != query {
+		found := bytes.TrimRight(trimColon([]byte(body[got.queryStart:got.queryEnd])), " ")
+		if string(found) != query {
 			t.Fatalf("found %q, want %q", found, query)
 		}
 	})
--- a/internal/opensearch/codec_golden_test.go
+++ b/internal/opensearch/codec_golden_test.go
@@ -13,11 +13,17 @@
 	"linkpass/internal/upstream"
 )
 
-// What a league server is sent for a part, for a probe and for a body that follows in pieces.
 func TestServerRequestsGolden(t *testing.T) {
 	text := []byte(`{"from":0,"query":{"match":{"name":"li"}},"size":3}`)
 	fixed := upstream.Part{Name: "n0-1.3", Collection: "players", Shard: 3, Timeout: 240 * time.Millisecond, Payload: text}
-	moving := upstream.Part{Name: "n0-1.4", Collection: "pl/ayers", Shard: 9, Timeout: time.Microsecond, Payload: text, Request: goldenShardRequest()}
+	moving := upstream.Part{
+		Name:       "n0-1.4",
+		Collection: "pl/ayers",
+		Shard:      9,
+		Timeout:    time.Microsecond,
+		Payload:    text,
+		Request:    goldenShardRequest(),
+	}
 	plain := upstream.Part{Name: "q.3", Shard: 3, Timeout: time.Second, Payload: []byte("c41e77d0")}
 	d := Codec{}
 	for _, c := range []struct {
@@ -38,30 +44,29 @@
 	}
 }
 
-// What league servers answer, read in full.
 func TestServerResponsesGolden(t *testing.T) {
-	covers := shardmap.Range{First: 1, Last: 0xff}
-	body := func(file string) []byte {
-		_, b, _ := bytes.Cut(goldentest.Read(t, file), []byte("\r\n\r\n"))
-		return b
-	}
+	codec := Codec{ReportNames: []string{"active", "cpu"}}
 	for _, c := range []struct {
 		file string
 		want upstream.Message
 	}{
-		{"server_answer.http", upstream.Message{Outcome: outcome.Success, LoadReport: []float64{3, 0.5}, Value: body("server_answer.http"), Score: 2.5, ShardMapVersion: 8, Covers: &covers,
-			Hits: &coordinator.Hits{Total: 12, AtLeast: true, List: []coordinator.Hit{
-				{ID: "7", Score: 2.5, Source: []byte(`{"name":"li"}`)}, {ID: "8", Source: []byte(`{"name":"wu"}`)}}}}},
-		{"server_answer_timed_out.http", upstream.Message{Outcome: outcome.ServerError, LoadReport: []float64{3, 0.5}}},
-		{"server_answer_failed.http", upstream.Message{Outcome: outcome.ServerError, LoadReport: []float64{3, 0.5}}},
-		{"server_answer_short.http", upstream.Message{Outcome: outcome.ServerError, LoadReport: []float64{3, 0.5}}},
-		{"server_moved.http", upstream.Message{Outcome: outcome.ShardMoved, LoadReport: []float64{3, 0.5}, ShardMapVersion: 9}},
-		{"server_rejected.http", upstream.Message{Outcome: outcome.Rejected, LoadReport: []float64{3, 0.5}}},
-		{"server_error.http", upstream.Message{Outcome: outcome.ServerError, LoadReport: []float64{3, 0.5}, ConnCloses: true}},
-		{"server_greeting.http", upstream.Message{HealthCheck: true, Outcome: outcome.Success, LoadReport: []float64{3, 0.5}, Value: body("server_greeting.http")}},
+		{"server_answer.http", goldenMessage(t)},
+		{"server_answer_timed_out.http", upstream.Message{Outcome: outcome.ServerError}},
+		{"server_answer_failed.http", upstream.Message{Outcome: outcome.ServerError}},
+		{"server_answer_short.http", upstream.Message{Outcome: outcome.ServerError}},
+		{"server_moved.http", upstream.Message{Outcome: outcome.ShardMoved, ShardMapVersion: 9}},
+		{"server_rejected.http", upstream.Message{Outcome: outcome.Rejected}},
+		{"server_error.http", upstream.Message{Outcome: outcome.ServerError, ConnCloses: true}},
+		{"server_greeting.http", upstream.Message{
+			HealthCheck: true,
+			Outcome:     outcome.Success,
+			Value:       goldenBody(t, "server_greeting.http"),
+		}},
 	} {
 		t.Run(c.file, func(t *testing.T) {
-			got, _, err := Codec{ReportNames: []string{"active", "cpu"}}.NewReader(bytes.NewReader(goldentest.Read(t, c.file))).Next()
+			reader := codec.NewReader(bytes.NewReader(goldentest.Read(t, c.file)))
+			got, _, err := reader.Next()
+			c.want.LoadReport = []float64{3, 0.5} // of each response
 			if err != nil || !reflect.DeepEqual(got, c.want) {
 				t.Errorf("got  %+v, %v\nwant %+v", got, err, c.want)
 			}
@@ -69,9 +74,33 @@
 	}
 	for _, file := range []string{"server_answer_without_counts.http", "server_answer_without_hits.http"} {
 		t.Run(file, func(t *testing.T) {
-			if _, e, err := (Codec{}).NewReader(bytes.NewReader(goldentest.Read(t, file))).Next(); err == nil || e != outcome.MalformedResponse {
-				t.Errorf("ended as %v, %v", e, err)
+			_, o, err := Codec{}.NewReader(bytes.NewReader(goldentest.Read(t, file))).Next()
+			if err == nil || o != outcome.MalformedResponse {
+				t.Errorf("ended as %v, %v", o, err)
 			}
 		})
 	}
 }
+
+// goldenBody is the body of a golden response.
+func goldenBody(t *testing.T, file string) []byte {
+	t.Helper()
+	_, body, _ := bytes.Cut(goldentest.Read(t, file), []byte("\r\n\r\n"))
+	return body
+}
+
+// goldenMessage is a golden response that has every field.
+func goldenMessage(t *testing.T) upstream.Message {
+	t.Helper()
+	return upstream.Message{
+		Outcome:         outcome.Success,
+		Value:           goldenBody(t, "server_answer.http"),
+		Score:           2.5,
+		ShardMapVersion: 8,
+		Covers:          &shardmap.Range{First: 1, Last: 0xff},
+		Hits: &coordinator.Hits{Total: 12, AtLeast: true, List: []coordinator.Hit{
+			{ID: "7", Score: 2.5, Source: []byte(`{"name":"li"}`)},
+			{ID: "8", Source: []byte(`{"name":"wu"}`)},
+		}},
+	}
+}
--- a/internal/opensearch/codec_test.go
+++ b/internal/opensearch/codec_test.go
@@ -17,29 +17,35 @@
 )
 
 const searchAnswer = `{"took":3,"timed_out":false,"_shards":{"total":1,"successful":1,"failed":0},` +
-	`"hits":{"total":{"value":12,"relation":"gte"},"max_score":2.5,"hits":[{"_index":"players","_id":"7","_score":2.5,"_source":{"a":1}}]}}`
+	`"hits":{"total":{"value":12,"relation":"gte"},"max_score":2.5,` +
+	`"hits":[{"_index":"players","_id":"7","_score":2.5,"_source":{"a":1}}]}}`
 
+// response is a server's response with a load report.
 func response(status int, body string) string {
 	var b bytes.Buffer
-	_ = http1.WriteResponse(&b, &http1.Response{Status: status, Body: []byte(body),
-		Header: map[string][]string{"X-Server-Load": {"active=3"}}})
+	header := map[string][]string{"X-Server-Load": {"active=3"}}
+	_ = http1.WriteResponse(&b, &http1.Response{Status: status, Body: []byte(body), Header: header})
 	return b.String()
 }
 
+// next reads one response.
+func next(text string) (upstream.Message, outcome.Outcome, error) {
+	return Codec{ReportNames: []string{"active"}}.NewReader(strings.NewReader(text)).Next()
+}
+
 func TestNextDecodesResponses(t *testing.T) {
-	next := func(text string) (upstream.Message, outcome.Outcome, error) {
-		return Codec{ReportNames: []string{"active"}}.NewReader(strings.NewReader(text)).Next()
-	}
 	m, _, err := next(response(200, searchAnswer))
-	if err != nil || m.Outcome != outcome.Success || m.HealthCheck || string(m.Value) != searchAnswer || m.LoadReport[0] != 3 ||
-		m.Hits.Total != 12 || !m.Hits.AtLeast || m.Hits.List[0].ID != "7" || m.Score != 2.5 {
+	if err != nil || m.Outcome != outcome.Success || m.HealthCheck || string(m.Value) != searchAnswer ||
+		m.LoadReport[0] != 3 || m.Hits.Total != 12 || !m.Hits.AtLeast || m.Hits.List[0].ID != "7" || m.Score != 2.5 {
 		t.Errorf("%+v %v", m, err)
 	}
 	if m, _, err := next(response(200, `{"name":"s-1"}`)); err != nil || !m.HealthCheck {
 		t.Errorf("greeting: %+v %v", m, err)
 	}
 	for text, want := range map[string]outcome.Outcome{
-		response(429, "{}"): outcome.Rejected, response(503, "{}"): outcome.ServerError, response(404, "{}"): outcome.ServerError,
+		response(429, "{}"): outcome.Rejected,
+		response(503, "{}"): outcome.ServerError,
+		response(404, "{}"): outcome.ServerError,
 		response(200, strings.Replace(searchAnswer, `"timed_out":false`, `"timed_out":true`, 1)): outcome.ServerError,
 		response(200, strings.Replace(searchAnswer, `"failed":0`, `"failed":1`, 1)):              outcome.ServerError,
 	} {
@@ -49,8 +55,9 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		text := response(200, searchAnswer)
-		if _, e, err := next(text[:rapid.IntRange(0, len(text)-1).Draw(t, "at")]); err == nil || e != outcome.ConnReset && e != outcome.MalformedResponse {
-			t.Fatalf("cut: %s %v", e, err)
+		_, o, err := next(text[:rapid.IntRange(0, len(text)-1).Draw(t, "at")])
+		if err == nil || o != outcome.ConnReset && o != outcome.MalformedResponse {
+			t.Fatalf("cut: %s %v", o, err)
 		}
 		garbage := string(rapid.SliceOf(rapid.Byte()).Draw(t, "garbage"))
 		if m, _, err := next(response(200, garbage)); err == nil && !m.HealthCheck && m.Hits == nil {
@@ -60,12 +67,18 @@
 	})
 }
 
-// The platform's text goes into a search as a query string, the search front's as it is.
 func TestEncodeRequestPutsPayloadIntoSearch(t *testing.T) {
 	for text, want := range map[string]string{
-		"c41e77d0": `{"query":{"query_string":{"query":"c41e77d0"}}}`, `{"query":{"match_all":{}}}`: `{"query":{"match_all":{}}}`,
+		"c41e77d0":                   `{"query":{"query_string":{"query":"c41e77d0"}}}`,
+		`{"query":{"match_all":{}}}`: `{"query":{"match_all":{}}}`,
 	} {
-		out := Codec{}.EncodeRequest([]upstream.Part{{Name: "q.3", Collection: "players", Shard: 3, Timeout: 240 * time.Millisecond, Payload: []byte(text)}})
+		out := Codec{}.EncodeRequest([]upstream.Part{{
+			Name:       "q.3",
+			Collection: "players",
+			Shard:      3,
+			Timeout:    240 * time.Millisecond,
+			Payload:    []byte(text),
+		}})
 		req, err := http1.NewReader(bytes.NewReader(out), 0).Request()
 		if err != nil || req.Path != "/players/_search" || req.Query != "preference=_shards:3&timeout=240ms" ||
 			req.Header.Get("X-Opaque-Id") != "q.3" || string(req.Body) != want {
@@ -74,38 +87,48 @@
 	}
 }
 
-// What a server says of its version and ranges is read, and nothing that it says breaks the reader.
 func TestNextDecodesShardMapHeaders(t *testing.T) {
 	reply := func(status, headers, body string) (upstream.Message, outcome.Outcome, error) {
 		text := fmt.Sprintf("HTTP/1.1 %s x\r\n%sContent-Length: %d\r\n\r\n%s", status, headers, len(body), body)
 		return Codec{}.NewReader(strings.NewReader(text)).Next()
 	}
 	const hits = `{"_shards":{"total":1,"successful":1},"hits":{"total":{"value":0},"hits":[]}}`
-	if m, _, err := reply("409", "X-Layout-Version: 12\r\n", ""); err != nil || m.Outcome != outcome.ShardMoved || m.ShardMapVersion != 12 {
+	m, _, err := reply("409", "X-Layout-Version: 12\r\n", "")
+	if err != nil || m.Outcome != outcome.ShardMoved || m.ShardMapVersion != 12 {
 		t.Errorf("%+v %v", m, err)
 	}
 	if m, _, err := reply("409", "", ""); err != nil || m.Outcome != outcome.ServerError {
 		t.Errorf("a conflict without a version: %+v %v", m, err)
 	}
-	if m, _, err := reply("200", "X-Layout-Covers: 0-ff\r\n", hits); err != nil || m.Outcome != outcome.Success || *m.Covers != (shardmap.Range{First: 0, Last: 255}) {
+	m, _, err = reply("200", "X-Layout-Covers: 0-ff\r\n", hits)
+	if err != nil || m.Outcome != outcome.Success || *m.Covers != (shardmap.Range{First: 0, Last: 255}) {
 		t.Errorf("%+v %v", m, err)
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		value := rapid.StringMatching(`[ -~]{0,40}`).Draw(t, "value")
 		name := rapid.SampledFrom([]string{headerMapVersion, headerCoveredRange}).Draw(t, "name")
-		m, e, err := reply("200", name+": "+value+"\r\n", hits)
-		if err != nil && e != outcome.MalformedResponse || err == nil && m.Covers != nil && !m.Covers.Valid() {
-			t.Fatalf("%q: %+v %v %v", value, m, e, err)
+		m, o, err := reply("200", name+": "+value+"\r\n", hits)
+		if err != nil && o != outcome.MalformedResponse || err == nil && m.Covers != nil && !m.Covers.Valid() {
+			t.Fatalf("%q: %+v %v %v", value, m, o, err)
 		}
 	})
-	ask := &coordinator.ShardRequest{Shard: 1 << 20, MapVersion: 3, Range: shardmap.Range{First: 1, Last: 2}}
-	wire := string(Codec{}.EncodeRequest([]upstream.Part{{Name: "q.1", Collection: "players", Shard: 1 << 33, Timeout: time.Second, Request: ask}}))
-	for _, s := range []string{"/players/_search?preference=_shards:1048576&", "X-Layout-Version: 3\r\n", "X-Layout-Range: 0000000000000001-0000000000000002\r\n"} {
+}
+
+func TestEncodeRequestWritesShardMapHeaders(t *testing.T) {
+	request := &coordinator.ShardRequest{Shard: 1 << 20, MapVersion: 3, Range: shardmap.Range{First: 1, Last: 2}}
+	part := upstream.Part{Name: "q.1", Collection: "players", Shard: 1 << 33, Timeout: time.Second, Request: request}
+	wire := string(Codec{}.EncodeRequest([]upstream.Part{part}))
+	for _, s := range []string{
+		"/players/_search?preference=_shards:1048576&",
+		"X-Layout-Version: 3\r\n",
+		"X-Layout-Range: 0000000000000001-0000000000000002\r\n",
+	} {
 		if !strings.Contains(wire, s) {
 			t.Errorf("%q lacks %q", wire, s)
 		}
 	}
-	if wire := string(Codec{}.EncodeRequest([]upstream.Part{{Name: "q.1", Collection: "players", Shard: 1}})); strings.Contains(wire, "Layout") {
-		t.Errorf("a fixed layout's part says %q", wire)
+	fixed := upstream.Part{Name: "q.1", Collection: "players", Shard: 1}
+	if wire := string(Codec{}.EncodeRequest([]upstream.Part{fixed})); strings.Contains(wire, "Layout") {
+		t.Errorf("a part of a fixed shard says %q", wire)
 	}
 }
--- a/internal/opensearch/fakes_test.go
+++ b/internal/opensearch/fakes_test.go
@@ -34,39 +34,55 @@
 }
 
 func testConfig() *searchconfig.Config {
-	return &searchconfig.Config{Search: searchconfig.Defaults{MaxResultWindow: 100}, Indices: map[string]searchconfig.Index{
-		"players": {Class: "team-lookup", Shards: []int{0, 1, 2}}, "broken": {Class: "team-lookup", Shards: []int{0, 99}},
-		"odd": {Class: "unheard", Shards: []int{0}}}}
+	return &searchconfig.Config{
+		Search: searchconfig.Defaults{MaxResultWindow: 100},
+		Indices: map[string]searchconfig.Index{
+			"players": {Class: "team-lookup", Shards: []int{0, 1, 2}},
+			"broken":  {Class: "team-lookup", Shards: []int{0, 99}},
+			"odd":     {Class: "unheard", Shards: []int{0}},
+		},
+	}
 }
 
 func newFront(c *fakeCore) *Front {
-	return &Front{Core: c, Shards: 6, Prefix: "n0", Counters: metrics.NewCounters(), SearchConfig: testConfig,
-		Classes:  []Class{{"league-table", 5 * time.Second, 3}, {"team-lookup", 2500 * time.Millisecond, 1}},
-		Settings: FixedSettingsHandler(testConfig)}
+	return &Front{
+		Core:         c,
+		Classes:      []Class{{"league-table", 5 * time.Second, 3}, {"team-lookup", 2500 * time.Millisecond, 1}},
+		Shards:       6,
+		SearchConfig: testConfig,
+		Settings:     FixedSettingsHandler(testConfig),
+		Prefix:       "n0",
+		Counters:     metrics.NewCounters(),
+	}
 }
 
+// serve sends a request and returns its response, with the body decoded where it is JSON.
 func serve(f *Front, method, target, body string) (*http1.Response, map[string]any) {
 	path, query, _ := strings.Cut(target, "?")
-	res := f.Serve(context.Background(), 0, &http1.Request{Method: method, Path: path, Query: query, Body: []byte(body)})
+	req := &http1.Request{Method: method, Path: path, Query: query, Body: []byte(body)}
+	res := f.Serve(context.Background(), 0, req)
 	var out map[string]any
 	_ = json.Unmarshal(res.Body, &out)
 	return res, out
 }
 
+// completeAnswer has a plain value for each shard, scored by its number, but search hits for shard 1.
 func completeAnswer(q coordinator.Query) coordinator.Answer {
 	a := coordinator.Answer{Complete: true}
 	for _, p := range q.Parts {
 		v := coordinator.Value{Shard: p.Shard, Data: []byte("v"), Score: float64(p.Shard)}
 		if p.Shard == 1 {
 			v.Hits = &coordinator.Hits{Total: 7, List: []coordinator.Hit{
-				{ID: "best", Score: 9, Source: []byte(`{"name":"x"}`)}, {ID: "low", Score: 0.5}}}
+				{ID: "best", Score: 9, Source: []byte(`{"name":"x"}`)},
+				{ID: "low", Score: 0.5},
+			}}
 		}
 		a.Values = append(a.Values, v)
 	}
 	return a
 }
 
-// fakeSettingsStore stands in for the store.
+// fakeSettingsStore records the patch and fails with err, but for local reads.
 type fakeSettingsStore struct {
 	err   error
 	patch string
@@ -84,10 +100,12 @@
 	return testConfig(), r.err
 }
 
-// fakeSettingsUpdater stands in for the store.
+// fakeSettingsUpdater applies changes at once.
 type fakeSettingsUpdater struct{ now *searchconfig.Config }
 
-func (c *fakeSettingsUpdater) UpdateSettings(change func(*searchconfig.Config) (*searchconfig.Config, error)) (*searchconfig.Config, error) {
+func (c *fakeSettingsUpdater) UpdateSettings(
+	change func(*searchconfig.Config) (*searchconfig.Config, error),
+) (*searchconfig.Config, error) {
 	next, err := change(c.now)
 	if err == nil {
 		c.now = next
@@ -95,16 +113,20 @@
 	return next, err
 }
 
-// newDynamicFront is a front with an index of four slices that can move.
-func newDynamicFront(t *testing.T, k *fakeCore) (*Front, *fakeSettingsUpdater) {
-	c, err := searchconfig.Parse([]byte(`{"search":{},"indices":{"players":{"class":"team-lookup","spread":{"slices":4,"sets":[["a","b"],["c","d"]]}},"fixed":{"class":"team-lookup","slices":[0]}}}`))
+// newDynamicFront is a front with an index of four shards in a shard map and an index of a fixed shard.
+func newDynamicFront(t *testing.T, c *fakeCore) (*Front, *fakeSettingsUpdater) {
+	t.Helper()
+	config, err := searchconfig.Parse([]byte(`{"search":{},"indices":{
+		"players":{"class":"team-lookup","spread":{"slices":4,"sets":[["a","b"],["c","d"]]}},
+		"fixed":{"class":"team-lookup","slices":[0]}}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	store := &fakeSettingsUpdater{c}
-	f := newFront(k)
-	f.SearchConfig, f.SettingsUpdater = func() *searchconfig.Config { return store.now }, store
-	return f, store
+	updater := &fakeSettingsUpdater{config}
+	f := newFront(c)
+	f.SearchConfig, f.SettingsUpdater = func() *searchconfig.Config { return updater.now }, updater
+	return f, updater
 }
 
+// firstShardID is that of the first shard of a shard map.
 const firstShardID = uint64(shardmap.FirstDynamicID)
--- a/internal/opensearch/golden_test.go
+++ b/internal/opensearch/golden_test.go
@@ -35,29 +35,52 @@
 }
 
 func goldenShardRequest() *coordinator.ShardRequest {
-	return &coordinator.ShardRequest{Shard: shardmap.FirstDynamicID + 4, MapVersion: 7, Range: shardmap.Range{First: 1, Last: 0xff}}
+	return &coordinator.ShardRequest{
+		Shard:      shardmap.FirstDynamicID + 4,
+		MapVersion: 7,
+		Range:      shardmap.Range{First: 1, Last: 0xff},
+	}
 }
 
-// goldenConfig are a fixed index and one of two slices, of which the first is being split and the second was moved.
+// goldenConfig has a fixed index and one with a shard map, in which the first shard is being split and the second
+// one was moved.
 func goldenConfig(t *testing.T) func() *searchconfig.Config {
 	t.Helper()
-	c, err := searchconfig.Parse([]byte(`{"search":{"max_result_window":100},"indices":{"players":{"class":"team-lookup","slices":[0,1,2]},
-		"movable":{"class":"team-lookup","spread":{"slices":2,"sets":[["s-1","s-2"],["s-3"]]}}},"servers":{"s-1":{"protocol":"search"}}}`))
+	config, err := searchconfig.Parse([]byte(`{"search":{"max_result_window":100},"indices":{
+		"players":{"class":"team-lookup","slices":[0,1,2]},
+		"movable":{"class":"team-lookup","spread":{"slices":2,"sets":[["s-1","s-2"],["s-3"]]}}},
+		"servers":{"s-1":{"protocol":"search"}}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, l := shardmap.FirstDynamicID, c.ShardMap("movable")
-	for _, step := range []shardmap.Command{
-		{Request: &shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{first}, Pieces: 2, ReplicaSets: [][]string{{"s-4"}, {"s-5"}}}},
-		{Request: &shardmap.PlanRequest{Kind: shardmap.Move, Shards: []shardmap.ShardID{first + 1}, ReplicaSets: [][]string{{"s-6"}}}},
-		{Advance: &shardmap.Advance{Plan: 2, Step: shardmap.Copying}},
-		{Advance: &shardmap.Advance{Plan: 2, Step: shardmap.Replicated, Replicas: map[shardmap.ShardID][]string{first + 4: {"s-6"}}}},
-		{Advance: &shardmap.Advance{Plan: 2, Step: shardmap.Switched, Replicas: map[shardmap.ShardID][]string{first + 4: {"s-6"}}}},
-	} {
-		if l, err = l.Apply(step); err != nil {
+	m := config.ShardMap("movable")
+	for _, command := range goldenPlans() {
+		if m, err = m.Apply(command); err != nil {
 			t.Fatal(err)
 		}
 	}
-	c = c.WithShardMap("movable", l)
-	return func() *searchconfig.Config { return c }
+	config = config.WithShardMap("movable", m)
+	return func() *searchconfig.Config { return config }
+}
+
+// goldenPlans plan a split of the first shard and carry out a move of the second one.
+func goldenPlans() []shardmap.Command {
+	first := shardmap.FirstDynamicID
+	replicas := map[shardmap.ShardID][]string{first + 4: {"s-6"}}
+	return []shardmap.Command{
+		{Request: &shardmap.PlanRequest{
+			Kind:        shardmap.Split,
+			Shards:      []shardmap.ShardID{first},
+			Pieces:      2,
+			ReplicaSets: [][]string{{"s-4"}, {"s-5"}},
+		}},
+		{Request: &shardmap.PlanRequest{
+			Kind:        shardmap.Move,
+			Shards:      []shardmap.ShardID{first + 1},
+			ReplicaSets: [][]string{{"s-6"}},
+		}},
+		{Advance: &shardmap.Advance{Plan: 2, Step: shardmap.Copying}},
+		{Advance: &shardmap.Advance{Plan: 2, Step: shardmap.Replicated, Replicas: replicas}},
+		{Advance: &shardmap.Advance{Plan: 2, Step: shardmap.Switched, Replicas: replicas}},
+	}
 }
--- a/internal/opensearch/large_body_test.go
+++ b/internal/opensearch/large_body_test.go
@@ -16,11 +16,17 @@
 	"linkpass/internal/metrics"
 )
 
-// newLargeSearch is a front with a store, and a search's body on its way in.
-func newLargeSearch(t *testing.T, k *fakeCore, l tier.Limits, body string) (*Front, *http1.Request, *bodystore.Store) {
-	s := bodystore.Open(bodystore.Config{Limits: l, Dir: t.TempDir(), Counters: metrics.NewCounters(), Now: func() time.Duration { return 0 }})
+// newLargeSearch is a front with a body store, and a search whose body is being uploaded to it.
+func newLargeSearch(t *testing.T, c *fakeCore, limits tier.Limits, body string) (*Front, *http1.Request, *bodystore.Store) {
+	t.Helper()
+	s := bodystore.Open(bodystore.Config{
+		Limits:   limits,
+		Dir:      t.TempDir(),
+		Counters: metrics.NewCounters(),
+		Now:      func() time.Duration { return 0 },
+	})
 	t.Cleanup(s.Close)
-	f := newFront(k)
+	f := newFront(c)
 	f.BodyStore = s
 	w := &BodyUpload{Writer: s.NewWriter(1, 1), Rejection: &http1.Error{Status: 429}}
 	if _, err := io.WriteString(w, body); err != nil {
@@ -29,6 +35,7 @@
 	return f, &http1.Request{Method: "POST", Path: "/players/_search", BodySink: w}, s
 }
 
+// termsQuery is a query for n ids.
 func termsQuery(n int) string {
 	var ids []string
 	for i := range n {
@@ -37,14 +44,17 @@
 	return `{"bool": {"must": [{"terms":{"id": [` + strings.Join(ids, ", ") + `]}}]} }`
 }
 
-// A large search is read where it lies, and what the parts send is its query with our from and size; once
-// it is answered nothing is kept.
+// Guards against a body that stays in the store after its search, and a query that is changed on its way.
 func TestLargeSearchSendsStoredQuery(t *testing.T) {
-	for _, limits := range []tier.Limits{{Memory: 4 << 20, Files: 0, Largest: 4 << 20}, {Memory: 64 << 10, Files: 4 << 20, Largest: 16 << 10}} {
+	for _, limits := range []tier.Limits{
+		{Memory: 4 << 20, Files: 0, Largest: 4 << 20},
+		{Memory: 64 << 10, Files: 4 << 20, Largest: 16 << 10},
+	} {
 		query := termsQuery(20_000)
 		var text []byte
-		k := &fakeCore{answer: func(q coordinator.Query) coordinator.Answer {
-			if q.Body == nil || len(q.Parts[0].Payload) > 100 && string(q.Parts[0].Payload) != `{"from":0,"query":{"match_all":{}},"size":7}` {
+		c := &fakeCore{answer: func(q coordinator.Query) coordinator.Answer {
+			payload := string(q.Parts[0].Payload)
+			if q.Body == nil || len(payload) > 100 && payload != `{"from":0,"query":{"match_all":{}},"size":7}` {
 				t.Errorf("%+v", q)
 			}
 			r, err := q.Body.Open()
@@ -56,9 +66,9 @@
 			q.Body.Release()
 			return coordinator.Answer{Status: coordinator.Answered, Complete: true}
 		}}
-		f, req, s := newLargeSearch(t, k, limits, `{"size": 5, "query" : `+query+`, "timeout":"300ms", "from":2}`)
+		f, req, s := newLargeSearch(t, c, limits, `{"size": 5, "query" : `+query+`, "timeout":"300ms", "from":2}`)
 		res := f.Serve(context.Background(), 0, req)
-		if res.Status != 200 || k.queries[0].Timeout != 300*time.Millisecond {
+		if res.Status != 200 || c.queries[0].Timeout != 300*time.Millisecond {
 			t.Fatalf("%d %s", res.Status, res.Body)
 		}
 		if want := `{"from":0,"query":` + query + `,"size":7}`; string(text) != want {
@@ -70,9 +80,9 @@
 	}
 }
 
-// What can't be served is refused by its reason, sends nothing and leaves nothing.
+// Guards against a rejected search that leaves its body in the store.
 func TestLargeSearchRejectsInvalidBody(t *testing.T) {
-	for body, kind := range map[string]string{
+	for body, errType := range map[string]string{
 		`{"query":` + termsQuery(2000) + `,"aggs":{}}`:                             "parsing_exception",
 		`{"query":` + termsQuery(2000):                                             "json_parse_exception",
 		`{"query":{"knn":` + termsQuery(2000) + `}}`:                               "parsing_exception",
@@ -80,13 +90,13 @@
 		`{"timeout":"soon","query":` + termsQuery(10) + `}`:                        "illegal_argument_exception",
 		`{"query":{"match":{"a":"` + strings.Repeat("x", 2*maxTokenBytes) + `"}}}`: "json_parse_exception",
 	} {
-		k := &fakeCore{answer: completeAnswer}
-		f, req, s := newLargeSearch(t, k, tier.Limits{Memory: 8 << 20, Largest: 8 << 20}, body)
+		c := &fakeCore{answer: completeAnswer}
+		f, req, s := newLargeSearch(t, c, tier.Limits{Memory: 8 << 20, Largest: 8 << 20}, body)
 		res := f.Serve(context.Background(), 0, req)
 		var out struct{ Error struct{ Type string } }
 		_ = json.Unmarshal(res.Body, &out)
-		if res.Status != 400 || out.Error.Type != kind || len(k.queries) != 0 || s.Totals().Bodies != 0 {
-			t.Errorf("%.40s: %d %s, %d queries, %+v", body, res.Status, res.Body, len(k.queries), s.Totals())
+		if res.Status != 400 || out.Error.Type != errType || len(c.queries) != 0 || s.Totals().Bodies != 0 {
+			t.Errorf("%.40s: %d %s, %d queries, %+v", body, res.Status, res.Body, len(c.queries), s.Totals())
 		}
 	}
 }
--- a/internal/opensearch/reroute_golden_test.go
+++ b/internal/opensearch/reroute_golden_test.go
@@ -1,31 +1,26 @@
 package opensearch
 
 import (
-	"encoding/json"
 	"testing"
 
 	"linkpass/internal/goldentest"
 )
 
-// Each command of /_cluster/reroute in the golden form, on a layout of four slices, and the response.
 func TestRerouteGolden(t *testing.T) {
+	commandsBefore := map[string][]string{"abandon": {"split"}, "resume": {"split", "abandon"}}
 	for _, name := range []string{"move", "move_set", "split", "merge", "abandon", "resume"} {
 		t.Run(name, func(t *testing.T) {
 			f, _ := newDynamicFront(t, &fakeCore{})
-			var request json.RawMessage = goldentest.Read(t, "reroute_"+name+".json")
-			if name == "abandon" || name == "resume" {
-				if res, _ := serve(f, "POST", "/_cluster/reroute", string(goldentest.Read(t, "reroute_split.json"))); res.Status != 200 {
-					t.Fatalf("%d %s", res.Status, res.Body)
+			for _, earlier := range commandsBefore[name] {
+				request := goldentest.Read(t, "reroute_"+earlier+".json")
+				if res, _ := serve(f, "POST", "/_cluster/reroute", string(request)); res.Status != 200 {
+					t.Fatalf("%s: %d %s", earlier, res.Status, res.Body)
 				}
 			}
-			if name == "resume" {
-				if res, _ := serve(f, "POST", "/_cluster/reroute", string(goldentest.Read(t, "reroute_abandon.json"))); res.Status != 200 {
-					t.Fatalf("%d %s", res.Status, res.Body)
-				}
-			}
-			dry, _ := serve(f, "POST", "/_cluster/reroute?dry_run=true", string(request))
+			request := string(goldentest.Read(t, "reroute_"+name+".json"))
+			dry, _ := serve(f, "POST", "/_cluster/reroute?dry_run=true", request)
 			goldentest.Bytes(t, "reroute_"+name+"_dry_run.http", responseBytes(t, dry))
-			res, _ := serve(f, "POST", "/_cluster/reroute", string(request))
+			res, _ := serve(f, "POST", "/_cluster/reroute", request)
 			goldentest.Bytes(t, "reroute_"+name+".http", responseBytes(t, res))
 		})
 	}
@@ -36,7 +31,8 @@
 	})
 	t.Run("unknown key", func(t *testing.T) {
 		f, _ := newDynamicFront(t, &fakeCore{})
-		if res, _ := serve(f, "POST", "/_cluster/reroute", `{"commands":[{"split":{"index":"players","shard":1048576,"pieces":2}}]}`); res.Status != 400 {
+		const body = `{"commands":[{"split":{"index":"players","shard":1048576,"pieces":2}}]}`
+		if res, _ := serve(f, "POST", "/_cluster/reroute", body); res.Status != 400 {
 			t.Errorf("status %d", res.Status)
 		}
 	})
--- a/internal/opensearch/reroute_test.go
+++ b/internal/opensearch/reroute_test.go
@@ -9,56 +9,99 @@
 	"linkpass/internal/shardmap"
 )
 
-// Orders are taken whole or not at all, an impossible one names what it would break, and a dry run
-// changes nothing.
-func TestRerouteAppliesAllCommandsOrNone(t *testing.T) {
-	f, store := newDynamicFront(t, &fakeCore{})
-	split := fmt.Sprintf(`{"split":{"index":"players","shard":%d,"into":3}}`, firstShardID)
-	order := func(params string, commands ...string) (int, string) {
-		res, _ := serve(f, "POST", "/_cluster/reroute"+params, `{"commands":[`+strings.Join(commands, ",")+`]}`)
-		return res.Status, string(res.Body)
-	}
+// reroute sends commands and returns the response's status and body.
+func reroute(f *Front, params string, commands ...string) (int, string) {
+	res, _ := serve(f, "POST", "/_cluster/reroute"+params, `{"commands":[`+strings.Join(commands, ",")+`]}`)
+	return res.Status, string(res.Body)
+}
+
+func splitCommand() string {
+	return fmt.Sprintf(`{"split":{"index":"players","shard":%d,"into":3}}`, firstShardID)
+}
+
+// Guards against commands that are applied in part, and errors that don't name the invariant.
+func TestRerouteRejectsInvalidCommands(t *testing.T) {
+	f, updater := newDynamicFront(t, &fakeCore{})
+	split := splitCommand()
+	merge := fmt.Sprintf(`{"merge":{"index":"players","shards":[%d,%d]}}`, firstShardID, firstShardID+2)
+	moveToNone := fmt.Sprintf(`{"move":{"index":"players","shard":%d,"to_nodes":[[]]}}`, firstShardID)
+	moveFromOther := fmt.Sprintf(`{"move":{"index":"players","shard":%d,"from_node":"z","to_node":"c"}}`, firstShardID)
 	for _, c := range []struct{ params, commands, says string }{
 		{"", split + "," + split, shardmap.ErrPlanOverlap.Error()},
-		{"", fmt.Sprintf(`{"merge":{"index":"players","shards":[%d,%d]}}`, firstShardID, firstShardID+2), shardmap.ErrIncompleteCoverage.Error()},
-		{"", fmt.Sprintf(`{"move":{"index":"players","shard":%d,"to_nodes":[[]]}}`, firstShardID), shardmap.ErrNoReplica.Error()},
-		{"", fmt.Sprintf(`{"move":{"index":"players","shard":%d,"from_node":"z","to_node":"c"}}`, firstShardID), "not on node"},
+		{"", merge, shardmap.ErrIncompleteCoverage.Error()},
+		{"", moveToNone, shardmap.ErrNoReplica.Error()},
+		{"", moveFromOther, "not on node"},
 		{"", `{"split":{"index":"players","shard":3}}`, shardmap.ErrNotFound.Error()},
 		{"", `{"split":{"index":"fixed","shard":0}}`, "no layout that can change"},
 		{"", `{"abandon":{"index":"players","plan":5}}`, shardmap.ErrNotFound.Error()},
 		{"", `{"explode":{"index":"players"}}`, "known are move"},
 		{"", `{"split":{"index":"players"},"merge":{}}`, "one name"},
 		{"", `{"split":{"indices":"players"}}`, "unknown field"},
-		{"?dry_run=maybe", split, "dry_run"},
+		{"?dry_run=maybe", split, "Failed to parse value [maybe]"},
 	} {
-		if status, body := order(c.params, c.commands); status != 400 || (!strings.Contains(body, c.says) && c.says != "dry_run") {
+		if status, body := reroute(f, c.params, c.commands); status != 400 || !strings.Contains(body, c.says) {
 			t.Errorf("%s: %d %s, want %q", c.commands, status, body, c.says)
 		}
-		if store.now.ShardMap("players").Version() != 1 {
+		if updater.now.ShardMap("players").Version() != 1 {
 			t.Fatalf("%s left a trace", c.commands)
 		}
 	}
-	if status, body := order("?dry_run=true", split); status != 200 || !strings.Contains(body, `"step":"planned"`) || store.now.ShardMap("players").Version() != 1 {
+	f.SettingsUpdater = nil
+	if status, _ := reroute(f, "", split); status != 400 {
+		t.Errorf("without a store: %d", status)
+	}
+}
+
+func TestRerouteAppliesCommands(t *testing.T) {
+	f, updater := newDynamicFront(t, &fakeCore{})
+	split := splitCommand()
+	status, body := reroute(f, "?dry_run=true", split)
+	if status != 200 || !strings.Contains(body, `"step":"planned"`) || updater.now.ShardMap("players").Version() != 1 {
 		t.Errorf("dry run: %d %s", status, body)
 	}
-	if status, body := order("", split); status != 200 || !strings.Contains(body, `"versions":{"players":2}`) {
+	if status, body := reroute(f, "", split); status != 200 || !strings.Contains(body, `"versions":{"players":2}`) {
 		t.Errorf("%d %s", status, body)
 	}
-	if status, _ := order("", `{"abandon":{"index":"players","plan":1}}`); status != 200 {
+	if status, _ := reroute(f, "", `{"abandon":{"index":"players","plan":1}}`); status != 200 {
 		t.Errorf("abandon: %d", status)
 	}
-	if status, body := order("", `{"resume":{"index":"players","plan":1}}`); status != 200 || len(store.now.ShardMap("players").Plans()) != 1 {
+	status, body = reroute(f, "", `{"resume":{"index":"players","plan":1}}`)
+	if status != 200 || len(updater.now.ShardMap("players").Plans()) != 1 {
 		t.Errorf("resume: %d %s", status, body)
 	}
 	res, _ := serve(f, "GET", "/_cat/shards/players?v", "")
-	if got := string(res.Body); strings.Count(got, "RELOCATING") != 2 || strings.Count(got, "INITIALIZING") != 6 || strings.Count(got, "STARTED") != 6 {
+	if got := string(res.Body); strings.Count(got, "RELOCATING") != 2 || strings.Count(got, "INITIALIZING") != 6 ||
+		strings.Count(got, "STARTED") != 6 {
 		t.Errorf("%s", got)
 	}
-	if res, _ := serve(f, "GET", "/players/_search_shards?routing=li", ""); bytes.Count(res.Body, []byte(`"node"`)) != 2 {
+	res, _ = serve(f, "GET", "/players/_search_shards?routing=li", "")
+	if bytes.Count(res.Body, []byte(`"node"`)) != 2 {
 		t.Errorf("%s", res.Body)
 	}
-	f.SettingsUpdater = nil
-	if status, _ := order("", split); status != 400 {
-		t.Errorf("without a store: %d", status)
+}
+
+// Guards against a renamed Go type that changes what a client reads.
+func TestRerouteDecodingErrorTexts(t *testing.T) {
+	const command = "map[string]opensearch.rerouteCommand"
+	for _, c := range []struct{ body, reason string }{
+		{
+			`{"commands":[{"split":{"shard":"x"}}]}`,
+			"json: cannot unmarshal string into Go struct field rerouteCommand.commands.shard of type uint64",
+		},
+		{`{"commands":1}`, "json: cannot unmarshal number into Go struct field .commands of type []" + command},
+		{`{"commands":[1]}`, "json: cannot unmarshal number into Go struct field .commands of type " + command},
+		{
+			`[]`,
+			`json: cannot unmarshal array into Go value of type struct { Commands []` + command + ` "json:\"commands\"" }`,
+		},
+	} {
+		t.Run(c.body, func(t *testing.T) {
+			f, _ := newDynamicFront(t, &fakeCore{})
+			res, out := serve(f, "POST", "/_cluster/reroute", c.body)
+			e, _ := out["error"].(map[string]any)
+			if res.Status != 400 || e["type"] != "parsing_exception" || e["reason"] != c.reason {
+				t.Errorf("%d %s, want %s", res.Status, res.Body, c.reason)
+			}
+		})
 	}
 }
--- a/internal/opensearch/search_request_test.go
+++ b/internal/opensearch/search_request_test.go
@@ -7,14 +7,17 @@
 )
 
 func TestParseSearchRejectsTruncatedBody(t *testing.T) {
-	const valid = `{"query":{"bool":{"must":[{"match":{"name":"x"}}],"filter":{"term":{"a":1}}}},"from":1,"size":3,"timeout":"1s"}`
+	const valid = `{"query":{"bool":{"must":[{"match":{"name":"x"}}],"filter":{"term":{"a":1}}}},` +
+		`"from":1,"size":3,"timeout":"1s"}`
 	if _, err := parseSearch("", []byte(valid), testConfig()); err != nil {
 		t.Fatal(err)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		if _, err := parseSearch("", []byte(valid[:rapid.IntRange(1, len(valid)-1).Draw(t, "at")]), testConfig()); err == nil {
+		cut := valid[:rapid.IntRange(1, len(valid)-1).Draw(t, "at")]
+		if _, err := parseSearch("", []byte(cut), testConfig()); err == nil {
 			t.Fatal("took a cut search")
 		}
-		_, _ = parseSearch(rapid.String().Draw(t, "params"), rapid.SliceOf(rapid.Byte()).Draw(t, "garbage"), testConfig())
+		params, garbage := rapid.String().Draw(t, "params"), rapid.SliceOf(rapid.Byte()).Draw(t, "garbage")
+		_, _ = parseSearch(params, garbage, testConfig()) // must not panic
 	})
 }
--- a/internal/opensearch/search_test.go
+++ b/internal/opensearch/search_test.go
@@ -14,7 +14,8 @@
 
 func TestSearchMergesHitsByScore(t *testing.T) {
 	c := &fakeCore{answer: completeAnswer}
-	res, out := serve(newFront(c), "POST", "/players/_search?from=1&timeout=300ms", `{"query":{"match":{"name":"li"}},"size":2}`)
+	const body = `{"query":{"match":{"name":"li"}},"size":2}`
+	res, out := serve(newFront(c), "POST", "/players/_search?from=1&timeout=300ms", body)
 	if res.Status != 200 {
 		t.Fatalf("%d %s", res.Status, res.Body)
 	}
@@ -27,7 +28,8 @@
 	if err := json.Unmarshal(res.Body, &got); err != nil {
 		t.Fatal(err)
 	}
-	if got.Took != 40 || got.TimedOut || got.Shards.Total != 3 || got.Shards.Successful != 3 || got.Shards.Failed != 0 {
+	counts := got.Shards
+	if got.Took != 40 || got.TimedOut || counts.Total != 3 || counts.Successful != 3 || counts.Failed != 0 {
 		t.Errorf("%s", res.Body)
 	}
 	if got.Hits.Total != (total{9, "eq"}) || *got.Hits.MaxScore != 9 || len(got.Hits.Hits) != 2 ||
@@ -36,16 +38,17 @@
 	}
 }
 
-// What the coordinator can't serve as asked is refused with its error, and nothing
-// is sent: an unknown slice, index or class, a query that no server supports.
-func TestServeRejectsInvalidSearches(t *testing.T) {
-	for _, c := range []struct {
-		target, body string
-		status       int
-		kind         string
-	}{
+type invalidSearch struct {
+	target, body string
+	status       int
+	errType      string
+}
+
+func invalidSearches() []invalidSearch {
+	deep := strings.Repeat(`{"bool":{"must":`, 20) + `{"match_all":{}}` + strings.Repeat(`}}`, 20)
+	return []invalidSearch{
 		{"/players/_search?preference=_shards:0,99", ``, 404, "shard_not_found_exception"},
-		{"/players/_search?preference=_shards:4", ``, 404, "shard_not_found_exception"}, // known, but not of the index
+		{"/players/_search?preference=_shards:4", ``, 404, "shard_not_found_exception"}, // of the site, not of the index
 		{"/broken/_search", ``, 404, "shard_not_found_exception"},
 		{"/nowhere/_search", ``, 404, "index_not_found_exception"},
 		{"/odd/_search", ``, 500, "illegal_state_exception"},
@@ -57,7 +60,7 @@
 		{"/players/_search", `{"query":null}`, 400, "parsing_exception"},
 		{"/players/_search", `{"query":{"match":{"a":1,"b":2}}}`, 400, "parsing_exception"},
 		{"/players/_search", `{"query":{"bool":{"must":[{"match_all":{}},{"script":{}}]}}}`, 400, "parsing_exception"},
-		{"/players/_search", `{"query":` + strings.Repeat(`{"bool":{"must":`, 20) + `{"match_all":{}}` + strings.Repeat(`}}`, 20) + `}`, 400, "parsing_exception"},
+		{"/players/_search", `{"query":` + deep + `}`, 400, "parsing_exception"},
 		{"/players/_search", `{"size":-1}`, 400, "illegal_argument_exception"},
 		{"/players/_search", `{"from":60,"size":41}`, 400, "illegal_argument_exception"},
 		{"/players/_search?size=9223372036854775807", `{"from":1}`, 400, "illegal_argument_exception"},
@@ -65,41 +68,54 @@
 		{"/players/_search?routing=x", ``, 400, "illegal_argument_exception"},
 		{"/players/_search?preference=_local", ``, 400, "illegal_argument_exception"},
 		{"/players/_count", ``, 400, "illegal_argument_exception"},
-	} {
-		k := &fakeCore{answer: completeAnswer}
-		res, out := serve(newFront(k), "POST", c.target, c.body)
-		e, _ := out["error"].(map[string]any)
-		if res.Status != c.status || e["type"] != c.kind || e["root_cause"] == nil || out["status"] != float64(c.status) {
-			t.Errorf("%s %.80s: %d %s", c.target, c.body, res.Status, res.Body)
-		}
-		if len(k.queries) != 0 {
-			t.Errorf("%s %.80s was sent", c.target, c.body)
-		}
+	}
+}
+
+// Guards against a search that is sent though it can't be served as its client asked.
+func TestServeRejectsInvalidSearches(t *testing.T) {
+	for _, c := range invalidSearches() {
+		t.Run(fmt.Sprintf("%s %.60s", c.target, c.body), func(t *testing.T) {
+			core := &fakeCore{answer: completeAnswer}
+			res, out := serve(newFront(core), "POST", c.target, c.body)
+			e, _ := out["error"].(map[string]any)
+			if res.Status != c.status || e["type"] != c.errType || e["root_cause"] == nil ||
+				out["status"] != float64(c.status) {
+				t.Errorf("%d %s", res.Status, res.Body)
+			}
+			if len(core.queries) != 0 {
+				t.Error("it was sent")
+			}
+		})
 	}
 	if res, _ := serve(newFront(&fakeCore{}), "DELETE", "/players/_search", ""); res.Status != 405 {
 		t.Errorf("%d", res.Status)
 	}
 }
 
-// A search is handed on as the keys that it wants, whatever slices they lie in now; what is missing
-// is told by its ranges.
+// Guards against a search that is bound to the shards of one version of the map.
 func TestSearchWithShardMapRequestsKeyRanges(t *testing.T) {
 	halves := shardmap.FullRange.Split(2)
 	key := shardmap.HashKey("li")
+	twoShards := fmt.Sprintf("/players/_search?preference=_shards:%d,%d", firstShardID+1, firstShardID)
 	for target, want := range map[string][]shardmap.Range{
 		"/players/_search":            {shardmap.FullRange},
 		"/players/_search?routing=li": {{First: key, Last: key}},
-		"/players/_search?preference=_ranges:" + halves[0].String():              {halves[0]},
-		fmt.Sprintf("/players/_search?preference=_shards:%d,%d", firstShardID+1, firstShardID): {halves[0]},
+		"/players/_search?preference=_ranges:" + halves[0].String(): {halves[0]},
+		twoShards: {halves[0]},
 	} {
-		k := &fakeCore{answer: func(_ coordinator.Query) coordinator.Answer {
-			return coordinator.Answer{Status: coordinator.Answered, ShardMapVersion: 7, Missing: []coordinator.MissingPart{
-				{LastOutcome: outcome.ShardMoved, Attempted: true, Request: &coordinator.ShardRequest{Shard: 9, Range: halves[1], MapVersion: 7}}}}
+		c := &fakeCore{answer: func(coordinator.Query) coordinator.Answer {
+			request := &coordinator.ShardRequest{Shard: 9, Range: halves[1], MapVersion: 7}
+			missing := coordinator.MissingPart{LastOutcome: outcome.ShardMoved, Attempted: true, Request: request}
+			return coordinator.Answer{
+				Status:          coordinator.Answered,
+				ShardMapVersion: 7,
+				Missing:         []coordinator.MissingPart{missing},
+			}
 		}}
-		f, _ := newDynamicFront(t, k)
+		f, _ := newDynamicFront(t, c)
 		res, _ := serve(f, "POST", target, ``)
-		if len(k.queries) != 1 || fmt.Sprint(k.queries[0].KeyRanges) != fmt.Sprint(want) || len(k.queries[0].Parts) != 0 {
-			t.Errorf("%s wants %v", target, k.queries)
+		if len(c.queries) != 1 || fmt.Sprint(c.queries[0].KeyRanges) != fmt.Sprint(want) || len(c.queries[0].Parts) != 0 {
+			t.Errorf("%s requests %v", target, c.queries)
 		}
 		for _, s := range []string{`"failed":1`, `"range":"` + halves[1].String(), `"layout_version":7`, "ended as moved"} {
 			if !strings.Contains(string(res.Body), s) {
@@ -110,8 +126,15 @@
 			t.Errorf("headers %v", res.Header)
 		}
 	}
+}
+
+func TestSearchWithShardMapRejectsInvalidSelectors(t *testing.T) {
 	f, _ := newDynamicFront(t, &fakeCore{})
-	for _, target := range []string{"/players/_search?preference=_shards:1", "/players/_search?preference=_ranges:9-1", "/fixed/_search?routing=a"} {
+	for _, target := range []string{
+		"/players/_search?preference=_shards:1",
+		"/players/_search?preference=_ranges:9-1",
+		"/fixed/_search?routing=a",
+	} {
 		if res, _ := serve(f, "POST", target, ``); res.Status != 404 && res.Status != 400 {
 			t.Errorf("%s: %d", target, res.Status)
 		}
--- a/internal/opensearch/settings_golden_test.go
+++ b/internal/opensearch/settings_golden_test.go
@@ -12,19 +12,21 @@
 	"linkpass/internal/store"
 )
 
-// /_cluster/settings from a store: answers, a follower's redirect and errors.
 func TestClusterSettingsGolden(t *testing.T) {
+	notLeader := &store.NotLeaderError{Leader: store.Member{ID: "b", Raft: "127.0.0.1:9301", HTTP: "127.0.0.1:9201"}}
 	for _, c := range []struct {
 		file, method, target, body string
 		err                        error
 	}{
 		{"store_settings_get.http", "GET", "/_cluster/settings", "", nil},
-		{"store_settings_put.http", "PUT", "/_cluster/settings", `{"persistent":{"search.max_result_window":100},"transient":{}}`, nil},
+		{
+			"store_settings_put.http", "PUT", "/_cluster/settings",
+			`{"persistent":{"search.max_result_window":100},"transient":{}}`, nil,
+		},
 		{"store_settings_empty.http", "PUT", "/_cluster/settings", `{}`, nil},
 		{"store_settings_transient.http", "PUT", "/_cluster/settings", `{"transient":{"a":1}}`, nil},
 		{"store_settings_method.http", "POST", "/_cluster/settings", "", nil},
-		{"store_settings_follower.http", "PUT", "/_cluster/settings", `{"persistent":{"a":1}}`,
-			&store.NotLeaderError{Leader: store.Member{ID: "b", Raft: "127.0.0.1:9301", HTTP: "127.0.0.1:9201"}}},
+		{"store_settings_follower.http", "PUT", "/_cluster/settings", `{"persistent":{"a":1}}`, notLeader},
 	} {
 		t.Run(c.file, func(t *testing.T) {
 			r := &fakeSettingsStore{err: c.err}
@@ -37,22 +39,30 @@
 			}
 		})
 	}
+}
+
+func TestStoreErrorGolden(t *testing.T) {
 	for _, c := range []struct {
-		err    error
-		status int
-		kind   string
+		err     error
+		status  int
+		errType string
 	}{
-		{store.ErrNoLeader, 503, "cluster_manager_not_discovered_exception"}, {store.ErrNoQuorum, 503, "process_cluster_event_timeout_exception"},
-		{searchconfig.ErrInvalid, 400, "illegal_argument_exception"}, {store.ErrTooLarge, 413, "content_too_long_exception"},
+		{store.ErrNoLeader, 503, "cluster_manager_not_discovered_exception"},
+		{store.ErrNoQuorum, 503, "process_cluster_event_timeout_exception"},
+		{searchconfig.ErrInvalid, 400, "illegal_argument_exception"},
+		{store.ErrTooLarge, 413, "content_too_long_exception"},
 		{store.ErrBusy, 429, "circuit_breaking_exception"},
 	} {
-		t.Run(c.kind, func(t *testing.T) {
-			res := StoreSettingsHandler(&fakeSettingsStore{err: c.err}).Serve(context.Background(), 0, &http1.Request{Method: "GET", Path: "/_cluster/settings"})
+		t.Run(c.errType, func(t *testing.T) {
+			handler := StoreSettingsHandler(&fakeSettingsStore{err: c.err})
+			req := &http1.Request{Method: "GET", Path: "/_cluster/settings"}
+			res := handler.Serve(context.Background(), 0, req)
 			quoted, err := json.Marshal(c.err.Error())
 			if err != nil {
 				t.Fatal(err)
 			}
-			want := fmt.Sprintf(`{"error":{"root_cause":[{"type":"%s","reason":%s}],"type":"%s","reason":%s},"status":%d}`, c.kind, quoted, c.kind, quoted, c.status)
+			want := fmt.Sprintf(`{"error":{"root_cause":[{"type":"%s","reason":%s}],"type":"%s","reason":%s},"status":%d}`,
+				c.errType, quoted, c.errType, quoted, c.status)
 			if res.Status != c.status || string(res.Body) != want {
 				t.Errorf("got  %d %s\nwant %d %s", res.Status, res.Body, c.status, want)
 			}
