--- a/internal/opensearch/search_params.go
+++ b/internal/opensearch/search_params.go
@@ -12,7 +12,7 @@
 )
 
 // readParams reads the parameters of the URL, which override the body. They are read in the order of their
-// names, so that of several errors the same one is told each time.
+// names, so that of several errors always the same one is returned.
 func (s *searchRequest) readParams(params string) error {
 	values, err := url.ParseQuery(params)
 	if err != nil {
--- a/internal/platform/answer_test.go
+++ b/internal/platform/answer_test.go
@@ -9,7 +9,7 @@
 	"linkpass/internal/coordinator"
 )
 
-// Guards against a server's value that makes the whole answer unreadable.
+// Guards against one value of a server that makes the answer unreadable.
 func TestEncodeAnswerIsValidJSONForAnyValue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		res := encodeAnswer(coordinator.Answer{Status: coordinator.Answered,
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -29,7 +29,7 @@
 	Ready           func() bool
 	BodyStore       *bodystore.Store // of large payloads; nil: these stay in memory
 	PriorityWeights []float64        // of the classes, by number
-	RetryAfter      string           // seconds, told to a client whose payload finds no capacity; "": no header
+	RetryAfter      string           // seconds, for a client whose payload finds no capacity; "": no header
 
 	rejections eventlog.RateLimited // of invalid requests
 	openNames  nameSet              // of the queries in flight
