--- /dev/null
+++ b/internal/opensearch/fakes_test.go
@@ -0,0 +1,132 @@
+package opensearch
+
+import (
+	"context"
+	"encoding/json"
+	"strings"
+	"testing"
+	"time"
+
+	"linkpass/internal/coordinator"
+	"linkpass/internal/http1"
+	"linkpass/internal/metrics"
+	"linkpass/internal/searchconfig"
+	_ "linkpass/internal/seeded"
+	"linkpass/internal/shardmap"
+	"linkpass/internal/store"
+)
+
+// fakeCore records the queries and answers each at once.
+type fakeCore struct {
+	queries []coordinator.Query
+	answer  func(coordinator.Query) coordinator.Answer // nil: only once the query is canceled
+}
+
+func (*fakeCore) Now() time.Duration { return 40 * time.Millisecond }
+
+func (c *fakeCore) Submit(q coordinator.Query) func() {
+	c.queries = append(c.queries, q)
+	if c.answer == nil {
+		return func() { q.Reply(coordinator.Answer{Status: coordinator.Failed}) }
+	}
+	q.Reply(c.answer(q))
+	return func() {}
+}
+
+func testConfig() *searchconfig.Config {
+	return &searchconfig.Config{
+		Search: searchconfig.Defaults{MaxResultWindow: 100},
+		Indices: map[string]searchconfig.Index{
+			"players": {Class: "team-lookup", Shards: []int{0, 1, 2}},
+			"broken":  {Class: "team-lookup", Shards: []int{0, 99}},
+			"odd":     {Class: "unheard", Shards: []int{0}},
+		},
+	}
+}
+
+func newFront(c *fakeCore) *Front {
+	return &Front{
+		Core:         c,
+		Classes:      []Class{{"league-table", 5 * time.Second, 3}, {"team-lookup", 2500 * time.Millisecond, 1}},
+		Shards:       6,
+		SearchConfig: testConfig,
+		Settings:     FixedSettingsHandler(testConfig),
+		Prefix:       "n0",
+		Counters:     metrics.NewCounters(),
+	}
+}
+
+// serve sends a request and returns its response, with the body decoded where it is JSON.
+func serve(f *Front, method, target, body string) (*http1.Response, map[string]any) {
+	path, query, _ := strings.Cut(target, "?")
+	req := &http1.Request{Method: method, Path: path, Query: query, Body: []byte(body)}
+	res := f.Serve(context.Background(), 0, req)
+	var out map[string]any
+	_ = json.Unmarshal(res.Body, &out)
+	return res, out
+}
+
+// completeAnswer has a plain value for each shard, scored by its number, but search hits for shard 1.
+func completeAnswer(q coordinator.Query) coordinator.Answer {
+	a := coordinator.Answer{Complete: true}
+	for _, p := range q.Parts {
+		v := coordinator.Value{Shard: p.Shard, Data: []byte("v"), Score: float64(p.Shard)}
+		if p.Shard == 1 {
+			v.Hits = &coordinator.Hits{Total: 7, List: []coordinator.Hit{
+				{ID: "best", Score: 9, Source: []byte(`{"name":"x"}`)},
+				{ID: "low", Score: 0.5},
+			}}
+		}
+		a.Values = append(a.Values, v)
+	}
+	return a
+}
+
+// fakeSettingsStore records the patch and fails with err, but for local reads.
+type fakeSettingsStore struct {
+	err   error
+	patch string
+}
+
+func (r *fakeSettingsStore) ReadWith(how store.ReadOptions) (*searchconfig.Config, error) {
+	if how.Consistency == store.Local {
+		return testConfig(), nil
+	}
+	return testConfig(), r.err
+}
+
+func (r *fakeSettingsStore) PatchSettings(p []byte) (*searchconfig.Config, error) {
+	r.patch = string(p)
+	return testConfig(), r.err
+}
+
+// fakeSettingsUpdater applies changes at once.
+type fakeSettingsUpdater struct{ now *searchconfig.Config }
+
+func (c *fakeSettingsUpdater) UpdateSettings(
+	change func(*searchconfig.Config) (*searchconfig.Config, error),
+) (*searchconfig.Config, error) {
+	next, err := change(c.now)
+	if err == nil {
+		c.now = next
+	}
+	return next, err
+}
+
+// newDynamicFront is a front with an index of four shards in a shard map and an index of a fixed shard.
+func newDynamicFront(t *testing.T, c *fakeCore) (*Front, *fakeSettingsUpdater) {
+	t.Helper()
+	config, err := searchconfig.Parse([]byte(`{"search":{},"indices":{
+		"players":{"class":"team-lookup","spread":{"slices":4,"sets":[["a","b"],["c","d"]]}},
+		"fixed":{"class":"team-lookup","slices":[0]}}}`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	updater := &fakeSettingsUpdater{config}
+	f := newFront(c)
+	f.SearchConfig, f.SettingsUpdater = func() *searchconfig.Config { return updater.now }, updater
+	return f, updater
+}
+
+// firstShardID is that of the first shard of a shard map.
+const firstShardID = uint64(shardmap.FirstDynamicID)
--- /dev/null
+++ b/internal/opensearch/large_body_test.go
@@ -0,0 +1,102 @@
+package opensearch
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"strings"
+	"testing"
+	"time"
+
+	"linkpass/internal/bodystore"
+	"linkpass/internal/bodystore/tier"
+	"linkpass/internal/coordinator"
+	"linkpass/internal/http1"
+	"linkpass/internal/metrics"
+)
+
+// newLargeSearch is a front with a body store, and a search whose body is being uploaded to it.
+func newLargeSearch(t *testing.T, c *fakeCore, limits tier.Limits, body string) (*Front, *http1.Request, *bodystore.Store) {
+	t.Helper()
+	s := bodystore.Open(bodystore.Config{
+		Limits:   limits,
+		Dir:      t.TempDir(),
+		Counters: metrics.NewCounters(),
+		Now:      func() time.Duration { return 0 },
+	})
+	t.Cleanup(s.Close)
+	f := newFront(c)
+	f.BodyStore = s
+	w := &BodyUpload{Writer: s.NewWriter(1, 1), Rejection: &http1.Error{Status: 429}}
+	if _, err := io.WriteString(w, body); err != nil {
+		t.Fatal(err)
+	}
+	return f, &http1.Request{Method: "POST", Path: "/players/_search", BodySink: w}, s
+}
+
+// termsQuery is a query for n ids.
+func termsQuery(n int) string {
+	var ids []string
+	for i := range n {
+		ids = append(ids, fmt.Sprintf("%q", fmt.Sprint("player-", i)))
+	}
+	return `{"bool": {"must": [{"terms":{"id": [` + strings.Join(ids, ", ") + `]}}]} }`
+}
+
+// Guards against a body that stays in the store after its search, and a query that is changed on its way.
+func TestLargeSearchSendsStoredQuery(t *testing.T) {
+	for _, limits := range []tier.Limits{
+		{Memory: 4 << 20, Files: 0, Largest: 4 << 20},
+		{Memory: 64 << 10, Files: 4 << 20, Largest: 16 << 10},
+	} {
+		query := termsQuery(20_000)
+		var text []byte
+		c := &fakeCore{answer: func(q coordinator.Query) coordinator.Answer {
+			payload := string(q.Parts[0].Payload)
+			if q.Body == nil || len(payload) > 100 && payload != `{"from":0,"query":{"match_all":{}},"size":7}` {
+				t.Errorf("%+v", q)
+			}
+			r, err := q.Body.Open()
+			if err != nil {
+				t.Fatal(err)
+			}
+			text, _ = io.ReadAll(r)
+			_ = r.Close()
+			q.Body.Release()
+			return coordinator.Answer{Status: coordinator.Answered, Complete: true}
+		}}
+		f, req, s := newLargeSearch(t, c, limits, `{"size": 5, "query" : `+query+`, "timeout":"300ms", "from":2}`)
+		res := f.Serve(context.Background(), 0, req)
+		if res.Status != 200 || c.queries[0].Timeout != 300*time.Millisecond {
+			t.Fatalf("%d %s", res.Status, res.Body)
+		}
+		if want := `{"from":0,"query":` + query + `,"size":7}`; string(text) != want {
+			t.Errorf("sent %d bytes %.60q, want %d", len(text), text, len(want))
+		}
+		if f := s.Totals(); f.Bodies != 0 || f.Memory+f.Files != 0 {
+			t.Errorf("left: %+v", f)
+		}
+	}
+}
+
+// Guards against a rejected search that leaves its body in the store.
+func TestLargeSearchRejectsInvalidBody(t *testing.T) {
+	for body, errType := range map[string]string{
+		`{"query":` + termsQuery(2000) + `,"aggs":{}}`:                             "parsing_exception",
+		`{"query":` + termsQuery(2000):                                             "json_parse_exception",
+		`{"query":{"knn":` + termsQuery(2000) + `}}`:                               "parsing_exception",
+		`{"from":99999,"query":` + termsQuery(2000) + `}`:                          "illegal_argument_exception",
+		`{"timeout":"soon","query":` + termsQuery(10) + `}`:                        "illegal_argument_exception",
+		`{"query":{"match":{"a":"` + strings.Repeat("x", 2*maxTokenBytes) + `"}}}`: "json_parse_exception",
+	} {
+		c := &fakeCore{answer: completeAnswer}
+		f, req, s := newLargeSearch(t, c, tier.Limits{Memory: 8 << 20, Largest: 8 << 20}, body)
+		res := f.Serve(context.Background(), 0, req)
+		var out struct{ Error struct{ Type string } }
+		_ = json.Unmarshal(res.Body, &out)
+		if res.Status != 400 || out.Error.Type != errType || len(c.queries) != 0 || s.Totals().Bodies != 0 {
+			t.Errorf("%.40s: %d %s, %d queries, %+v", body, res.Status, res.Body, len(c.queries), s.Totals())
+		}
+	}
+}
