--- a/internal/daemon/endpoint_registry.go
+++ b/internal/daemon/endpoint_registry.go
@@ -67,7 +67,7 @@
 // resolveEndpoint makes the endpoint of a server that the store has added, as if discovery had listed it.
 func resolveEndpoint(reader *discovery.Converter, id string, spec config.ServerSpec) (coordinator.Endpoint, error) {
 	server := discovery.Endpoint{ID: id, Addr: spec.Addr, Zone: spec.Zone, Kind: spec.Kind, Cell: spec.Cell,
-		State: "in_service", Weight: 1}
+		State: discovery.StateInService, Weight: 1}
 	list, err := reader.Convert(discovery.EndpointList{Endpoints: []discovery.Endpoint{server}})
 	if err != nil {
 		return coordinator.Endpoint{}, err
--- /dev/null
+++ b/internal/discovery/converter.go
@@ -0,0 +1,62 @@
+package discovery
+
+import (
+	"hash/fnv"
+	"math"
+	"net"
+	"slices"
+	"time"
+
+	"linkpass/internal/coordinator"
+	"linkpass/internal/routing"
+)
+
+// Converter maps discovery's lists to updates of the core. A zone or kind that it does not know becomes the first.
+type Converter struct {
+	Zones, Kinds []string                         // the core knows them by their index here
+	Cells        int                              // cells are numbered from 0 to Cells-1
+	Clock        func(unixMS int64) time.Duration // from milliseconds of Unix time to the core's clock
+}
+
+// Convert maps a list to an update. The error is an *InvalidEndpointError where an endpoint can't be used: then the
+// list as a whole is refused, as a part of it would mislead.
+func (c *Converter) Convert(list EndpointList) (coordinator.EndpointUpdate, error) {
+	update := coordinator.EndpointUpdate{Mode: routing.UpdateDelta}
+	if list.Full {
+		update.Mode = routing.UpdateFull
+	}
+	for _, e := range list.Endpoints {
+		endpoint, err := c.convertEndpoint(e)
+		if err != nil {
+			return coordinator.EndpointUpdate{}, err
+		}
+		update.Endpoints = append(update.Endpoints, endpoint)
+	}
+	return update, nil
+}
+
+func (c *Converter) convertEndpoint(e Endpoint) (coordinator.Endpoint, error) {
+	state, known := endpointStates[e.State]
+	if !known || e.ID == "" || e.Cell < 0 || e.Cell >= c.Cells || math.IsNaN(e.Weight) || e.Weight < 0 {
+		return coordinator.Endpoint{}, &InvalidEndpointError{ID: e.ID, State: e.State, Cell: e.Cell}
+	}
+	if _, err := net.ResolveTCPAddr("tcp", e.Addr); err != nil && state != routing.Removed {
+		return coordinator.Endpoint{}, &InvalidEndpointError{ID: e.ID, State: e.State, Cell: e.Cell, Err: err}
+	}
+	return coordinator.Endpoint{Name: e.ID, Addr: e.Addr, Endpoint: routing.Endpoint{
+		Server:    ServerID(e.ID),
+		Zone:      max(0, slices.Index(c.Zones, e.Zone)),
+		Kind:      max(0, slices.Index(c.Kinds, e.Kind)),
+		Cell:      e.Cell,
+		State:     state,
+		Weight:    e.Weight,
+		StartedAt: c.Clock(e.StartedMS),
+	}}, nil
+}
+
+// ServerID is the routing package's number for a server's name. It is the same in every process.
+func ServerID(name string) routing.ServerID {
+	h := fnv.New64a()
+	h.Write([]byte(name))
+	return routing.ServerID(h.Sum64())
+}
--- /dev/null
+++ b/internal/discovery/converter_test.go
@@ -0,0 +1,52 @@
+package discovery
+
+import (
+	"errors"
+	"net"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	_ "linkpass/internal/seeded"
+)
+
+// An endpoint that can't be used is named by the error, whose text stands in the log.
+func TestConvertInvalidEndpoint(t *testing.T) {
+	for name, c := range map[string]struct {
+		endpoint Endpoint
+		text     string
+	}{
+		"state":  {Endpoint{ID: "s-1", Addr: "127.0.0.1:9", State: "asleep"}, `discovery: unusable server "s-1" state "asleep" cell 0`},
+		"id":     {Endpoint{Addr: "127.0.0.1:9", State: StateInService}, `discovery: unusable server "" state "in_service" cell 0`},
+		"cell":   {Endpoint{ID: "s-1", Addr: "127.0.0.1:9", State: StateInService, Cell: 6}, `discovery: unusable server "s-1" state "in_service" cell 6`},
+		"weight": {Endpoint{ID: "s-1", Addr: "127.0.0.1:9", State: StateTerminating, Weight: -1}, `discovery: unusable server "s-1" state "terminating" cell 0`},
+		"addr":   {Endpoint{ID: "s-1", Addr: "127.0.0.1", State: StateInService}, `discovery: server "s-1": address 127.0.0.1: missing port in address`},
+	} {
+		t.Run(name, func(t *testing.T) {
+			_, err := newTestConverter().Convert(EndpointList{Endpoints: []Endpoint{c.endpoint}})
+			var invalid *InvalidEndpointError
+			if !errors.As(err, &invalid) || invalid.ID != c.endpoint.ID || err.Error() != c.text {
+				t.Errorf("got %v, want %s", err, c.text)
+			}
+			if addrErr := new(net.AddrError); errors.As(err, &addrErr) != (name == "addr") {
+				t.Errorf("got cause %v", errors.Unwrap(err))
+			}
+		})
+	}
+}
+
+func TestParseAndConvertAnyInput(t *testing.T) {
+	valid := `{"version":41,"full":true,"servers":[` + testServer + `]}`
+	rapid.Check(t, func(t *rapid.T) {
+		data := rapid.SliceOf(rapid.Byte()).Draw(t, "garbage")
+		if rapid.Bool().Draw(t, "cut") {
+			data = []byte(valid[:rapid.IntRange(0, len(valid)-1).Draw(t, "at")])
+			if _, err := Parse(data); err == nil {
+				t.Fatalf("accepted the truncated list %q", data)
+			}
+		}
+		if list, err := Parse(data); err == nil {
+			_, _ = newTestConverter().Convert(list)
+		}
+	})
+}
--- /dev/null
+++ b/internal/discovery/watcher.go
@@ -0,0 +1,243 @@
+package discovery
+
+import (
+	"context"
+	"errors"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"linkpass/internal/coordinator"
+	"linkpass/internal/eventlog"
+	"linkpass/internal/metrics"
+	"linkpass/internal/routing"
+)
+
+// Core receives the endpoint updates and keeps the deadlines.
+type Core interface {
+	UpdateEndpoints(coordinator.EndpointUpdate)
+	Now() time.Duration
+	Arm(at time.Duration, fire func()) (disarm func())
+}
+
+// Watcher follows the endpoint list. Run's goroutine owns its state and connection; it starts one goroutine for each
+// call, one at a time, and receives the call's result before it goes on or returns.
+type Watcher struct {
+	Addr      string // host:port; Run changes it when SetAddress is called
+	Converter *Converter
+	Core      Core
+	Counters  *metrics.Counters
+	Seed      uint64   // of the backoff's jitter; it differs between coordinators, so that they do not retry in step
+	Timeouts  Timeouts // default SharedServiceTimeouts
+
+	version            int64 // of the list last applied, or noVersion
+	consecutiveAnswers int   // since the last failure or change of address
+	failing            bool  // the last call failed, and that has been logged
+	conn               *discoveryConn
+	backoffBase        time.Duration // of the wait after the next failure
+	random             *rand.Rand
+
+	results     chan callResult // from the call's goroutine to Run; never closed
+	addrChanges chan string     // from SetAddress to Run; holds the latest; never closed
+	ready       chan struct{}   // closed by markReady, once
+	markReady   func()
+}
+
+// NewWatcher creates the watcher of the list at an address, host:port.
+func NewWatcher(addr string, converter *Converter, core Core, counters *metrics.Counters) *Watcher {
+	w := &Watcher{
+		Addr:        addr,
+		Converter:   converter,
+		Core:        core,
+		Counters:    counters,
+		Timeouts:    SharedServiceTimeouts,
+		results:     make(chan callResult, 1),
+		addrChanges: make(chan string, 1),
+		ready:       make(chan struct{}),
+	}
+	w.markReady = sync.OnceFunc(func() { close(w.ready) })
+	return w
+}
+
+// Ready is closed once there is a list to work with: discovery has answered, or firstAnswerTimeout has passed and the
+// cached list is in use. Where no endpoint is cached it is closed after startupTimeout all the same: queries are
+// rejected until discovery answers.
+func (w *Watcher) Ready() <-chan struct{} { return w.ready }
+
+// SetAddress makes Run watch at another address. Of several calls before Run takes note, the last one holds.
+// It must not be called from two goroutines at once.
+func (w *Watcher) SetAddress(addr string) {
+	select {
+	case <-w.addrChanges:
+	default:
+	}
+	w.addrChanges <- addr
+}
+
+// Run starts from the cached list and watches until the context ends.
+func (w *Watcher) Run(ctx context.Context, cached EndpointList) {
+	disarm := w.start(cached)
+	defer disarm()
+	defer w.closeConn()
+	for {
+		body, newAddr, err := w.poll(ctx)
+		if ctx.Err() != nil {
+			return
+		}
+		if err == nil {
+			err = w.apply(body)
+		}
+		switch {
+		case newAddr != "":
+			w.moveTo(newAddr)
+		case err != nil:
+			w.recordFailure(err)
+			w.backOff(ctx)
+		default:
+			w.recordSuccess()
+		}
+	}
+}
+
+// start applies the cached list and arms the time at which the watcher counts as ready without an answer.
+func (w *Watcher) start(cached EndpointList) (disarm func()) {
+	timeout := startupTimeout
+	w.version = noVersion
+	update, err := w.Converter.Convert(cached)
+	if err != nil {
+		w.recordInvalidList(err)
+	} else {
+		update.Mode = routing.UpdateCached
+		w.version = cached.Version
+		w.Core.UpdateEndpoints(update)
+		if len(update.Endpoints) > 0 {
+			timeout = firstAnswerTimeout
+		}
+	}
+	disarm = w.Core.Arm(w.Core.Now()+timeout, w.markReady)
+	w.backoffBase = w.Timeouts.minBackoff
+	w.random = rand.New(rand.NewPCG(w.Seed, 0))
+	return disarm
+}
+
+// poll makes one call and waits for its end. newAddr is set where SetAddress ended the call early; the response may
+// have come all the same.
+func (w *Watcher) poll(ctx context.Context) (body []byte, newAddr string, err error) {
+	callCtx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	request, conn := w.nextRequest(), w.conn
+	go func() { w.results <- w.call(callCtx, conn, request) }()
+	var result callResult
+	select {
+	case result = <-w.results: // the call ends with the context
+	case newAddr = <-w.addrChanges:
+		cancel()
+		result = <-w.results
+	}
+	w.conn = result.conn
+	return result.body, newAddr, result.err
+}
+
+// nextRequest asks for the changes since the version applied, or for the complete list where there is none. The first
+// call of a watch is answered at once, so that a cached list is confirmed without a long poll's wait.
+func (w *Watcher) nextRequest() listRequest {
+	request := listRequest{version: w.version, wait: longPollWait, slack: w.Timeouts.renewSlack}
+	if w.consecutiveAnswers == 0 || request.version == noVersion {
+		request.wait = 0
+	}
+	if w.consecutiveAnswers < 2 {
+		request.slack = w.Timeouts.startSlack
+	}
+	return request
+}
+
+// apply passes a response's list on to the core. After an error the complete list is requested.
+func (w *Watcher) apply(body []byte) error {
+	list, update, err := w.decode(body)
+	if err != nil {
+		w.recordInvalidList(err)
+		w.version = noVersion
+		return err
+	}
+	w.Counters.Add("discovery_answers", 1)
+	w.version = list.Version
+	if list.Full || len(update.Endpoints) > 0 {
+		w.Core.UpdateEndpoints(update)
+	}
+	w.markReady()
+	return nil
+}
+
+// decode reads a response's list. Guards against changes older than those applied: a server in them may have begun to
+// drain since.
+func (w *Watcher) decode(body []byte) (EndpointList, coordinator.EndpointUpdate, error) {
+	list, err := Parse(body)
+	if err != nil {
+		return EndpointList{}, coordinator.EndpointUpdate{}, err
+	}
+	update, err := w.Converter.Convert(list)
+	if err != nil {
+		return EndpointList{}, coordinator.EndpointUpdate{}, err
+	}
+	if !list.Full && list.Version < w.version {
+		return EndpointList{}, coordinator.EndpointUpdate{}, &staleVersionError{version: list.Version, applied: w.version}
+	}
+	return list, update, nil
+}
+
+func (w *Watcher) recordInvalidList(err error) {
+	w.Counters.Add("discovery_bad", 1)
+	eventlog.EndpointListInvalid.Log(err)
+}
+
+func (w *Watcher) recordSuccess() {
+	if w.failing {
+		w.failing = false
+		eventlog.DiscoveryRecovered.Log(w.Addr)
+	}
+	w.consecutiveAnswers++
+	w.backoffBase = w.Timeouts.minBackoff
+}
+
+// recordFailure counts a failed call. Unless discovery rejected it, changes on the broken watch may be lost, and the
+// complete list is requested. Guards the log against a line for each retry while discovery is down.
+func (w *Watcher) recordFailure(err error) {
+	w.Counters.Add("discovery_failed", 1)
+	w.consecutiveAnswers = 0
+	if !errors.As(err, new(statusError)) {
+		w.version = noVersion
+	}
+	if !w.failing {
+		eventlog.DiscoveryFailed.Log(w.Addr, err)
+	}
+	w.failing = true
+}
+
+// backOff waits before the next call; a change of address or the end of the context ends the wait.
+func (w *Watcher) backOff(ctx context.Context) {
+	var wait time.Duration
+	wait, w.backoffBase = w.Timeouts.backoff(w.backoffBase, w.random.Float64())
+	select {
+	case <-ctx.Done():
+	case addr := <-w.addrChanges:
+		w.moveTo(addr)
+	case <-time.After(wait):
+	}
+}
+
+// moveTo leaves the old address. The complete list is requested at the new one: versions of another discovery service
+// need not agree.
+func (w *Watcher) moveTo(addr string) {
+	w.closeConn()
+	eventlog.DiscoveryMoved.Log(w.Addr, addr)
+	w.Counters.Add("discovery_moved", 1)
+	w.Addr, w.version = addr, noVersion
+	w.consecutiveAnswers, w.backoffBase = 0, w.Timeouts.minBackoff
+}
+
+func (w *Watcher) closeConn() {
+	if w.conn != nil {
+		_ = w.conn.Close()
+		w.conn = nil
+	}
+}
--- /dev/null
+++ b/internal/discovery/watcher_failure_test.go
@@ -0,0 +1,176 @@
+package discovery
+
+import (
+	"bytes"
+	"fmt"
+	"net"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"linkpass/internal/eventlog"
+	"linkpass/internal/http1"
+	"linkpass/internal/routing"
+)
+
+// While discovery is down each failure is counted, and only the first is logged.
+func TestWatchLogsOutageOnce(t *testing.T) {
+	var lines bytes.Buffer
+	eventlog.SetOutput(&lines, false)
+	defer eventlog.SetOutput(os.Stderr, false)
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	attempts := make(chan struct{})
+	go func() {
+		for {
+			conn, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			conn.Close()
+			select {
+			case attempts <- struct{}{}:
+			case <-t.Context().Done():
+			}
+		}
+	}()
+	w := newTestWatcher(ln.Addr().String(), newFakeCore())
+	stop := runWatcher(t, w, EndpointList{})
+	for range 4 {
+		<-attempts
+	}
+	stop()
+	ln.Close()
+	if n := strings.Count(lines.String(), "event=discovery_failed"); n != 1 || w.Counters.Get("discovery_failed") < 2 {
+		t.Errorf("%d lines, counters %s", n, w.Counters)
+	}
+}
+
+// Guards against a silent connection that is taken for a list without changes.
+func TestWatchTimesOutWhenSilent(t *testing.T) {
+	targets, answers := make(chan string), make(chan string)
+	defer close(answers)
+	core := newFakeCoreWithDeadlines()
+	w := newTestWatcher(startAgent(t, targets, answers), core)
+	stop := runWatcher(t, w, cachedNine)
+	<-core.updates
+	<-core.armed                          // the startup timeout
+	<-core.armed                          // the dial
+	for _, wait := range []int{0, 1000} { // a new watch may wait in the service's queue
+		if first := <-core.armed; first.at < time.Duration(wait)*time.Millisecond+SharedServiceTimeouts.startSlack {
+			t.Errorf("an early call times out after %v", first.at)
+		}
+		if got := <-targets; got != fmt.Sprint("/registry/instances?after=9&wait_ms=", wait) {
+			t.Errorf("requested %q", got)
+		}
+		answers <- `{"version":9,"full":false,"servers":[]}`
+	}
+	watch := <-core.armed
+	if got := <-targets; !strings.HasPrefix(got, "/registry/instances?after=9&") || watch.at > 2*time.Second {
+		t.Fatalf("requested %q, times out after %v", got, watch.at)
+	}
+	watch.fire()
+	if got := <-targets; got != "/registry/instances?" {
+		t.Errorf("then requested %q", got)
+	}
+	stop()
+}
+
+// Guards against rejected coordinators that keep discovery down: each backs off, none in step with another, and
+// resumes from its version.
+func TestWatchBacksOffAfterRejection(t *testing.T) {
+	targets, answers := make(chan string), make(chan string)
+	defer close(answers)
+	core := newFakeCore()
+	w := newTestWatcher(startAgent(t, targets, answers), core)
+	stop := runWatcher(t, w, cachedNine)
+	for _, answer := range []string{"503", `{"version":9,"full":false,"servers":[]}`} {
+		if got := <-targets; got != "/registry/instances?after=9&wait_ms=0" {
+			t.Errorf("requested %q", got)
+		}
+		answers <- answer
+	}
+	<-w.Ready()
+	stop()
+}
+
+// Crossing: changes during a reset, an outage and a change of address are not lost: the complete list is requested.
+func TestWatchReopensAfterReset(t *testing.T) {
+	targets, answers := make(chan string), make(chan string)
+	defer close(answers)
+	addr, reset := startResettingAgent(t)
+	core := newFakeCore()
+	w := newTestWatcher(addr, core)
+	w.Timeouts = LocalAgentTimeouts(time.Second)
+	stop := runWatcher(t, w, cachedNine)
+	<-reset
+	for w.Counters.Get("discovery_failed") < 3 { // reset, then refused
+		time.Sleep(time.Millisecond)
+	}
+	w.SetAddress(startAgent(t, targets, answers))
+	if got := <-targets; got != "/registry/instances?" {
+		t.Errorf("requested %q", got)
+	}
+	answers <- `{"version":12,"full":true,"servers":[` + testServer + `]}`
+	<-core.updates // the cached list
+	if update := <-core.updates; update.Mode != routing.UpdateFull || len(update.Endpoints) != 1 {
+		t.Errorf("got update %+v", update)
+	}
+	stop()
+}
+
+// startResettingAgent resets its first connection after a request and then refuses others; reset is closed after that.
+func startResettingAgent(t *testing.T) (addr string, reset <-chan struct{}) {
+	t.Helper()
+	done := make(chan struct{})
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	go func() {
+		conn, err := ln.Accept()
+		if err != nil {
+			return
+		}
+		_, _ = http1.NewReader(conn, 0).Request()
+		_ = conn.(*net.TCPConn).SetLinger(0)
+		_ = conn.Close()
+		_ = ln.Close()
+		close(done)
+	}()
+	return ln.Addr().String(), done
+}
+
+// Each call to a silent agent times out as its Timeouts say, and is retried.
+func TestWatchRetriesSilentAgent(t *testing.T) {
+	targets, answers := make(chan string), make(chan string)
+	defer close(answers)
+	core := newFakeCoreWithDeadlines()
+	w := newTestWatcher(startAgent(t, targets, answers), core)
+	w.Timeouts = LocalAgentTimeouts(time.Second)
+	stop := runWatcher(t, w, cachedNine)
+	<-core.armed // the startup timeout
+	for range 3 {
+		dial, call := <-core.armed, <-core.armed
+		if dial.at > w.Timeouts.dial || call.at > w.Timeouts.startSlack {
+			t.Errorf("the dial times out after %v, the call after %v", dial.at, call.at)
+		}
+		<-targets
+		call.fire()
+	}
+	<-core.armed
+	<-core.armed
+	<-targets
+	for range 3 { // responses on the closed connections are ignored
+		answers <- "503"
+	}
+	answers <- `{"version":12,"full":true,"servers":[` + testServer + `]}`
+	<-core.updates // the cached list
+	if update := <-core.updates; len(update.Endpoints) != 1 {
+		t.Errorf("got update %+v", update)
+	}
+	stop()
+}
--- a/internal/discovery/wire_golden_test.go
+++ b/internal/discovery/wire_golden_test.go
@@ -1,7 +1,6 @@
 package discovery
 
 import (
-	"context"
 	"encoding/json"
 	"io"
 	"net"
@@ -18,11 +17,11 @@
 	"linkpass/internal/routing"
 )
 
-// goldenList is a golden list, and what the program makes of it.
+// goldenList is a golden file and what it is decoded and converted to.
 type goldenList struct {
-	file     string
-	document EndpointList
-	list     coordinator.EndpointUpdate
+	file   string
+	list   EndpointList
+	update coordinator.EndpointUpdate
 }
 
 var (
@@ -38,11 +37,11 @@
 )
 
 func goldenLists() []goldenList {
-	draining, gone := goldenFirst, Endpoint{ID: "s-2", State: "terminated"}
+	draining, removed := goldenFirst, Endpoint{ID: "s-2", State: "terminated"}
 	draining.State = "terminating"
 	drainingMember := goldenFirstMember
 	drainingMember.State = routing.Draining
-	goneMember := coordinator.Endpoint{Name: "s-2", Endpoint: routing.Endpoint{Server: goldenSecondMember.Server, State: routing.Removed}}
+	removedMember := coordinator.Endpoint{Name: "s-2", Endpoint: routing.Endpoint{Server: goldenSecondMember.Server, State: routing.Removed}}
 	full := EndpointList{Version: 41, Full: true, Endpoints: []Endpoint{goldenFirst, goldenSecond}}
 	members := []coordinator.Endpoint{goldenFirstMember, goldenSecondMember}
 	return []goldenList{
@@ -51,13 +50,13 @@
 		{"full_empty.json", EndpointList{Version: 1, Full: true, Endpoints: []Endpoint{}}, coordinator.EndpointUpdate{Mode: routing.UpdateFull}},
 		{"delta.json", EndpointList{Version: 42, Endpoints: []Endpoint{goldenSecond}},
 			coordinator.EndpointUpdate{Mode: routing.UpdateDelta, Endpoints: members[1:]}},
-		{"delta_draining.json", EndpointList{Version: 43, Endpoints: []Endpoint{draining, gone}},
-			coordinator.EndpointUpdate{Mode: routing.UpdateDelta, Endpoints: []coordinator.Endpoint{drainingMember, goneMember}}},
+		{"delta_draining.json", EndpointList{Version: 43, Endpoints: []Endpoint{draining, removed}},
+			coordinator.EndpointUpdate{Mode: routing.UpdateDelta, Endpoints: []coordinator.Endpoint{drainingMember, removedMember}}},
 		{"delta_empty.json", EndpointList{Version: 43, Endpoints: []Endpoint{}}, coordinator.EndpointUpdate{Mode: routing.UpdateDelta}},
 	}
 }
 
-func goldenReader() *Converter {
+func newGoldenConverter() *Converter {
 	return &Converter{Zones: []string{"ebene", "port-louis"}, Kinds: []string{"m2", "m4"}, Cells: 6,
 		Clock: func(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }}
 }
@@ -74,23 +73,23 @@
 func TestListGolden(t *testing.T) {
 	for _, c := range goldenLists() {
 		t.Run(c.file, func(t *testing.T) {
-			d, err := Parse(readList(t, c.file))
-			if err != nil || !reflect.DeepEqual(d, c.document) {
-				t.Fatalf("got  %+v, %v\nwant %+v", d, err, c.document)
-			}
-			list, err := goldenReader().Convert(d)
+			list, err := Parse(readList(t, c.file))
 			if err != nil || !reflect.DeepEqual(list, c.list) {
-				t.Errorf("got  %+v, %v\nwant %+v", list, err, c.list)
+				t.Fatalf("got  %+v, %v\nwant %+v", list, err, c.list)
+			}
+			update, err := newGoldenConverter().Convert(list)
+			if err != nil || !reflect.DeepEqual(update, c.update) {
+				t.Errorf("got  %+v, %v\nwant %+v", update, err, c.update)
 			}
 		})
 	}
 }
 
-// The program writes lists too: an old process hands the one last known to the new one.
+// Lists are written too: an old process hands its cached list to the new one.
 func TestListGoldenWritten(t *testing.T) {
 	var got []goldentest.Entry
 	for _, c := range goldenLists() {
-		data, err := json.Marshal(c.document)
+		data, err := json.Marshal(c.list)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -99,16 +98,15 @@
 	goldentest.CheckEntries(t, "lists_written.txt", got)
 }
 
-// The unusable lists are refused as a whole.
-func TestListGoldenUnusable(t *testing.T) {
+func TestListGoldenInvalid(t *testing.T) {
 	for name, data := range goldentest.ReadEntries(t, "lists_unusable.txt") {
 		t.Run(name, func(t *testing.T) {
-			d, err := Parse([]byte(data))
+			list, err := Parse([]byte(data))
 			if err == nil {
-				_, err = goldenReader().Convert(d)
+				_, err = newGoldenConverter().Convert(list)
 			}
 			if err == nil {
-				t.Errorf("took %s", data)
+				t.Errorf("accepted %s", data)
 			}
 		})
 	}
@@ -117,12 +115,12 @@
 func TestWatchRequestGolden(t *testing.T) {
 	var got []goldentest.Entry
 	for _, c := range []struct {
-		name string
-		ask  ask
+		name    string
+		request listRequest
 	}{
-		{"full list", ask{version: none, wait: time.Second}},
-		{"changes, at once", ask{version: 0}},
-		{"changes, long poll", ask{version: 9007199254740993, wait: watchWait}},
+		{"full list", listRequest{version: noVersion, wait: time.Second}},
+		{"changes, at once", listRequest{version: 0}},
+		{"changes, long poll", listRequest{version: 9007199254740993, wait: longPollWait}},
 	} {
 		client, server := net.Pipe()
 		done := make(chan string)
@@ -130,9 +128,9 @@
 			data, _ := io.ReadAll(server)
 			done <- string(data)
 		}()
-		l := &line{client, http1.NewReader(failedRead{}, maxList)}
-		if _, err := l.ask("127.0.0.1:9400", c.ask); err == nil {
-			t.Errorf("%s: an answer from nobody", c.name)
+		conn := &discoveryConn{client, http1.NewReader(failedRead{}, maxListBytes)}
+		if _, err := conn.roundTrip("127.0.0.1:9400", c.request); err == nil {
+			t.Errorf("%s: got a response without a server", c.name)
 		}
 		_ = client.Close()
 		got = append(got, goldentest.Entry{Name: c.name, Data: <-done})
@@ -140,53 +138,50 @@
 	goldentest.CheckEntries(t, "requests.txt", got)
 }
 
-// failedRead stands for a server that never answers.
+// failedRead is a connection whose server never answers.
 type failedRead struct{}
 
 func (failedRead) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// within takes what comes next; a test whose watch went astray ends instead of waiting for good.
-func within[T any](t *testing.T, c <-chan T) (v T) {
+// receive returns the next value, and fails the test after 10 s without one.
+func receive[T any](t *testing.T, c <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
 	case <-time.After(10 * time.Second):
-		t.Fatal("nothing came for 10 s")
+		t.Fatal("received nothing for 10 s")
 	}
 	return v
 }
 
-// A watch that goes on from a known list through the golden ones: what it tells the core, and what it asks for.
+// A watch from the cached list through the golden ones: the updates of the core, and the requests.
 func TestWatchGolden(t *testing.T) {
-	requests, answers := make(chan string, 16), make(chan string, 16)
+	targets, answers := make(chan string, 16), make(chan string, 16)
 	defer close(answers)
-	core := &fakeCore{lists: make(chan coordinator.EndpointUpdate, 16)}
-	ctx, cancel := context.WithCancel(t.Context())
-	w := NewWatcher(agent(t, requests, answers), goldenReader(), core, metrics.NewCounters())
-	known, err := Parse(readList(t, "full.json"))
+	core := &fakeCore{updates: make(chan coordinator.EndpointUpdate, 16)}
+	w := NewWatcher(startAgent(t, targets, answers), newGoldenConverter(), core, metrics.NewCounters())
+	cached, err := Parse(readList(t, "full.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	done := make(chan struct{})
-	go func() { defer close(done); w.Run(ctx, known) }()
-	defer func() { cancel(); <-done }()
+	defer runWatcher(t, w, cached)()
 
-	heard := func(name string, want coordinator.EndpointUpdate) {
+	expectUpdate := func(name string, want coordinator.EndpointUpdate) {
 		t.Helper()
-		if got := within(t, core.lists); !reflect.DeepEqual(got, want) {
+		if got := receive(t, core.updates); !reflect.DeepEqual(got, want) {
 			t.Errorf("%s: got  %+v\nwant %+v", name, got, want)
 		}
 	}
 	var got []goldentest.Entry
 	lists := goldenLists()
-	heard("cached", coordinator.EndpointUpdate{Mode: routing.UpdateCached, Endpoints: lists[0].list.Endpoints})
+	expectUpdate("cached", coordinator.EndpointUpdate{Mode: routing.UpdateCached, Endpoints: lists[0].update.Endpoints})
 	for _, i := range []int{1, 3, 4, 5, 2} {
-		got = append(got, goldentest.Entry{Name: "before " + lists[i].file, Data: within(t, requests)})
+		got = append(got, goldentest.Entry{Name: "before " + lists[i].file, Data: receive(t, targets)})
 		answers <- string(readList(t, lists[i].file))
-		if lists[i].file != "delta_empty.json" { // no news: the core hears nothing
-			heard(lists[i].file, lists[i].list)
+		if lists[i].file != "delta_empty.json" { // without changes there is no update
+			expectUpdate(lists[i].file, lists[i].update)
 		}
 	}
-	got = append(got, goldentest.Entry{Name: "after all", Data: within(t, requests)})
+	got = append(got, goldentest.Entry{Name: "after all", Data: receive(t, targets)})
 	goldentest.CheckEntries(t, "watch.txt", got)
 }
