--- a/internal/discovery/converter.go
+++ b/internal/discovery/converter.go
@@ -19,7 +19,7 @@
 }
 
 // Convert maps a list to an update. The error is an *InvalidEndpointError where an endpoint can't be used: then the
-// list as a whole is refused, as a part of it would mislead.
+// complete list is refused, as a part of it would mislead.
 func (c *Converter) Convert(list EndpointList) (coordinator.EndpointUpdate, error) {
 	update := coordinator.EndpointUpdate{Mode: routing.UpdateDelta}
 	if list.Full {
--- /dev/null
+++ b/internal/http1/chunked_body.go
@@ -0,0 +1,95 @@
+package http1
+
+import (
+	"bytes"
+	"io"
+	"strconv"
+	"strings"
+)
+
+const chunkEnd = "\r\n"
+
+// readChunked reads a chunked body and its trailers, which are dropped.
+func (r *Reader) readChunked(sink *sinkSelector) ([]byte, error) {
+	var body []byte
+	var total int64
+	for {
+		size, err := r.readChunkSize()
+		if err != nil {
+			return nil, err
+		}
+		if total += size; total > r.maxBody {
+			return nil, malformed(statusContentTooLarge, "chunks over %d bytes", r.maxBody)
+		}
+		if size == 0 {
+			return r.endChunked(body)
+		}
+		r.bounded.N = size + int64(len(chunkEnd))
+		if sink.selects(total) {
+			err = r.copyChunkToSink(sink.request.BodySink, body, size)
+			body = nil
+		} else {
+			body, err = r.appendChunk(body, size)
+		}
+		if err != nil {
+			return nil, err
+		}
+	}
+}
+
+// readChunkSize reads a chunk's first line; extensions are ignored.
+func (r *Reader) readChunkSize() (int64, error) {
+	r.bounded.N = MaxHeader
+	line, err := r.text.ReadLine()
+	if err != nil {
+		return 0, r.readError(err, statusBadRequest)
+	}
+	digits, _, _ := strings.Cut(line, ";")
+	size, err := strconv.ParseUint(strings.TrimRight(digits, " \t"), 16, 62)
+	if err != nil {
+		return 0, malformed(statusBadRequest, "bad chunk length")
+	}
+	return int64(size), nil
+}
+
+// endChunked reads the trailers of a body and returns it.
+func (r *Reader) endChunked(body []byte) ([]byte, error) {
+	r.bounded.N = MaxHeader
+	if _, err := r.readHeader(); err != nil {
+		return nil, err
+	}
+	return body, nil
+}
+
+// appendChunk reads a chunk of a size to the end of body.
+func (r *Reader) appendChunk(body []byte, size int64) ([]byte, error) {
+	start := len(body)
+	body = append(body, make([]byte, int(size)+len(chunkEnd))...)
+	if _, err := io.ReadFull(r.buf, body[start:]); err != nil {
+		return nil, bodyError(err)
+	}
+	if !bytes.HasSuffix(body, []byte(chunkEnd)) {
+		return nil, malformed(statusBadRequest, "chunk without an end")
+	}
+	return body[:len(body)-len(chunkEnd)], nil
+}
+
+// copyChunkToSink moves a chunk to a sink, after the bytes that were read before the sink was selected.
+func (r *Reader) copyChunkToSink(sink BodySink, before []byte, size int64) error {
+	if len(before) > 0 {
+		if _, err := sink.Write(before); err != nil {
+			return err
+		}
+	}
+	if err := r.copyToSink(sink, size); err != nil {
+		return err
+	}
+	var end [len(chunkEnd)]byte
+	if _, err := io.ReadFull(r.buf, end[:]); err != nil {
+		return bodyError(err)
+	}
+	if string(end[:]) != chunkEnd {
+		return malformed(statusBadRequest, "chunk without an end")
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/http1/drain_test.go
@@ -0,0 +1,180 @@
+package http1
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"linkpass/internal/metrics"
+)
+
+func TestServerKeepsConnsAliveAndDrains(t *testing.T) {
+	entered := make(chan string)
+	release := map[string]chan struct{}{}
+	for _, path := range []string{"/0", "/1", "/last", "/other"} {
+		release[path] = make(chan struct{})
+	}
+	s, addr := startServer(t, func(_ context.Context, _ time.Duration, req *Request) *Response {
+		entered <- req.Path
+		<-release[req.Path]
+		return &Response{Status: 200, Body: req.Body}
+	}, 2)
+	client, r := dial(t, addr)
+	send := func(path string) {
+		_ = WriteRequest(client, "POST", path, "x", nil, []byte("hello"))
+		if got := <-entered; got != path {
+			t.Fatalf("entered %q", got)
+		}
+	}
+	for i := range 2 {
+		path := fmt.Sprint("/", i)
+		send(path)
+		release[path] <- struct{}{}
+		if res, err := r.Response(); err != nil || string(res.Body) != "hello" || res.Close {
+			t.Fatalf("%+v %v", res, err)
+		}
+	}
+	send("/last")
+	busy, busyReader := dial(t, addr)
+	_ = WriteRequest(busy, "POST", "/other", "x", nil, nil)
+	<-entered
+	rejected, rejectedReader := dial(t, addr)
+	if res, err := rejectedReader.Response(); err != nil || res.Status != 503 || !res.Close {
+		t.Errorf("beyond MaxConns: %+v %v", res, err)
+	}
+	_ = rejected.Close()
+	release["/last"] <- struct{}{}
+	if _, err := r.Response(); err != nil {
+		t.Fatal(err)
+	}
+	for !s.hasConnIn(stateIdle) {
+		time.Sleep(time.Millisecond)
+	}
+	s.Drain()
+	s.Resume() // the first drain's deadline is void
+	s.Clock.(*fakeClock).advance(drainIdleGrace)
+	s.Drain()
+	s.Clock.(*fakeClock).advance(drainIdleGrace - 1) // an idle connection may be used once more
+	send("/last")
+	release["/last"] <- struct{}{}
+	if res, err := r.Response(); err != nil || res.Status != 200 || !res.Close {
+		t.Errorf("within the drain: %+v %v", res, err)
+	}
+	_ = client.Close()
+	for s.connCount() > 1 { // the server lingers until the client closes
+		time.Sleep(time.Millisecond)
+	}
+	client, r = dial(t, addr) // a silent connection is closed by a sweep
+	for !s.hasConnIn(stateNew) {
+		time.Sleep(time.Millisecond)
+	}
+	s.Clock.(*fakeClock).advance(drainIdleGrace)
+	s.Clock.(*fakeClock).advance(drainSweepInterval)
+	if err := r.Wait(); !errors.Is(err, io.EOF) {
+		t.Errorf("the idle connection stayed: %v", err)
+	}
+	release["/other"] <- struct{}{} // a request read before the drain gets the last response
+	if res, err := busyReader.Response(); err != nil || res.Status != 200 || !res.Close {
+		t.Errorf("after the drain: %+v %v", res, err)
+	}
+}
+
+// Guards a request that arrives as its connection is closed as idle.
+func TestDrainServesRequestThatHasArrived(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	s := &Server{
+		Name: "test", Handler: HandlerFunc(answerOK), Clock: new(fakeClock), Counters: metrics.NewCounters(), MaxConns: 9,
+	}
+	client, r := dial(t, ln.Addr().String())
+	_ = WriteRequest(client, "GET", "/", "x", nil, nil)
+	accepted, err := ln.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	c := &conn{Conn: accepted, server: s, readAhead: readAhead{Reader: accepted}}
+	for !c.hasUnreadBytes() {
+		time.Sleep(time.Millisecond)
+	}
+	s.Drain()
+	c.interruptRead()
+	if !s.admit(c) {
+		t.Fatal("not admitted")
+	}
+	done := make(chan struct{})
+	go func() { defer close(done); c.serve() }()
+	if res, err := r.Response(); err != nil || res.Status != 200 || !res.Close {
+		t.Errorf("%+v %v", res, err)
+	}
+	_ = client.Close()
+	<-done
+}
+
+// Crossing: bytes arrive before, with and after the close of an idle connection. A request that has arrived when the
+// wait ends is served; later bytes are dropped, and the client sees the end without a reset.
+func TestDrainWithBytesAroundIdleClose(t *testing.T) {
+	n, h := newCountingHandler(closedChan())
+	s, addr := startServer(t, h, 9)
+	idleConn := func() (net.Conn, *Reader) {
+		client, r := dial(t, addr)
+		_ = WriteRequest(client, "POST", "/", "x", nil, nil)
+		if res, err := r.Response(); err != nil || res.Close {
+			t.Fatalf("%+v %v", res, err)
+		}
+		return client, r
+	}
+	after, afterReader := idleConn()
+	waitUntil(t, "an idle connection", func() bool { return s.hasConnIn(stateIdle) })
+	s.Drain()
+	s.Clock.(*fakeClock).advance(drainIdleGrace)
+	waitUntil(t, "the end of the connection", func() bool { return s.hasConnIn(stateLingering) })
+	_, _ = io.WriteString(after, sizedRequest)
+	if err := afterReader.Wait(); !errors.Is(err, io.EOF) {
+		t.Errorf("ended with %v", err)
+	}
+	_ = after.Close()
+	waitUntil(t, "the close", func() bool { return s.connCount() == 0 })
+	if n.Load() != 1 {
+		t.Errorf("%d requests were served, want 1: one after the shutdown", n.Load())
+	}
+	s.Resume()
+	half, halfReader := idleConn()
+	_, _ = io.WriteString(half, sizedRequest[:len(sizedRequest)-1]) // but for the last byte
+	waitUntil(t, "half a request", func() bool { return s.hasConnIn(stateReading) })
+	s.Drain()
+	s.Clock.(*fakeClock).advance(drainIdleGrace)
+	_, _ = io.WriteString(half, sizedRequest[len(sizedRequest)-1:]+sizedRequest) // and another request behind
+	expectLastResponse(t, halfReader, 200)
+	_ = half.Close()
+	s.Resume()
+	stuck, stuckReader := idleConn()
+	_, _ = io.WriteString(stuck, sizedRequest[:len(sizedRequest)-1])
+	waitUntil(t, "half a request", func() bool { return s.hasConnIn(stateReading) })
+	s.Drain()
+	s.Clock.(*fakeClock).advance(stuckRequestAge)
+	expectLastResponse(t, stuckReader, 408)
+	if n.Load() != 4 {
+		t.Errorf("%d requests were served, want 4", n.Load())
+	}
+}
+
+// Crossing: the server stops while a response is written whose connection was to be kept alive.
+func TestStopEndsConnThatBecomesIdle(t *testing.T) {
+	s := &Server{Name: "test", Clock: new(fakeClock), stopped: true}
+	serverSide, clientSide := net.Pipe()
+	defer clientSide.Close()
+	c := &conn{Conn: serverSide, server: s, state: stateServing, readAhead: readAhead{Reader: serverSide}}
+	if !s.setState(c, stateIdle) {
+		t.Fatal("the connection was evicted")
+	}
+	if err := c.awaitRequest(NewReader(&c.readAhead, 0), IdleTimeout); err == nil {
+		t.Error("it awaits a request after Stop")
+	}
+}
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -1,12 +1,10 @@
 package http1
 
 import (
-	"cmp"
 	"context"
 	"errors"
 	"net"
 	"os"
-	"slices"
 	"sync"
 	"time"
 
@@ -14,8 +12,8 @@
 	"linkpass/internal/metrics"
 )
 
-// Handler answers requests. began is when the request's first byte was seen;
-// the context ends when the client has gone. One answer is written for each.
+// Handler answers requests. began is when the request's first byte was received, on the Server's clock; ctx ends when
+// the client has disconnected. One response is written for each request.
 type Handler interface {
 	Serve(ctx context.Context, began time.Duration, req *Request) *Response
 }
@@ -28,66 +26,35 @@
 	return f(ctx, began, req)
 }
 
-// Clock is the shared clock with its deadlines.
+// Clock is the clock of all deadlines. fire may still be called after disarm.
 type Clock interface {
 	Now() time.Duration
 	Arm(at time.Duration, fire func()) (disarm func())
 }
 
-// Time limits of a connection. Those who connect and say nothing, or say it drop
-// by drop, are told or closed within them, whatever they send.
-const (
-	FirstRequestTimeout = 2500 * time.Millisecond // from connecting to the last byte of the first request
-	RequestTimeout      = 2 * time.Second         // from a later request's first byte to its last
-	IdleTimeout         = 30 * time.Second        // between requests
-	WriteTimeout        = 5 * time.Second
-	lingerLimit         = 500 * time.Millisecond // for a client to read the last that it is told, and to close
-	lingerBytes         = 256 << 10              // of what it still sends are read meanwhile
-	lingerOver          = 8                      // connections past the cap that may linger at a time
-	aheadLimit          = MaxHeader + MaxBody    // bytes behind a request that are read while it is answered
-	silentLimit         = 250 * time.Millisecond // a new connection that has said nothing for so long goes first
-	stuckLimit          = time.Second            // a request so long on its way makes room for others
-
-	// While the server drains: idle connections have so long to be used once more, and
-	// a look is taken so often at those that say nothing or do not come to an end.
-	idleGrace  = 400 * time.Millisecond
-	drainSweep = 200 * time.Millisecond
-)
-
-// Server serves one listener.
+// Server serves one listener. It owns a goroutine for each connection; Stop and Close wait for all of them.
 type Server struct {
-	Name        string // of the front, for the log
+	Name        string // of the front, for the log and the counters
 	Handler     Handler
 	Clock       Clock
 	Counters    *metrics.Counters
-	MaxConns    int
-	MaxBody     int64
+	MaxConns    int                     // SetMaxConns changes it while the server runs
+	MaxBody     int64                   // bytes of a request's body; 0: the package's MaxBody
 	NewBodySink func(*Request) BodySink // of large bodies; nil: they lie in memory
 
-	lines    eventlog.RateLimited // on requests that can't be read
-	mu       sync.Mutex
-	moved    sync.Cond // on mu: some connection has left its state, or ended
-	conns    map[*conn]bool
-	draining bool
-	round    int // of draining: what was armed in an earlier one is void
-	stopped  bool
-	over     map[*conn]bool // connections past the cap that linger
-	wg       sync.WaitGroup
-}
-
-// state is what a connection is at.
-type state uint8
+	malformedLog eventlog.RateLimited
+	running      sync.WaitGroup // the connections' goroutines
 
-const (
-	fresh   state = iota // nothing has come yet
-	idle                 // between two requests
-	reading              // a request has begun to come
-	serving              // a request is being answered
-	parting              // no request is taken any more; what still comes is read and dropped
-	closing              // parted, and closed by another goroutine to free its place
-)
+	mu              sync.Mutex // guards what follows, MaxConns, and the connections' states
+	stateChanged    sync.Cond  // on mu: a connection has left its state, or ended
+	conns           map[*conn]bool
+	rejected        map[*conn]bool // connections beyond MaxConns that linger
+	draining        bool
+	drainGeneration int // counts Drain and Resume; a sweep armed for an earlier one is void
+	stopped         bool
+}
 
-// Serve accepts until the listener is closed or its deadline has passed.
+// Serve accepts until the listener is closed or its deadline has passed, and returns nil then.
 func (s *Server) Serve(ln net.Listener) error {
 	for {
 		nc, err := ln.Accept()
@@ -95,228 +62,65 @@
 			return nil
 		}
 		if err != nil {
-			// Guards against a shortage of descriptors: it passes, the listener stays.
+			// Guards against a shortage of descriptors, which passes: the listener stays.
 			eventlog.AcceptFailed.Log(s.Name, err)
 			s.Counters.Add(s.Name+"_accept_failed", 1)
-			time.Sleep(20 * time.Millisecond)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		s.Counters.Add(s.Name+"_conns", 1)
-		c := &conn{Conn: nc, server: s, since: s.Clock.Now()}
-		c.ahead.Reader = nc
-		if !s.enter(c) {
+		c := &conn{Conn: nc, server: s, stateSince: s.Clock.Now()}
+		c.readAhead.Reader = nc
+		if !s.admit(c) {
 			s.Counters.Add(s.Name+"_conns_over", 1)
-			s.turnAway(c)
+			s.reject(c)
 			continue
 		}
 		go c.serve()
 	}
 }
 
-// enter takes a connection in. Where all places are taken, one that is not at
-// work makes room: guards the clients that ask against those that only connect,
-// or asked once and stay.
-func (s *Server) enter(c *conn) bool {
+// admit adds a connection. Where MaxConns is reached another is evicted: guards clients that send requests against
+// those that only connect, or stay idle.
+func (s *Server) admit(c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.conns == nil {
-		s.conns, s.moved.L = map[*conn]bool{}, &s.mu
+		s.conns, s.stateChanged.L = map[*conn]bool{}, &s.mu
 	}
 	for len(s.conns) >= s.MaxConns {
-		if !s.evict() {
+		if !s.evictOne() {
 			return false
 		}
 	}
 	s.conns[c] = true
-	s.wg.Add(1)
+	s.running.Add(1)
 	return true
 }
 
-// turnAway tells a connection past the cap that there is no room. Its request is most likely
-// there already, so that it has to linger; so many may.
-func (s *Server) turnAway(c *conn) {
-	_ = WriteResponse(c, &Response{Status: 503, Close: true}) // a new connection has room for so little
+// reject answers a connection beyond MaxConns with status 503. Its request has most likely arrived already, so that it
+// lingers, unless too many do.
+func (s *Server) reject(c *conn) {
+	_ = WriteResponse(c, &Response{Status: statusServiceUnavailable, Close: true}) // a new socket's buffer holds it
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.over) == lingerOver || s.stopped {
+	if len(s.rejected) == maxLingeringRejected || s.stopped {
 		_ = c.Close()
 		return
 	}
-	if s.over == nil {
-		s.over = map[*conn]bool{}
-	}
-	s.over[c] = true
-	s.wg.Add(1)
-	go func() {
-		c.linger()
-		_ = c.Close()
-		s.mu.Lock()
-		delete(s.over, c)
-		s.mu.Unlock()
-		s.wg.Done()
-	}()
-}
-
-// evict frees the place of the connection that can best be spared: one that only lingers,
-// a new one that stays silent, then the one idle for longest, then any new one, then one whose
-// request has been coming for too long. Only one that lingers is closed here. The others are
-// asked to end, and each decides for itself, at once: one that has a request by then is at work
-// after all. It tells whether there was one to ask.
-func (s *Server) evict() bool {
-	now := s.Clock.Now()
-	rank := func(c *conn) int {
-		switch age := now - c.since; {
-		case c.state == parting:
-			return 5
-		case (c.state == fresh || c.state == idle) && c.pending():
-			return 0
-		case c.state == fresh && age >= silentLimit:
-			return 4
-		case c.state == idle:
-			return 3
-		case c.state == fresh:
-			return 2
-		case c.state == reading && age >= stuckLimit:
-			return 1
-		}
-		return 0
-	}
-	var victim *conn
-	best := 0
-	for c := range s.conns {
-		if r := rank(c); r > best || r == best && r > 0 && c.since < victim.since {
-			victim, best = c, r
-		}
-	}
-	if victim == nil {
-		return false
-	}
-	if victim.state == parting {
-		victim.state = closing
-		delete(s.conns, victim)
-		_ = victim.Close()
-		return true
-	}
-	victim.expire()
-	for phase := victim.phase; victim.phase == phase; { // it is woken now, and leaves its state
-		s.moved.Wait()
-	}
-	if !s.conns[victim] || victim.state == parting {
-		s.Counters.Add(s.Name+"_conns_evicted", 1)
-	}
-	return true
-}
-
-// mark notes what a connection is at, and tells whether it may go on. What was to end the
-// state before is void from here on: whichever of the two comes first holds.
-func (s *Server) mark(c *conn, to state) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if c.state == closing {
-		return false
-	}
-	c.state, c.since = to, s.Clock.Now()
-	c.phase++
-	s.moved.Broadcast()
-	_ = c.SetReadDeadline(time.Time{})
-	if to == idle && s.stopped { // nobody looks at it again
-		c.expire()
-	}
-	return true
-}
-
-// SetMaxConns sets how many connections there may be. Beyond it, those that wait for nothing
-// are closed, the one idle for longest first.
-func (s *Server) SetMaxConns(conns int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.MaxConns = conns
-	var spare []*conn
-	for c := range s.conns {
-		if c.state == fresh || c.state == idle {
-			spare = append(spare, c)
-		}
-	}
-	slices.SortFunc(spare, func(a, b *conn) int { return cmp.Compare(a.since, b.since) })
-	for _, c := range spare[:min(len(spare), max(0, len(s.conns)-conns))] {
-		c.expire()
+	if s.rejected == nil {
+		s.rejected = map[*conn]bool{}
 	}
+	s.rejected[c] = true
+	s.running.Add(1)
+	go s.lingerRejected(c)
 }
 
-// Drain makes every answer the last of its connection. New connections are still
-// served; those that stay idle are closed a little later.
-func (s *Server) Drain() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.draining = true
-	s.round++
-	s.sweepAfter(idleGrace, s.round)
-}
-
-// Resume keeps connections again.
-func (s *Server) Resume() {
+func (s *Server) lingerRejected(c *conn) {
+	c.linger()
+	_ = c.Close()
 	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.draining = s.stopped
-	s.round++
-}
-
-// sweepAfter arranges for the next look at the connections of a draining server.
-func (s *Server) sweepAfter(wait time.Duration, round int) {
-	s.Clock.Arm(s.Clock.Now()+wait, func() {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		if s.round == round && !s.stopped {
-			s.sweep()
-			s.sweepAfter(drainSweep, round)
-		}
-	})
-}
-
-// sweep ends what would otherwise stay: idle connections, new ones that have said
-// nothing for long enough, requests that do not come to their end.
-func (s *Server) sweep() {
-	now := s.Clock.Now()
-	for c := range s.conns {
-		switch age := now - c.since; {
-		case c.state == idle, c.state == fresh && age >= idleGrace, c.state == reading && age >= stuckLimit:
-			c.expire()
-		}
-	}
-}
-
-// Stop waits until all connections have ended: each after the answer to what it has
-// begun to ask. Serve must have returned.
-func (s *Server) Stop() {
-	s.mu.Lock()
-	s.draining, s.stopped = true, true
-	for c := range s.conns {
-		if c.state == fresh || c.state == idle {
-			c.expire()
-		}
-	}
+	delete(s.rejected, c)
 	s.mu.Unlock()
-	s.wg.Wait()
-}
-
-// Close closes all connections, whatever they are at, and waits until they have ended.
-// Serve must have returned. It needs the clock no more.
-func (s *Server) Close() {
-	s.mu.Lock()
-	s.draining, s.stopped = true, true
-	for c := range s.conns {
-		_ = c.Close()
-	}
-	for c := range s.over {
-		_ = c.Close()
-	}
-	s.mu.Unlock()
-	s.wg.Wait()
-}
-
-// Draining tells whether the server is about to stop.
-func (s *Server) Draining() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.draining
+	s.running.Done()
 }
