--- a/internal/bodystore/dir.go
+++ b/internal/bodystore/dir.go
@@ -8,12 +8,12 @@
 	"syscall"
 )
 
-const ownPrefix = "linkpass-bodies-"
+const processDirPrefix = "linkpass-bodies-"
 
-// ownDir makes a folder of this process's own under dir and removes what processes that are no
+// createProcessDir makes a folder of this process's own under dir and removes what processes that are no
 // more have left there. A process holds the lock of its folder for as long as it lives, so that two
 // of them during a change of version do not touch each other's.
-func ownDir(dir string) (own string, lock *os.File, err error) {
+func createProcessDir(dir string) (own string, lock *os.File, err error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return "", nil, fmt.Errorf("bodies: %w", err)
 	}
@@ -22,21 +22,21 @@
 		return "", nil, fmt.Errorf("bodies: %w", err)
 	}
 	for _, e := range entries {
-		if e.IsDir() && strings.HasPrefix(e.Name(), ownPrefix) {
-			clean(filepath.Join(dir, e.Name()))
+		if e.IsDir() && strings.HasPrefix(e.Name(), processDirPrefix) {
+			removeStaleDir(filepath.Join(dir, e.Name()))
 		}
 	}
-	if own, err = os.MkdirTemp(dir, ownPrefix); err != nil {
+	if own, err = os.MkdirTemp(dir, processDirPrefix); err != nil {
 		return "", nil, fmt.Errorf("bodies: %w", err)
 	}
-	if lock, err = locked(own); err != nil {
+	if lock, err = lockDir(own); err != nil {
 		_ = os.RemoveAll(own)
 		return "", nil, fmt.Errorf("bodies: %w", err)
 	}
 	return own, lock, nil
 }
 
-func locked(own string) (*os.File, error) {
+func lockDir(own string) (*os.File, error) {
 	f, err := os.OpenFile(filepath.Join(own, "lock"), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
@@ -48,12 +48,12 @@
 	return f, nil
 }
 
-// clean removes a folder whose process is no more.
-func clean(own string) {
+// removeStaleDir removes a folder whose process is no more.
+func removeStaleDir(own string) {
 	if _, err := os.Stat(filepath.Join(own, "lock")); err != nil {
 		return // another process is just making it; the next start will see
 	}
-	f, err := locked(own)
+	f, err := lockDir(own)
 	if err != nil {
 		return
 	}
--- a/internal/bodystore/golden_test.go
+++ b/internal/bodystore/golden_test.go
@@ -109,11 +109,11 @@
 	dir := t.TempDir()
 	s := newGoldenStore(t, dir)
 	for _, data := range goldenBodies() {
-		b := mustKeep(t, s, data)
+		b := mustStore(t, s, data)
 		defer b.Release()
-		settled(s)
+		waitForMoves(s)
 	}
-	own := filepath.Base(s.own)
+	own := filepath.Base(s.dir)
 	if !strings.HasPrefix(own, "linkpass-bodies-") {
 		t.Errorf("the process's directory is %q", own)
 	}
@@ -125,7 +125,7 @@
 		if err := os.RemoveAll(goldenDir); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.CopyFS(filepath.Join(goldenDir, goldenProcess), os.DirFS(s.own)); err != nil {
+		if err := os.CopyFS(filepath.Join(goldenDir, goldenProcess), os.DirFS(s.dir)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -198,7 +198,7 @@
 				t.Fatal(err)
 			}
 			defer disk.Close()
-			log, seg, off := newLog(osFS{}, t.TempDir()), &segment{disk: disk, path: path}, int64(0)
+			log, seg, off := newSegmentLog(osFS{}, t.TempDir()), &segment{file: disk, path: path}, int64(0)
 			for i, want := range records {
 				got, err := log.read(record{seg, off, len(want)}, make([]byte, 16+len(want)))
 				off += int64(16 + len(want))
@@ -236,7 +236,7 @@
 			}
 		}, nil},
 		{"its process lives", func(t *testing.T, dir string) {
-			f, err := locked(filepath.Join(dir, goldenProcess))
+			f, err := lockDir(filepath.Join(dir, goldenProcess))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -267,7 +267,7 @@
 			if got := s.Totals(); got != (Totals{}) {
 				t.Errorf("holds %+v at its start", got)
 			}
-			own := filepath.Base(s.own)
+			own := filepath.Base(s.dir)
 			want := append([]string{own + "/", own + "/lock"}, c.stays...)
 			slices.Sort(want)
 			after := tree(t, dir)
@@ -279,8 +279,8 @@
 					t.Errorf("%s was changed", name)
 				}
 			}
-			b := mustKeep(t, s, goldenBodies()[1]) // and it works there
-			settled(s)
+			b := mustStore(t, s, goldenBodies()[1]) // and it works there
+			waitForMoves(s)
 			wantBody(t, b, goldenBodies()[1])
 			if data := tree(t, dir)[filepath.Join(own, goldenSegment)]; len(data) != 2*16+64<<10+17 {
 				t.Errorf("the new segment has %d bytes", len(data))
--- a/internal/bodystore/log.go
+++ b/internal/bodystore/log.go
@@ -14,12 +14,12 @@
 
 // FS is what the log needs of a file system.
 type FS interface {
-	Create(path string) (Disk, error)
+	Create(path string) (File, error)
 	Remove(path string) error
 }
 
-// Disk is one file of it.
-type Disk interface {
+// File is one file of it.
+type File interface {
 	io.ReaderAt
 	io.WriterAt
 	io.Closer
@@ -28,15 +28,15 @@
 // osFS is the machine's own.
 type osFS struct{}
 
-func (osFS) Create(path string) (Disk, error) {
+func (osFS) Create(path string) (File, error) {
 	return os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600)
 }
 func (osFS) Remove(path string) error { return os.Remove(path) }
 
 const (
 	segmentSize = 4 << 20
-	headSize    = 16
-	maxRecord   = 64 << 10 // bytes of one record's data
+	recordHeaderSize    = 16
+	maxRecordData   = 64 << 10 // bytes of one record's data
 )
 
 var magic = [4]byte{'L', 'P', 'B', '1'}
@@ -46,14 +46,14 @@
 
 // record is where some bytes lie.
 type record struct {
-	seg *segment
-	off int64
-	n   int
+	segment *segment
+	offset int64
+	length   int
 }
 
 // segment is one file of the log. The log's mutex guards its figures.
 type segment struct {
-	disk   Disk
+	file   File
 	path   string
 	size   int64 // taken, written or not
 	live   int64
@@ -61,9 +61,9 @@
 	sealed bool
 }
 
-// seglog is a log of segments. Records are written side by side; a segment goes when all in it is
+// segmentLog is a log of segments. Records are written side by side; a segment goes when all in it is
 // free.
-type seglog struct {
+type segmentLog struct {
 	fs  FS
 	dir string
 
@@ -72,24 +72,24 @@
 
 	mu    sync.Mutex // held for no disk
 	cur   *segment
-	segs  map[*segment]bool
+	segments  map[*segment]bool
 	trash []*segment // to be removed from the disk
 }
 
-func newLog(fs FS, dir string) *seglog { return &seglog{fs: fs, dir: dir, segs: map[*segment]bool{}} }
+func newSegmentLog(fs FS, dir string) *segmentLog { return &segmentLog{fs: fs, dir: dir, segments: map[*segment]bool{}} }
 
 // append writes data of maxRecord bytes at most.
-func (l *seglog) append(data []byte) (record, error) {
-	need := int64(headSize + len(data))
+func (l *segmentLog) append(data []byte) (record, error) {
+	need := int64(recordHeaderSize + len(data))
 	seg, off, err := l.take(need)
 	if err != nil {
 		return record{}, err
 	}
-	b := make([]byte, headSize, need)
+	b := make([]byte, recordHeaderSize, need)
 	copy(b, magic[:])
 	binary.LittleEndian.PutUint32(b[4:], uint32(len(data)))
 	binary.LittleEndian.PutUint64(b[8:], xxhash.Sum64(data))
-	n, err := seg.disk.WriteAt(append(b, data...), off)
+	n, err := seg.file.WriteAt(append(b, data...), off)
 	if err == nil && int64(n) < need {
 		err = io.ErrShortWrite
 	}
@@ -103,7 +103,7 @@
 }
 
 // take finds a place for so many bytes; the segment is pinned.
-func (l *seglog) take(need int64) (*segment, int64, error) {
+func (l *segmentLog) take(need int64) (*segment, int64, error) {
 	if s, off := l.place(need); s != nil {
 		return s, off, nil
 	}
@@ -120,8 +120,8 @@
 	}
 	l.mu.Lock()
 	old := l.cur
-	l.cur = &segment{disk: disk, path: path}
-	l.segs[l.cur] = true
+	l.cur = &segment{file: disk, path: path}
+	l.segments[l.cur] = true
 	if old != nil {
 		old.sealed = true
 		l.drop(old)
@@ -135,7 +135,7 @@
 }
 
 // place takes a place in the current segment, if it has room.
-func (l *seglog) place(need int64) (*segment, int64) {
+func (l *segmentLog) place(need int64) (*segment, int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.cur == nil || l.cur.size+need > segmentSize {
@@ -148,9 +148,9 @@
 	return s, off
 }
 
-func (l *seglog) pin(s *segment) { l.mu.Lock(); s.pins++; l.mu.Unlock() }
+func (l *segmentLog) pin(s *segment) { l.mu.Lock(); s.pins++; l.mu.Unlock() }
 
-func (l *seglog) unpin(s *segment) {
+func (l *segmentLog) unpin(s *segment) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s.pins--
@@ -158,70 +158,70 @@
 }
 
 // free gives a record's place up.
-func (l *seglog) free(r record) {
+func (l *segmentLog) free(r record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r.seg.live -= int64(headSize + r.n)
-	l.drop(r.seg)
+	r.segment.live -= int64(recordHeaderSize + r.length)
+	l.drop(r.segment)
 }
 
 // drop puts a segment in which nothing is left into the trash. The mutex is held.
-func (l *seglog) drop(s *segment) {
-	if !s.sealed || s.live > 0 || s.pins > 0 || !l.segs[s] {
+func (l *segmentLog) drop(s *segment) {
+	if !s.sealed || s.live > 0 || s.pins > 0 || !l.segments[s] {
 		return
 	}
-	delete(l.segs, s)
+	delete(l.segments, s)
 	l.trash = append(l.trash, s)
 }
 
-// sweep removes from the disk what was dropped.
-func (l *seglog) sweep() {
+// removeRetired removes from the disk what was dropped.
+func (l *segmentLog) removeRetired() {
 	l.mu.Lock()
 	trash := l.trash
 	l.trash = nil
 	l.mu.Unlock()
 	for _, s := range trash {
-		_ = s.disk.Close()
+		_ = s.file.Close()
 		_ = l.fs.Remove(s.path) // what stays is removed at the next start
 	}
 }
 
 // read reads a record into buf, which has room for it, and checks it. The segment is pinned.
-func (*seglog) read(r record, buf []byte) ([]byte, error) {
-	buf = buf[:headSize+r.n]
-	if _, err := r.seg.disk.ReadAt(buf, r.off); err != nil {
+func (*segmentLog) read(r record, buf []byte) ([]byte, error) {
+	buf = buf[:recordHeaderSize+r.length]
+	if _, err := r.segment.file.ReadAt(buf, r.offset); err != nil {
 		return nil, fmt.Errorf("bodies: read: %w", err)
 	}
-	return parseRecord(buf, r.n)
+	return parseRecord(buf, r.length)
 }
 
 // parseRecord checks a record that is to hold n bytes, and gives these.
 func parseRecord(buf []byte, n int) ([]byte, error) {
-	if len(buf) < headSize || [4]byte(buf[:4]) != magic || binary.LittleEndian.Uint32(buf[4:]) != uint32(n) || len(buf) != headSize+n {
+	if len(buf) < recordHeaderSize || [4]byte(buf[:4]) != magic || binary.LittleEndian.Uint32(buf[4:]) != uint32(n) || len(buf) != recordHeaderSize+n {
 		return nil, fmt.Errorf("%w: its head", ErrCorrupt)
 	}
-	data := buf[headSize:]
+	data := buf[recordHeaderSize:]
 	if xxhash.Sum64(data) != binary.LittleEndian.Uint64(buf[8:]) {
 		return nil, fmt.Errorf("%w: its data", ErrCorrupt)
 	}
 	return data, nil
 }
 
-// taken is how many bytes the segments take on disk.
-func (l *seglog) taken() (n int64) {
+// diskBytes is how many bytes the segments take on disk.
+func (l *segmentLog) diskBytes() (n int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for s := range l.segs {
+	for s := range l.segments {
 		n += s.size
 	}
 	return n
 }
 
-// sparse finds the sealed segment with the least in it, if that is under half.
-func (l *seglog) sparse() (found *segment) {
+// sparsest finds the sealed segment with the least in it, if that is under half.
+func (l *segmentLog) sparsest() (found *segment) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for s := range l.segs {
+	for s := range l.segments {
 		if s.sealed && s.live > 0 && s.live < s.size/2 && (found == nil || s.live < found.live || s.live == found.live && s.path < found.path) {
 			found = s
 		}
@@ -230,13 +230,13 @@
 }
 
 // close ends the log; its files go.
-func (l *seglog) close() {
+func (l *segmentLog) close() {
 	l.mu.Lock()
-	for s := range l.segs {
+	for s := range l.segments {
 		l.trash = append(l.trash, s)
 	}
-	clear(l.segs)
+	clear(l.segments)
 	l.cur = nil
 	l.mu.Unlock()
-	l.sweep()
+	l.removeRetired()
 }
--- a/internal/bodystore/move.go
+++ b/internal/bodystore/move.go
@@ -32,7 +32,7 @@
 			s.compact()
 		}
 		if s.log != nil {
-			s.log.sweep()
+			s.log.removeRetired()
 		}
 	}
 }
@@ -40,11 +40,11 @@
 func (s *Store) order() *entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.orders) == 0 {
+	if len(s.moveQueue) == 0 {
 		return nil
 	}
-	e := s.orders[0]
-	s.orders = s.orders[1:]
+	e := s.moveQueue[0]
+	s.moveQueue = s.moveQueue[1:]
 	return e
 }
 
@@ -52,10 +52,10 @@
 // nobody else does.
 func (s *Store) file(e *entry) {
 	s.mu.Lock()
-	pieces := append([][]byte(nil), e.mem...)
-	gone := e.gone
+	pieces := append([][]byte(nil), e.chunks...)
+	gone := e.evicted
 	s.mu.Unlock()
-	if gone || e.filed {
+	if gone || e.inFiles {
 		return
 	}
 	var recs []record
@@ -71,14 +71,14 @@
 		s.failed(err)
 	}
 	s.event(func() []tier.Move {
-		if err != nil || e.gone {
+		if err != nil || e.evicted {
 			for _, r := range recs {
 				s.log.free(r)
 			}
-			return s.state.Filed(e.id, false)
+			return s.state.FinishMove(e.id, false)
 		}
-		e.mem, e.recs, e.filed = nil, recs, true
-		return s.state.Filed(e.id, true)
+		e.chunks, e.records, e.inFiles = nil, recs, true
+		return s.state.FinishMove(e.id, true)
 	})
 }
 
@@ -91,36 +91,36 @@
 			eventlog.BodyFilesSuspended.Log(filesRest.Milliseconds(), err)
 		}
 		s.rests = s.cfg.Now() + filesRest
-		return s.state.Rest(true)
+		return s.state.SetFilesSuspended(true)
 	})
 }
 
 // compact moves what is left in a sparse segment, where the segments take much more than what
 // lies in them.
 func (s *Store) compact() {
-	if s.log == nil || float64(s.log.taken()) < compactFrom*float64(s.cfg.Limits.Files) {
+	if s.log == nil || float64(s.log.diskBytes()) < compactFrom*float64(s.cfg.Limits.Files) {
 		return
 	}
-	seg := s.log.sparse()
+	seg := s.log.sparsest()
 	if seg == nil {
 		return
 	}
 	left := int64(compactBytes)
-	for _, e := range s.inSegment(seg) {
+	for _, e := range s.entriesIn(seg) {
 		if left <= 0 {
 			return
 		}
-		left -= s.rewrite(e, seg)
+		left -= s.compactEntry(e, seg)
 	}
 }
 
-// inSegment lists the entries with records in a segment.
-func (s *Store) inSegment(seg *segment) (out []*entry) {
+// entriesIn lists the entries with records in a segment.
+func (s *Store) entriesIn(seg *segment) (out []*entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range s.entries {
-		for _, r := range e.recs {
-			if r.seg == seg {
+		for _, r := range e.records {
+			if r.segment == seg {
 				out = append(out, e)
 				break
 			}
@@ -129,24 +129,24 @@
 	return out
 }
 
-// rewrite writes an entry's records of one segment anew.
-func (s *Store) rewrite(e *entry, seg *segment) (written int64) {
+// compactEntry writes an entry's records of one segment anew.
+func (s *Store) compactEntry(e *entry, seg *segment) (written int64) {
 	e.moving.Lock()
 	defer e.moving.Unlock()
 	s.mu.Lock()
-	recs := append([]record(nil), e.recs...)
+	recs := append([]record(nil), e.records...)
 	for _, r := range recs {
-		s.log.pin(r.seg)
+		s.log.pin(r.segment)
 	}
 	s.mu.Unlock()
 	defer func() {
 		for _, r := range recs {
-			s.log.unpin(r.seg)
+			s.log.unpin(r.segment)
 		}
 	}()
-	buf := make([]byte, headSize+maxRecord)
+	buf := make([]byte, recordHeaderSize+maxRecordData)
 	for i, old := range recs {
-		if old.seg != seg {
+		if old.segment != seg {
 			continue
 		}
 		data, err := s.log.read(old, buf)
@@ -159,15 +159,15 @@
 			s.failed(err)
 			return written
 		}
-		written += int64(headSize + r.n)
+		written += int64(recordHeaderSize + r.length)
 		s.mu.Lock()
-		if e.gone {
+		if e.evicted {
 			s.log.free(r)
 		} else {
-			e.recs[i] = r
+			e.records[i] = r
 			s.log.free(old)
 		}
-		gone := e.gone
+		gone := e.evicted
 		s.mu.Unlock()
 		if gone {
 			return written
--- a/internal/bodystore/store.go
+++ b/internal/bodystore/store.go
@@ -44,9 +44,9 @@
 // the body that arrives.
 type Store struct {
 	cfg  Config
-	log  *seglog // nil: no files
-	own  string
-	lock *os.File
+	log  *segmentLog // nil: no files
+	dir  string
+	dirLock *os.File
 
 	mu      sync.Mutex
 	state   *tier.State
@@ -54,7 +54,7 @@
 	entries map[tier.ID]*entry
 	hashes  map[[32]byte]*entry
 	rests   time.Duration // until then files take nothing new; 0: they do
-	orders  []*entry      // to be moved to files
+	moveQueue  []*entry      // to be moved to files
 	wake    chan struct{}
 	done    chan struct{}
 	wg      sync.WaitGroup
@@ -70,14 +70,14 @@
 	size    int64
 	hash    [32]byte
 	shared  bool // it stands under its hash
-	mem     [][]byte
-	recs    []record
-	holders map[*Body]bool // true: a part of it is yet to be written
-	gone    bool
+	chunks     [][]byte
+	records    []record
+	refs map[*Body]bool // true: a part of it is yet to be written
+	evicted    bool
 
 	// moving is held while the entry's data are written to files, or added to.
 	moving sync.Mutex
-	filed  bool // its data go to files; guarded by moving
+	inFiles  bool // its data go to files; guarded by moving
 }
 
 // Open makes a store. Files that cannot be used are one line in the log: memory alone serves then.
@@ -87,11 +87,11 @@
 	}
 	s := &Store{cfg: c, entries: map[tier.ID]*entry{}, hashes: map[[32]byte]*entry{}, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	if c.Dir != "" && c.Limits.Files > 0 {
-		own, lock, err := ownDir(c.Dir)
+		own, lock, err := createProcessDir(c.Dir)
 		if err != nil {
 			eventlog.BodyFilesUnavailable.Log(c.Dir, err)
 		} else {
-			s.own, s.lock, s.log = own, lock, newLog(c.FS, own)
+			s.dir, s.dirLock, s.log = own, lock, newSegmentLog(c.FS, own)
 		}
 	}
 	if s.log == nil {
@@ -110,8 +110,8 @@
 	defer s.mu.Unlock()
 	if s.log != nil {
 		s.log.close()
-		_ = os.RemoveAll(s.own)
-		_ = s.lock.Close()
+		_ = os.RemoveAll(s.dir)
+		_ = s.dirLock.Close()
 	}
 }
 
@@ -121,7 +121,7 @@
 		if s.log == nil {
 			files = 0
 		}
-		return s.state.Limit(memory, files)
+		return s.state.SetLimits(memory, files)
 	})
 }
 
@@ -142,7 +142,7 @@
 	if s.rests > 0 && s.cfg.Now() >= s.rests {
 		s.rests = 0
 		eventlog.BodyFilesRecovered.Log()
-		return s.state.Rest(false)
+		return s.state.SetFilesSuspended(false)
 	}
 	return nil
 }
@@ -155,11 +155,11 @@
 		if e == nil {
 			continue
 		}
-		s.count(e, "moved_"+m.To.String()+"_"+m.Why)
+		s.count(e, "moved_"+m.To.String()+"_"+m.Reason)
 		if m.To == tier.None {
 			told = append(told, s.forget(e)...)
 		} else if e != own {
-			s.orders = append(s.orders, e)
+			s.moveQueue = append(s.moveQueue, e)
 			select {
 			case s.wake <- struct{}{}:
 			default:
@@ -179,23 +179,23 @@
 
 // forget lets an entry go and returns whom to tell.
 func (s *Store) forget(e *entry) (told []func()) {
-	if e.gone {
+	if e.evicted {
 		return nil
 	}
-	e.gone = true
+	e.evicted = true
 	delete(s.entries, e.id)
 	if e.shared {
 		delete(s.hashes, e.hash)
 	}
-	for b := range e.holders {
+	for b := range e.refs {
 		if b.gone != nil {
 			told = append(told, b.gone)
 		}
 	}
-	for _, r := range e.recs {
+	for _, r := range e.records {
 		s.log.free(r)
 	}
-	e.mem, e.recs = nil, nil
+	e.chunks, e.records = nil, nil
 	return told
 }
 
@@ -204,7 +204,7 @@
 	s.mu.Lock()
 	s.count(e, "lost")
 	s.lines.Log(eventlog.BodyLost, e.class, e.size, err)
-	s.state.Free(e.id)
+	s.state.Remove(e.id)
 	told := s.forget(e)
 	s.mu.Unlock()
 	for _, gone := range told {
@@ -216,30 +216,30 @@
 type Totals struct {
 	Bodies, Shared                int
 	Memory, Files, Disk           int64
-	WaitingBodies, ArrivingBodies int
+	PendingBodies, ArrivingBodies int
 }
 
 // Totals tells what the store holds.
 func (s *Store) Totals() (f Totals) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f.Bodies, f.Memory, f.Files = s.state.Held(), s.state.Used(tier.Memory), s.state.Used(tier.File)
+	f.Bodies, f.Memory, f.Files = s.state.Len(), s.state.Used(tier.Memory), s.state.Used(tier.File)
 	for _, e := range s.entries {
-		f.Shared += max(0, len(e.holders)-1)
-		if len(e.holders) == 0 {
+		f.Shared += max(0, len(e.refs)-1)
+		if len(e.refs) == 0 {
 			f.ArrivingBodies++
 		} else if e.waits() {
-			f.WaitingBodies++
+			f.PendingBodies++
 		}
 	}
 	if s.log != nil {
-		f.Disk = s.log.taken()
+		f.Disk = s.log.diskBytes()
 	}
 	return f
 }
 
 func (e *entry) waits() bool {
-	for _, waiting := range e.holders {
+	for _, waiting := range e.refs {
 		if waiting {
 			return true
 		}
@@ -257,12 +257,12 @@
 
 // NewWriter begins a body of a class that is worth so much.
 func (s *Store) NewWriter(class int, worth float64) *Writer {
-	e := &entry{class: class, holders: map[*Body]bool{}}
+	e := &entry{class: class, refs: map[*Body]bool{}}
 	s.mu.Lock()
 	s.next++
 	e.id = s.next
 	s.entries[e.id] = e
-	s.state.Open(e.id, class, worth)
+	s.state.Add(e.id, class, worth)
 	s.mu.Unlock()
 	return &Writer{s: s, e: e, hash: blake3.New(32, nil)}
 }
@@ -270,7 +270,7 @@
 // Write takes more of the body; it keeps nothing of p. ErrNoRoom: the body is given up.
 func (w *Writer) Write(p []byte) (n int, err error) {
 	for len(p) > 0 {
-		piece := p[:min(len(p), maxRecord)]
+		piece := p[:min(len(p), maxRecordData)]
 		if err := w.take(piece); err != nil {
 			w.Abort()
 			return n, err
@@ -294,16 +294,16 @@
 		mine = mine || m.ID == e.id && m.To == tier.File
 	}
 	told := s.apply(moves, e)
-	if !room || e.gone {
+	if !room || e.evicted {
 		s.count(e, "refused")
 		told = append(told, s.forget(e)...)
 	} else {
 		e.size += int64(len(piece))
-		if !e.filed {
-			e.mem = append(e.mem, bytes.Clone(piece))
+		if !e.inFiles {
+			e.chunks = append(e.chunks, bytes.Clone(piece))
 		}
 	}
-	gone, filed := e.gone, e.filed
+	gone, filed := e.evicted, e.inFiles
 	s.mu.Unlock()
 	for _, gone := range told {
 		gone()
@@ -332,11 +332,11 @@
 	}
 	w.s.mu.Lock()
 	defer w.s.mu.Unlock()
-	if w.e.gone {
+	if w.e.evicted {
 		w.s.log.free(r)
 		return ErrNoCapacity
 	}
-	w.e.recs = append(w.e.recs, r)
+	w.e.records = append(w.e.records, r)
 	return nil
 }
 
@@ -348,7 +348,7 @@
 	w.ended = true
 	w.s.mu.Lock()
 	defer w.s.mu.Unlock()
-	w.s.state.Free(w.e.id)
+	w.s.state.Remove(w.e.id)
 	w.s.forget(w.e)
 }
 
@@ -362,23 +362,23 @@
 	b := &Body{s: s}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e.gone {
+	if e.evicted {
 		return nil, ErrNoCapacity
 	}
 	copy(e.hash[:], w.hash.Sum(nil))
-	if twin := s.hashes[e.hash]; twin != nil && !twin.gone && twin.size == e.size {
-		s.state.Free(e.id)
+	if twin := s.hashes[e.hash]; twin != nil && !twin.evicted && twin.size == e.size {
+		s.state.Remove(e.id)
 		s.forget(e)
 		s.count(twin, "shared")
 		e = twin
 	} else {
 		s.hashes[e.hash], e.shared = e, true
-		s.state.Whole(e.id)
+		s.state.MarkArrived(e.id)
 		s.count(e, "kept")
 	}
 	b.e = e
-	e.holders[b] = true
-	s.state.Waits(e.id)
+	e.refs[b] = true
+	s.state.MarkPending(e.id)
 	return b, nil
 }
 
@@ -396,7 +396,7 @@
 func (b *Body) OnEvicted(f func()) {
 	b.s.mu.Lock()
 	b.gone = f
-	gone := b.e.gone
+	gone := b.e.evicted
 	b.s.mu.Unlock()
 	if gone {
 		f()
@@ -406,23 +406,23 @@
 // MarkSent says that no part of this query is yet to be written: the body may be given up.
 func (b *Body) MarkSent() {
 	b.s.event(func() []tier.Move {
-		if _, held := b.e.holders[b]; !held || b.e.gone {
+		if _, held := b.e.refs[b]; !held || b.e.evicted {
 			return nil
 		}
-		b.e.holders[b] = false
+		b.e.refs[b] = false
 		if b.e.waits() {
 			return nil
 		}
-		return b.s.state.Written(b.e.id, b.s.cfg.Now())
+		return b.s.state.MarkSent(b.e.id, b.s.cfg.Now())
 	})
 }
 
 // MarkPending says that a part of this query is to be written, or again.
 func (b *Body) MarkPending() {
 	b.s.event(func() []tier.Move {
-		if _, held := b.e.holders[b]; held && !b.e.gone {
-			b.e.holders[b] = true
-			b.s.state.Waits(b.e.id)
+		if _, held := b.e.refs[b]; held && !b.e.evicted {
+			b.e.refs[b] = true
+			b.s.state.MarkPending(b.e.id)
 		}
 		return nil
 	})
@@ -431,20 +431,20 @@
 // Release ends the hold; the last one frees the body.
 func (b *Body) Release() {
 	b.s.event(func() []tier.Move {
-		if _, held := b.e.holders[b]; !held {
+		if _, held := b.e.refs[b]; !held {
 			return nil
 		}
-		delete(b.e.holders, b)
-		if b.e.gone {
+		delete(b.e.refs, b)
+		if b.e.evicted {
 			return nil
 		}
-		if len(b.e.holders) == 0 {
-			b.s.state.Free(b.e.id)
+		if len(b.e.refs) == 0 {
+			b.s.state.Remove(b.e.id)
 			b.s.forget(b.e)
 			return nil
 		}
 		if !b.e.waits() {
-			return b.s.state.Written(b.e.id, b.s.cfg.Now())
+			return b.s.state.MarkSent(b.e.id, b.s.cfg.Now())
 		}
 		return nil
 	})
@@ -455,17 +455,17 @@
 func (b *Body) Open() (io.ReadCloser, error) {
 	b.s.mu.Lock()
 	defer b.s.mu.Unlock()
-	if b.e.gone {
+	if b.e.evicted {
 		return nil, ErrEvicted
 	}
 	r := &reader{s: b.s, e: b.e}
-	if len(b.e.recs) > 0 {
-		r.recs = append(r.recs, b.e.recs...)
+	if len(b.e.records) > 0 {
+		r.recs = append(r.recs, b.e.records...)
 		for _, rec := range r.recs {
-			b.s.log.pin(rec.seg)
+			b.s.log.pin(rec.segment)
 		}
 	} else {
-		r.mem = append(r.mem, b.e.mem...)
+		r.mem = append(r.mem, b.e.chunks...)
 	}
 	return r, nil
 }
@@ -488,8 +488,8 @@
 			r.rest, r.mem = r.mem[0], r.mem[1:]
 		case len(r.recs) > 0:
 			rec := r.recs[0]
-			if cap(r.buf) < headSize+rec.n {
-				r.buf = make([]byte, headSize+rec.n)
+			if cap(r.buf) < recordHeaderSize+rec.length {
+				r.buf = make([]byte, recordHeaderSize+rec.length)
 			}
 			data, err := r.s.log.read(rec, r.buf[:cap(r.buf)])
 			if err != nil {
@@ -497,7 +497,7 @@
 				return 0, err
 			}
 			r.rest, r.recs = data, r.recs[1:]
-			r.s.log.unpin(rec.seg)
+			r.s.log.unpin(rec.segment)
 		default:
 			return 0, io.EOF
 		}
@@ -510,7 +510,7 @@
 // Close gives up what was not read.
 func (r *reader) Close() error {
 	for _, rec := range r.recs {
-		r.s.log.unpin(rec.seg)
+		r.s.log.unpin(rec.segment)
 	}
 	r.recs, r.mem = nil, nil
 	return nil
--- a/internal/bodystore/store_test.go
+++ b/internal/bodystore/store_test.go
@@ -33,36 +33,36 @@
 
 func noFaults() *faults { f := &faults{}; f.room.Store(-1); return f }
 
-func (f *faults) Create(path string) (Disk, error) {
+func (f *faults) Create(path string) (File, error) {
 	d, err := osFS{}.Create(path)
 	return &faultyDisk{d, f}, err
 }
 func (*faults) Remove(path string) error { return os.Remove(path) }
 
 type faultyDisk struct {
-	Disk
+	File
 	f *faults
 }
 
 func (d *faultyDisk) WriteAt(p []byte, off int64) (int, error) {
 	if d.f.short.Load() {
-		return d.Disk.WriteAt(p[:len(p)/2], off)
+		return d.File.WriteAt(p[:len(p)/2], off)
 	}
 	if room := d.f.room.Load(); room >= 0 {
 		if room < int64(len(p)) {
-			_, _ = d.Disk.WriteAt(p[:room], off)
+			_, _ = d.File.WriteAt(p[:room], off)
 			return int(room), syscall.ENOSPC
 		}
 		d.f.room.Add(-int64(len(p)))
 	}
-	return d.Disk.WriteAt(p, off)
+	return d.File.WriteAt(p, off)
 }
 
 func (d *faultyDisk) ReadAt(p []byte, off int64) (int, error) {
 	if d.f.fail.Load() {
 		return 0, syscall.EIO
 	}
-	n, err := d.Disk.ReadAt(p, off)
+	n, err := d.File.ReadAt(p, off)
 	if d.f.flip.Load() && n > 0 {
 		p[n/2] ^= 4
 	}
@@ -81,7 +81,7 @@
 	return s
 }
 
-func text(seed uint64, n int) []byte {
+func randomBytes(seed uint64, n int) []byte {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	out := make([]byte, n)
 	for i := range out {
@@ -90,7 +90,7 @@
 	return out
 }
 
-func keep(s *Store, class int, data []byte) (*Body, error) {
+func storeBody(s *Store, class int, data []byte) (*Body, error) {
 	w := s.NewWriter(class, 1)
 	if _, err := w.Write(data); err != nil {
 		return nil, err
@@ -98,16 +98,16 @@
 	return w.Commit()
 }
 
-func mustKeep(t testing.TB, s *Store, data []byte) *Body {
+func mustStore(t testing.TB, s *Store, data []byte) *Body {
 	t.Helper()
-	b, err := keep(s, 0, data)
+	b, err := storeBody(s, 0, data)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return b
 }
 
-func read(b *Body) ([]byte, error) {
+func readBody(b *Body) ([]byte, error) {
 	r, err := b.Open()
 	if err != nil {
 		return nil, err
@@ -118,18 +118,18 @@
 
 func wantBody(t testing.TB, b *Body, data []byte) {
 	t.Helper()
-	if got, err := read(b); err != nil || !bytes.Equal(got, data) {
+	if got, err := readBody(b); err != nil || !bytes.Equal(got, data) {
 		t.Fatalf("read %d bytes, %v, want %d", len(got), err, len(data))
 	}
 }
 
-// settled waits until nothing is on its way to a file: the state says so.
-func settled(s *Store) {
+// waitForMoves waits until nothing is on its way to a file: the state says so.
+func waitForMoves(s *Store) {
 	for {
 		s.mu.Lock()
-		idle := len(s.orders) == 0
+		idle := len(s.moveQueue) == 0
 		for _, e := range s.entries {
-			idle = idle && (len(e.mem) == 0 || s.state.Where(e.id) == tier.Memory && !s.state.Moving(e.id))
+			idle = idle && (len(e.chunks) == 0 || s.state.TierOf(e.id) == tier.Memory && !s.state.IsMoving(e.id))
 		}
 		s.mu.Unlock()
 		if idle {
@@ -151,7 +151,7 @@
 		defer os.RemoveAll(dir)
 		fs := noFaults()
 		var now atomic.Int64
-		cfg := Config{Limits: tier.Limits{Memory: 40 << 10, Files: 120 << 10, Largest: 24 << 10, Classes: []tier.Class{{Floor: 8 << 10}, {}}},
+		cfg := Config{Limits: tier.Limits{Memory: 40 << 10, Files: 120 << 10, Largest: 24 << 10, Classes: []tier.Class{{GuaranteedBytes: 8 << 10}, {}}},
 			Classes: []string{"lookup", "table"}, Dir: dir, FS: fs, Counters: metrics.NewCounters(), Now: func() time.Duration { return time.Duration(now.Load()) }}
 		s := Open(cfg)
 		defer func() { s.Close() }()
@@ -169,8 +169,8 @@
 			}
 			switch kind := rapid.IntRange(0, 9).Draw(t, "event"); {
 			case kind <= 2 || h == nil:
-				data := text(uint64(rapid.IntRange(1, 6).Draw(t, "content")), rapid.IntRange(1, 50<<10).Draw(t, "size"))
-				b, err := keep(s, rapid.IntRange(0, 1).Draw(t, "class"), data)
+				data := randomBytes(uint64(rapid.IntRange(1, 6).Draw(t, "content")), rapid.IntRange(1, 50<<10).Draw(t, "size"))
+				b, err := storeBody(s, rapid.IntRange(0, 1).Draw(t, "class"), data)
 				if errors.Is(err, ErrNoCapacity) {
 					seen["refused"]++
 					continue
@@ -196,7 +196,7 @@
 				s.compactAll()
 			case kind == 9 && rapid.IntRange(0, 2).Draw(t, "crash") == 0: // the process dies as it stands; the next one starts
 				crash(s)
-				left := s.own
+				left := s.dir
 				s, holds = Open(cfg), nil
 				seen["crash"]++
 				if _, err := os.Stat(left); !errors.Is(err, os.ErrNotExist) || s.log == nil {
@@ -205,9 +205,9 @@
 			case kind == 8:
 				fs.flip.Store(rapid.IntRange(0, 3).Draw(t, "flip") == 0)
 			}
-			settled(s)
+			waitForMoves(s)
 			for _, h := range holds {
-				got, err := read(h.b)
+				got, err := readBody(h.b)
 				switch {
 				case err == nil && !bytes.Equal(got, h.data):
 					t.Fatalf("read %d other bytes than the %d written", len(got), len(h.data))
@@ -241,14 +241,14 @@
 func crash(s *Store) {
 	close(s.done)
 	s.wg.Wait()
-	_ = s.lock.Close()
+	_ = s.dirLock.Close()
 }
 
 // compactAll compacts whatever is sparse, whether the disk needs it or not.
 func (s *Store) compactAll() {
-	for seg := s.log.sparse(); seg != nil; seg = nil {
-		for _, e := range s.inSegment(seg) {
-			s.rewrite(e, seg)
+	for seg := s.log.sparsest(); seg != nil; seg = nil {
+		for _, e := range s.entriesIn(seg) {
+			s.compactEntry(e, seg)
 		}
 	}
 }
@@ -260,15 +260,15 @@
 func TestTheDiskFills(t *testing.T) {
 	fs := noFaults()
 	s := newStore(t, small, fs)
-	before := text(1, 300<<10)
-	b := mustKeep(t, s, before)
+	before := randomBytes(1, 300<<10)
+	b := mustStore(t, s, before)
 	fs.room.Store(100 << 10)
-	if _, err := keep(s, 0, text(2, 600<<10)); !errors.Is(err, ErrNoCapacity) {
+	if _, err := storeBody(s, 0, randomBytes(2, 600<<10)); !errors.Is(err, ErrNoCapacity) {
 		t.Fatalf("a body that the disk has no room for: %v", err)
 	}
 	wantBody(t, b, before)
-	fits := text(3, 60<<10)
-	c := mustKeep(t, s, fits)
+	fits := randomBytes(3, 60<<10)
+	c := mustStore(t, s, fits)
 	wantBody(t, c, fits)
 	fs.room.Store(-1)
 	if n := s.cfg.Counters.Get("bodies_write_failed"); n == 0 {
@@ -284,12 +284,12 @@
 	for name, spoil := range map[string]func(*faults){"flip": func(f *faults) { f.flip.Store(true) }, "eio": func(f *faults) { f.fail.Store(true) }} {
 		fs := noFaults()
 		s := newStore(t, small, fs)
-		data := text(4, 300<<10)
-		b := mustKeep(t, s, data)
+		data := randomBytes(4, 300<<10)
+		b := mustStore(t, s, data)
 		told := make(chan struct{}, 2)
 		b.OnEvicted(func() { told <- struct{}{} })
 		spoil(fs)
-		got, err := read(b)
+		got, err := readBody(b)
 		if err == nil || len(got) > 0 {
 			t.Errorf("%s: %d bytes, %v", name, len(got), err)
 		}
@@ -306,7 +306,7 @@
 	fs := noFaults()
 	s := newStore(t, small, fs)
 	fs.short.Store(true)
-	if _, err := keep(s, 0, text(5, 900<<10)); !errors.Is(err, ErrNoCapacity) {
+	if _, err := storeBody(s, 0, randomBytes(5, 900<<10)); !errors.Is(err, ErrNoCapacity) {
 		t.Errorf("%v", err)
 	}
 	if f := s.Totals(); f.Bodies != 0 || f.Memory != 0 {
@@ -318,8 +318,8 @@
 func TestABodyDroppedWhileItIsRead(t *testing.T) {
 	for _, size := range []int{100 << 10, 400 << 10} {
 		s := newStore(t, small, nil)
-		data := text(6, size)
-		b := mustKeep(t, s, data)
+		data := randomBytes(6, size)
+		b := mustStore(t, s, data)
 		r, err := b.Open()
 		if err != nil {
 			t.Fatal(err)
@@ -330,7 +330,7 @@
 		}
 		b.Release()
 		s.compactAll()
-		s.log.sweep()
+		s.log.removeRetired()
 		rest, err := io.ReadAll(r)
 		if err != nil || !bytes.Equal(append(first, rest...), data) {
 			t.Errorf("%d bytes: %v", len(rest), err)
@@ -342,10 +342,10 @@
 // The same body from a hundred queries lies here once, until the last of them has ended.
 func TestABodyFromAHundredQueries(t *testing.T) {
 	s := newStore(t, small, nil)
-	data := text(7, 100<<10)
+	data := randomBytes(7, 100<<10)
 	var holds []*Body
 	for range 100 {
-		holds = append(holds, mustKeep(t, s, data))
+		holds = append(holds, mustStore(t, s, data))
 	}
 	if f := s.Totals(); f.Bodies != 1 || f.Memory != int64(len(data)) || f.Shared != 99 {
 		t.Errorf("%+v", f)
@@ -373,12 +373,12 @@
 	if broken.log != nil {
 		t.Error("files in a folder that cannot be")
 	}
-	if _, err := keep(broken, 0, text(1, 100<<10)); err != nil {
+	if _, err := storeBody(broken, 0, randomBytes(1, 100<<10)); err != nil {
 		t.Errorf("memory alone: %v", err)
 	}
 	broken.Close()
 
-	left := filepath.Join(dir, ownPrefix+"left")
+	left := filepath.Join(dir, processDirPrefix+"left")
 	if err := os.MkdirAll(left, 0o700); err != nil {
 		t.Fatal(err)
 	}
@@ -392,14 +392,14 @@
 	if _, err := os.Stat(left); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("what a crash left: %v", err)
 	}
-	data := text(2, 400<<10)
-	b := mustKeep(t, one, data)
+	data := randomBytes(2, 400<<10)
+	b := mustStore(t, one, data)
 	two := Open(cfg)
 	wantBody(t, b, data)
 	two.Close()
 	wantBody(t, b, data)
 	one.Close()
-	if rest, _ := filepath.Glob(filepath.Join(dir, ownPrefix+"*")); len(rest) != 0 {
+	if rest, _ := filepath.Glob(filepath.Join(dir, processDirPrefix+"*")); len(rest) != 0 {
 		t.Errorf("left behind: %v", rest)
 	}
 }
@@ -411,10 +411,10 @@
 		s := newStore(t, tier.Limits{Memory: 256 << 10, Files: files, Largest: 1 << 20}, nil)
 		var held []*Body
 		for i := range 4 {
-			held = append(held, mustKeep(t, s, text(uint64(i), 60<<10)))
+			held = append(held, mustStore(t, s, randomBytes(uint64(i), 60<<10)))
 		}
-		newcomer := text(9, 500<<10)
-		b, err := keep(s, 0, newcomer)
+		newcomer := randomBytes(9, 500<<10)
+		b, err := storeBody(s, 0, newcomer)
 		if files == 0 && !errors.Is(err, ErrNoCapacity) || files > 0 && err != nil {
 			t.Fatalf("with %d bytes of files: %v", files, err)
 		}
@@ -422,7 +422,7 @@
 			wantBody(t, b, newcomer)
 		}
 		for i, h := range held {
-			wantBody(t, h, text(uint64(i), 60<<10))
+			wantBody(t, h, randomBytes(uint64(i), 60<<10))
 		}
 	}
 }
@@ -431,14 +431,14 @@
 // nothing else comes to harm.
 func TestTheFolderVanishes(t *testing.T) {
 	s := newStore(t, small, nil)
-	if err := os.RemoveAll(s.own); err != nil {
+	if err := os.RemoveAll(s.dir); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := keep(s, 0, text(1, 600<<10)); !errors.Is(err, ErrNoCapacity) {
+	if _, err := storeBody(s, 0, randomBytes(1, 600<<10)); !errors.Is(err, ErrNoCapacity) {
 		t.Errorf("%v", err)
 	}
-	data := text(2, 100<<10)
-	wantBody(t, mustKeep(t, s, data), data)
+	data := randomBytes(2, 100<<10)
+	wantBody(t, mustStore(t, s, data), data)
 }
 
 // Many bodies under a small budget stay under it, while many goroutines write, read and let go.
@@ -448,13 +448,13 @@
 	for g := range 8 {
 		wg.Go(func() {
 			for i := range 60 {
-				data := text(uint64(g*7+i%5), 20<<10+i*1000)
-				b, err := keep(s, 0, data)
+				data := randomBytes(uint64(g*7+i%5), 20<<10+i*1000)
+				b, err := storeBody(s, 0, data)
 				if err != nil {
 					continue
 				}
 				b.MarkSent()
-				if got, err := read(b); err == nil && !bytes.Equal(got, data) {
+				if got, err := readBody(b); err == nil && !bytes.Equal(got, data) {
 					t.Error("another body")
 				}
 				b.Release()
@@ -487,9 +487,9 @@
 		t.Fatal(err)
 	}
 	s := newStore(t, small, nil)
-	first := text(1, 150<<10)
-	b := mustKeep(t, s, first)
-	if _, err := keep(s, 0, text(2, 600<<10)); !errors.Is(err, ErrNoCapacity) {
+	first := randomBytes(1, 150<<10)
+	b := mustStore(t, s, first)
+	if _, err := storeBody(s, 0, randomBytes(2, 600<<10)); !errors.Is(err, ErrNoCapacity) {
 		t.Fatalf("past the limit: %v", err)
 	}
 	wantBody(t, b, first)
@@ -498,13 +498,13 @@
 
 // FuzzRecord: whatever lies on the disk, a record is what was written or does not check.
 func FuzzRecord(f *testing.F) {
-	l := newLog(osFS{}, f.TempDir())
+	l := newSegmentLog(osFS{}, f.TempDir())
 	r, err := l.append([]byte("some text"))
 	if err != nil {
 		f.Fatal(err)
 	}
-	good := make([]byte, headSize+r.n)
-	if _, err := r.seg.disk.ReadAt(good, 0); err != nil {
+	good := make([]byte, recordHeaderSize+r.length)
+	if _, err := r.segment.file.ReadAt(good, 0); err != nil {
 		f.Fatal(err)
 	}
 	f.Add(good, 9)
@@ -522,11 +522,11 @@
 	for _, size := range []int{8 << 10, 64 << 10} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			s := newStore(b, small, nil)
-			data := text(1, size)
+			data := randomBytes(1, size)
 			b.SetBytes(int64(size))
 			b.ReportAllocs()
 			for b.Loop() {
-				mustKeep(b, s, data).Release()
+				mustStore(b, s, data).Release()
 			}
 		})
 	}
--- a/internal/bodystore/tier/tier.go
+++ b/internal/bodystore/tier/tier.go
@@ -27,8 +27,8 @@
 
 // Class is what a class of queries may count on.
 type Class struct {
-	Floor int64   // bytes in memory that other classes cannot take
-	Share float64 // of the memory that the class may have at most; 0: all
+	GuaranteedBytes int64   // bytes in memory that other classes cannot take
+	MaxMemoryShare float64 // of the memory that the class may have at most; 0: all
 }
 
 // Limits are the budgets, in bytes.
@@ -39,23 +39,23 @@
 	Classes []Class
 }
 
-// slack is how far memory may run over its budget while moves to files are under way.
-const slack = 0.25
+// memoryOvercommit is how far memory may run over its budget while moves to files are under way.
+const memoryOvercommit = 0.25
 
 // Move is what is to be done with a body. To File: write it there and tell by Filed. To None: it is
 // given up already.
 type Move struct {
 	ID  ID
 	To  Tier
-	Why string
+	Reason string
 }
 
 // The reasons of moves, for figures.
 const (
-	WhySize   = "too_large"
-	WhyRoom   = "no_room"
-	WhyFailed = "file_failed"
-	WhyShare  = "class_share"
+	ReasonTooLarge   = "too_large"
+	ReasonNoCapacity   = "no_room"
+	ReasonFileFailed = "file_failed"
+	ReasonClassShare  = "class_share"
 )
 
 type body struct {
@@ -110,14 +110,14 @@
 
 func (b *body) density() float64 { return b.worth / float64(max(1, b.size)) }
 
-// Limit changes the budgets of memory and files, as when two processes share them.
-func (s *State) Limit(memory, files int64) []Move {
+// SetLimits changes the budgets of memory and files, as when two processes share them.
+func (s *State) SetLimits(memory, files int64) []Move {
 	s.limits.Memory, s.limits.Files = memory, files
 	return s.act(func() { s.relieve(nil) })
 }
 
-// Open begins a body that is about to arrive. Its worth may be shared by several queries.
-func (s *State) Open(id ID, class int, worth float64) {
+// Add begins a body that is about to arrive. Its worth may be shared by several queries.
+func (s *State) Add(id ID, class int, worth float64) {
 	b := &body{id: id, class: class, worth: worth, waiting: true}
 	s.bodies[id] = b
 	s.order[Memory].Set(b)
@@ -134,10 +134,10 @@
 	moves = s.act(func() {
 		s.change(b, func() { b.size += n })
 		if b.tier == Memory && !b.moving && b.size > s.limits.Largest && s.fits(b) {
-			s.toFile(b, WhySize)
+			s.toFile(b, ReasonTooLarge)
 		}
 		s.relieve(b)
-		over := s.used[Memory] > s.limits.Memory+int64(slack*float64(s.limits.Memory)) ||
+		over := s.used[Memory] > s.limits.Memory+int64(memoryOvercommit*float64(s.limits.Memory)) ||
 			s.used[Memory]-s.moving > s.limits.Memory || b.tier == File && s.used[File] > s.limits.Files || s.overShare(b)
 		if over && s.bodies[id] != nil {
 			s.forget(b)
@@ -153,11 +153,11 @@
 		return false
 	}
 	c := s.limits.Classes[b.class]
-	return c.Share > 0 && float64(s.class[b.class]) > max(c.Share*float64(s.limits.Memory), float64(c.Floor))
+	return c.MaxMemoryShare > 0 && float64(s.class[b.class]) > max(c.MaxMemoryShare*float64(s.limits.Memory), float64(c.GuaranteedBytes))
 }
 
-// Whole says that a body has arrived.
-func (s *State) Whole(id ID) {
+// MarkArrived says that a body has arrived.
+func (s *State) MarkArrived(id ID) {
 	if b := s.bodies[id]; b != nil {
 		b.whole = true
 	}
@@ -170,8 +170,8 @@
 	}
 }
 
-// Written says that no part of a body is yet to be written, as of now.
-func (s *State) Written(id ID, now time.Duration) []Move {
+// MarkSent says that no part of a body is yet to be written, as of now.
+func (s *State) MarkSent(id ID, now time.Duration) []Move {
 	b := s.bodies[id]
 	if b == nil {
 		return nil
@@ -179,21 +179,21 @@
 	return s.act(func() {
 		s.change(b, func() { b.waiting, b.sent = false, now })
 		if b.tier == Memory && !b.moving && b.size > s.limits.Largest { // kept only until it was sent
-			s.toNone(b, WhySize)
+			s.toNone(b, ReasonTooLarge)
 		}
 		s.relieve(nil)
 	})
 }
 
-// Waits says that a part of a body is to be written again.
-func (s *State) Waits(id ID) {
+// MarkPending says that a part of a body is to be written again.
+func (s *State) MarkPending(id ID) {
 	if b := s.bodies[id]; b != nil {
 		s.change(b, func() { b.waiting = true })
 	}
 }
 
-// Filed says how a move to a file ended.
-func (s *State) Filed(id ID, ok bool) []Move {
+// FinishMove says how a move to a file ended.
+func (s *State) FinishMove(id ID, ok bool) []Move {
 	b := s.bodies[id]
 	if b == nil || !b.moving {
 		return nil
@@ -208,20 +208,20 @@
 		if !ok {
 			s.relieve(nil)
 			if b.size > s.limits.Largest && !b.waiting && s.bodies[id] != nil {
-				s.toNone(b, WhyFailed)
+				s.toNone(b, ReasonFileFailed)
 			}
 		}
 	})
 }
 
-// Rest says whether files take nothing new for now: the disk is full or failing.
-func (s *State) Rest(rest bool) []Move {
+// SetFilesSuspended says whether files take nothing new for now: the disk is full or failing.
+func (s *State) SetFilesSuspended(rest bool) []Move {
 	s.rest = rest
 	return s.act(func() { s.relieve(nil) })
 }
 
-// Free says that a body is needed no more, or cannot be read any more.
-func (s *State) Free(id ID) {
+// Remove says that a body is needed no more, or cannot be read any more.
+func (s *State) Remove(id ID) {
 	if b := s.bodies[id]; b != nil {
 		s.forget(b)
 	}
@@ -235,11 +235,11 @@
 	return s.used[t]
 }
 
-// Held is how many bodies there are.
-func (s *State) Held() int { return len(s.bodies) }
+// Len is how many bodies there are.
+func (s *State) Len() int { return len(s.bodies) }
 
-// Where is the tier of a body; None: it is not held.
-func (s *State) Where(id ID) Tier {
+// TierOf is the tier of a body; None: it is not held.
+func (s *State) TierOf(id ID) Tier {
 	if b := s.bodies[id]; b != nil {
 		return b.tier
 	}
@@ -305,18 +305,18 @@
 		if v == nil {
 			break
 		}
-		s.toNone(v, WhyRoom)
+		s.toNone(v, ReasonNoCapacity)
 	}
 	for cause != nil && s.overShare(cause) {
 		mine := func(b *body) bool { return b.class == cause.class && s.givesWay(b) }
 		v := s.first(Memory, nil, mine)
-		if v == nil || !s.give(v, WhyShare) {
+		if v == nil || !s.give(v, ReasonClassShare) {
 			break
 		}
 	}
 	for s.used[Memory]-s.moving > s.limits.Memory {
 		v := s.first(Memory, cause, s.givesWay)
-		if v == nil || !s.give(v, WhyRoom) {
+		if v == nil || !s.give(v, ReasonNoCapacity) {
 			break
 		}
 	}
@@ -331,7 +331,7 @@
 func (s *State) give(v *body, why string) bool {
 	if s.roomFor(v) {
 		for !s.fits(v) {
-			s.toNone(s.first(File, nil, s.lessThan(v)), WhyRoom)
+			s.toNone(s.first(File, nil, s.lessThan(v)), ReasonNoCapacity)
 		}
 		s.toFile(v, why)
 		return true
@@ -387,8 +387,8 @@
 	if b.class >= len(s.limits.Classes) || cause == nil || cause.class == b.class {
 		return false
 	}
-	return s.class[b.class]-b.size < s.limits.Classes[b.class].Floor
+	return s.class[b.class]-b.size < s.limits.Classes[b.class].GuaranteedBytes
 }
 
-// Moving tells whether a body is on its way to a file.
-func (s *State) Moving(id ID) bool { b := s.bodies[id]; return b != nil && b.moving }
+// IsMoving tells whether a body is on its way to a file.
+func (s *State) IsMoving(id ID) bool { b := s.bodies[id]; return b != nil && b.moving }
--- a/internal/bodystore/tier/tier_test.go
+++ b/internal/bodystore/tier/tier_test.go
@@ -62,7 +62,7 @@
 func (m *model) firsts(cause int) (out []ID) {
 	var list []*twin
 	for _, b := range m.bodies {
-		floored := b.class != cause && m.class(b.class)-b.size < m.limits.Classes[b.class].Floor
+		floored := b.class != cause && m.class(b.class)-b.size < m.limits.Classes[b.class].GuaranteedBytes
 		if b.tier == Memory && b.whole && !b.waiting && b.size > 0 && !floored {
 			list = append(list, b)
 		}
@@ -83,7 +83,7 @@
 		if b == nil {
 			t.Fatalf("moved %d, which is not held", mv.ID)
 		}
-		seen[mv.To.String()+" "+mv.Why]++
+		seen[mv.To.String()+" "+mv.Reason]++
 		switch mv.To {
 		case File:
 			if b.tier != Memory || b.moving {
@@ -107,7 +107,7 @@
 	seen := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{Memory: 1000, Files: rapid.SampledFrom([]int64{0, 1500}).Draw(t, "files"), Largest: 400,
-			Classes: []Class{{Floor: 200}, {Share: 0.6}}}
+			Classes: []Class{{GuaranteedBytes: 200}, {MaxMemoryShare: 0.6}}}
 		s, m := New(limits), &model{limits: limits, bodies: map[ID]*twin{}}
 		next := ID(0)
 		now := time.Duration(0)
@@ -129,7 +129,7 @@
 				next++
 				b := &twin{id: next, class: rapid.IntRange(0, 1).Draw(t, "class"), worth: float64(rapid.IntRange(1, 3).Draw(t, "worth")), waiting: true}
 				m.bodies[next] = b
-				s.Open(next, b.class, b.worth)
+				s.Add(next, b.class, b.worth)
 				n := int64(rapid.IntRange(1, 300).Draw(t, "n"))
 				grow(t, s, m, b, n, seen)
 			case 2:
@@ -139,19 +139,19 @@
 			case 3, 4:
 				if b := pick(); b != nil {
 					b.whole = true
-					s.Whole(b.id)
+					s.MarkArrived(b.id)
 					b.waiting, b.sent = false, now
-					m.take(t, s.Written(b.id, now), seen)
+					m.take(t, s.MarkSent(b.id, now), seen)
 				}
 			case 5:
 				if b := pick(); b != nil {
 					b.waiting = true
-					s.Waits(b.id)
+					s.MarkPending(b.id)
 				}
 			case 6:
 				if b := pick(); b != nil {
 					delete(m.bodies, b.id)
-					s.Free(b.id)
+					s.Remove(b.id)
 				}
 			case 7:
 				if b := pick(); b != nil && b.moving {
@@ -160,19 +160,19 @@
 					if ok {
 						b.tier = File
 					}
-					m.take(t, s.Filed(b.id, ok), seen)
+					m.take(t, s.FinishMove(b.id, ok), seen)
 				}
 			}
 			all, _ := m.memory()
-			if s.Used(Memory) != all || s.Used(File) != m.files() || s.Held() != len(m.bodies) {
-				t.Fatalf("used %d and %d of %d bodies, the model has %d, %d, %d", s.Used(Memory), s.Used(File), s.Held(), all, m.files(), len(m.bodies))
+			if s.Used(Memory) != all || s.Used(File) != m.files() || s.Len() != len(m.bodies) {
+				t.Fatalf("used %d and %d of %d bodies, the model has %d, %d, %d", s.Used(Memory), s.Used(File), s.Len(), all, m.files(), len(m.bodies))
 			}
 			if m.files() > limits.Files {
 				t.Fatalf("%d bytes in files", m.files())
 			}
 		}
 	})
-	for _, what := range []string{"file " + WhySize, "file " + WhyRoom, "none " + WhyRoom, "none " + WhySize, "none " + WhyShare, "refused"} {
+	for _, what := range []string{"file " + ReasonTooLarge, "file " + ReasonNoCapacity, "none " + ReasonNoCapacity, "none " + ReasonTooLarge, "none " + ReasonClassShare, "refused"} {
 		if seen[what] == 0 {
 			t.Errorf("no run shows %q: %v", what, seen)
 		}
@@ -185,7 +185,7 @@
 	want := m.firsts(b.class)
 	floors := [2]int64{m.class(0), m.class(1)}
 	moves, room := s.Grow(b.id, n)
-	if m.limits.Files == 0 && len(moves) > 0 && moves[0].Why == WhyRoom && (len(want) == 0 || moves[0].ID != want[0]) {
+	if m.limits.Files == 0 && len(moves) > 0 && moves[0].Reason == ReasonNoCapacity && (len(want) == 0 || moves[0].ID != want[0]) {
 		t.Fatalf("dropped %d first, want %v", moves[0].ID, want)
 	}
 	m.take(t, moves, seen)
@@ -194,12 +194,12 @@
 		delete(m.bodies, b.id)
 	}
 	all, staying := m.memory()
-	if room && (staying > m.limits.Memory || float64(all) > (1+slack)*float64(m.limits.Memory)) {
+	if room && (staying > m.limits.Memory || float64(all) > (1+memoryOvercommit)*float64(m.limits.Memory)) {
 		t.Fatalf("%d bytes in memory, %d of them to stay", all, staying)
 	}
 	for c, limit := range m.limits.Classes {
-		if c != b.class && m.class(c) < min(limit.Floor, floors[c]) {
-			t.Fatalf("class %d fell from %d to %d, its floor is %d", c, floors[c], m.class(c), limit.Floor)
+		if c != b.class && m.class(c) < min(limit.GuaranteedBytes, floors[c]) {
+			t.Fatalf("class %d fell from %d to %d, its floor is %d", c, floors[c], m.class(c), limit.GuaranteedBytes)
 		}
 	}
 }
--- a/internal/daemon/admin_backend.go
+++ b/internal/daemon/admin_backend.go
@@ -76,7 +76,7 @@
 		return nil
 	}
 	f := b.bodies.store.Totals()
-	return &adminapi.BodyStatus{Stored: f.Bodies, Shared: f.Shared, Arriving: f.ArrivingBodies, Waiting: f.WaitingBodies,
+	return &adminapi.BodyStatus{Stored: f.Bodies, Shared: f.Shared, Arriving: f.ArrivingBodies, Waiting: f.PendingBodies,
 		Memory: f.Memory, Files: f.Files, Disk: f.Disk}
 }
 
--- a/internal/daemon/body_config.go
+++ b/internal/daemon/body_config.go
@@ -71,7 +71,7 @@
 		if i < 0 {
 			return l, fmt.Errorf("bodies.classes.%s: no such class", name)
 		}
-		l.Classes[i] = tier.Class{Floor: c.FloorKiB << 10, Share: c.Share}
+		l.Classes[i] = tier.Class{GuaranteedBytes: c.FloorKiB << 10, MaxMemoryShare: c.Share}
 		floors += c.FloorKiB << 10
 	}
 	if floors > l.Memory {
--- a/internal/daemon/body_store.go
+++ b/internal/daemon/body_store.go
@@ -104,5 +104,5 @@
 		return
 	}
 	f := b.store.Totals()
-	eventlog.Bodies.Log(f.Bodies, f.Shared, f.ArrivingBodies, f.WaitingBodies, f.Memory, f.Files, f.Disk)
+	eventlog.Bodies.Log(f.Bodies, f.Shared, f.ArrivingBodies, f.PendingBodies, f.Memory, f.Files, f.Disk)
 }
