--- a/internal/bodystore/log.go
+++ b/internal/bodystore/log.go
@@ -34,9 +34,9 @@
 func (osFS) Remove(path string) error { return os.Remove(path) }
 
 const (
-	segmentSize = 4 << 20
-	recordHeaderSize    = 16
-	maxRecordData   = 64 << 10 // bytes of one record's data
+	segmentSize      = 4 << 20
+	recordHeaderSize = 16
+	maxRecordData    = 64 << 10 // bytes of one record's data
 )
 
 var magic = [4]byte{'L', 'P', 'B', '1'}
@@ -47,8 +47,8 @@
 // record is where some bytes lie.
 type record struct {
 	segment *segment
-	offset int64
-	length   int
+	offset  int64
+	length  int
 }
 
 // segment is one file of the log. The log's mutex guards its figures.
@@ -70,13 +70,15 @@
 	making sync.Mutex // of a new segment; guards seq
 	seq    int
 
-	mu    sync.Mutex // held for no disk
-	cur   *segment
-	segments  map[*segment]bool
-	trash []*segment // to be removed from the disk
+	mu       sync.Mutex // held for no disk
+	cur      *segment
+	segments map[*segment]bool
+	trash    []*segment // to be removed from the disk
 }
 
-func newSegmentLog(fs FS, dir string) *segmentLog { return &segmentLog{fs: fs, dir: dir, segments: map[*segment]bool{}} }
+func newSegmentLog(fs FS, dir string) *segmentLog {
+	return &segmentLog{fs: fs, dir: dir, segments: map[*segment]bool{}}
+}
 
 // append writes data of maxRecord bytes at most.
 func (l *segmentLog) append(data []byte) (record, error) {
--- a/internal/bodystore/store.go
+++ b/internal/bodystore/store.go
@@ -43,22 +43,22 @@
 // Store keeps bodies. Its methods may be called from anywhere; none waits for a disk but Write of
 // the body that arrives.
 type Store struct {
-	cfg  Config
-	log  *segmentLog // nil: no files
-	dir  string
+	cfg     Config
+	log     *segmentLog // nil: no files
+	dir     string
 	dirLock *os.File
 
-	mu      sync.Mutex
-	state   *tier.State
-	next    tier.ID
-	entries map[tier.ID]*entry
-	hashes  map[[32]byte]*entry
-	rests   time.Duration // until then files take nothing new; 0: they do
-	moveQueue  []*entry      // to be moved to files
-	wake    chan struct{}
-	done    chan struct{}
-	wg      sync.WaitGroup
-	lines   eventlog.RateLimited
+	mu        sync.Mutex
+	state     *tier.State
+	next      tier.ID
+	entries   map[tier.ID]*entry
+	hashes    map[[32]byte]*entry
+	rests     time.Duration // until then files take nothing new; 0: they do
+	moveQueue []*entry      // to be moved to files
+	wake      chan struct{}
+	done      chan struct{}
+	wg        sync.WaitGroup
+	lines     eventlog.RateLimited
 }
 
 // entry is one body.
@@ -70,14 +70,14 @@
 	size    int64
 	hash    [32]byte
 	shared  bool // it stands under its hash
-	chunks     [][]byte
-	records    []record
-	refs map[*Body]bool // true: a part of it is yet to be written
-	evicted    bool
+	chunks  [][]byte
+	records []record
+	refs    map[*Body]bool // true: a part of it is yet to be written
+	evicted bool
 
 	// moving is held while the entry's data are written to files, or added to.
-	moving sync.Mutex
-	inFiles  bool // its data go to files; guarded by moving
+	moving  sync.Mutex
+	inFiles bool // its data go to files; guarded by moving
 }
 
 // Open makes a store. Files that cannot be used are one line in the log: memory alone serves then.
@@ -155,7 +155,7 @@
 		if e == nil {
 			continue
 		}
-		s.count(e, "moved_"+m.To.String()+"_"+m.Reason)
+		s.count(e, "moved_"+m.To.String()+"_"+string(m.Reason))
 		if m.To == tier.None {
 			told = append(told, s.forget(e)...)
 		} else if e != own {
--- a/internal/bodystore/tier/tier_test.go
+++ b/internal/bodystore/tier/tier_test.go
@@ -1,8 +1,6 @@
 package tier
 
 import (
-	"cmp"
-	"slices"
 	"testing"
 	"time"
 
@@ -11,195 +9,136 @@
 	_ "linkpass/internal/seeded"
 )
 
-// twin is a body as the brute-force model has it.
-type twin struct {
-	id            ID
-	class         int
-	worth         float64
-	size          int64
-	tier          Tier
-	moving, whole bool
-	waiting       bool
-	sent          time.Duration
-}
-
-type model struct {
-	limits Limits
-	bodies map[ID]*twin
-}
-
-func (m *model) memory() (all, staying int64) {
-	for _, b := range m.bodies {
-		if b.tier == Memory {
-			all += b.size
-			if !b.moving {
-				staying += b.size
-			}
+// Any sequence of events keeps limits and guarantees, moves bodies down only and evicts no pending one;
+// without files the body evicted is the one that the model finds by comparing all.
+func TestStateAgreesWithModel(t *testing.T) {
+	seen := map[string]int{}
+	rapid.Check(t, func(t *rapid.T) {
+		limits := Limits{Memory: 1000, Files: rapid.SampledFrom([]int64{0, 1500}).Draw(t, "files"), Largest: 400,
+			Classes: []Class{{GuaranteedBytes: 200}, {MaxMemoryShare: 0.6}}}
+		c := &comparison{t: t, state: New(limits), model: &model{limits: limits, bodies: map[ID]*modelBody{}}, seen: seen}
+		for range rapid.IntRange(10, 120).Draw(t, "events") {
+			c.now += time.Millisecond
+			c.randomEvent()
+			c.check()
 		}
-	}
-	return all, staying
-}
-
-func (m *model) files() (n int64) {
-	for _, b := range m.bodies {
-		if b.tier == File || b.moving {
-			n += b.size
+	})
+	for _, what := range []string{
+		"file " + string(ReasonTooLarge), "file " + string(ReasonNoCapacity), "none " + string(ReasonNoCapacity),
+		"none " + string(ReasonTooLarge), "none " + string(ReasonClassShare), "rejected",
+	} {
+		if seen[what] == 0 {
+			t.Errorf("no run shows %q: %v", what, seen)
 		}
 	}
-	return n
 }
 
-func (m *model) class(c int) (n int64) {
-	for _, b := range m.bodies {
-		if b.class == c && b.tier == Memory && !b.moving {
-			n += b.size
-		}
-	}
-	return n
+// comparison plays the same events on the state and on the model.
+type comparison struct {
+	t      *rapid.T
+	state  *State
+	model  *model
+	seen   map[string]int
+	lastID ID
+	now    time.Duration
 }
 
-// firsts sorts those that may be dropped from memory as they give way, by looking at all of them.
-func (m *model) firsts(cause int) (out []ID) {
-	var list []*twin
-	for _, b := range m.bodies {
-		floored := b.class != cause && m.class(b.class)-b.size < m.limits.Classes[b.class].GuaranteedBytes
-		if b.tier == Memory && b.whole && !b.waiting && b.size > 0 && !floored {
-			list = append(list, b)
+// randomEvent plays an event on a body drawn from those stored.
+func (c *comparison) randomEvent() {
+	ids := c.model.ids()
+	pick := func() *modelBody {
+		if len(ids) == 0 {
+			return nil
 		}
+		return c.model.bodies[rapid.SampledFrom(ids).Draw(c.t, "id")]
 	}
-	slices.SortFunc(list, func(a, b *twin) int {
-		return cmp.Or(cmp.Compare(a.worth/float64(a.size), b.worth/float64(b.size)), cmp.Compare(b.sent, a.sent), cmp.Compare(b.id, a.id))
-	})
-	for _, b := range list {
-		out = append(out, b.id)
+	kind := rapid.IntRange(0, 7).Draw(c.t, "event")
+	if kind <= 1 {
+		c.add()
+	} else if b := pick(); b != nil {
+		c.event(kind, b)
 	}
-	return out
 }
 
-// take follows moves and holds each to what may be done with a body.
-func (m *model) take(t *rapid.T, moves []Move, seen map[string]int) {
-	for _, mv := range moves {
-		b := m.bodies[mv.ID]
-		if b == nil {
-			t.Fatalf("moved %d, which is not held", mv.ID)
+func (c *comparison) event(kind int, b *modelBody) {
+	switch kind {
+	case 2:
+		if !b.arrived {
+			c.grow(b, int64(rapid.IntRange(1, 300).Draw(c.t, "more")))
 		}
-		seen[mv.To.String()+" "+mv.Reason]++
-		switch mv.To {
-		case File:
-			if b.tier != Memory || b.moving {
-				t.Fatalf("to a file from %s", b.tier)
-			}
-			b.moving = true
-		case None:
-			if !b.whole || b.waiting {
-				t.Fatalf("dropped %d, a part of which is yet to be written", mv.ID)
-			}
-			delete(m.bodies, mv.ID)
-		default:
-			t.Fatalf("moved up: %+v", mv)
+	case 3, 4:
+		b.arrived = true
+		c.state.MarkArrived(b.id)
+		b.pending, b.sentAt = false, c.now
+		c.model.apply(c.t, c.state.MarkSent(b.id, c.now), c.seen)
+	case 5:
+		b.pending = true
+		c.state.MarkPending(b.id)
+	case 6:
+		delete(c.model.bodies, b.id)
+		c.state.Remove(b.id)
+	case 7:
+		if b.moving {
+			c.finishMove(b)
 		}
 	}
 }
 
-// Any sequence of events keeps the budgets and floors, moves bodies down only, and gives up none
-// that is yet to be written; without files the one dropped is the one that a look at all finds.
-func TestTiersAgreeWithAModel(t *testing.T) {
-	seen := map[string]int{}
-	rapid.Check(t, func(t *rapid.T) {
-		limits := Limits{Memory: 1000, Files: rapid.SampledFrom([]int64{0, 1500}).Draw(t, "files"), Largest: 400,
-			Classes: []Class{{GuaranteedBytes: 200}, {MaxMemoryShare: 0.6}}}
-		s, m := New(limits), &model{limits: limits, bodies: map[ID]*twin{}}
-		next := ID(0)
-		now := time.Duration(0)
-		for range rapid.IntRange(10, 120).Draw(t, "events") {
-			now += time.Millisecond
-			var ids []ID
-			for id := range m.bodies {
-				ids = append(ids, id)
-			}
-			slices.Sort(ids)
-			pick := func() *twin {
-				if len(ids) == 0 {
-					return nil
-				}
-				return m.bodies[rapid.SampledFrom(ids).Draw(t, "id")]
-			}
-			switch kind := rapid.IntRange(0, 7).Draw(t, "event"); kind {
-			case 0, 1:
-				next++
-				b := &twin{id: next, class: rapid.IntRange(0, 1).Draw(t, "class"), worth: float64(rapid.IntRange(1, 3).Draw(t, "worth")), waiting: true}
-				m.bodies[next] = b
-				s.Add(next, b.class, b.worth)
-				n := int64(rapid.IntRange(1, 300).Draw(t, "n"))
-				grow(t, s, m, b, n, seen)
-			case 2:
-				if b := pick(); b != nil && !b.whole {
-					grow(t, s, m, b, int64(rapid.IntRange(1, 300).Draw(t, "more")), seen)
-				}
-			case 3, 4:
-				if b := pick(); b != nil {
-					b.whole = true
-					s.MarkArrived(b.id)
-					b.waiting, b.sent = false, now
-					m.take(t, s.MarkSent(b.id, now), seen)
-				}
-			case 5:
-				if b := pick(); b != nil {
-					b.waiting = true
-					s.MarkPending(b.id)
-				}
-			case 6:
-				if b := pick(); b != nil {
-					delete(m.bodies, b.id)
-					s.Remove(b.id)
-				}
-			case 7:
-				if b := pick(); b != nil && b.moving {
-					ok := rapid.IntRange(0, 3).Draw(t, "ok") > 0
-					b.moving = false
-					if ok {
-						b.tier = File
-					}
-					m.take(t, s.FinishMove(b.id, ok), seen)
-				}
-			}
-			all, _ := m.memory()
-			if s.Used(Memory) != all || s.Used(File) != m.files() || s.Len() != len(m.bodies) {
-				t.Fatalf("used %d and %d of %d bodies, the model has %d, %d, %d", s.Used(Memory), s.Used(File), s.Len(), all, m.files(), len(m.bodies))
-			}
-			if m.files() > limits.Files {
-				t.Fatalf("%d bytes in files", m.files())
-			}
-		}
-	})
-	for _, what := range []string{"file " + ReasonTooLarge, "file " + ReasonNoCapacity, "none " + ReasonNoCapacity, "none " + ReasonTooLarge, "none " + ReasonClassShare, "refused"} {
-		if seen[what] == 0 {
-			t.Errorf("no run shows %q: %v", what, seen)
-		}
+func (c *comparison) add() {
+	c.lastID++
+	b := &modelBody{id: c.lastID, class: rapid.IntRange(0, 1).Draw(c.t, "class"),
+		priorityWeight: float64(rapid.IntRange(1, 3).Draw(c.t, "weight")), pending: true}
+	c.model.bodies[b.id] = b
+	c.state.Add(b.id, b.class, b.priorityWeight)
+	c.grow(b, int64(rapid.IntRange(1, 300).Draw(c.t, "n")))
+}
+
+func (c *comparison) finishMove(b *modelBody) {
+	written := rapid.IntRange(0, 3).Draw(c.t, "written") > 0
+	b.moving = false
+	if written {
+		b.tier = File
 	}
+	c.model.apply(c.t, c.state.FinishMove(b.id, written), c.seen)
 }
 
-// grow lets bytes arrive, and holds what gives way to the model.
-func grow(t *rapid.T, s *State, m *model, b *twin, n int64, seen map[string]int) {
+// grow lets bytes arrive and compares what is evicted with the model.
+func (c *comparison) grow(b *modelBody, n int64) {
+	c.t.Helper()
+	m := c.model
 	b.size += n
-	want := m.firsts(b.class)
-	floors := [2]int64{m.class(0), m.class(1)}
-	moves, room := s.Grow(b.id, n)
+	want := m.evictionOrder(b.class)
+	before := [2]int64{m.class(0), m.class(1)}
+	moves, hasCapacity := c.state.Grow(b.id, n)
 	if m.limits.Files == 0 && len(moves) > 0 && moves[0].Reason == ReasonNoCapacity && (len(want) == 0 || moves[0].ID != want[0]) {
-		t.Fatalf("dropped %d first, want %v", moves[0].ID, want)
+		c.t.Fatalf("evicted %d first, want %v", moves[0].ID, want)
 	}
-	m.take(t, moves, seen)
-	if !room {
-		seen["refused"]++
+	m.apply(c.t, moves, c.seen)
+	if !hasCapacity {
+		c.seen["rejected"]++
 		delete(m.bodies, b.id)
 	}
 	all, staying := m.memory()
-	if room && (staying > m.limits.Memory || float64(all) > (1+memoryOvercommit)*float64(m.limits.Memory)) {
-		t.Fatalf("%d bytes in memory, %d of them to stay", all, staying)
+	if hasCapacity && (staying > m.limits.Memory || float64(all) > (1+memoryOvercommit)*float64(m.limits.Memory)) {
+		c.t.Fatalf("%d bytes in memory, %d of them to stay", all, staying)
 	}
-	for c, limit := range m.limits.Classes {
-		if c != b.class && m.class(c) < min(limit.GuaranteedBytes, floors[c]) {
-			t.Fatalf("class %d fell from %d to %d, its floor is %d", c, floors[c], m.class(c), limit.GuaranteedBytes)
+	for class, limit := range m.limits.Classes {
+		if class != b.class && m.class(class) < min(limit.GuaranteedBytes, before[class]) {
+			c.t.Fatalf("class %d fell from %d to %d, %d are guaranteed", class, before[class], m.class(class), limit.GuaranteedBytes)
 		}
 	}
 }
+
+// check compares the figures of state and model.
+func (c *comparison) check() {
+	c.t.Helper()
+	s, m := c.state, c.model
+	all, _ := m.memory()
+	if s.Used(Memory) != all || s.Used(File) != m.files() || s.Len() != len(m.bodies) {
+		c.t.Fatalf("used %d and %d of %d bodies, the model has %d, %d, %d",
+			s.Used(Memory), s.Used(File), s.Len(), all, m.files(), len(m.bodies))
+	}
+	if m.files() > m.limits.Files {
+		c.t.Fatalf("%d bytes in files", m.files())
+	}
+}
