--- /dev/null
+++ b/internal/bodystore/entry.go
@@ -0,0 +1,85 @@
+package bodystore
+
+import (
+	"bytes"
+	"sync"
+
+	"linkpass/internal/bodystore/tier"
+	"linkpass/internal/eventlog"
+)
+
+// entry is one stored body, shared by all queries with the same content.
+type entry struct {
+	id    tier.ID
+	class int
+
+	// Guarded by Store.mu.
+	size    int64
+	hash    [32]byte
+	indexed bool // in Store.byHash
+	chunks  [][]byte
+	records []record       // in place of chunks, once in files
+	refs    map[*Body]bool // true: a part of that query has yet to be sent
+	evicted bool
+
+	moveMu  sync.Mutex // held while data are written to files or added; taken before Store.mu
+	inFiles bool       // guarded by moveMu
+}
+
+// append adds a chunk that has arrived. Store.mu and moveMu are held.
+func (e *entry) append(chunk []byte) {
+	e.size += int64(len(chunk))
+	if !e.inFiles {
+		e.chunks = append(e.chunks, bytes.Clone(chunk))
+	}
+}
+
+// isPending reports whether a part of any query has yet to be sent.
+func (e *entry) isPending() bool {
+	for _, pending := range e.refs {
+		if pending {
+			return true
+		}
+	}
+	return false
+}
+
+// remove deletes an entry and returns the eviction callbacks of its references. The caller holds mu,
+// and calls them without it.
+func (s *Store) remove(e *entry) (callbacks []func()) {
+	if e.evicted {
+		return nil
+	}
+	e.evicted = true
+	delete(s.entries, e.id)
+	if e.indexed {
+		delete(s.byHash, e.hash)
+	}
+	for b := range e.refs {
+		if b.onEvicted != nil {
+			callbacks = append(callbacks, b.onEvicted)
+		}
+	}
+	for _, r := range e.records {
+		s.log.free(r)
+	}
+	e.chunks, e.records = nil, nil
+	return callbacks
+}
+
+// removeUnreadable removes an entry whose data can't be read.
+func (s *Store) removeUnreadable(e *entry, err error) {
+	s.mu.Lock()
+	s.count(e, "lost")
+	s.lossLog.Log(eventlog.BodyLost, e.class, e.size, err)
+	s.state.Remove(e.id)
+	callbacks := s.remove(e)
+	s.mu.Unlock()
+	runAll(callbacks)
+}
+
+func runAll(callbacks []func()) {
+	for _, f := range callbacks {
+		f()
+	}
+}
--- /dev/null
+++ b/internal/bodystore/moves.go
@@ -0,0 +1,140 @@
+package bodystore
+
+import (
+	"time"
+
+	"linkpass/internal/bodystore/tier"
+	"linkpass/internal/eventlog"
+)
+
+// fileSuspension is for how long files accept no bodies after a failed write.
+const fileSuspension = 5 * time.Second
+
+// run moves bodies to files one after another, and compacts between them, until Close.
+func (s *Store) run() {
+	tick := time.NewTicker(compactionInterval)
+	defer tick.Stop()
+	for {
+		select {
+		case <-s.done:
+			return
+		case <-s.moveQueued:
+			s.moveAllQueued()
+		case <-tick.C:
+			s.compact()
+		}
+		if s.log != nil {
+			s.log.removeRetired()
+		}
+	}
+}
+
+func (s *Store) moveAllQueued() {
+	for e := s.nextQueued(); e != nil; e = s.nextQueued() {
+		e.moveMu.Lock()
+		s.moveToFiles(e)
+		e.moveMu.Unlock()
+	}
+}
+
+func (s *Store) nextQueued() *entry {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.moveQueue) == 0 {
+		return nil
+	}
+	e := s.moveQueue[0]
+	s.moveQueue = s.moveQueue[1:]
+	return e
+}
+
+// applyAndUnlock applies the moves of an event, releases mu and calls the eviction callbacks. These call
+// back into the store, so that they would deadlock under mu.
+func (s *Store) applyAndUnlock(moves []tier.Move) {
+	callbacks := s.apply(moves, nil)
+	s.mu.Unlock()
+	runAll(callbacks)
+}
+
+// apply removes what is evicted and queues what moves to files, but for the entry arriving, which its
+// Writer moves itself. The caller holds mu, and calls the eviction callbacks without it.
+func (s *Store) apply(moves []tier.Move, arriving *entry) (callbacks []func()) {
+	for _, m := range moves {
+		e := s.entries[m.ID]
+		if e == nil {
+			continue
+		}
+		s.count(e, "moved_"+m.To.String()+"_"+string(m.Reason))
+		if m.To == tier.None {
+			callbacks = append(callbacks, s.remove(e)...)
+		} else if e != arriving {
+			s.queueMove(e)
+		}
+	}
+	return callbacks
+}
+
+// queueMove leaves a move to run. The caller holds mu.
+func (s *Store) queueMove(e *entry) {
+	s.moveQueue = append(s.moveQueue, e)
+	select {
+	case s.moveQueued <- struct{}{}:
+	default: // run is to look at the queue already
+	}
+}
+
+// moveToFiles writes an entry's data to files. The caller holds e.moveMu, so that only a Writer of the
+// same entry waits for the disk.
+func (s *Store) moveToFiles(e *entry) {
+	s.mu.Lock()
+	chunks := append([][]byte(nil), e.chunks...)
+	evicted := e.evicted
+	s.mu.Unlock()
+	if evicted || e.inFiles {
+		return
+	}
+	records, err := s.log.appendAll(chunks)
+	if err != nil {
+		s.suspendFiles(err)
+	}
+	s.finishMove(e, records, err == nil)
+}
+
+// finishMove replaces an entry's data in memory by its records, or frees these if the move failed or
+// the entry was evicted meanwhile.
+func (s *Store) finishMove(e *entry, records []record, written bool) {
+	s.mu.Lock()
+	moves := s.resumeFiles()
+	if written && !e.evicted {
+		e.chunks, e.records, e.inFiles = nil, records, true
+		s.applyAndUnlock(append(moves, s.state.FinishMove(e.id, true)...))
+		return
+	}
+	for _, r := range records {
+		s.log.free(r)
+	}
+	s.applyAndUnlock(append(moves, s.state.FinishMove(e.id, false)...))
+}
+
+// suspendFiles stops new bodies from going to files after a failed write: the disk is full or broken.
+// What is stored there stays readable.
+func (s *Store) suspendFiles(err error) {
+	s.mu.Lock()
+	moves := s.resumeFiles()
+	s.cfg.Counters.Add("bodies_write_failed", 1)
+	if s.suspendedUntil == 0 {
+		eventlog.BodyFilesSuspended.Log(fileSuspension.Milliseconds(), err)
+	}
+	s.suspendedUntil = s.cfg.Now() + fileSuspension
+	s.applyAndUnlock(append(moves, s.state.SetFilesSuspended(true)...))
+}
+
+// resumeFiles ends a suspension whose time is over. Each event begins with it, under mu.
+func (s *Store) resumeFiles() []tier.Move {
+	if s.suspendedUntil > 0 && s.cfg.Now() >= s.suspendedUntil {
+		s.suspendedUntil = 0
+		eventlog.BodyFilesRecovered.Log()
+		return s.state.SetFilesSuspended(false)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/bodystore/process_dir.go
@@ -0,0 +1,67 @@
+package bodystore
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+)
+
+const (
+	processDirPrefix = "linkpass-bodies-"
+	lockFile         = "lock"
+)
+
+// createProcessDir creates a directory for this process below dir, and removes those of processes that
+// have ended. A process locks its directory until it ends, so that old and new process during a change
+// of version don't remove each other's.
+func createProcessDir(dir string) (created string, lock *os.File, err error) {
+	if err := os.MkdirAll(dir, 0o700); err != nil {
+		return "", nil, fmt.Errorf("bodies: %w", err)
+	}
+	entries, err := os.ReadDir(dir)
+	if err != nil {
+		return "", nil, fmt.Errorf("bodies: %w", err)
+	}
+	for _, e := range entries {
+		if e.IsDir() && strings.HasPrefix(e.Name(), processDirPrefix) {
+			removeStaleDir(filepath.Join(dir, e.Name()))
+		}
+	}
+	if created, err = os.MkdirTemp(dir, processDirPrefix); err != nil {
+		return "", nil, fmt.Errorf("bodies: %w", err)
+	}
+	if lock, err = lockDir(created); err != nil {
+		_ = os.RemoveAll(created)
+		return "", nil, fmt.Errorf("bodies: %w", err)
+	}
+	return created, lock, nil
+}
+
+// lockDir locks a process's directory; closing the file unlocks it. It fails if another process has the
+// lock.
+func lockDir(dir string) (*os.File, error) {
+	f, err := os.OpenFile(filepath.Join(dir, lockFile), os.O_RDWR|os.O_CREATE, 0o600)
+	if err != nil {
+		return nil, err
+	}
+	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
+		_ = f.Close()
+		return nil, err
+	}
+	return f, nil
+}
+
+// removeStaleDir removes the directory of a process that has ended.
+func removeStaleDir(dir string) {
+	if _, err := os.Stat(filepath.Join(dir, lockFile)); err != nil {
+		return // its process has yet to create the lock; a later start checks again
+	}
+	f, err := lockDir(dir)
+	if err != nil {
+		return
+	}
+	_ = os.RemoveAll(dir)
+	_ = f.Close()
+}
