--- /dev/null
+++ b/internal/bodystore/golden_open_test.go
@@ -0,0 +1,99 @@
+package bodystore
+
+import (
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+)
+
+// Bodies end with their process: Open removes a killed one's directory, cut in a record or not, and nothing else.
+func TestOpenOnGoldenDataDirectory(t *testing.T) {
+	segment := filepath.Join(goldenProcess, goldenSegment)
+	lock := goldenProcess + "/lock"
+	for _, c := range []struct {
+		name    string
+		prepare func(t *testing.T, dir string)
+		stays   []string // beside the new process's directory and its lock
+	}{
+		{"complete", func(*testing.T, string) {}, nil},
+		{"segment ends in a record", truncateSegment(70000), nil},
+		{"segment is empty", truncateSegment(0), nil},
+		{"process is running", lockGoldenProcess, []string{goldenProcess + "/", lock, segment}},
+		{"no lock yet", removeGoldenLock, []string{goldenProcess + "/", segment}},
+		{"other files in the directory", addOtherFiles, []string{"linkpass-bodies-file", "other/", "other/lock"}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			dir := copyGolden(t)
+			c.prepare(t, dir)
+			testOpenLeaves(t, dir, c.stays)
+		})
+	}
+}
+
+func truncateSegment(size int64) func(*testing.T, string) {
+	return func(t *testing.T, dir string) {
+		t.Helper()
+		if err := os.Truncate(filepath.Join(dir, goldenProcess, goldenSegment), size); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+func lockGoldenProcess(t *testing.T, dir string) {
+	t.Helper()
+	f, err := lockDir(filepath.Join(dir, goldenProcess))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { f.Close() })
+}
+
+func removeGoldenLock(t *testing.T, dir string) {
+	t.Helper()
+	if err := os.Remove(filepath.Join(dir, goldenProcess, "lock")); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func addOtherFiles(t *testing.T, dir string) {
+	t.Helper()
+	for _, name := range []string{"linkpass-bodies-file", "other/lock"} {
+		path := filepath.Join(dir, name)
+		if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, nil, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// testOpenLeaves opens a store on dir, checks what it leaves there, and stores a body.
+func testOpenLeaves(t *testing.T, dir string, stays []string) {
+	t.Helper()
+	before := tree(t, dir)
+	s := newGoldenStore(t, dir)
+	if got := s.Totals(); got != (Totals{}) {
+		t.Errorf("contains %+v at its start", got)
+	}
+	created := filepath.Base(s.dir)
+	want := append([]string{created + "/", created + "/lock"}, stays...)
+	slices.Sort(want)
+	after := tree(t, dir)
+	if !slices.Equal(names(after), want) {
+		t.Fatalf("left %q, want %q", names(after), want)
+	}
+	for _, name := range stays {
+		if after[name] != before[name] {
+			t.Errorf("%s was changed", name)
+		}
+	}
+	b := mustStore(t, s, goldenBodies()[1])
+	waitForMoves(s)
+	wantBody(t, b, goldenBodies()[1])
+	if data := tree(t, dir)[filepath.Join(created, goldenSegment)]; len(data) != 2*16+64<<10+17 {
+		t.Errorf("the new segment has %d bytes", len(data))
+	}
+	b.Release()
+}
--- /dev/null
+++ b/internal/bodystore/process_dir_test.go
@@ -0,0 +1,59 @@
+package bodystore
+
+import (
+	"errors"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"linkpass/internal/metrics"
+)
+
+// Without a usable directory bodies are stored in memory.
+func TestOpenWithoutUsableDirectory(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "file")
+	if err := os.WriteFile(file, nil, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	s := Open(processDirConfig(filepath.Join(file, "none")))
+	if s.log != nil {
+		t.Error("files in a directory that can't exist")
+	}
+	if _, err := storeBody(s, 0, randomBytes(1, 100<<10)); err != nil {
+		t.Errorf("in memory: %v", err)
+	}
+	s.Close()
+}
+
+func processDirConfig(dir string) Config {
+	return Config{Limits: smallLimits, Dir: dir, Counters: metrics.NewCounters(), Now: func() time.Duration { return 0 }}
+}
+
+// The directory of an ended process is removed, that of a running one is not.
+func TestOpenRemovesDirectoriesOfEndedProcesses(t *testing.T) {
+	dir := t.TempDir()
+	stale := filepath.Join(dir, processDirPrefix+"left")
+	if err := os.MkdirAll(stale, 0o700); err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range []string{"lock", "seg-00000001"} {
+		if err := os.WriteFile(filepath.Join(stale, name), []byte("x"), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	first := Open(processDirConfig(dir))
+	if _, err := os.Stat(stale); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("directory of an ended process: %v", err)
+	}
+	data := randomBytes(2, 400<<10)
+	b := mustStore(t, first, data)
+	second := Open(processDirConfig(dir))
+	wantBody(t, b, data)
+	second.Close()
+	wantBody(t, b, data)
+	first.Close()
+	if left, _ := filepath.Glob(filepath.Join(dir, processDirPrefix+"*")); len(left) != 0 {
+		t.Errorf("left behind: %v", left)
+	}
+}
--- /dev/null
+++ b/internal/bodystore/record_test.go
@@ -0,0 +1,28 @@
+package bodystore
+
+import (
+	"errors"
+	"testing"
+)
+
+// Whatever is on the disk, parseRecord returns what was written or ErrCorrupt.
+func FuzzRecord(f *testing.F) {
+	l := newSegmentLog(osFS{}, f.TempDir())
+	r, err := l.append([]byte("some text"))
+	if err != nil {
+		f.Fatal(err)
+	}
+	good := make([]byte, recordHeaderSize+r.length)
+	if _, err := r.segment.file.ReadAt(good, 0); err != nil {
+		f.Fatal(err)
+	}
+	f.Add(good, 9)
+	f.Add(good[:12], 9)
+	f.Add([]byte{}, 0)
+	f.Fuzz(func(t *testing.T, b []byte, n int) {
+		data, err := parseRecord(b, n)
+		if err == nil && (len(data) != n || n < 0) || err != nil && !errors.Is(err, ErrCorrupt) {
+			t.Fatalf("%d bytes for %d: %v", len(data), n, err)
+		}
+	})
+}
