--- a/internal/daemon/body_config.go
+++ b/internal/daemon/body_config.go
@@ -9,45 +9,50 @@
 	"linkpass/internal/bodystore/tier"
 )
 
-// BodyConfig configures the store of bodies: the section `bodies` of the operators' file.
+// BodyConfig configures the store of search bodies: the section `bodies` of the operators' file.
 type BodyConfig struct {
-	MemoryKiB  int64                      `toml:"memory_kib"`   // of bodies in memory; 0: an eighth of the limit
+	MemoryKiB  int64                      `toml:"memory_kib"`   // of bodies in memory; 0: an eighth of the process's limit
 	LargestKiB int64                      `toml:"largest_kib"`  // a larger body does not stay in memory
-	FilesKiB   int64                      `toml:"files_kib"`    // of bodies in files; 0: there are none
-	Dir        string                     `toml:"dir"`          // of these files
-	MaxKiB     int64                      `toml:"max_body_kib"` // of a search's body
-	Off        bool                       `toml:"off"`          // every body stays in memory, without a bound
-	Classes    map[string]BodyClassConfig `toml:"classes"`
+	FilesKiB   int64                      `toml:"files_kib"`    // of bodies in files; 0: memory only
+	Dir        string                     `toml:"dir"`          // for the files
+	MaxKiB     int64                      `toml:"max_body_kib"` // a search with a larger body is rejected
+	Off        bool                       `toml:"off"`          // every body stays in memory, without a limit
+	Classes    map[string]BodyClassConfig `toml:"classes"`      // by the name of a query class
 }
 
-// BodyClassConfig is the budget of a class of queries.
+// BodyClassConfig is the memory budget of a class of queries.
 type BodyClassConfig struct {
-	FloorKiB int64   `toml:"floor_kib"` // reserved for the class
-	Share    float64 `toml:"share"`     // limit on its part of the memory; 0: all
+	GuaranteedKiB  int64   `toml:"floor_kib"` // memory that other classes can't evict this class from
+	MaxMemoryShare float64 `toml:"share"`     // largest part of the memory, from 0 to 1; 0: all
 }
 
 const (
-	defaultMemoryDivisor = 8        // bodies get this fraction of the limit on memory by default
+	defaultMemoryDivisor = 8        // bodies get this fraction of the process's memory limit by default
 	minMemoryDivisor     = 2        // and at most this one: the rest is the program's
-	assumedMemory        = 64 << 20 // bytes: the limit on memory where none is set
+	assumedMemory        = 64 << 20 // bytes: the memory limit where none is set
 )
 
-// check validates the section by itself.
+// check validates the section by itself. The error names the key.
 func (b BodyConfig) check() error {
 	if (b.FilesKiB > 0) != (b.Dir != "") {
 		return errors.New("bodies: files_kib and dir go together")
 	}
-	floors := int64(0)
-	for _, c := range b.Classes {
-		floors += c.FloorKiB
-	}
-	if b.MemoryKiB > 0 && floors > b.MemoryKiB {
-		return fmt.Errorf("bodies.classes: the floors add up to %d KiB, memory_kib is %d", floors, b.MemoryKiB)
+	if sum := b.guaranteedKiB(); b.MemoryKiB > 0 && sum > b.MemoryKiB {
+		return fmt.Errorf("bodies.classes: the floors add up to %d KiB, memory_kib is %d", sum, b.MemoryKiB)
 	}
 	return nil
 }
 
-// limits are the budgets of a process that has a limit on memory and serves classes.
+// guaranteedKiB is the sum over the classes.
+func (b BodyConfig) guaranteedKiB() (sum int64) {
+	for _, c := range b.Classes {
+		sum += c.GuaranteedKiB
+	}
+	return sum
+}
+
+// limits returns the limits of all processes together, for a process with a memory limit in MB (0: none)
+// and query classes. The error names the key that contradicts these.
 func (b BodyConfig) limits(memoryMB int, classes []string) (tier.Limits, error) {
 	limit := int64(memoryMB) << 20
 	l := tier.Limits{
@@ -65,17 +70,23 @@
 	if limit > 0 && l.Memory > limit/minMemoryDivisor {
 		return l, fmt.Errorf("bodies.memory_kib: %d KiB is more than half of the limit of %d MB", l.Memory>>10, memoryMB)
 	}
-	floors := int64(0)
+	if err := b.setClassLimits(l.Classes, classes); err != nil {
+		return l, err
+	}
+	if sum := b.guaranteedKiB(); sum<<10 > l.Memory {
+		return l, fmt.Errorf("bodies.classes: the floors add up to %d KiB, memory is %d KiB", sum, l.Memory>>10)
+	}
+	return l, nil
+}
+
+// setClassLimits sets the limits of the classes by index in names.
+func (b BodyConfig) setClassLimits(limits []tier.Class, names []string) error {
 	for name, c := range b.Classes {
-		i := slices.Index(classes, name)
+		i := slices.Index(names, name)
 		if i < 0 {
-			return l, fmt.Errorf("bodies.classes.%s: no such class", name)
+			return fmt.Errorf("bodies.classes.%s: no such class", name)
 		}
-		l.Classes[i] = tier.Class{GuaranteedBytes: c.FloorKiB << 10, MaxMemoryShare: c.Share}
-		floors += c.FloorKiB << 10
+		limits[i] = tier.Class{GuaranteedBytes: c.GuaranteedKiB << 10, MaxMemoryShare: c.MaxMemoryShare}
 	}
-	if floors > l.Memory {
-		return l, fmt.Errorf("bodies.classes: the floors add up to %d KiB, memory is %d KiB", floors>>10, l.Memory>>10)
-	}
-	return l, nil
+	return nil
 }
--- a/internal/daemon/body_store.go
+++ b/internal/daemon/body_store.go
@@ -14,16 +14,17 @@
 	"linkpass/internal/opensearch"
 )
 
-const noRoomRetry = 500 * time.Millisecond
+// noCapacityRetryAfter is the Retry-After for a body without capacity; Settings.MaxRetryAfter bounds it.
+const noCapacityRetryAfter = 500 * time.Millisecond
 
-// bodyStore is the store of queries' bodies.
+// bodyStore is the component that stores the bodies of queries, within this process's share of the limits.
 type bodyStore struct {
 	*process
 	core     *queryCore
 	settings *activeSettings
 
-	total tier.Limits      // of all processes together; guarded by process.mu
-	store *bodystore.Store // nil: off
+	totalLimits tier.Limits      // of all processes together; guarded by process.mu
+	store       *bodystore.Store // nil: off
 }
 
 func newBodyStore(p *process, core *queryCore, settings *activeSettings) *bodyStore {
@@ -39,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	b.total = limits
+	b.totalLimits = limits
 	if b.cfg.Search.Bodies.Off {
 		return nil
 	}
@@ -57,39 +58,40 @@
 	return nil
 }
 
-// shareOfTotal is this process's share of the budgets.
+// shareOfTotal is this process's share of the limits, in bytes.
 func (b *bodyStore) shareOfTotal() (memory, files int64) {
 	processes := int64(max(1, b.share.Processes))
-	return b.total.Memory / processes, b.total.Files / processes
+	return b.totalLimits.Memory / processes, b.totalLimits.Files / processes
 }
 
-// limit keeps the store to this process's share. The caller holds mu.
-func (b *bodyStore) limit() {
+// applyShare sets the store's limits to this process's share. The caller holds mu.
+func (b *bodyStore) applyShare() {
 	if b.store != nil {
 		b.store.SetLimits(b.shareOfTotal())
 	}
 }
 
-// setTotal replaces the budgets of all processes together. The caller holds mu.
-func (b *bodyStore) setTotal(limits tier.Limits) {
-	b.total = limits
-	b.limit()
+// setTotalLimits replaces the limits of all processes together. The caller holds mu.
+func (b *bodyStore) setTotalLimits(limits tier.Limits) {
+	b.totalLimits = limits
+	b.applyShare()
 }
 
-// retryAfter is the Retry-After of a client whose body finds no room.
+// retryAfter is the Retry-After, in seconds, of a client whose body has no capacity; "": none.
 func (b *bodyStore) retryAfter() string {
 	if !b.cfg.module.RetryAfter {
 		return ""
 	}
-	return strconv.FormatFloat(min(noRoomRetry, b.cfg.module.MaxRetryAfter).Seconds(), 'f', 3, 64)
+	return strconv.FormatFloat(min(noCapacityRetryAfter, b.cfg.module.MaxRetryAfter).Seconds(), 'f', 3, 64)
 }
 
-// spool is where the large body of a search is written as it arrives; nil: it stays with its request.
-func (b *bodyStore) spool(req *http1.Request) http1.BodySink {
-	name, rest, _ := strings.Cut(strings.TrimPrefix(req.Path, "/"), "/")
+// newBodySink returns where to write the large body of a search as it arrives; nil: it stays with its
+// request.
+func (b *bodyStore) newBodySink(req *http1.Request) http1.BodySink {
+	name, operation, _ := strings.Cut(strings.TrimPrefix(req.Path, "/"), "/")
 	index, ok := b.settings.config().Indices[name]
 	class := slices.Index(b.cfg.host.Classes, index.Class)
-	if !ok || rest != "_search" || class < 0 {
+	if !ok || operation != "_search" || class < 0 {
 		return nil // a request that is no search is small, or rejected
 	}
 	return &opensearch.BodyUpload{
@@ -98,11 +100,11 @@
 	}
 }
 
-// logUsage logs what the store holds.
+// logUsage logs what the store contains.
 func (b *bodyStore) logUsage() {
 	if b.store == nil {
 		return
 	}
-	f := b.store.Totals()
-	eventlog.Bodies.Log(f.Bodies, f.Shared, f.ArrivingBodies, f.PendingBodies, f.Memory, f.Files, f.Disk)
+	t := b.store.Totals()
+	eventlog.Bodies.Log(t.Bodies, t.Shared, t.ArrivingBodies, t.PendingBodies, t.Memory, t.Files, t.Disk)
 }
--- a/internal/daemon/body_store_test.go
+++ b/internal/daemon/body_store_test.go
@@ -20,22 +20,12 @@
 		c.Search.Servers = map[string]searchconfig.Server{"s-0a": {Protocol: "search"}, "s-0b": {Protocol: "search"}}
 	})
 	query := `{"terms":{"id":["` + strings.Repeat("x", 40_000) + `"]}}`
-	b.servers["s-0a"].setMode("error")
-	b.servers["s-1a"].setMode("error")
-	b.servers["s-2a"].setMode("error")
+	for _, server := range []string{"s-0a", "s-1a", "s-2a"} {
+		b.servers[server].setMode("error")
+	}
 	n := 0
 	for range 8 { // each of the two replicas of a shard is tried first at some time
-		res := b.search.do("POST", "/players/_search", `{"query":`+query+`}`, nil)
-		if res.Status != 200 || !strings.Contains(string(res.Body), `"failed":0`) {
-			t.Fatalf("%d %s", res.Status, res.Body)
-		}
-		var parts []receivedPart
-		parts, n = b.since(n)
-		for _, p := range parts {
-			if want := `{"from":0,"query":` + query + `,"size":10}`; p.text != want {
-				t.Fatalf("%s got %d bytes, want %d", p.server, len(p.text), len(want))
-			}
-		}
+		n = testLargeSearch(t, b, query, n)
 	}
 	if b.p.counters.Get("retries_won_whole") == 0 || b.p.counters.Get("bodies_moved_file_too_large_whole") == 0 {
 		t.Errorf("no retry from a file: %s", b.p.counters)
@@ -43,14 +33,7 @@
 	for _, s := range b.servers {
 		s.setMode("wait")
 	}
-	go func() { // in flight at the shutdown
-		nc, err := net.Dial("tcp", b.p.fronts.listeners[1].Addr().String())
-		if err == nil {
-			defer nc.Close()
-			_ = http1.WriteRequest(nc, "POST", "/players/_search?timeout=300ms", "x", nil, []byte(`{"query":`+query+`}`))
-			_, _ = http1.NewReader(nc, 0).Response()
-		}
-	}()
+	go sendSearch(b.p.fronts.listeners[1].Addr().String(), query) // in flight at the shutdown
 	for b.p.bodies.store.Totals().Bodies == 0 {
 		time.Sleep(time.Millisecond)
 	}
@@ -63,21 +46,64 @@
 	}
 }
 
-// Budgets that do not add up are rejected, with the key that is wrong.
-func TestBodyConfigLimits(t *testing.T) {
-	classes := []string{"whole", "share"}
-	for text, b := range map[string]BodyConfig{"more than half": {MemoryKiB: 20 << 10}, "no such class": {Classes: map[string]BodyClassConfig{"x": {}}},
-		"floors add up": {Classes: map[string]BodyClassConfig{"whole": {FloorKiB: 3 << 10}, "share": {FloorKiB: 3 << 10}}}} {
-		if _, err := b.limits(32, classes); err == nil || !strings.Contains(err.Error(), text) {
-			t.Errorf("%q: %v", text, err)
+// testLargeSearch checks the answer, and the body in every part received after the first n.
+func testLargeSearch(t *testing.T, b *bench, query string, n int) int {
+	t.Helper()
+	res := b.search.do("POST", "/players/_search", `{"query":`+query+`}`, nil)
+	if res.Status != 200 || !strings.Contains(string(res.Body), `"failed":0`) {
+		t.Fatalf("%d %s", res.Status, res.Body)
+	}
+	parts, n := b.since(n)
+	for _, p := range parts {
+		if want := `{"from":0,"query":` + query + `,"size":10}`; p.text != want {
+			t.Fatalf("%s got %d bytes, want %d", p.server, len(p.text), len(want))
 		}
 	}
-	if l, err := (BodyConfig{}).limits(32, classes); err != nil || l.Memory != 4<<20 || l.Files != 0 {
+	return n
+}
+
+// sendSearch ends with the search's answer or its connection.
+func sendSearch(address, query string) {
+	nc, err := net.Dial("tcp", address)
+	if err == nil {
+		defer nc.Close()
+		_ = http1.WriteRequest(nc, "POST", "/players/_search?timeout=300ms", "x", nil, []byte(`{"query":`+query+`}`))
+		_, _ = http1.NewReader(nc, 0).Response()
+	}
+}
+
+func TestBodyConfigLimitsDefaults(t *testing.T) {
+	if l, err := (BodyConfig{}).limits(32, []string{"whole", "share"}); err != nil || l.Memory != 4<<20 || l.Files != 0 {
 		t.Errorf("the default in 32 MB: %+v %v", l, err)
 	}
-	for _, bad := range []BodyConfig{{FilesKiB: 5}, {Dir: "x"}, {MemoryKiB: 5, Classes: map[string]BodyClassConfig{"a": {FloorKiB: 6}}}} {
-		if bad.check() == nil {
-			t.Errorf("took %+v", bad)
-		}
+}
+
+// Limits that contradict each other are rejected, and the error says which.
+func TestBodyConfigLimitsRejectsContradictions(t *testing.T) {
+	for text, b := range map[string]BodyConfig{
+		"more than half": {MemoryKiB: 20 << 10},
+		"no such class":  {Classes: map[string]BodyClassConfig{"x": {}}},
+		"floors add up": {Classes: map[string]BodyClassConfig{
+			"whole": {GuaranteedKiB: 3 << 10}, "share": {GuaranteedKiB: 3 << 10}}},
+	} {
+		t.Run(text, func(t *testing.T) {
+			if _, err := b.limits(32, []string{"whole", "share"}); err == nil || !strings.Contains(err.Error(), text) {
+				t.Errorf("%q: %v", text, err)
+			}
+		})
+	}
+}
+
+func TestBodyConfigCheckRejectsContradictions(t *testing.T) {
+	for name, c := range map[string]BodyConfig{
+		"files without dir":            {FilesKiB: 5},
+		"dir without files":            {Dir: "x"},
+		"guarantees exceed the memory": {MemoryKiB: 5, Classes: map[string]BodyClassConfig{"a": {GuaranteedKiB: 6}}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if c.check() == nil {
+				t.Errorf("accepted %+v", c)
+			}
+		})
 	}
 }
--- a/internal/daemon/golden_values_test.go
+++ b/internal/daemon/golden_values_test.go
@@ -56,7 +56,7 @@
 		Dir:        "/var/lib/linkpass/bodies",
 		MaxKiB:     65,
 		Off:        true,
-		Classes:    map[string]BodyClassConfig{"trade": {FloorKiB: 129, Share: 0.25}},
+		Classes:    map[string]BodyClassConfig{"trade": {GuaranteedKiB: 129, MaxMemoryShare: 0.25}},
 	}
 }
 
--- a/internal/daemon/limits_share.go
+++ b/internal/daemon/limits_share.go
@@ -66,7 +66,7 @@
 	if l.core.core != nil {
 		l.core.core.SetMaxOpen(s.MaxOpen)
 	}
-	l.bodies.limit()
+	l.bodies.applyShare()
 	if s.Processes == 1 {
 		select {
 		case l.alone <- struct{}{}:
--- a/internal/daemon/reloader.go
+++ b/internal/daemon/reloader.go
@@ -155,7 +155,7 @@
 	}
 	// The error was checked when the file was read.
 	if limits, err := running.Bodies.limits(r.cfg.memoryMB, r.cfg.host.Classes); err == nil {
-		r.bodies.setTotal(limits)
+		r.bodies.setTotalLimits(limits)
 	}
 	if running.path != "" {
 		running.Log.applyLevels()
--- a/internal/daemon/search_front.go
+++ b/internal/daemon/search_front.go
@@ -58,7 +58,7 @@
 	front := f.fronts.add("search", ln, &memberHandler{registry: f.registry, front: f.handler(answers)})
 	front.server.MaxBody = Keys.Int("bodies.max_body_kib", f.cfg.Search.Bodies.MaxKiB) << 10
 	if f.bodies.store != nil {
-		front.server.NewBodySink = f.bodies.spool
+		front.server.NewBodySink = f.bodies.newBodySink
 	}
 	return front, nil
 }
--- a/internal/daemon/wire_golden_test.go
+++ b/internal/daemon/wire_golden_test.go
@@ -95,7 +95,7 @@
 		Dir:        "/var/lib/linkpass/bodies",
 		MaxKiB:     128,
 		Off:        true,
-		Classes:    map[string]BodyClassConfig{"team-lookup": {FloorKiB: 64, Share: 0.25}},
+		Classes:    map[string]BodyClassConfig{"team-lookup": {GuaranteedKiB: 64, MaxMemoryShare: 0.25}},
 	}
 }
 
