--- a/internal/bodystore/tier/eviction.go
+++ b/internal/bodystore/tier/eviction.go
@@ -101,7 +101,7 @@
 	return false
 }
 
-// evictFromFilesFor makes room in files for a body that canFitFiles holds for.
+// evictFromFilesFor frees capacity in files for a body; canFitFiles has returned true for it.
 func (s *State) evictFromFilesFor(b *body) {
 	for !s.fitsFiles(b) {
 		s.evict(s.firstCandidate(File, nil, yieldsTo(b)), ReasonNoCapacity)
