--- /dev/null
+++ b/internal/upstream/body_write.go
@@ -0,0 +1,131 @@
+package upstream
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"sync/atomic"
+	"time"
+
+	"linkpass/internal/coordinator"
+	"linkpass/internal/outcome"
+)
+
+// bodyChunkSize is how many bytes of a body are read and written at a time.
+const bodyChunkSize = 16 << 10
+
+// Why a body was not written to its end, other than an error of the connection.
+var (
+	errQueryEnded     = errors.New("the query has ended")
+	errWorkDeclined   = errors.New("the server accepts no more work")
+	errBodyUnreadable = errors.New("the body cannot be read")
+)
+
+// bodyWrite is one part whose body is written by a goroutine of its own, so that neither the event loop nor another
+// connection waits for it. The event loop owns it, except for lastChunk.
+type bodyWrite struct {
+	attempt     coordinator.Attempt
+	name        string      // of the part
+	lastChunk   atomic.Bool // the write of the last chunk has begun
+	cancelAfter []string    // names of parts to cancel once the message is complete
+}
+
+// outcomeOf is the outcome of an attempt in flight on a connection that was closed with o during the write. Before
+// the last chunk the server cannot have run the part of the body; the other parts may run, whatever ended the write.
+func (b *bodyWrite) outcomeOf(id coordinator.AttemptID, o outcome.Outcome) outcome.Outcome {
+	ofBody := o == outcome.Canceled || o == outcome.BodyEvicted || o == outcome.NotSent
+	switch {
+	case b.attempt.ID != id && ofBody:
+		return outcome.ConnClosed
+	case b.attempt.ID != id, b.lastChunk.Load(), ofBody:
+		return o
+	}
+	return outcome.WriteInterrupted
+}
+
+// startBodyWrite begins to write a part whose message starts with header.
+func (c *Client) startBodyWrite(conn *connection, a coordinator.Attempt, name string, header []byte) {
+	body, err := a.Body.Open()
+	if err != nil {
+		c.endAttempts([]coordinator.Attempt{a}, outcome.BodyEvicted)
+		return
+	}
+	b := &bodyWrite{attempt: a, name: name}
+	conn.body = b
+	conn.inFlight[name] = a.ID
+	c.goroutines.Go(func() {
+		err := c.copyBody(conn, b, header, body)
+		_ = body.Close()
+		c.postConnEvent(bodyWritten{conn, b, err})
+	})
+}
+
+// copyBody writes header and body in chunks. The server may be slow for as long as each chunk is written within
+// ConnectTimeout.
+func (c *Client) copyBody(conn *connection, b *bodyWrite, header []byte, body io.Reader) error {
+	left := b.attempt.Body.Size()
+	buf := append(make([]byte, 0, len(header)+bodyChunkSize), header...)
+	for {
+		size := min(left, bodyChunkSize)
+		start := len(buf)
+		buf = append(buf, make([]byte, size)...)
+		if _, err := io.ReadFull(body, buf[start:]); err != nil {
+			return fmt.Errorf("%w: part %s: %w", errBodyUnreadable, b.name, err)
+		}
+		left -= size
+		now := c.config.Sink.Now()
+		if err := c.checkBodyWrite(b, now); err != nil {
+			return fmt.Errorf("write part %s: %w", b.name, err)
+		}
+		if left == 0 {
+			b.lastChunk.Store(true)
+		}
+		if err := c.writeWithTimeout(conn.netConn, now, buf); err != nil {
+			return fmt.Errorf("write part %s: %w", b.name, err)
+		}
+		if left == 0 {
+			return nil
+		}
+		buf = buf[:0]
+	}
+}
+
+// checkBodyWrite is made before each chunk: the query may have ended, and the server may have begun to drain.
+func (c *Client) checkBodyWrite(b *bodyWrite, now time.Duration) error {
+	if b.attempt.Expired(now) || b.attempt.Canceled() {
+		return errQueryEnded
+	}
+	if !c.acceptsWork.Load() || b.attempt.ShardMoved() {
+		return errWorkDeclined
+	}
+	return nil
+}
+
+// bodyWritten handles the end of a write. After an error the message is truncated, and the connection is dropped.
+func (c *Client) bodyWritten(conn *connection, b *bodyWrite, err error) {
+	if conn.closed {
+		return
+	}
+	switch {
+	case err == nil:
+		c.bodyCompleted(conn, b)
+	case errors.Is(err, errBodyUnreadable):
+		c.drop(conn, outcome.BodyEvicted)
+	case errors.Is(err, errQueryEnded), errors.Is(err, errWorkDeclined):
+		c.drop(conn, outcome.NotSent)
+	default:
+		c.drop(conn, outcome.ConnReset)
+	}
+}
+
+func (c *Client) bodyCompleted(conn *connection, b *bodyWrite) {
+	conn.body, conn.lastUsed = nil, c.config.Sink.Now()
+	c.config.Counters.Add("peer_parts_written", 1)
+	c.config.Totals.Attempts.Add(1)
+	c.config.Sink.BodySent(b.attempt.ID)
+	for _, name := range b.cancelAfter {
+		if !conn.closed {
+			c.write(conn, c.codec.EncodeCancel(name))
+		}
+	}
+}
--- /dev/null
+++ b/internal/upstream/cancel.go
@@ -0,0 +1,31 @@
+package upstream
+
+import (
+	"linkpass/internal/coordinator"
+	"linkpass/internal/outcome"
+)
+
+// cancelAttempt cancels an attempt if it is in flight. Its result is not reported.
+func (c *Client) cancelAttempt(id coordinator.AttemptID) {
+	for _, conn := range c.conns {
+		for name, inFlight := range conn.inFlight {
+			if inFlight == id {
+				conn.recordEnded(name)
+				c.writeCancel(conn, id, name)
+				return
+			}
+		}
+	}
+}
+
+// writeCancel cancels a part at the server: by a message, or by closing the connection where that is the only way.
+func (c *Client) writeCancel(conn *connection, id coordinator.AttemptID, name string) {
+	switch {
+	case conn.body != nil && conn.body.attempt.ID != id: // a message may not be written inside another
+		conn.body.cancelAfter = append(conn.body.cancelAfter, name)
+	case c.limits.Exclusive || conn.body != nil:
+		c.drop(conn, outcome.Canceled)
+	case c.write(conn, c.codec.EncodeCancel(name)) && c.isUnresponsiveAndIdle(conn):
+		c.drop(conn, outcome.Timeout)
+	}
+}
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -444,7 +444,7 @@
 	p.Send(attempt("b", 3, 1))
 	<-srv.frames
 	p.Cancel(coordinator.AttemptID{Part: 1, No: 0}) // nothing is out on the first any more: it goes
-	p.First()                                       // the order is carried out: what the server says next comes behind it
+	p.FirstConn()                                   // the order is carried out: what the server says next comes behind it
 	reply(<-srv.conns, "b.3 200 1 -\nv")
 	s.want(t, outcome.Success)
 	p.CheckHealth(8) // goes out on the second one, which stays
--- /dev/null
+++ b/internal/upstream/conn_task.go
@@ -0,0 +1,83 @@
+package upstream
+
+import (
+	"linkpass/internal/coordinator"
+	"linkpass/internal/outcome"
+)
+
+// connTask is what needs an open connection: a request or a health check.
+type connTask interface {
+	// streams is how many streams of the connection it needs.
+	streams(Limits) int
+	start(*Client, *connection)
+	// fail ends it where there is no connection for it.
+	fail(*Client, outcome.Outcome)
+}
+
+type requestTask struct{ attempts []coordinator.Attempt }
+
+func (t requestTask) streams(Limits) int                { return len(t.attempts) }
+func (t requestTask) start(c *Client, conn *connection) { c.writeRequest(conn, t.attempts) }
+func (t requestTask) fail(c *Client, o outcome.Outcome) { c.endAttempts(t.attempts, o) }
+
+type healthCheckTask struct{ number uint64 }
+
+func (t healthCheckTask) streams(l Limits) int {
+	if l.Exclusive {
+		return 1
+	}
+	return 0
+}
+func (t healthCheckTask) start(c *Client, conn *connection) { c.writeHealthCheck(conn, t.number) }
+func (t healthCheckTask) fail(c *Client, o outcome.Outcome) { c.endHealthCheck(t.number, o) }
+
+// withConnection starts a task on a connection with enough free streams, once that is open. Where there is none, and
+// none can be dialed, the task fails with QueueFull.
+func (c *Client) withConnection(t connTask) {
+	streams := t.streams(c.limits)
+	conn := c.pickConnection(streams)
+	if conn == nil {
+		t.fail(c, outcome.QueueFull)
+		return
+	}
+	if conn.netConn != nil {
+		t.start(c, conn)
+		return
+	}
+	conn.reserved += streams
+	conn.waiting = append(conn.waiting, t)
+}
+
+// pickConnection returns a connection with that many free streams, an open one rather than one that is being
+// dialed, or dials one. It returns nil where a limit forbids that.
+func (c *Client) pickConnection(streams int) *connection {
+	for _, open := range []bool{true, false} {
+		for _, conn := range c.conns {
+			if (conn.netConn != nil) == open && conn.body == nil && !c.isUnresponsive(conn) &&
+				c.usedStreams(conn)+streams <= c.limits.MaxStreams {
+				return conn
+			}
+		}
+	}
+	if c.stopping || len(c.conns) >= c.limits.MaxConns || !c.config.ConnLimiter.acquire() {
+		return nil
+	}
+	return c.dial()
+}
+
+// startWaiting starts or fails the tasks that wait for a connection: it is open, or it is closed.
+func (c *Client) startWaiting(conn *connection) {
+	waiting := conn.waiting
+	conn.waiting = nil
+	for _, t := range waiting {
+		conn.reserved -= t.streams(c.limits)
+		switch {
+		case conn.closed:
+			t.fail(c, conn.closeOutcome)
+		case conn.body != nil: // a task before it has begun to write a body
+			c.withConnection(t)
+		default:
+			t.start(c, conn)
+		}
+	}
+}
--- a/internal/upstream/crossings_test.go
+++ b/internal/upstream/crossings_test.go
@@ -136,7 +136,7 @@
 	}
 	p.Send(part("b", 2))
 	_ = first.Close()
-	for p.News() == 0 {
+	for p.PendingConnEvents() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	want(t, s, outcome.NotSent)
@@ -181,7 +181,7 @@
 	p.Send(part("a", 0))
 	_, r := accept(t, ln)
 	next(t, r)
-	raw, err := p.First().(*net.TCPConn).SyscallConn()
+	raw, err := p.FirstConn().(*net.TCPConn).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -218,7 +218,7 @@
 	next(t, r)
 	_ = nc.(*net.TCPConn).SetLinger(0)
 	_ = nc.Close()
-	raw, err := p.First().(*net.TCPConn).SyscallConn()
+	raw, err := p.FirstConn().(*net.TCPConn).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/upstream/dial.go
@@ -0,0 +1,74 @@
+package upstream
+
+import (
+	"context"
+	"errors"
+	"net"
+	"sync"
+
+	"linkpass/internal/coordinator"
+	"linkpass/internal/eventlog"
+	"linkpass/internal/outcome"
+)
+
+// dial begins to open a connection.
+func (c *Client) dial() *connection {
+	ctx, cancel := context.WithCancelCause(c.ctx)
+	conn := &connection{
+		dialedAt:   c.config.Sink.Now(),
+		inFlight:   map[string]coordinator.AttemptID{},
+		cancelDial: func() { cancel(context.Canceled) },
+	}
+	c.conns = append(c.conns, conn)
+	c.config.Counters.Add("peer_dials", 1)
+	c.goroutines.Go(func() { c.runDial(ctx, cancel, conn) })
+	return conn
+}
+
+// runDial dials, on a goroutine that ends with the dial, and posts the result.
+func (c *Client) runDial(ctx context.Context, cancel context.CancelCauseFunc, conn *connection) {
+	disarm := c.config.Sink.Arm(conn.dialedAt+c.config.ConnectTimeout, func() { cancel(context.DeadlineExceeded) })
+	netConn, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", c.addr)
+	disarm()
+	if err == nil {
+		c.dialSucceeded(conn, netConn)
+		return
+	}
+	c.config.ConnLimiter.release()
+	o := outcome.FromDialError(err)
+	if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
+		o = outcome.DialTimeout
+	}
+	cancel(nil)
+	if c.postConnEvent(connEnded{conn, o}) {
+		c.log.Log(eventlog.DialFailed, c.server, c.addr, o)
+	}
+}
+
+// dialSucceeded passes an open connection to the event loop.
+func (c *Client) dialSucceeded(conn *connection, netConn net.Conn) {
+	conn.closeSocket = sync.OnceFunc(func() {
+		_ = netConn.Close()
+		c.config.ConnLimiter.release()
+	})
+	// Guards against a write that blocks at the client's stop, and a socket that the event loop never learns of.
+	conn.keepSocket = context.AfterFunc(c.ctx, conn.closeSocket)
+	c.postConnEvent(connOpened{conn, netConn})
+	if c.ctx.Err() != nil {
+		conn.closeSocket()
+	}
+}
+
+// connOpened starts to read from an open connection, and starts the tasks that wait for it. One that was dropped
+// while it was dialed is closed.
+func (c *Client) connOpened(conn *connection, netConn net.Conn) {
+	if conn.closed {
+		conn.keepSocket()
+		conn.closeSocket()
+		return
+	}
+	conn.netConn, conn.lastUsed = netConn, c.config.Sink.Now()
+	c.goroutines.Go(func() { c.readMessages(conn) })
+	c.armIdleTimeout(conn)
+	c.startWaiting(conn)
+}
--- /dev/null
+++ b/internal/upstream/read.go
@@ -0,0 +1,102 @@
+package upstream
+
+import (
+	"errors"
+	"io"
+	"net"
+	"slices"
+	"time"
+
+	"linkpass/internal/coordinator"
+	"linkpass/internal/eventlog"
+	"linkpass/internal/outcome"
+)
+
+// readMessages posts the messages of a connection until it is closed or a message cannot be read, on a goroutine
+// that ends then.
+func (c *Client) readMessages(conn *connection) {
+	r := c.codec.NewReader(conn.netConn)
+	for {
+		event, err := c.readMessage(conn, r)
+		c.postConnEvent(event)
+		if err != nil {
+			return
+		}
+	}
+}
+
+// readMessage reads a message. With an error, the event is the end of the connection.
+func (c *Client) readMessage(conn *connection, r Reader) (event, error) {
+	err := r.Wait()
+	at := c.config.Sink.Now()
+	if err != nil {
+		return connEnded{conn, outcome.FromReadError(err, errors.Is(err, io.EOF))}, err
+	}
+	m, o, err := r.Next()
+	if err == nil {
+		return messageRead{conn, m, at}, nil
+	}
+	if !errors.Is(err, net.ErrClosed) { // not closed by this client
+		c.config.Counters.Add("peer_messages_bad", 1)
+		c.log.Log(eventlog.MessageMalformed, c.server, o, err)
+	}
+	return connEnded{conn, o}, err
+}
+
+// messageRead ends the attempt or the health check that a message answers.
+func (c *Client) messageRead(conn *connection, m Message, at time.Duration) {
+	if conn.closed {
+		return
+	}
+	conn.checkPending = false
+	c.dropUnresponsive(conn, at)
+	if c.limits.Exclusive {
+		m.answerInFlight(conn)
+	}
+	c.endAnswered(conn, &m, at)
+	unneeded := c.config.ConnLimiter.exceeded() && len(conn.inFlight)+len(conn.healthChecks)+conn.reserved == 0
+	if m.ConnCloses || unneeded {
+		c.drop(conn, outcome.ConnClosed)
+	}
+}
+
+// answerInFlight makes the message the answer to what is in flight on an exclusive connection: it carries no name.
+func (m *Message) answerInFlight(conn *connection) {
+	m.HealthCheck = m.HealthCheck || len(conn.healthChecks) > 0
+	for name := range conn.inFlight {
+		m.Name = name
+	}
+}
+
+func (c *Client) endAnswered(conn *connection, m *Message, at time.Duration) {
+	id, inFlight := conn.inFlight[m.Name]
+	switch {
+	case m.HealthCheck && len(conn.healthChecks) > 0:
+		number := conn.healthChecks[0]
+		conn.healthChecks = conn.healthChecks[1:]
+		c.config.Sink.HealthCheckEnded(number, m.result(at))
+	case !m.HealthCheck && inFlight:
+		conn.recordEnded(m.Name)
+		c.config.Sink.AttemptEnded(id, m.result(at))
+	case m.HealthCheck || c.limits.Exclusive || !slices.Contains(conn.endedNames, m.Name):
+		// Guards the parts in flight: a reply to a name never sent is a corrupted reply to one of them.
+		c.config.Counters.Add("peer_messages_bad", 1)
+		c.log.Log(eventlog.MessageMalformed, c.server, outcome.MalformedResponse, "an answer to nothing")
+		c.drop(conn, outcome.MalformedResponse)
+	default:
+		c.config.Counters.Add("peer_answers_late", 1)
+	}
+}
+
+func (m *Message) result(at time.Duration) coordinator.Result {
+	return coordinator.Result{
+		Outcome:         m.Outcome,
+		LoadReport:      m.LoadReport,
+		Value:           m.Value,
+		Score:           m.Score,
+		Hits:            m.Hits,
+		At:              at,
+		ShardMapVersion: m.ShardMapVersion,
+		Covers:          m.Covers,
+	}
+}
