--- /dev/null
+++ b/internal/upstream/canceled_queries_test.go
@@ -0,0 +1,144 @@
+package upstream_test
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"linkpass/internal/coordinator"
+	"linkpass/internal/frame"
+	"linkpass/internal/metrics"
+	"linkpass/internal/outcome"
+	"linkpass/internal/routing"
+	"linkpass/internal/upstream"
+)
+
+// blockedDialCore is a core whose first dial waits for the test.
+type blockedDialCore struct {
+	*coordinator.Core
+	firstDial chan struct{}
+	dialed    atomic.Bool
+}
+
+func (c *blockedDialCore) Arm(at time.Duration, fire func()) func() {
+	if c.dialed.CompareAndSwap(false, true) {
+		<-c.firstDial
+	}
+	return c.Core.Arm(at, fire)
+}
+
+// countedTransport connects a core to one client, and counts the attempts that it sends.
+type countedTransport struct {
+	*upstream.Client
+	sent atomic.Int64
+}
+
+func (*countedTransport) UpdateEndpoints(coordinator.EndpointUpdate) {}
+func (c *countedTransport) Send(_ routing.ServerID, attempts []coordinator.Attempt) bool {
+	c.sent.Add(int64(len(attempts)))
+	return c.Client.Send(attempts)
+}
+func (c *countedTransport) Cancel(_ routing.ServerID, id coordinator.AttemptID) { c.Client.Cancel(id) }
+func (*countedTransport) CheckHealth(routing.ServerID, uint64) bool             { return false }
+func (*countedTransport) AbandonHealthCheck(routing.ServerID, uint64)           {}
+
+// waitSent waits until n attempts were sent.
+func (c *countedTransport) waitSent(n int64) {
+	for c.sent.Load() < n {
+		time.Sleep(time.Millisecond)
+	}
+}
+
+var oneShard = routing.Settings{
+	Tick:             5 * time.Millisecond,
+	Coordinators:     1,
+	Shards:           1,
+	Cells:            1,
+	ReplicasPerShard: 1,
+	PartsPerRequest:  1,
+	MaxAttempts:      3,
+	AnswerSlack:      20 * time.Millisecond,
+	Classes: []routing.Class{{
+		LatencyObjective: 20 * time.Second,
+		Deadline:         30 * time.Second,
+		PriorityWeight:   1,
+		RequiredWeight:   1,
+		MinWeight:        1,
+	}},
+}
+
+// startCore runs a core with one server, whose listener the test accepts from.
+func startCore(t *testing.T) (*blockedDialCore, *countedTransport, net.Listener) {
+	t.Helper()
+	core, err := coordinator.New(coordinator.Config{
+		Settings: oneShard,
+		Seed:     7,
+		Counters: metrics.NewCounters(),
+		Totals:   metrics.NewTotals(make([]string, 1)),
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	sink := &blockedDialCore{Core: core, firstDial: make(chan struct{})}
+	ln := listenTCP(t)
+	config := newConfig(sink)
+	config.ConnectTimeout = waitLimit
+	transport := &countedTransport{Client: upstream.New(config, frame.Codec{MaxStreams: 64}, "s-1", ln.Addr().String())}
+	transport.SetAcceptsWork(true)
+	core.SetTransports(transport)
+	ctx, cancel := context.WithCancel(t.Context())
+	done := make(chan struct{})
+	go func() { defer close(done); core.Run(ctx) }()
+	t.Cleanup(func() { transport.Close(); transport.Wait(); cancel(); <-done })
+	endpoint := coordinator.Endpoint{Endpoint: routing.Endpoint{Server: 1, State: routing.Ready}}
+	core.UpdateEndpoints(coordinator.EndpointUpdate{Mode: routing.UpdateFull, Endpoints: []coordinator.Endpoint{endpoint}})
+	return sink, transport, ln
+}
+
+// Race: clients disconnect while their queries wait for a connection. Nothing can be canceled at the server then, and
+// none of them is written once the connection opens; a query that is still open is.
+func TestCanceledQueriesAreNotWrittenOnceConnected(t *testing.T) {
+	core, transport, ln := startCore(t)
+	const burst = 5 // as many as are admitted with no latency known
+	answers := make(chan coordinator.Answer, burst+1)
+	submit := func(name string) (disconnect func()) {
+		return core.Submit(coordinator.Query{
+			Name:      name,
+			StartedAt: core.Now(),
+			Timeout:   30 * time.Second,
+			Parts:     []coordinator.Part{{Weight: 1, Payload: []byte("x")}},
+			Reply:     func(a coordinator.Answer) { answers <- a },
+		})
+	}
+	var disconnects []func()
+	for i := range burst {
+		disconnects = append(disconnects, submit(fmt.Sprint("leaves", i)))
+	}
+	transport.waitSent(burst)
+	for _, disconnect := range disconnects {
+		disconnect()
+	}
+	for range burst {
+		if a := <-answers; a.Status != coordinator.Failed {
+			t.Errorf("%+v", a)
+		}
+	}
+	submit("stays")
+	transport.waitSent(burst + 1)
+	core.firstDial <- struct{}{}
+	netConn, r := accept(t, ln)
+	wantQuery(t, r, "s")
+	reply(netConn, "stays.0 200 1 -\nv")
+	if a := <-answers; a.Status != coordinator.Answered {
+		t.Errorf("%+v", a)
+	}
+	if n := core.OpenCount(); n != 0 {
+		t.Errorf("%d queries and parts are open", n)
+	}
+	if outcome.NotSent.RoutingCode() != routing.NotSent {
+		t.Error("the router counts what was not sent as run")
+	}
+}
--- /dev/null
+++ b/internal/upstream/sink_test.go
@@ -0,0 +1,91 @@
+package upstream_test
+
+import (
+	"slices"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"linkpass/internal/coordinator"
+	"linkpass/internal/outcome"
+)
+
+// sink is a ResultSink whose time passes only by advance.
+type sink struct {
+	now    atomic.Int64
+	mu     sync.Mutex
+	timers []*timer
+
+	ended   chan ended
+	checked chan coordinator.Result
+	written chan coordinator.AttemptID
+}
+
+type timer struct {
+	at   time.Duration
+	fire func() // nil: fired or disarmed
+}
+
+type ended struct {
+	id coordinator.AttemptID
+	coordinator.Result
+}
+
+func newSink() *sink {
+	return &sink{
+		ended:   make(chan ended, 64),
+		checked: make(chan coordinator.Result, 64),
+		written: make(chan coordinator.AttemptID, 64),
+	}
+}
+
+func (s *sink) Now() time.Duration { return time.Duration(s.now.Load()) }
+
+func (s *sink) Arm(at time.Duration, fire func()) func() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	t := &timer{at, fire}
+	s.timers = append(s.timers, t)
+	return func() { s.mu.Lock(); t.fire = nil; s.mu.Unlock() }
+}
+
+// advance moves the time on and fires the timers that are due.
+func (s *sink) advance(d time.Duration) {
+	now := time.Duration(s.now.Add(int64(d)))
+	s.mu.Lock()
+	var due []func()
+	for _, t := range s.timers {
+		if t.fire != nil && t.at <= now {
+			due, t.fire = append(due, t.fire), nil
+		}
+	}
+	s.mu.Unlock()
+	for _, fire := range due {
+		fire()
+	}
+}
+
+// waitUntilNoTimerDue waits until advance(d) would fire nothing: a write that the server has read may not have
+// disarmed its timeout yet.
+func (s *sink) waitUntilNoTimerDue(d time.Duration) {
+	for due := true; due; time.Sleep(time.Millisecond) {
+		s.mu.Lock()
+		due = slices.ContainsFunc(s.timers, func(t *timer) bool { return t.fire != nil && t.at <= s.Now()+d })
+		s.mu.Unlock()
+	}
+}
+
+func (s *sink) AttemptEnded(id coordinator.AttemptID, r coordinator.Result) { s.ended <- ended{id, r} }
+func (s *sink) BodySent(id coordinator.AttemptID)                           { s.written <- id }
+func (s *sink) HealthCheckEnded(_ uint64, r coordinator.Result)             { s.checked <- r }
+
+// wantEnded waits for the next result of an attempt.
+func (s *sink) wantEnded(t *testing.T, o outcome.Outcome) ended {
+	t.Helper()
+	got := <-s.ended
+	if got.Outcome != o {
+		t.Fatalf("%v ended as %s, want %s", got.id, got.Outcome, o)
+	}
+	return got
+}
