--- a/internal/daemon/league_server_test.go
+++ b/internal/daemon/league_server_test.go
@@ -81,9 +81,9 @@
 			return
 		}
 		switch letter {
-		case frame.LoadProbe:
+		case frame.LetterLoadCheck:
 			send(letter, "active=1,avg_ms=5,waiting=0")
-		case frame.Call:
+		case frame.LetterRequest:
 			line, text, _ := strings.Cut(string(rest), "\n")
 			var p receivedPart
 			var ms, size int
@@ -95,14 +95,14 @@
 			wg.Go(func() {
 				switch s.record(p) {
 				case "error":
-					send(frame.Answer, p.name+" 500 0 -\n")
+					send(frame.LetterReply, p.name+" 500 0 -\n")
 				case "full":
-					send(frame.Answer, p.name+" 503 0 active=9,avg_ms=5,waiting=9\n")
+					send(frame.LetterReply, p.name+" 503 0 active=9,avg_ms=5,waiting=9\n")
 				case "silent":
 				case "reset":
 					nc.Close()
 				default:
-					send(frame.Answer, fmt.Sprintf("%s 200 %d active=1,avg_ms=5,waiting=0\nvalue-%d", p.name, 100+p.shard, p.shard))
+					send(frame.LetterReply, fmt.Sprintf("%s 200 %d active=1,avg_ms=5,waiting=0\nvalue-%d", p.name, 100+p.shard, p.shard))
 				}
 			})
 		}
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -16,43 +16,42 @@
 	"linkpass/internal/outcome"
 )
 
-func TestCallIsWordedAsTheProtocolHasIt(t *testing.T) {
-	got := AppendCall(nil, []Part{{ID: "9b1f03aa5c7e2d41.3", Shard: 3, Wait: 240 * time.Millisecond, Text: []byte("c41e77d0")}})
+func TestAppendRequestFormat(t *testing.T) {
+	got := AppendRequest(nil, []Part{{Name: "9b1f03aa5c7e2d41.3", Shard: 3, Timeout: 240 * time.Millisecond, Payload: []byte("c41e77d0")}})
 	if want := "\x26\x00\x00\x00D9b1f03aa5c7e2d41.3 3 d=240 8\nc41e77d0"; string(got) != want {
 		t.Errorf("%q, want %q", got, want)
 	}
 }
 
-func TestReplies(t *testing.T) {
+func TestParseReply(t *testing.T) {
 	r, err := ParseReply([]byte("9b1f.3 200 1840277719 inflight=7,util=0.61\n5be2"))
-	if err != nil || r.ID != "9b1f.3" || r.End != 200 || r.Score != 1840277719 || string(r.Value) != "5be2" {
+	if err != nil || r.Name != "9b1f.3" || r.Code != 200 || r.Score != 1840277719 || string(r.Value) != "5be2" {
 		t.Fatalf("%+v %v", r, err)
 	}
-	if got := loadreport.Parse(r.Report, []string{"util", "inflight"}); len(got) != 2 || got[0] != 0.61 || got[1] != 7 {
+	if got := loadreport.Parse(r.LoadReport, []string{"util", "inflight"}); len(got) != 2 || got[0] != 0.61 || got[1] != 7 {
 		t.Errorf("report %v", got)
 	}
 	for _, bad := range []string{"", "a 200 1 -", "a 200 1\nv", "a 404 1 -\nv", " 200 1 -\nv"} {
-		if _, err := ParseReply([]byte(bad)); !errors.Is(err, ErrFrame) {
-			t.Errorf("took %q: %v", bad, err)
+		if _, err := ParseReply([]byte(bad)); !errors.Is(err, ErrMalformed) {
+			t.Errorf("accepted %q: %v", bad, err)
 		}
 	}
 }
 
-// A stream cut anywhere inside a message is broken, between two it is closed;
-// neither is ever taken for an answer.
-func TestCutsAndGarbage(t *testing.T) {
-	whole := Append(nil, Answer, []byte("a.3 200 5 -\nvalue"))
+// A stream truncated inside a message counts as reset, one that ends between two as closed; neither gives a reply.
+func TestReaderRejectsTruncatedAndRandomInput(t *testing.T) {
+	complete := Append(nil, LetterReply, []byte("a.3 200 5 -\nvalue"))
 	rapid.Check(t, func(t *rapid.T) {
-		at := rapid.IntRange(0, len(whole)-1).Draw(t, "at")
-		stream := append(bytes.Clone(whole), whole[:at]...)
+		at := rapid.IntRange(0, len(complete)-1).Draw(t, "at")
+		stream := append(bytes.Clone(complete), complete[:at]...)
 		r := Codec{}.NewReader(bytes.NewReader(stream))
 		m, _, err := r.Next()
 		if err != nil || m.Name != "a.3" || string(m.Value) != "value" || m.Outcome != outcome.Success {
-			t.Fatalf("whole frame came as %+v, %v", m, err)
+			t.Fatalf("complete frame came as %+v, %v", m, err)
 		}
 		_, e, err := r.Next()
 		if want := map[bool]outcome.Outcome{true: outcome.ConnClosed, false: outcome.ConnReset}[at == 0]; err == nil || e != want {
-			t.Fatalf("cut at %d: %s, %v", at, e, err)
+			t.Fatalf("truncated at %d: %s, %v", at, e, err)
 		}
 
 		garbage := rapid.SliceOf(rapid.Byte()).Draw(t, "garbage")
@@ -66,9 +65,9 @@
 	})
 }
 
-func TestLongFramesAreRefused(t *testing.T) {
+func TestReadRejectsLongFrame(t *testing.T) {
 	_, _, err := Read(bufio.NewReader(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0x7f, 'O'})))
-	if !errors.Is(err, ErrFrame) || errors.Is(err, io.ErrUnexpectedEOF) {
+	if !errors.Is(err, ErrMalformed) || errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("%v", err)
 	}
 }
--- /dev/null
+++ b/internal/frame/message_reader.go
@@ -0,0 +1,68 @@
+package frame
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+
+	"linkpass/internal/loadreport"
+	"linkpass/internal/outcome"
+	"linkpass/internal/upstream"
+)
+
+// messageReader is the upstream.Reader of one connection.
+type messageReader struct {
+	reportNames []string
+	buf         *bufio.Reader
+}
+
+// Wait waits for the first byte of a frame.
+func (r *messageReader) Wait() error {
+	_, err := r.buf.Peek(1)
+	return err
+}
+
+// Next reads one message. The error is ErrMalformed where a frame cannot be read, that of the connection, or what a
+// server says of a frame that it could not use.
+func (r *messageReader) Next() (upstream.Message, outcome.Outcome, error) {
+	letter, rest, err := Read(r.buf)
+	if err != nil {
+		return upstream.Message{}, outcome.FromReadError(err, errors.Is(err, io.EOF)), err
+	}
+	switch letter {
+	case LetterReply:
+		return r.reply(rest)
+	case LetterHealthCheck, LetterLoadCheck:
+		return r.checkReply(letter, rest), 0, nil
+	}
+	m := upstream.Message{Outcome: outcome.Success}
+	if letter == LetterError {
+		return m, outcome.BadRequest, fmt.Errorf("frame: the server could not use a frame: %.100q", rest)
+	}
+	return m, outcome.MalformedResponse, fmt.Errorf("%w: unknown letter %q", ErrMalformed, letter)
+}
+
+func (r *messageReader) reply(rest []byte) (upstream.Message, outcome.Outcome, error) {
+	reply, err := ParseReply(rest)
+	if err != nil {
+		return upstream.Message{Outcome: outcome.Success}, outcome.MalformedResponse, err
+	}
+	return upstream.Message{
+		Name:       reply.Name,
+		Outcome:    reply.outcome(),
+		LoadReport: loadreport.Parse(reply.LoadReport, r.reportNames),
+		Value:      reply.Value,
+		Score:      reply.Score,
+	}, 0, nil
+}
+
+func (r *messageReader) checkReply(letter byte, rest []byte) upstream.Message {
+	m := upstream.Message{HealthCheck: true, Outcome: outcome.Success}
+	if string(rest) == failedCheck {
+		m.Outcome = outcome.ServerError
+	} else if letter == LetterLoadCheck {
+		m.LoadReport = loadreport.Parse(string(rest), r.reportNames)
+	}
+	return m
+}
--- a/internal/frame/wire_golden_test.go
+++ b/internal/frame/wire_golden_test.go
@@ -18,7 +18,7 @@
 var goldenReportNames = []string{"active", "waiting", "cpu", "avg_ms"}
 
 func TestRequestFrameGolden(t *testing.T) {
-	plain, loaded := Codec{MaxStreams: 32}, Codec{MaxStreams: 32, ReportNames: goldenReportNames}
+	plain, withReport := Codec{MaxStreams: 32}, Codec{MaxStreams: 32, ReportNames: goldenReportNames}
 	part := upstream.Part{Name: "9b1f03aa5c7e2d41.3", Collection: "players", Shard: 3, Timeout: 240 * time.Millisecond, Payload: []byte("c41e77d0")}
 	other := upstream.Part{Name: "9b1f03aa5c7e2d41.17", Shard: 17, Timeout: 1500*time.Millisecond + 999*time.Microsecond, Payload: []byte("line one\nline \x00\xff two")}
 	urgent := upstream.Part{Name: "a.0", Timeout: 999 * time.Microsecond}
@@ -29,7 +29,7 @@
 		{Name: "head of a call of 100000 bytes", Data: string(plain.EncodeHeader(part, 100000))},
 		{Name: "cancel", Data: string(plain.EncodeCancel(part.Name))},
 		{Name: "probe", Data: string(plain.EncodeHealthCheck())},
-		{Name: "probe for load", Data: string(loaded.EncodeHealthCheck())},
+		{Name: "probe for load", Data: string(withReport.EncodeHealthCheck())},
 	})
 }
 
@@ -58,7 +58,7 @@
 	t.Run("head of a call of 100000 bytes", func(t *testing.T) {
 		whole := sent["head of a call of 100000 bytes"] + strings.Repeat("x", 100000)
 		letter, rest, err := Read(bufio.NewReader(strings.NewReader(whole)))
-		if err != nil || letter != Call || string(rest) != "9b1f03aa5c7e2d41.3 3 d=240 100000\n"+strings.Repeat("x", 100000) {
+		if err != nil || letter != LetterRequest || string(rest) != "9b1f03aa5c7e2d41.3 3 d=240 100000\n"+strings.Repeat("x", 100000) {
 			t.Errorf("%q, %d bytes, %v", letter, len(rest), err)
 		}
 	})
@@ -78,16 +78,16 @@
 		"reply of a failed part":        {want: upstream.Message{Name: "a.0", Outcome: outcome.ServerError, Value: []byte("disk")}},
 		"reply of a rejected part": {want: upstream.Message{Name: "a.0", Outcome: outcome.Rejected,
 			LoadReport: []float64{8, 3, 1, 40}, Value: []byte{}}},
-		"reply with an unknown code":     {want: upstream.Message{Outcome: outcome.Success}, end: outcome.MalformedResponse, error: ErrFrame},
-		"reply without a line":           {want: upstream.Message{Outcome: outcome.Success}, end: outcome.MalformedResponse, error: ErrFrame},
+		"reply with an unknown code":     {want: upstream.Message{Outcome: outcome.Success}, end: outcome.MalformedResponse, error: ErrMalformed},
+		"reply without a line":           {want: upstream.Message{Outcome: outcome.Success}, end: outcome.MalformedResponse, error: ErrMalformed},
 		"answer to a probe":              {want: upstream.Message{HealthCheck: true, Outcome: outcome.Success}},
 		"answer to a probe, failed":      {want: upstream.Message{HealthCheck: true, Outcome: outcome.ServerError}},
 		"answer to a probe for load":     {want: upstream.Message{HealthCheck: true, Outcome: outcome.Success, LoadReport: []float64{7, 2, 0.61, 12.5}}},
 		"answer to a probe, load failed": {want: upstream.Message{HealthCheck: true, Outcome: outcome.ServerError}},
 		"complaint":                      {want: upstream.Message{Outcome: outcome.Success}, end: outcome.BadRequest, error: io.EOF},
-		"unknown letter":                 {want: upstream.Message{Outcome: outcome.Success}, end: outcome.MalformedResponse, error: ErrFrame},
-		"length of zero":                 {end: outcome.MalformedResponse, error: ErrFrame},
-		"length over the limit":          {end: outcome.MalformedResponse, error: ErrFrame},
+		"unknown letter":                 {want: upstream.Message{Outcome: outcome.Success}, end: outcome.MalformedResponse, error: ErrMalformed},
+		"length of zero":                 {end: outcome.MalformedResponse, error: ErrMalformed},
+		"length over the limit":          {end: outcome.MalformedResponse, error: ErrMalformed},
 		"cut in the length":              {end: outcome.ConnReset, error: io.EOF},
 		"cut in the body":                {end: outcome.ConnReset, error: io.EOF},
 		"closed between frames":          {end: outcome.ConnClosed, error: io.EOF},
@@ -105,7 +105,7 @@
 			if !reflect.DeepEqual(got, c.want) || e != c.end {
 				t.Errorf("%+v %v, want %+v %v", got, e, c.want, c.end)
 			}
-			if (err != nil) != (c.error != nil) || errors.Is(err, ErrFrame) != errors.Is(c.error, ErrFrame) {
+			if (err != nil) != (c.error != nil) || errors.Is(err, ErrMalformed) != errors.Is(c.error, ErrMalformed) {
 				t.Errorf("error %v, want %v", err, c.error)
 			}
 		})
@@ -118,7 +118,7 @@
 		t.Fatal(err)
 	}
 	got, err := ParseReply(rest)
-	want := Reply{ID: "9b1f03aa5c7e2d41.3", End: 200, Score: -0.25, Report: "active=7,waiting=2,cpu=0.61,avg_ms=12.5",
+	want := Reply{Name: "9b1f03aa5c7e2d41.3", Code: 200, Score: -0.25, LoadReport: "active=7,waiting=2,cpu=0.61,avg_ms=12.5",
 		Value: []byte("line one\nline \x00\xff two")}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, %v, want %+v", got, err, want)
--- a/internal/standin/search.go
+++ b/internal/standin/search.go
@@ -173,17 +173,17 @@
 			return
 		}
 		switch letter {
-		case frame.Probe:
+		case frame.LetterHealthCheck:
 			send(letter, "200")
-		case frame.LoadProbe:
+		case frame.LetterLoadCheck:
 			send(letter, s.report())
-		case frame.Call:
+		case frame.LetterRequest:
 			for len(rest) > 0 {
 				var name string
 				var shard, ms, size int
 				line, text, _ := strings.Cut(string(rest), "\n")
 				if _, err := fmt.Sscanf(line, "%s %d d=%d %d", &name, &shard, &ms, &size); err != nil || size > len(text) {
-					send(frame.Complaint, "a call that cannot be read")
+					send(frame.LetterError, "a call that cannot be read")
 					return
 				}
 				rest = rest[len(line)+1+size:]
@@ -195,10 +195,10 @@
 						ok = s.toil(1)
 					}
 					if !ok {
-						send(frame.Answer, fmt.Sprintf("%s 503 0 %s\n", name, s.report()))
+						send(frame.LetterReply, fmt.Sprintf("%s 503 0 %s\n", name, s.report()))
 						return
 					}
-					send(frame.Answer, fmt.Sprintf("%s 200 %d %s\nslice %d by %s", name, shard, s.report(), shard, s.Name))
+					send(frame.LetterReply, fmt.Sprintf("%s 200 %d %s\nslice %d by %s", name, shard, s.report(), shard, s.Name))
 				})
 			}
 		}
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -32,7 +32,7 @@
 	if got := <-srv.frames; got != "U" {
 		t.Fatalf("health check written as %q", got)
 	}
-	_, _ = netConn.Write(frame.Append(nil, frame.LoadProbe, []byte("active=2")))
+	_, _ = netConn.Write(frame.Append(nil, frame.LetterLoadCheck, []byte("active=2")))
 	if r := <-s.checked; r.Outcome != outcome.Success || r.LoadReport[0] != 2 {
 		t.Errorf("%+v", r)
 	}
--- a/internal/upstream/server_test.go
+++ b/internal/upstream/server_test.go
@@ -107,5 +107,5 @@
 }
 
 func reply(netConn net.Conn, text string) {
-	_, _ = netConn.Write(frame.Append(nil, frame.Answer, []byte(text)))
+	_, _ = netConn.Write(frame.Append(nil, frame.LetterReply, []byte(text)))
 }
