--- a/internal/deadline/deadline_test.go
+++ b/internal/deadline/deadline_test.go
@@ -10,9 +10,8 @@
 	_ "linkpass/internal/seeded"
 )
 
-// Whatever is armed and disarmed, a sweep fires what is due and nothing else, in
-// order of time.
-func TestSweepFiresWhatIsDue(t *testing.T) {
+// Whatever is armed and disarmed, a sweep fires what is due and nothing else, in the order of time.
+func TestSweepFiresDueTimersInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue
 		var fired []time.Duration
@@ -52,8 +51,8 @@
 	})
 }
 
-// What a sweep arms and is already due must not wait for another turn.
-func TestSweepFiresWhatItArms(t *testing.T) {
+// Guards against a timer that is due when a sweep arms it, and waits for the next sweep.
+func TestSweepFiresTimersArmedMeanwhile(t *testing.T) {
 	var q Queue
 	n := 0
 	q.Arm(1, func() { q.Arm(1, func() { n++ }) })
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -1,5 +1,5 @@
-// Package loadreport reads the load reports that servers send: name=value, comma
-// separated, whatever message they come in.
+// Package loadreport parses the load reports of servers: "name=value" pairs, separated by commas. All protocols carry
+// them in this form.
 package loadreport
 
 import (
@@ -9,24 +9,24 @@
 	"strings"
 )
 
-// Parse reads a load report into the order of names. A report that lacks a
-// name has NaN there; "-" and what can't be read are no report at all.
+// Parse returns the values of a load report in the order of names, with NaN for a name that it lacks. It returns nil
+// where the report has none of them: "-", an empty text, and one that cannot be parsed.
 func Parse(text string, names []string) []float64 {
 	if text == "-" || text == "" || len(names) == 0 {
 		return nil
 	}
-	out := slices.Repeat([]float64{math.NaN()}, len(names))
-	seen := false
-	for item := range strings.SplitSeq(text, ",") {
-		key, number, ok := strings.Cut(item, "=")
+	values := slices.Repeat([]float64{math.NaN()}, len(names))
+	found := false
+	for pair := range strings.SplitSeq(text, ",") {
+		key, number, ok := strings.Cut(pair, "=")
 		v, err := strconv.ParseFloat(number, 64)
 		i := slices.Index(names, key)
 		if ok && err == nil && i >= 0 && !math.IsInf(v, 0) {
-			out[i], seen = v, true
+			values[i], found = v, true
 		}
 	}
-	if !seen {
+	if !found {
 		return nil
 	}
-	return out
+	return values
 }
--- a/internal/loadreport/wire_golden_test.go
+++ b/internal/loadreport/wire_golden_test.go
@@ -8,7 +8,7 @@
 	"linkpass/internal/goldentest"
 )
 
-func TestReportGolden(t *testing.T) {
+func TestParseGolden(t *testing.T) {
 	reports := goldentest.ReadEntries(t, "reports.txt")
 	names := []string{"active", "waiting", "cpu", "avg_ms", "rps", "err_rps"}
 	nan := math.NaN()
--- a/internal/outcome/outcome_test.go
+++ b/internal/outcome/outcome_test.go
@@ -12,29 +12,28 @@
 	"linkpass/internal/routing"
 )
 
-// The module repeats unsafe work on proof that nothing ran: an end after the
-// last byte was written must never give that proof.
-func TestEndsGiveNoFalseProof(t *testing.T) {
-	never := map[routing.Code]bool{routing.Overloaded: true, routing.ConnectFailed: true, routing.NotSent: true}
+// The router retries what is not idempotent if the code says that nothing ran.
+func TestRoutingCodeSaysNothingRanOnlyWhenTrue(t *testing.T) {
+	nothingRan := map[routing.Code]bool{routing.Overloaded: true, routing.ConnectFailed: true, routing.NotSent: true}
 	mayHaveRun := []Outcome{Success, ServerError, ConnReset, ConnClosed, MalformedResponse, BadRequest, Timeout, Canceled}
-	for _, e := range mayHaveRun {
-		if never[e.RoutingCode()] {
-			t.Errorf("%s counts as proof", e)
+	for _, o := range mayHaveRun {
+		if nothingRan[o.RoutingCode()] {
+			t.Errorf("%s may have run, and its code says that nothing ran", o)
 		}
 	}
-	for _, e := range []Outcome{Rejected, DialRefused, DialTimeout, DialFailed, WriteInterrupted, NotSent, QueueFull} {
-		if !never[e.RoutingCode()] {
-			t.Errorf("%s is no proof", e)
+	for _, o := range []Outcome{Rejected, DialRefused, DialTimeout, DialFailed, WriteInterrupted, NotSent, QueueFull} {
+		if !nothingRan[o.RoutingCode()] {
+			t.Errorf("%s cannot have run, and its code does not say so", o)
 		}
 	}
-	for e := range Count {
-		if s := Outcome(e).String(); s == "" || strings.Contains(s, "(") {
-			t.Errorf("end %d has no name", e)
+	for o := range Count {
+		if s := Outcome(o).String(); s == "" || strings.Contains(s, "(") {
+			t.Errorf("outcome %d has no name", o)
 		}
 	}
 }
 
-func TestErrorsBecomeEnds(t *testing.T) {
+func TestOutcomeFromError(t *testing.T) {
 	op := func(err error) error { return &net.OpError{Op: "read", Err: err} }
 	for _, c := range []struct {
 		err   error
