--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -17,7 +17,12 @@
 )
 
 func TestAppendRequestFormat(t *testing.T) {
-	got := AppendRequest(nil, []Part{{Name: "9b1f03aa5c7e2d41.3", Shard: 3, Timeout: 240 * time.Millisecond, Payload: []byte("c41e77d0")}})
+	got := AppendRequest(nil, []Part{{
+		Name:    "9b1f03aa5c7e2d41.3",
+		Shard:   3,
+		Timeout: 240 * time.Millisecond,
+		Payload: []byte("c41e77d0"),
+	}})
 	if want := "\x26\x00\x00\x00D9b1f03aa5c7e2d41.3 3 d=240 8\nc41e77d0"; string(got) != want {
 		t.Errorf("%q, want %q", got, want)
 	}
@@ -28,7 +33,8 @@
 	if err != nil || r.Name != "9b1f.3" || r.Code != 200 || r.Score != 1840277719 || string(r.Value) != "5be2" {
 		t.Fatalf("%+v %v", r, err)
 	}
-	if got := loadreport.Parse(r.LoadReport, []string{"util", "inflight"}); len(got) != 2 || got[0] != 0.61 || got[1] != 7 {
+	got := loadreport.Parse(r.LoadReport, []string{"util", "inflight"})
+	if len(got) != 2 || got[0] != 0.61 || got[1] != 7 {
 		t.Errorf("report %v", got)
 	}
 	for _, bad := range []string{"", "a 200 1 -", "a 200 1\nv", "a 404 1 -\nv", " 200 1 -\nv"} {
@@ -50,7 +56,8 @@
 			t.Fatalf("complete frame came as %+v, %v", m, err)
 		}
 		_, e, err := r.Next()
-		if want := map[bool]outcome.Outcome{true: outcome.ConnClosed, false: outcome.ConnReset}[at == 0]; err == nil || e != want {
+		want := map[bool]outcome.Outcome{true: outcome.ConnClosed, false: outcome.ConnReset}[at == 0]
+		if err == nil || e != want {
 			t.Fatalf("truncated at %d: %s, %v", at, e, err)
 		}
 
--- a/internal/frame/wire_golden_test.go
+++ b/internal/frame/wire_golden_test.go
@@ -64,38 +64,40 @@
 	})
 }
 
+// goldenReplies is what each golden frame is read as.
+var goldenReplies = map[string]struct {
+	want  upstream.Message
+	end   outcome.Outcome
+	error error // nil: the frame can be read; io.EOF stands for any other than ErrMalformed
+}{
+	"reply": {want: upstream.Message{Name: "9b1f03aa5c7e2d41.3", Outcome: outcome.Success, Score: 1840277719, Value: []byte("5be2")}},
+	"reply with a report": {want: upstream.Message{Name: "9b1f03aa5c7e2d41.3", Outcome: outcome.Success, Score: -0.25,
+		LoadReport: []float64{7, 2, 0.61, 12.5}, Value: []byte("line one\nline \x00\xff two")}},
+	"reply without score and value": {want: upstream.Message{Name: "a.0", Outcome: outcome.Success, Value: []byte{}}},
+	"reply of a failed part":        {want: upstream.Message{Name: "a.0", Outcome: outcome.ServerError, Value: []byte("disk")}},
+	"reply of a rejected part": {want: upstream.Message{Name: "a.0", Outcome: outcome.Rejected,
+		LoadReport: []float64{8, 3, 1, 40}, Value: []byte{}}},
+	"reply with an unknown code":     {want: upstream.Message{Outcome: outcome.Success}, end: outcome.MalformedResponse, error: ErrMalformed},
+	"reply without a line":           {want: upstream.Message{Outcome: outcome.Success}, end: outcome.MalformedResponse, error: ErrMalformed},
+	"answer to a probe":              {want: upstream.Message{HealthCheck: true, Outcome: outcome.Success}},
+	"answer to a probe, failed":      {want: upstream.Message{HealthCheck: true, Outcome: outcome.ServerError}},
+	"answer to a probe for load":     {want: upstream.Message{HealthCheck: true, Outcome: outcome.Success, LoadReport: []float64{7, 2, 0.61, 12.5}}},
+	"answer to a probe, load failed": {want: upstream.Message{HealthCheck: true, Outcome: outcome.ServerError}},
+	"complaint":                      {want: upstream.Message{Outcome: outcome.Success}, end: outcome.BadRequest, error: io.EOF},
+	"unknown letter":                 {want: upstream.Message{Outcome: outcome.Success}, end: outcome.MalformedResponse, error: ErrMalformed},
+	"length of zero":                 {end: outcome.MalformedResponse, error: ErrMalformed},
+	"length over the limit":          {end: outcome.MalformedResponse, error: ErrMalformed},
+	"cut in the length":              {end: outcome.ConnReset, error: io.EOF},
+	"cut in the body":                {end: outcome.ConnReset, error: io.EOF},
+	"closed between frames":          {end: outcome.ConnClosed, error: io.EOF},
+}
+
 func TestReplyFrameGolden(t *testing.T) {
 	received := goldentest.ReadEntries(t, "frames_received.txt")
-	cases := map[string]struct {
-		want  upstream.Message
-		end   outcome.Outcome
-		error error // nil: the frame can be read; io.EOF stands for any other than ErrFrame
-	}{
-		"reply": {want: upstream.Message{Name: "9b1f03aa5c7e2d41.3", Outcome: outcome.Success, Score: 1840277719, Value: []byte("5be2")}},
-		"reply with a report": {want: upstream.Message{Name: "9b1f03aa5c7e2d41.3", Outcome: outcome.Success, Score: -0.25,
-			LoadReport: []float64{7, 2, 0.61, 12.5}, Value: []byte("line one\nline \x00\xff two")}},
-		"reply without score and value": {want: upstream.Message{Name: "a.0", Outcome: outcome.Success, Value: []byte{}}},
-		"reply of a failed part":        {want: upstream.Message{Name: "a.0", Outcome: outcome.ServerError, Value: []byte("disk")}},
-		"reply of a rejected part": {want: upstream.Message{Name: "a.0", Outcome: outcome.Rejected,
-			LoadReport: []float64{8, 3, 1, 40}, Value: []byte{}}},
-		"reply with an unknown code":     {want: upstream.Message{Outcome: outcome.Success}, end: outcome.MalformedResponse, error: ErrMalformed},
-		"reply without a line":           {want: upstream.Message{Outcome: outcome.Success}, end: outcome.MalformedResponse, error: ErrMalformed},
-		"answer to a probe":              {want: upstream.Message{HealthCheck: true, Outcome: outcome.Success}},
-		"answer to a probe, failed":      {want: upstream.Message{HealthCheck: true, Outcome: outcome.ServerError}},
-		"answer to a probe for load":     {want: upstream.Message{HealthCheck: true, Outcome: outcome.Success, LoadReport: []float64{7, 2, 0.61, 12.5}}},
-		"answer to a probe, load failed": {want: upstream.Message{HealthCheck: true, Outcome: outcome.ServerError}},
-		"complaint":                      {want: upstream.Message{Outcome: outcome.Success}, end: outcome.BadRequest, error: io.EOF},
-		"unknown letter":                 {want: upstream.Message{Outcome: outcome.Success}, end: outcome.MalformedResponse, error: ErrMalformed},
-		"length of zero":                 {end: outcome.MalformedResponse, error: ErrMalformed},
-		"length over the limit":          {end: outcome.MalformedResponse, error: ErrMalformed},
-		"cut in the length":              {end: outcome.ConnReset, error: io.EOF},
-		"cut in the body":                {end: outcome.ConnReset, error: io.EOF},
-		"closed between frames":          {end: outcome.ConnClosed, error: io.EOF},
-	}
-	if len(received) != len(cases) {
-		t.Errorf("%d golden frames, %d cases", len(received), len(cases))
+	if len(received) != len(goldenReplies) {
+		t.Errorf("%d golden frames, %d cases", len(received), len(goldenReplies))
 	}
-	for name, c := range cases {
+	for name, c := range goldenReplies {
 		t.Run(name, func(t *testing.T) {
 			stream, ok := received[name]
 			if !ok {
--- a/internal/upstream/canceled_queries_test.go
+++ b/internal/upstream/canceled_queries_test.go
@@ -98,24 +98,26 @@
 	return sink, transport, ln
 }
 
+// submit submits a query of one part, and returns how its client disconnects.
+func submit(core *blockedDialCore, name string, answers chan<- coordinator.Answer) (disconnect func()) {
+	return core.Submit(coordinator.Query{
+		Name:      name,
+		StartedAt: core.Now(),
+		Timeout:   30 * time.Second,
+		Parts:     []coordinator.Part{{Weight: 1, Payload: []byte("x")}},
+		Reply:     func(a coordinator.Answer) { answers <- a },
+	})
+}
+
 // Race: clients disconnect while their queries wait for a connection. Nothing can be canceled at the server then, and
 // none of them is written once the connection opens; a query that is still open is.
 func TestCanceledQueriesAreNotWrittenOnceConnected(t *testing.T) {
 	core, transport, ln := startCore(t)
 	const burst = 5 // as many as are admitted with no latency known
 	answers := make(chan coordinator.Answer, burst+1)
-	submit := func(name string) (disconnect func()) {
-		return core.Submit(coordinator.Query{
-			Name:      name,
-			StartedAt: core.Now(),
-			Timeout:   30 * time.Second,
-			Parts:     []coordinator.Part{{Weight: 1, Payload: []byte("x")}},
-			Reply:     func(a coordinator.Answer) { answers <- a },
-		})
-	}
 	var disconnects []func()
 	for i := range burst {
-		disconnects = append(disconnects, submit(fmt.Sprint("leaves", i)))
+		disconnects = append(disconnects, submit(core, fmt.Sprint("leaves", i), answers))
 	}
 	transport.waitSent(burst)
 	for _, disconnect := range disconnects {
@@ -126,7 +128,7 @@
 			t.Errorf("%+v", a)
 		}
 	}
-	submit("stays")
+	submit(core, "stays", answers)
 	transport.waitSent(burst + 1)
 	core.firstDial <- struct{}{}
 	netConn, r := accept(t, ln)
--- a/internal/upstream/conn_task.go
+++ b/internal/upstream/conn_task.go
@@ -22,7 +22,7 @@
 
 type healthCheckTask struct{ number uint64 }
 
-func (t healthCheckTask) streams(l Limits) int {
+func (healthCheckTask) streams(l Limits) int {
 	if l.Exclusive {
 		return 1
 	}
--- a/internal/upstream/connection_test.go
+++ b/internal/upstream/connection_test.go
@@ -21,7 +21,9 @@
 		{"reset", func(nc net.Conn) { _ = nc.(*net.TCPConn).SetLinger(0); nc.Close() }, outcome.ConnReset},
 		{"closed", func(nc net.Conn) { nc.Close() }, outcome.ConnClosed},
 		{"unknown letter", func(nc net.Conn) { nc.Write(frame.Append(nil, 'Q', nil)) }, outcome.MalformedResponse},
-		{"complaint", func(nc net.Conn) { nc.Write(frame.Append(nil, frame.LetterError, []byte("what?"))) }, outcome.BadRequest},
+		{"error frame", func(nc net.Conn) {
+			nc.Write(frame.Append(nil, frame.LetterError, []byte("what?")))
+		}, outcome.BadRequest},
 		{"closed in a frame", func(nc net.Conn) { nc.Write([]byte{9, 0, 0, 0, 'O'}); nc.Close() }, outcome.ConnReset},
 		{"malformed reply", func(nc net.Conn) { reply(nc, "nothing of use") }, outcome.MalformedResponse},
 	} {
--- a/internal/upstream/races_test.go
+++ b/internal/upstream/races_test.go
@@ -138,7 +138,8 @@
 	client.Send(attempt("b", 0, 1))
 	s.wantEnded(t, outcome.ConnReset)
 	s.wantEnded(t, outcome.WriteInterrupted)
-	if outcome.WriteInterrupted.RoutingCode() != routing.ConnectFailed || outcome.ConnReset.RoutingCode() != routing.ConnReset {
+	if outcome.WriteInterrupted.RoutingCode() != routing.ConnectFailed ||
+		outcome.ConnReset.RoutingCode() != routing.ConnReset {
 		t.Error("the router gets other codes")
 	}
 	close(mayRead)
