--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -56,9 +56,9 @@
 	client.Send(attempt("drained", 3, 1))
 	s.wantEnded(t, outcome.NotSent)
 	client.SetAcceptsWork(true)
-	client.Send(attempt("twin", 3, 2))
+	client.Send(attempt("same", 3, 2))
 	<-srv.frames
-	client.Send(attempt("twin", 3, 3)) // the replies to the two could not be told apart
+	client.Send(attempt("same", 3, 3)) // the replies to the two could not be told apart
 	s.wantEnded(t, outcome.NotSent)
 	if len(srv.frames) != 0 {
 		t.Errorf("wrote %q", <-srv.frames)
