--- /dev/null
+++ b/internal/coordinator/attempts.go
@@ -0,0 +1,138 @@
+package coordinator
+
+import (
+	"time"
+
+	"linkpass/internal/outcome"
+	"linkpass/internal/routing"
+)
+
+// AttemptEnded says how an attempt ended. Only the first end of an attempt counts.
+func (c *Core) AttemptEnded(id AttemptID, result Result) {
+	c.post(func() { c.endAttempt(id, result) })
+}
+
+// openAttempt opens an attempt at a part and adds it to the turn's batches.
+func (c *Core) openAttempt(now time.Duration, send routing.Send) {
+	p := c.parts[send.ID]
+	if p == nil {
+		c.counters.Add("sends_stray", 1)
+		return
+	}
+	a := &attempt{id: AttemptID{send.ID, p.attempts}, part: p, server: send.Server, sentAt: now}
+	if p.attempts > 0 && p.inFlight == 0 {
+		c.countClass("retries_made", p.query.Class)
+	}
+	p.attempts++
+	p.inFlight++
+	c.setUnsent(p, true)
+	c.attempts[a.id] = a
+	c.counters.Add("attempts_sent", 1)
+	c.armTimeout(now, a, send.Timeout)
+	c.addToBatch(a, send.WriteBefore)
+}
+
+// armTimeout ends the attempt at the query's deadline, and not later than limit from now; a limit of 0 is none.
+func (c *Core) armTimeout(now time.Duration, a *attempt, limit time.Duration) {
+	wait := a.part.query.deadline - now
+	if limit > 0 {
+		wait = min(wait, limit)
+	}
+	a.timeout = c.deadlines.Arm(now+max(0, wait), func() {
+		c.transports.Cancel(a.server, a.id)
+		c.endAttempt(a.id, Result{Outcome: outcome.Timeout, At: c.Now()})
+	})
+}
+
+// addToBatch adds the attempt to a batch to its server that is not yet full, or to a new one.
+func (c *Core) addToBatch(a *attempt, writeBefore time.Duration) {
+	p, q := a.part, a.part.query
+	out := Attempt{
+		ID:          a.id,
+		Query:       q.Name,
+		Collection:  q.Collection,
+		Shard:       p.Shard,
+		Payload:     p.Payload,
+		Body:        q.Body,
+		Deadline:    q.deadline,
+		WriteBefore: writeBefore,
+		Request:     p.Request,
+		ended:       &a.ended,
+		shardMoved:  &a.shardMoved,
+	}
+	for i := range c.batches {
+		b := &c.batches[i]
+		if b.server == a.server && len(b.attempts) < c.settings.PartsPerRequest {
+			b.attempts = append(b.attempts, out)
+			return
+		}
+	}
+	c.batches = append(c.batches, batch{a.server, []Attempt{out}})
+}
+
+// cancelAttempt ends an attempt that the router no longer waits for.
+func (c *Core) cancelAttempt(now time.Duration, id AttemptID) {
+	a := c.attempts[id]
+	if a == nil {
+		return
+	}
+	c.counters.Add("attempts_cancelled", 1)
+	c.removeFromBatch(a)
+	c.transports.Cancel(a.server, id)
+	c.endAttempt(id, Result{Outcome: outcome.Canceled, At: now})
+}
+
+// removeFromBatch takes an attempt that was opened in this turn out of its batch.
+func (c *Core) removeFromBatch(a *attempt) {
+	for i := range c.batches {
+		list := c.batches[i].attempts
+		for j := range list {
+			if list[j].ID == a.id {
+				c.batches[i].attempts = append(list[:j:j], list[j+1:]...)
+				return
+			}
+		}
+	}
+}
+
+// endAttempt ends an attempt and reports its outcome to the router. It ignores an attempt that has ended already.
+func (c *Core) endAttempt(id AttemptID, result Result) {
+	a := c.attempts[id]
+	if a == nil {
+		c.counters.Add("results_late", 1)
+		return
+	}
+	delete(c.attempts, id)
+	a.ended.Store(true)
+	c.deadlines.Disarm(a.timeout)
+	p := a.part
+	p.inFlight--
+	var replacements []routing.Event // of the part, for the router to see after the result
+	if p.Request != nil && p.isPending() {
+		result.Outcome, replacements = c.reviewShardResult(p, result)
+	}
+	c.counters.Add("attempts_"+result.Outcome.String(), 1)
+	c.recordResult(p, result)
+	c.addEvent(routing.AttemptResult{ID: id.Part, Attempt: id.No, Server: a.server, Code: result.Outcome.RoutingCode(),
+		Latency: max(0, result.At-a.sentAt), Final: p.answered, LoadReport: result.LoadReport})
+	c.events = append(c.events, replacements...)
+}
+
+// recordResult records an attempt's result in its part.
+func (c *Core) recordResult(p *part, result Result) {
+	if !p.answered {
+		p.lastOutcome = result.Outcome
+	}
+	if result.Outcome == outcome.Success && p.isPending() {
+		c.setUnsent(p, false)
+		if p.failed {
+			c.countClass("retries_won", p.query.Class)
+		}
+		p.answered = true
+		p.value = Value{Shard: p.Shard, Request: p.Request, Data: result.Value, Score: result.Score, Hits: result.Hits}
+	}
+	if p.isPending() && p.inFlight == 0 && c.queries[p.query.id] != nil {
+		c.setUnsent(p, true) // the router may retry it
+		c.markFailed(p, result.At)
+	}
+}
--- /dev/null
+++ b/internal/coordinator/body_retention.go
@@ -0,0 +1,76 @@
+package coordinator
+
+import (
+	"time"
+
+	"linkpass/internal/routing"
+)
+
+// BodySent says that an attempt with a Body was written completely.
+func (c *Core) BodySent(id AttemptID) {
+	c.post(func() { c.markSent(id) })
+}
+
+func (c *Core) markSent(id AttemptID) {
+	if a := c.attempts[id]; a != nil {
+		c.setUnsent(a.part, false)
+	}
+}
+
+// setUnsent records whether a part is yet to be written. The body's store is notified when the query's first part comes
+// to be unsent and when its last one no longer is: a body that nobody is to write may be evicted.
+func (*Core) setUnsent(p *part, unsent bool) {
+	q := p.query
+	if q.Body == nil || p.unsent == unsent || unsent && !p.isPending() {
+		return
+	}
+	p.unsent = unsent
+	if !unsent {
+		if q.unsentParts--; q.unsentParts == 0 {
+			q.Body.MarkSent()
+		}
+		return
+	}
+	if q.unsentParts++; q.unsentParts == 1 {
+		q.Body.MarkPending()
+	}
+}
+
+// evictBody tells the router that no part of the query can be sent any more.
+func (c *Core) evictBody(q *query) {
+	if c.queries[q.id] == nil {
+		return
+	}
+	first := !q.bodyEvicted
+	if first {
+		c.countClass("queries_bare", q.Class)
+	}
+	q.bodyEvicted = true
+	for _, p := range q.parts {
+		if p.answered {
+			continue
+		}
+		c.addEvent(routing.BodyEvicted{ID: p.id})
+		switch {
+		case p.inFlight == 0 && p.failed: // it waited for its retry
+			c.countClass("retries_forgone", q.Class)
+			q.unanswerableAt = max(q.unanswerableAt, c.Now())
+		case p.inFlight == 0:
+			c.markFailed(p, c.Now())
+		case first:
+			c.countClass("copies_forgone", q.Class)
+		}
+	}
+}
+
+// markFailed records that a part has no attempt in flight that could answer it. It needs a retry, which cannot be sent
+// if the query's body is evicted.
+func (c *Core) markFailed(p *part, at time.Duration) {
+	q := p.query
+	if q.bodyEvicted {
+		c.countClass("retries_forgone", q.Class)
+		q.unanswerableAt = max(q.unanswerableAt, at)
+	}
+	p.failed = true
+	c.countClass("retries_needed", q.Class)
+}
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -213,9 +213,9 @@
 
 // A query's tenant reaches the module, and one of nobody's is none of them.
 func TestTenantsOfTheModule(t *testing.T) {
-	c := &Core{set: routing.Settings{Tenants: make([]routing.Tenant, 2)}}
+	c := &Core{settings: routing.Settings{Tenants: make([]routing.Tenant, 2)}}
 	for tenant, want := range []int{2, 0, 1} {
-		if got := c.tenant(&query{Query: Query{Tenant: tenant}}); got != want {
+		if got := c.tenantIndex(&query{Query: Query{Tenant: tenant}}); got != want {
 			t.Errorf("%d came as %d, want %d", tenant, got, want)
 		}
 	}
--- /dev/null
+++ b/internal/coordinator/core.go
@@ -0,0 +1,164 @@
+package coordinator
+
+import (
+	"context"
+	"time"
+
+	"linkpass/internal/deadline"
+	"linkpass/internal/metrics"
+	"linkpass/internal/outcome"
+	"linkpass/internal/routing"
+)
+
+// clockAtStart is what Core.Now returns at start: a server that started before that counts as started long ago.
+const clockAtStart = time.Hour
+
+// maxSleep is how long the event loop sleeps with no deadline armed.
+const maxSleep = time.Hour
+
+// Core is the event loop round the router.
+type Core struct {
+	settings           routing.Settings
+	router             *routing.Router
+	transports         Transports
+	counters           *metrics.Counters
+	totals             *metrics.Totals
+	healthCheckTimeout time.Duration
+	disableReplan      bool
+	epoch              time.Time
+
+	mailbox  chan func()   // read by Run alone
+	stopped  chan struct{} // closed by Run when it ends
+	deferred deferredQueue
+
+	// Owned by the goroutine of Run.
+	deadlines       deadline.Queue
+	events          []routing.Event // for the next turn
+	lastTurn        time.Duration
+	lastRequestID   routing.RequestID
+	lastNumber      uint64 // of queries and health checks
+	queries         map[routing.RequestID]*query
+	parts           map[routing.RequestID]*part
+	attempts        map[AttemptID]*attempt
+	healthChecks    map[uint64]*healthCheck
+	batches         []batch // of this turn
+	warmedUp        func()  // called when no health check is in flight; nil: nobody waits for that
+	collections     map[string]*collection
+	collectionCount int // collections known so far, those that were removed included
+}
+
+// SetTransports sets the transports. It is called once, before Run.
+func (c *Core) SetTransports(transports Transports) { c.transports = transports }
+
+// Now is the core's clock. It is safe for concurrent use.
+func (c *Core) Now() time.Duration { return time.Since(c.epoch) }
+
+// Clock converts a time in Unix milliseconds into the core's clock. A time of 0 or before the clock's origin is 0, which
+// is long ago.
+func (c *Core) Clock(unixMS int64) time.Duration {
+	if unixMS <= 0 {
+		return 0
+	}
+	return max(0, time.Duration(unixMS)*time.Millisecond-time.Duration(c.epoch.UnixNano()))
+}
+
+// Run takes turns until the context ends. The queries that are open then fail.
+func (c *Core) Run(ctx context.Context) {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	c.refreshEndpointCounts()
+	for {
+		select {
+		case message := <-c.mailbox:
+			message()
+			c.drainMailbox()
+		case <-c.deferred.waiting:
+			c.runDeferred()
+		case <-timer.C:
+		case <-ctx.Done():
+			c.stop()
+			return
+		}
+		now := c.Now()
+		if now >= c.lastTurn+c.settings.Tick {
+			c.turn(now)
+		}
+		timer.Reset(c.sleep(c.Now()))
+	}
+}
+
+// stop fails the open queries. Nobody waits for the event loop from then on.
+func (c *Core) stop() {
+	close(c.stopped)
+	for _, q := range c.queries {
+		c.finish(q, Answer{Status: Failed})
+	}
+}
+
+// sleep is how long the event loop may sleep: until the next deadline or, with events for the router, the next turn; not
+// less than the gap between turns.
+func (c *Core) sleep(now time.Duration) time.Duration {
+	next, armed := c.deadlines.Next()
+	if len(c.events) > 0 {
+		next, armed = now, true
+	}
+	if !armed {
+		return maxSleep
+	}
+	return max(next, c.lastTurn+c.settings.Tick) - now
+}
+
+// turn fires the deadlines, lets the router decide and carries out its actions.
+func (c *Core) turn(now time.Duration) {
+	c.lastTurn = now
+	c.deadlines.Sweep(now)
+	if len(c.events) == 0 {
+		return
+	}
+	events := c.events
+	c.events = nil
+	c.batches = c.batches[:0]
+	for _, action := range c.router.Turn(now, events) {
+		c.carryOut(now, action)
+	}
+	c.sendBatches(now)
+	if c.warmedUp != nil && len(c.healthChecks) == 0 {
+		c.warmedUp()
+		c.warmedUp = nil
+	}
+}
+
+// addEvent queues an event for the router's next turn.
+func (c *Core) addEvent(event routing.Event) { c.events = append(c.events, event) }
+
+// carryOut carries out one action of the router.
+func (c *Core) carryOut(now time.Duration, action routing.Action) {
+	switch a := action.(type) {
+	case routing.Send:
+		c.openAttempt(now, a)
+	case routing.Cancel:
+		c.cancelAttempt(now, AttemptID{a.ID, a.Attempt})
+	case routing.Reject:
+		c.finishOpen(a.ID, Answer{Status: Rejected, RetryAfter: a.RetryAfter})
+	case routing.Fail:
+		c.finishOpen(a.ID, Answer{Status: Failed})
+	case routing.Answer:
+		c.finishOpen(a.ID, Answer{Status: Answered, Complete: a.Complete})
+	case routing.SetTimer:
+		c.deadlines.Arm(now+a.After, func() { c.addEvent(routing.TimerFired{Token: a.Token}) })
+	case routing.HealthCheck:
+		c.openHealthCheck(now, a.Server)
+	}
+}
+
+// sendBatches gives the turn's attempts to the transports. What they do not accept ends at once.
+func (c *Core) sendBatches(now time.Duration) {
+	for _, b := range c.batches {
+		if len(b.attempts) == 0 || c.transports.Send(b.server, b.attempts) {
+			continue
+		}
+		for _, a := range b.attempts {
+			c.endAttempt(a.ID, Result{Outcome: outcome.QueueFull, At: now})
+		}
+	}
+}
--- /dev/null
+++ b/internal/coordinator/finish.go
@@ -0,0 +1,100 @@
+package coordinator
+
+import (
+	"sync/atomic"
+
+	"linkpass/internal/routing"
+)
+
+// timedOutTicks is how many ticks before its deadline a query counts as timed out: the router answers it that early.
+const timedOutTicks = 2
+
+// finishOpen finishes the query of that ID, if it is open.
+func (c *Core) finishOpen(id routing.RequestID, answer Answer) {
+	if q := c.queries[id]; q != nil {
+		c.finish(q, answer)
+	}
+}
+
+// finish answers an open query and forgets it. Its attempts in flight stay until they end; those that are not yet
+// written never will be.
+func (c *Core) finish(q *query, answer Answer) {
+	if c.queries[q.id] == nil {
+		return
+	}
+	delete(c.queries, q.id)
+	c.deadlines.Disarm(q.overdue)
+	answer.TimedOut = answer.TimedOut || c.Now() >= q.deadline-timedOutTicks*c.settings.Tick
+	for _, p := range q.parts {
+		c.closePart(p, &answer)
+	}
+	if q.collection != nil {
+		c.finishCoverage(q, &answer)
+	}
+	if answer.Status == Rejected {
+		c.counters.Add(c.rejectionCounter(q), 1)
+	}
+	if q.Body != nil {
+		q.Body.Release()
+		c.countAnswerDelay(q)
+	}
+	c.deliver(&q.Query, answer)
+}
+
+// closePart forgets a part and adds its value, or what is known of its failure, to the answer.
+func (c *Core) closePart(p *part, answer *Answer) {
+	delete(c.parts, p.id)
+	for number := range p.attempts {
+		if a := c.attempts[AttemptID{p.id, number}]; a != nil {
+			a.ended.Store(true)
+		}
+	}
+	if p.answered {
+		if answer.Status == Answered {
+			answer.Values = append(answer.Values, p.value)
+		}
+		return
+	}
+	answer.Missing = append(answer.Missing, MissingPart{
+		Shard:       p.Shard,
+		LastOutcome: p.lastOutcome,
+		Attempted:   p.attempts > 0,
+		Request:     p.Request,
+		BodyEvicted: p.query.bodyEvicted,
+	})
+}
+
+// deliver counts a query's final answer and hands it to the front.
+func (c *Core) deliver(q *Query, answer Answer) {
+	switch answer.Status {
+	case Answered:
+		c.countAnswer("queries_answered", &c.totals.Served[q.Class])
+	case Rejected:
+		c.countAnswer("queries_refused", &c.totals.Rejected[q.Class])
+	case Failed:
+		c.countAnswer("queries_failed", &c.totals.Failed[q.Class])
+	}
+	q.Reply(answer)
+}
+
+func (c *Core) countAnswer(counter string, total *atomic.Int64) {
+	c.counters.Add(counter, 1)
+	total.Add(1)
+	c.totals.InFlight.Add(-1)
+}
+
+// rejectionCounter names the counter of a rejected query: by whether a part had used all its attempts, some part had
+// been attempted, or none.
+func (c *Core) rejectionCounter(q *query) string {
+	attempted := false
+	for _, p := range q.parts {
+		if !p.answered && c.settings.MaxAttempts > 0 && p.attempts >= c.settings.MaxAttempts {
+			return "refused_spent"
+		}
+		attempted = attempted || p.attempts > 0
+	}
+	if attempted {
+		return "refused_begun"
+	}
+	return "refused_unsent"
+}
--- /dev/null
+++ b/internal/coordinator/health_checks.go
@@ -0,0 +1,53 @@
+package coordinator
+
+import (
+	"time"
+
+	"linkpass/internal/outcome"
+	"linkpass/internal/routing"
+)
+
+// HealthCheckEnded says how a health check ended. Only the first end of a health check counts.
+func (c *Core) HealthCheckEnded(number uint64, result Result) {
+	c.post(func() { c.endHealthCheck(number, result) })
+}
+
+// WarmUp has the router send health checks to all servers. done is called on the core's goroutine, once all have
+// replied or timed out, and must not block.
+func (c *Core) WarmUp(done func()) {
+	c.post(func() { c.warmUp(done) })
+}
+
+func (c *Core) warmUp(done func()) {
+	c.addEvent(routing.WarmUp{})
+	c.warmedUp = done
+}
+
+// openHealthCheck sends a health check, which ends at its timeout if no reply has come.
+func (c *Core) openHealthCheck(now time.Duration, server routing.ServerID) {
+	c.counters.Add("probes_sent", 1)
+	c.lastNumber++
+	number := c.lastNumber
+	check := &healthCheck{server: server, sentAt: now}
+	check.timeout = c.deadlines.Arm(now+c.healthCheckTimeout, func() {
+		c.transports.AbandonHealthCheck(server, number)
+		c.endHealthCheck(number, Result{Outcome: outcome.Timeout, At: c.Now()})
+	})
+	c.healthChecks[number] = check
+	if !c.transports.CheckHealth(server, number) {
+		c.endHealthCheck(number, Result{Outcome: outcome.QueueFull, At: now})
+	}
+}
+
+// endHealthCheck ends a health check and reports its outcome to the router. It ignores one that has ended already.
+func (c *Core) endHealthCheck(number uint64, result Result) {
+	check := c.healthChecks[number]
+	if check == nil {
+		return
+	}
+	delete(c.healthChecks, number)
+	c.deadlines.Disarm(check.timeout)
+	c.counters.Add("probes_"+result.Outcome.String(), 1)
+	c.addEvent(routing.HealthCheckResult{Server: check.server, Code: result.Outcome.RoutingCode(),
+		Latency: max(0, result.At-check.sentAt), LoadReport: result.LoadReport})
+}
--- /dev/null
+++ b/internal/coordinator/metrics.go
@@ -0,0 +1,29 @@
+package coordinator
+
+import (
+	"strconv"
+	"time"
+)
+
+// answerDelayBuckets are the upper bounds, in milliseconds, of the histogram of countAnswerDelay.
+var answerDelayBuckets = []int{5, 10, 20, 50, 100, 500}
+
+// countClass counts under a name and the name of a class.
+func (c *Core) countClass(name string, class int) {
+	c.counters.Add(name+"_"+c.totals.Classes[class], 1)
+}
+
+// countAnswerDelay counts how long a query whose body was evicted stayed open after it could no longer be answered.
+func (c *Core) countAnswerDelay(q *query) {
+	if q.unanswerableAt == 0 {
+		return
+	}
+	delay := c.Now() - q.unanswerableAt
+	for _, bound := range answerDelayBuckets {
+		if delay <= time.Duration(bound)*time.Millisecond {
+			c.countClass("bare_final_ms_"+strconv.Itoa(bound), q.Class)
+			return
+		}
+	}
+	c.countClass("bare_final_ms_more", q.Class)
+}
--- a/internal/coordinator/moving_test.go
+++ b/internal/coordinator/moving_test.go
@@ -197,7 +197,7 @@
 		list := m.sent()
 		m.end(list[0], Result{Outcome: outcome.ShardMoved, ShardMapVersion: 999})
 		again := m.sent()
-		if len(again) != 1 || m.l.servers[0] == m.l.servers[1] || m.l.core.count.Get("attempts_ahead") != 1 {
+		if len(again) != 1 || m.l.servers[0] == m.l.servers[1] || m.l.core.counters.Get("attempts_ahead") != 1 {
 			t.Fatalf("sent %+v to %v", again, m.l.servers)
 		}
 		m.serve(again...)
@@ -221,8 +221,8 @@
 		}
 		m.serve(list...)
 		a := one(t, answers, Answered)
-		if exact(t, a, shardmap.FullRange); a.ShardMapVersion != 1 || m.l.core.count.Get("replans") != 1 {
-			t.Errorf("planned on %d, %d times anew", a.ShardMapVersion, m.l.core.count.Get("replans"))
+		if exact(t, a, shardmap.FullRange); a.ShardMapVersion != 1 || m.l.core.counters.Get("replans") != 1 {
+			t.Errorf("planned on %d, %d times anew", a.ShardMapVersion, m.l.core.counters.Get("replans"))
 		}
 	})
 }
@@ -267,12 +267,12 @@
 			t.Fatalf("the rest: %+v", rest)
 		}
 		m.end(rest[0], Result{Outcome: outcome.Success, Value: []byte("v")}) // says nothing
-		if n := m.l.core.count.Get("attempts_unversioned"); n != 1 {
+		if n := m.l.core.counters.Get("attempts_unversioned"); n != 1 {
 			t.Errorf("%d unversioned", n)
 		}
 		again := m.sent()
 		m.end(again[0], Result{Outcome: outcome.Success, Covers: &shardmap.FullRange, Value: []byte("v")}) // more than was asked for
-		if n := m.l.core.count.Get("attempts_doubled"); n != 1 {
+		if n := m.l.core.counters.Get("attempts_doubled"); n != 1 {
 			t.Errorf("%d doubled", n)
 		}
 		again = m.sent()
@@ -289,7 +289,7 @@
 		answers, _ := m.ask(half, key)
 		list := m.sent()
 		m.end(list[0], Result{Outcome: outcome.Success, Covers: &shardmap.FullRange, Value: []byte("v")})
-		if n := m.l.core.count.Get("attempts_doubled"); n != 1 {
+		if n := m.l.core.counters.Get("attempts_doubled"); n != 1 {
 			t.Errorf("%d doubled", n)
 		}
 		m.serve(m.sent()...)
@@ -346,7 +346,7 @@
 				exact(t, a, wanted...)
 			}
 			seen[fmt.Sprint(a.Status, a.Complete)]++
-			seen["replans"] += int(m.l.core.count.Get("replans"))
+			seen["replans"] += int(m.l.core.counters.Get("replans"))
 			if n := len(m.l.core.parts) + len(m.l.core.queries) + len(m.l.core.attempts); n != 0 {
 				t.Errorf("seed %d: %d things are held after the end", seed, n)
 			}
--- /dev/null
+++ b/internal/coordinator/submit.go
@@ -0,0 +1,107 @@
+package coordinator
+
+import (
+	"time"
+
+	"linkpass/internal/eventlog"
+	"linkpass/internal/routing"
+)
+
+// Submit hands a query to the core. The returned function says that the query's client has disconnected; it may be
+// called at any time and does nothing after the answer. If the core has stopped, the query fails at once, on the
+// caller's goroutine.
+func (c *Core) Submit(q Query) (disconnect func()) {
+	opened := &query{Query: q}
+	c.totals.InFlight.Add(1)
+	if !c.post(func() { c.open(opened) }) {
+		if q.Body != nil {
+			q.Body.Release()
+		}
+		c.deliver(&opened.Query, Answer{Status: Failed, Missing: missingAll(q)})
+		return func() {}
+	}
+	return func() { c.post(func() { c.disconnect(opened) }) }
+}
+
+// SetMaxOpen sets how many queries and parts may be open from now on.
+func (c *Core) SetMaxOpen(maxOpen int) {
+	c.post(func() { c.addEvent(routing.CapacityChange{MaxOpen: maxOpen}) })
+}
+
+// OpenCount returns how many queries and parts are open; 0 if the core has stopped.
+func (c *Core) OpenCount() int {
+	reply := make(chan int, 1)
+	if !c.post(func() { reply <- len(c.queries) + len(c.parts) }) {
+		return 0
+	}
+	select {
+	case n := <-reply:
+		return n
+	case <-c.stopped:
+		return 0
+	}
+}
+
+// open opens a query: it and its parts go to the router in one turn.
+func (c *Core) open(q *query) {
+	now := c.Now()
+	c.counters.Add("queries_taken", 1)
+	c.lastRequestID++
+	c.lastNumber++
+	q.id, q.number, q.deadline = c.lastRequestID, c.lastNumber, q.StartedAt+q.Timeout
+	parts := c.plan(q)
+	c.queries[q.id] = q
+	left := max(0, q.deadline-now)
+	c.addEvent(routing.Arrival{ID: q.id, Shard: -1, Timeout: left, Class: q.Class, Tenant: c.tenantIndex(q),
+		IsRetry: q.IsRetry, Weight: float64(len(parts)), QueryNumber: q.number})
+	for _, p := range parts {
+		c.addEvent(c.addPart(q, p, left))
+	}
+	if q.Body != nil {
+		q.Body.OnEvicted(func() { c.deferred.add(func() { c.evictBody(q) }) })
+	}
+	c.armOverdue(q)
+}
+
+// armOverdue guards against a query that the router never ends: it fails when its time is over.
+func (c *Core) armOverdue(q *query) {
+	q.overdue = c.deadlines.Arm(q.deadline+c.settings.AnswerSlack, func() {
+		eventlog.QueryOverdue.Log(q.Name, q.Class)
+		c.counters.Add("queries_overdue", 1)
+		c.addEvent(routing.ClientDisconnected{ID: q.id})
+		c.finish(q, Answer{Status: Failed, TimedOut: true})
+	})
+}
+
+// tenantIndex is the router's index of the query's tenant; a query of no tenant has the index after the last.
+func (c *Core) tenantIndex(q *query) int {
+	if q.Tenant == 0 {
+		return len(c.settings.Tenants)
+	}
+	return q.Tenant - 1
+}
+
+// addPart adds a part to an open query and returns its arrival, for the router. left is the time until the query's
+// deadline.
+func (c *Core) addPart(q *query, planned Part, left time.Duration) routing.Arrival {
+	c.lastRequestID++
+	p := &part{Part: planned, id: c.lastRequestID, query: q}
+	q.parts = append(q.parts, p)
+	c.parts[p.id] = p
+	c.setUnsent(p, true)
+	if q.bodyEvicted { // deferred: the router has to see the arrival first
+		c.deferred.add(func() { c.evictBody(q) })
+	}
+	return routing.Arrival{ID: p.id, Shard: p.Shard, Timeout: left, Class: q.Class, Tenant: c.tenantIndex(q),
+		IsRetry: q.IsRetry, ExpectedWork: p.ExpectedWork, Key: p.Key, Weight: p.Weight, QueryNumber: q.number}
+}
+
+// disconnect ends a query whose client has disconnected.
+func (c *Core) disconnect(q *query) {
+	if c.queries[q.id] == nil {
+		return
+	}
+	c.counters.Add("clients_gone", 1)
+	c.addEvent(routing.ClientDisconnected{ID: q.id})
+	c.finish(q, Answer{Status: Failed})
+}
--- a/internal/daemon/query_core.go
+++ b/internal/daemon/query_core.go
@@ -37,7 +37,7 @@
 		HealthCheckTimeout: c.cfg.host.ConnectTimeout,
 		Counters:           c.counters,
 		Totals:             c.totals,
-		Mailbox:            mailboxSize,
+		MailboxSize:        mailboxSize,
 		DisableReplan:      c.cfg.Search.Reshape.Replan != nil && !*c.cfg.Search.Reshape.Replan,
 	})
 	return err
