--- a/internal/coordinator/attempts.go
+++ b/internal/coordinator/attempts.go
@@ -9,7 +9,7 @@
 
 // AttemptEnded says how an attempt ended. Only the first end of an attempt counts.
 func (c *Core) AttemptEnded(id AttemptID, result Result) {
-	c.post(func() { c.endAttempt(id, result) })
+	c.post(attemptEnded{id, result})
 }
 
 // openAttempt opens an attempt at a part and adds it to the turn's batches.
--- a/internal/coordinator/body_retention.go
+++ b/internal/coordinator/body_retention.go
@@ -8,7 +8,7 @@
 
 // BodySent says that an attempt with a Body was written completely.
 func (c *Core) BodySent(id AttemptID) {
-	c.post(func() { c.markSent(id) })
+	c.post(bodySent{id})
 }
 
 func (c *Core) markSent(id AttemptID) {
--- a/internal/coordinator/config.go
+++ b/internal/coordinator/config.go
@@ -48,7 +48,7 @@
 		healthCheckTimeout: config.HealthCheckTimeout,
 		disableReplan:      config.DisableReplan,
 		epoch:              time.Now().Add(-clockAtStart),
-		mailbox:            make(chan func(), max(minMailbox, config.MailboxSize)),
+		mailbox:            make(chan message, max(minMailbox, config.MailboxSize)),
 		stopped:            make(chan struct{}),
 		deferred:           deferredQueue{waiting: make(chan struct{}, 1)},
 		deadlines:          deadline.Queue{},
--- a/internal/coordinator/core.go
+++ b/internal/coordinator/core.go
@@ -27,7 +27,7 @@
 	disableReplan      bool
 	epoch              time.Time
 
-	mailbox  chan func()   // read by Run alone
+	mailbox  chan message  // read by Run alone
 	stopped  chan struct{} // closed by Run when it ends
 	deferred deferredQueue
 
@@ -69,11 +69,11 @@
 	c.refreshEndpointCounts()
 	for {
 		select {
-		case message := <-c.mailbox:
-			message()
+		case m := <-c.mailbox:
+			c.handle(m)
 			c.drainMailbox()
 		case <-c.deferred.waiting:
-			c.runDeferred()
+			c.handleDeferred()
 		case <-timer.C:
 		case <-ctx.Done():
 			c.stop()
--- a/internal/coordinator/deadlines.go
+++ b/internal/coordinator/deadlines.go
@@ -7,11 +7,22 @@
 	"linkpass/internal/deadline"
 )
 
+// externalDeadline is a deadline in the core's queue that another owner has set.
+type externalDeadline struct {
+	at    time.Duration
+	fire  func()
+	entry *deadline.Entry // nil until the event loop has armed it
+}
+
 // Arm sets a deadline in the core's queue on behalf of another owner. fire runs on the core's goroutine and must not
 // block. The returned function removes the deadline; it may be called more than once. Neither waits, even with a full
 // mailbox.
 func (c *Core) Arm(at time.Duration, fire func()) (disarm func()) {
-	var entry *deadline.Entry
-	c.deferred.add(func() { entry = c.deadlines.Arm(at, fire) })
-	return sync.OnceFunc(func() { c.deferred.add(func() { c.deadlines.Disarm(entry) }) })
+	d := &externalDeadline{at: at, fire: fire}
+	c.deferred.add(deadlineArmed{d})
+	return sync.OnceFunc(func() { c.deferred.add(deadlineDisarmed{d}) })
 }
+
+func (c *Core) armExternal(d *externalDeadline) { d.entry = c.deadlines.Arm(d.at, d.fire) }
+
+func (c *Core) disarmExternal(d *externalDeadline) { c.deadlines.Disarm(d.entry) }
--- a/internal/coordinator/doc.go
+++ b/internal/coordinator/doc.go
@@ -3,7 +3,7 @@
 //
 // A Core is an event loop: the goroutine that calls Core.Run owns the router and every open query, part, attempt, health
 // check and deadline. The package starts no goroutine. Everybody else posts messages to the loop's mailbox, which is
-// bounded, or defers a request to a queue that never makes its caller wait (mailbox.go). Run ends when its context is
+// bounded, or defers them to a queue that never makes its caller wait (mailbox.go). Run ends when its context is
 // canceled; it closes Core.stopped then, after which nobody waits for the loop. The mailbox is never closed.
 //
 // The package knows no wire format. Fronts submit queries (query.go) and take answers (answer.go), Transports carry
--- a/internal/coordinator/endpoints.go
+++ b/internal/coordinator/endpoints.go
@@ -23,7 +23,7 @@
 
 // UpdateEndpoints passes an update of the endpoint list to the transports and the router.
 func (c *Core) UpdateEndpoints(update EndpointUpdate) {
-	c.post(func() { c.updateEndpoints(update) })
+	c.post(endpointsUpdated{update})
 }
 
 func (c *Core) updateEndpoints(update EndpointUpdate) {
@@ -51,7 +51,7 @@
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
-	case c.mailbox <- func() { reply <- c.router.Snapshot(c.Now()) }:
+	case c.mailbox <- snapshotRequested{reply}:
 	case <-c.stopped:
 		return nil, false
 	case <-timer.C:
--- a/internal/coordinator/health_checks.go
+++ b/internal/coordinator/health_checks.go
@@ -9,13 +9,13 @@
 
 // HealthCheckEnded says how a health check ended. Only the first end of a health check counts.
 func (c *Core) HealthCheckEnded(number uint64, result Result) {
-	c.post(func() { c.endHealthCheck(number, result) })
+	c.post(healthCheckEnded{number, result})
 }
 
 // WarmUp has the router send health checks to all servers. done is called on the core's goroutine, once all have
 // replied or timed out, and must not block.
 func (c *Core) WarmUp(done func()) {
-	c.post(func() { c.warmUp(done) })
+	c.post(warmUpRequested{done})
 }
 
 func (c *Core) warmUp(done func()) {
--- a/internal/coordinator/mailbox.go
+++ b/internal/coordinator/mailbox.go
@@ -1,12 +1,103 @@
 package coordinator
 
-import "sync"
+import (
+	"sync"
+
+	"linkpass/internal/routing"
+	"linkpass/internal/shardmap"
+)
+
+// message is what others send to the event loop. The loop handles messages one at a time: those of the mailbox in the
+// order in which they were posted, deferred ones in the order in which they were queued.
+type message interface{ isMessage() }
+
+// The messages of the mailbox.
+type (
+	querySubmitted     struct{ query *query }
+	clientDisconnected struct{ query *query }
+	attemptEnded       struct {
+		id     AttemptID
+		result Result
+	}
+	bodySent         struct{ attempt AttemptID }
+	healthCheckEnded struct {
+		number uint64
+		result Result
+	}
+	warmUpRequested  struct{ done func() }
+	endpointsUpdated struct{ update EndpointUpdate }
+	shardMapsUpdated struct {
+		changes  []shardmap.Change
+		serverID func(string) routing.ServerID
+	}
+	maxOpenChanged     struct{ maxOpen int }
+	openCountRequested struct{ reply chan<- int }
+	snapshotRequested  struct {
+		reply chan<- []routing.ServerSnapshot
+	}
+)
+
+// The deferred messages.
+type (
+	deadlineArmed    struct{ deadline *externalDeadline }
+	deadlineDisarmed struct{ deadline *externalDeadline }
+	bodyEvicted      struct{ query *query }
+)
+
+func (querySubmitted) isMessage()     {}
+func (clientDisconnected) isMessage() {}
+func (attemptEnded) isMessage()       {}
+func (bodySent) isMessage()           {}
+func (healthCheckEnded) isMessage()   {}
+func (warmUpRequested) isMessage()    {}
+func (endpointsUpdated) isMessage()   {}
+func (shardMapsUpdated) isMessage()   {}
+func (maxOpenChanged) isMessage()     {}
+func (openCountRequested) isMessage() {}
+func (snapshotRequested) isMessage()  {}
+func (deadlineArmed) isMessage()      {}
+func (deadlineDisarmed) isMessage()   {}
+func (bodyEvicted) isMessage()        {}
+
+// handle carries out one message.
+func (c *Core) handle(m message) {
+	switch m := m.(type) {
+	case querySubmitted:
+		c.open(m.query)
+	case clientDisconnected:
+		c.disconnect(m.query)
+	case attemptEnded:
+		c.endAttempt(m.id, m.result)
+	case bodySent:
+		c.markSent(m.attempt)
+	case healthCheckEnded:
+		c.endHealthCheck(m.number, m.result)
+	case warmUpRequested:
+		c.warmUp(m.done)
+	case endpointsUpdated:
+		c.updateEndpoints(m.update)
+	case shardMapsUpdated:
+		c.updateShardMaps(m.changes, m.serverID)
+	case maxOpenChanged:
+		c.addEvent(routing.CapacityChange{MaxOpen: m.maxOpen})
+	case openCountRequested:
+		m.reply <- len(c.queries) + len(c.parts)
+	case snapshotRequested:
+		m.reply <- c.router.Snapshot(c.Now())
+	case deadlineArmed:
+		c.armExternal(m.deadline)
+	case deadlineDisarmed:
+		c.disarmExternal(m.deadline)
+	case bodyEvicted:
+		c.evictBody(m.query)
+	}
+}
 
 // post puts a message into the mailbox. It waits while the mailbox is full, which the event loop, which never blocks,
 // soon ends. It returns false if the loop has stopped.
-func (c *Core) post(message func()) bool {
+func (c *Core) post(m message) bool {
 	select {
-	case c.mailbox <- message:
+	case c.mailbox <- m:
 		return true
 	case <-c.stopped:
 		return false
@@ -17,26 +108,26 @@
 func (c *Core) drainMailbox() {
 	for range cap(c.mailbox) {
 		select {
-		case message := <-c.mailbox:
-			message()
+		case m := <-c.mailbox:
+			c.handle(m)
 		default:
 			return
 		}
 	}
 }
 
-// deferredQueue is an unbounded queue of requests to the event loop, beside the mailbox, for callers that must not wait.
+// deferredQueue is an unbounded queue of messages to the event loop, beside the mailbox, for callers that must not wait.
 type deferredQueue struct {
 	waiting chan struct{} // of capacity 1: holds a token while the loop is to look at the queue
 
 	mu       sync.Mutex
-	requests []func()
+	messages []message
 }
 
-// add queues a request and wakes the event loop. It never waits for the loop.
-func (d *deferredQueue) add(request func()) {
+// add queues a message and wakes the event loop. It never waits for the loop.
+func (d *deferredQueue) add(m message) {
 	d.mu.Lock()
-	d.requests = append(d.requests, request)
+	d.messages = append(d.messages, m)
 	d.mu.Unlock()
 	select {
 	case d.waiting <- struct{}{}:
@@ -44,18 +135,18 @@
 	}
 }
 
-// takeAll empties the queue, oldest request first.
-func (d *deferredQueue) takeAll() []func() {
+// takeAll empties the queue, oldest message first.
+func (d *deferredQueue) takeAll() []message {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	requests := d.requests
-	d.requests = nil
-	return requests
+	messages := d.messages
+	d.messages = nil
+	return messages
 }
 
-// runDeferred handles the deferred requests in their order.
-func (c *Core) runDeferred() {
-	for _, request := range c.deferred.takeAll() {
-		request()
+// handleDeferred handles the deferred messages.
+func (c *Core) handleDeferred() {
+	for _, m := range c.deferred.takeAll() {
+		c.handle(m)
 	}
 }
--- a/internal/coordinator/shard_maps.go
+++ b/internal/coordinator/shard_maps.go
@@ -25,7 +25,7 @@
 // UpdateShardMaps applies changes of shard maps, which the caller has computed off the core's goroutine. serverID maps
 // a replica's name to the router's ID of it; it runs on the core's goroutine and must not block.
 func (c *Core) UpdateShardMaps(changes []shardmap.Change, serverID func(string) routing.ServerID) {
-	c.post(func() { c.updateShardMaps(changes, serverID) })
+	c.post(shardMapsUpdated{changes, serverID})
 }
 
 func (c *Core) updateShardMaps(changes []shardmap.Change, serverID func(string) routing.ServerID) {
--- a/internal/coordinator/submit.go
+++ b/internal/coordinator/submit.go
@@ -13,25 +13,25 @@
 func (c *Core) Submit(q Query) (disconnect func()) {
 	opened := &query{Query: q}
 	c.totals.InFlight.Add(1)
-	if !c.post(func() { c.open(opened) }) {
+	if !c.post(querySubmitted{opened}) {
 		if q.Body != nil {
 			q.Body.Release()
 		}
 		c.deliver(&opened.Query, Answer{Status: Failed, Missing: missingAll(q)})
 		return func() {}
 	}
-	return func() { c.post(func() { c.disconnect(opened) }) }
+	return func() { c.post(clientDisconnected{opened}) }
 }
 
 // SetMaxOpen sets how many queries and parts may be open from now on.
 func (c *Core) SetMaxOpen(maxOpen int) {
-	c.post(func() { c.addEvent(routing.CapacityChange{MaxOpen: maxOpen}) })
+	c.post(maxOpenChanged{maxOpen})
 }
 
 // OpenCount returns how many queries and parts are open; 0 if the core has stopped.
 func (c *Core) OpenCount() int {
 	reply := make(chan int, 1)
-	if !c.post(func() { reply <- len(c.queries) + len(c.parts) }) {
+	if !c.post(openCountRequested{reply}) {
 		return 0
 	}
 	select {
@@ -58,7 +58,7 @@
 		c.addEvent(c.addPart(q, p, left))
 	}
 	if q.Body != nil {
-		q.Body.OnEvicted(func() { c.deferred.add(func() { c.evictBody(q) }) })
+		q.Body.OnEvicted(func() { c.deferred.add(bodyEvicted{q}) })
 	}
 	c.armOverdue(q)
 }
@@ -90,7 +90,7 @@
 	c.parts[p.id] = p
 	c.setUnsent(p, true)
 	if q.bodyEvicted { // deferred: the router has to see the arrival first
-		c.deferred.add(func() { c.evictBody(q) })
+		c.deferred.add(bodyEvicted{q})
 	}
 	return routing.Arrival{ID: p.id, Shard: p.Shard, Timeout: left, Class: q.Class, Tenant: c.tenantIndex(q),
 		IsRetry: q.IsRetry, ExpectedWork: p.ExpectedWork, Key: p.Key, Weight: p.Weight, QueryNumber: q.number}
