--- a/internal/coordinator/bench_test.go
+++ b/internal/coordinator/bench_test.go
@@ -12,85 +12,106 @@
 	"linkpass/internal/shardmap"
 )
 
-// instant answers every attempt and probe as soon as it is asked.
-type instant struct{ core *Core }
+// instantTransports answers every attempt and health check at once.
+type instantTransports struct{ core *Core }
 
-func (*instant) UpdateEndpoints(EndpointUpdate) {}
-func (l *instant) Send(_ routing.ServerID, list []Attempt) bool {
-	for _, a := range list {
-		r := Result{Outcome: outcome.Success, At: l.core.Now()}
+func (*instantTransports) UpdateEndpoints(EndpointUpdate) {}
+
+func (t *instantTransports) Send(_ routing.ServerID, attempts []Attempt) bool {
+	for _, a := range attempts {
+		result := Result{Outcome: outcome.Success, At: t.core.Now()}
 		if a.Request != nil {
-			r.Covers = &a.Request.Range
+			result.Covers = &a.Request.Range
 		}
-		go l.core.AttemptEnded(a.ID, r)
+		go t.core.AttemptEnded(a.ID, result)
 	}
 	return true
 }
-func (*instant) Cancel(routing.ServerID, AttemptID) {}
-func (l *instant) CheckHealth(_ routing.ServerID, n uint64) bool {
-	go l.core.HealthCheckEnded(n, Result{Outcome: outcome.Success, At: l.core.Now(), LoadReport: []float64{0}})
+
+func (*instantTransports) Cancel(routing.ServerID, AttemptID) {}
+
+func (t *instantTransports) CheckHealth(_ routing.ServerID, number uint64) bool {
+	go t.core.HealthCheckEnded(number, Result{Outcome: outcome.Success, At: t.core.Now(), LoadReport: []float64{0}})
 	return true
 }
-func (*instant) AbandonHealthCheck(routing.ServerID, uint64) {}
 
-// A query of eight parts through the core: on a fixed layout, and on one that could move and stays
-// still. The difference is what the layout costs each query.
+func (*instantTransports) AbandonHealthCheck(routing.ServerID, uint64) {}
+
+// A query of eight parts on the fixed shard map, and on one of n shards that can change and does not.
 func BenchmarkQuery(b *testing.B) {
 	for _, n := range []int{0, 10, 1000, 100_000} {
 		name := "fixed"
 		if n > 0 {
 			name = fmt.Sprintf("slices=%d", n)
 		}
-		b.Run(name, func(b *testing.B) { benchQueries(b, n, benchFleet{coordinators: 1, servers: 4, cells: 1, shards: 8}) })
+		b.Run(name, func(b *testing.B) {
+			benchmarkQueries(b, n, benchmarkFleet{coordinators: 1, servers: 4, cells: 1, shards: 8})
+		})
 	}
 }
 
-// A query of eight parts through the core on a fixed layout, with the servers of 3, 80 and 300 coordinators: in sets of
-// three replicas that hold two shards each, as in the decision module's benchmark.
+// A query of eight parts on the fixed shard map, with the servers of 3, 80 and 300 coordinators: in sets of three
+// replicas that hold two shards each, as in the benchmark of package routing.
 func BenchmarkQueryFleet(b *testing.B) {
-	for _, f := range []benchFleet{{3, 15, 5, 10}, {80, 54, 18, 36}, {300, 201, 67, 134}} {
-		b.Run(fmt.Sprintf("coordinators=%d/servers=%d", f.coordinators, f.servers), func(b *testing.B) { benchQueries(b, 0, f) })
+	for _, f := range []benchmarkFleet{{3, 15, 5, 10}, {80, 54, 18, 36}, {300, 201, 67, 134}} {
+		b.Run(fmt.Sprintf("coordinators=%d/servers=%d", f.coordinators, f.servers), func(b *testing.B) { benchmarkQueries(b, 0, f) })
 	}
 }
 
-// benchFleet is what a coordinator sees of its site.
-type benchFleet struct{ coordinators, servers, cells, shards int }
+// benchmarkFleet is the size of a site.
+type benchmarkFleet struct{ coordinators, servers, cells, shards int }
 
-func benchQueries(b *testing.B, n int, fleet benchFleet) {
-	set := routing.Settings{Tick: time.Microsecond, Coordinators: fleet.coordinators, Shards: fleet.shards, Cells: fleet.cells, ReplicasPerShard: 1, HealthChecks: false, Cancel: true, MaxAttempts: 3,
-		PartsPerRequest: 1, ReportFields: []routing.ReportField{routing.FieldInFlight}, AnswerSlack: 20 * time.Millisecond,
-		Classes: []routing.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, RequiredWeight: 1, MinWeight: 1}}}
-	core, err := New(Config{Settings: set, Seed: 7, HealthCheckTimeout: time.Second, Counters: metrics.NewCounters(), Totals: metrics.NewTotals([]string{"q"})})
-	if err != nil {
-		b.Fatal(err)
-	}
-	core.SetTransports(&instant{core})
-	ctx, cancel := context.WithCancel(context.Background())
-	done := make(chan struct{})
-	go func() { defer close(done); core.Run(ctx) }()
-	var members []Endpoint
-	for i := range fleet.servers {
-		members = append(members, Endpoint{Endpoint: routing.Endpoint{Server: routing.ServerID(i), Cell: i % fleet.cells, State: routing.Ready}})
+func (f benchmarkFleet) settings() routing.Settings {
+	return routing.Settings{Tick: time.Microsecond, Coordinators: f.coordinators, Shards: f.shards, Cells: f.cells,
+		ReplicasPerShard: 1, HealthChecks: false, Cancel: true, MaxAttempts: 3, PartsPerRequest: 1,
+		ReportFields: []routing.ReportField{routing.FieldInFlight}, AnswerSlack: 20 * time.Millisecond,
+		Classes: []routing.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1,
+			RequiredWeight: 1, MinWeight: 1}}}
+}
+
+func (f benchmarkFleet) endpoints() (endpoints []Endpoint) {
+	for i := range f.servers {
+		endpoints = append(endpoints, Endpoint{Endpoint: routing.Endpoint{Server: routing.ServerID(i), Cell: i % f.cells, State: routing.Ready}})
 	}
-	core.UpdateEndpoints(EndpointUpdate{Mode: routing.UpdateFull, Endpoints: members})
+	return endpoints
+}
+
+// benchmarkQuery returns the query of eight parts; n: the shards of its collection, which the core gets; 0: the fixed
+// shard map.
+func benchmarkQuery(b *testing.B, core *Core, n int) Query {
+	b.Helper()
 	q := Query{Name: "q", Timeout: 2 * time.Second, Payload: []byte("x")}
 	if n == 0 {
 		for i := range 8 {
 			q.Parts = append(q.Parts, Part{Shard: i, Weight: 1. / 8, Payload: q.Payload})
 		}
-	} else {
-		l, err := shardmap.NewEven(n, [][]string{{"a", "b", "c", "d"}})
-		if err != nil {
-			b.Fatal(err)
-		}
-		news, _ := shardmap.Diff("i", nil, l)
-		core.UpdateShardMaps([]shardmap.Change{news}, func(s string) routing.ServerID { return numbers[s] })
-		q.Collection = "i"
-		for i := range 8 {
-			k := shardmap.HashKey(fmt.Sprint(i))
-			q.KeyRanges = append(q.KeyRanges, shardmap.Range{First: k, Last: k})
-		}
+		return q
+	}
+	m, err := shardmap.NewEven(n, [][]string{{"a", "b", "c", "d"}})
+	if err != nil {
+		b.Fatal(err)
+	}
+	change, _ := shardmap.Diff("i", nil, m)
+	core.UpdateShardMaps([]shardmap.Change{change}, serverID)
+	q.Collection = "i"
+	for i := range 8 {
+		key := shardmap.HashKey(fmt.Sprint(i))
+		q.KeyRanges = append(q.KeyRanges, shardmap.Range{First: key, Last: key})
+	}
+	return q
+}
+
+func benchmarkQueries(b *testing.B, n int, fleet benchmarkFleet) {
+	core, err := New(Config{Settings: fleet.settings(), Seed: 7, HealthCheckTimeout: time.Second, Counters: metrics.NewCounters(), Totals: metrics.NewTotals([]string{"q"})})
+	if err != nil {
+		b.Fatal(err)
 	}
+	core.SetTransports(&instantTransports{core})
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan struct{})
+	go func() { defer close(done); core.Run(ctx) }()
+	core.UpdateEndpoints(EndpointUpdate{Mode: routing.UpdateFull, Endpoints: fleet.endpoints()})
+	q := benchmarkQuery(b, core, n)
 	answers := make(chan Answer, 1)
 	q.Reply = func(a Answer) { answers <- a }
 	b.ReportAllocs()
--- /dev/null
+++ b/internal/coordinator/body_retention_test.go
@@ -0,0 +1,66 @@
+package coordinator
+
+import (
+	"errors"
+	"io"
+	"sync"
+	"testing"
+	"time"
+
+	"linkpass/internal/outcome"
+)
+
+// fakeBody records the calls that its store receives.
+type fakeBody struct {
+	onEvicted func()
+	released  int
+
+	mu    sync.Mutex
+	marks string
+}
+
+func (b *fakeBody) mark(s string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.marks += s
+}
+
+func (*fakeBody) Size() int64                  { return 1 << 20 }
+func (*fakeBody) Open() (io.ReadCloser, error) { return nil, errors.New("not read here") }
+func (b *fakeBody) MarkSent()                  { b.mark("sent ") }
+func (b *fakeBody) MarkPending()               { b.mark("pending ") }
+func (b *fakeBody) OnEvicted(f func())         { b.onEvicted = f }
+func (b *fakeBody) Release()                   { b.released++ }
+
+// Once the body is evicted, the query ends with the attempt in flight: rejected if that did not run, failed otherwise.
+func TestEvictedBodyEndsQueryWithAttemptInFlight(t *testing.T) {
+	for how, want := range map[outcome.Outcome]Status{outcome.Rejected: Rejected, outcome.ServerError: Failed} {
+		t.Run(how.String(), func(t *testing.T) {
+			testCore(t, func(t *testing.T, f *fakeTransports) {
+				body := &fakeBody{}
+				answers, _ := f.submitQuery(Query{Timeout: 2 * time.Second, Parts: []Part{{Shard: 0, Weight: 1}}, Body: body})
+				wait(50 * time.Millisecond)
+				first := f.sent()
+				f.core.BodySent(first[0].ID)
+				wait(10 * time.Millisecond)
+				f.endAll(first, how) // is retried, as the body is stored
+				wait(500 * time.Millisecond)
+				retries := f.sent()[1:]
+				if len(retries) != 1 || body.marks != "pending sent pending " {
+					t.Fatalf("%d retries, marked %q", len(retries), body.marks)
+				}
+				f.core.BodySent(retries[0].ID)
+				wait(10 * time.Millisecond)
+				body.onEvicted()
+				wait(10 * time.Millisecond)
+				before := f.core.Now()
+				f.endAll(retries, how)
+				wait(20 * time.Millisecond)
+				a := onlyAnswer(t, answers, want)
+				if len(f.sent()) != 2 || !a.Missing[0].BodyEvicted || body.released != 1 || f.core.Now()-before > 50*time.Millisecond {
+					t.Errorf("%d attempts, %+v, released %d times", len(f.sent()), a, body.released)
+				}
+			})
+		})
+	}
+}
--- a/internal/coordinator/core.go
+++ b/internal/coordinator/core.go
@@ -53,8 +53,8 @@
 // Now is the core's clock. It is safe for concurrent use.
 func (c *Core) Now() time.Duration { return time.Since(c.epoch) }
 
-// Clock converts a time in Unix milliseconds into the core's clock. A time of 0 or before the clock's origin is 0, which
-// is long ago.
+// Clock converts a time in Unix milliseconds into the core's clock. A time of 0 or before the clock's origin is 0,
+// which is long ago.
 func (c *Core) Clock(unixMS int64) time.Duration {
 	if unixMS <= 0 {
 		return 0
@@ -95,8 +95,8 @@
 	}
 }
 
-// sleep is how long the event loop may sleep: until the next deadline or, with events for the router, the next turn; not
-// less than the gap between turns.
+// sleep is how long the event loop may sleep: until the next deadline or, with events for the router, the next turn;
+// not less than the gap between turns.
 func (c *Core) sleep(now time.Duration) time.Duration {
 	next, armed := c.deadlines.Next()
 	if len(c.events) > 0 {
--- /dev/null
+++ b/internal/coordinator/core_test.go
@@ -0,0 +1,92 @@
+package coordinator
+
+import (
+	"context"
+	"errors"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"linkpass/internal/routing"
+)
+
+func TestNewReturnsErrUnsupportedClass(t *testing.T) {
+	for name, change := range map[string]func(*routing.Class){
+		"fetch step": func(c *routing.Class) { c.FetchParts = 1 },
+		"stream":     func(c *routing.Class) { c.Stream = true },
+	} {
+		t.Run(name, func(t *testing.T) {
+			settings := testSettings()
+			change(&settings.Classes[0])
+			if _, err := New(Config{Settings: settings}); !errors.Is(err, ErrUnsupportedClass) {
+				t.Errorf("New returned %v", err)
+			}
+		})
+	}
+}
+
+// Guards against a warming server that passes for an old one as it started before this coordinator.
+func TestClockConvertsUnixMillis(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		core := newTestCore(t, routing.Settings{Coordinators: 1, Shards: 1, Cells: 1, ReplicasPerShard: 1,
+			Classes: []routing.Class{{LatencyObjective: 1, Deadline: 1, RequiredWeight: 1}}})
+		now := time.Now()
+		if got := core.Clock(now.Add(-5 * time.Second).UnixMilli()); got != core.Now()-5*time.Second {
+			t.Errorf("five seconds ago is %v at %v", got, core.Now())
+		}
+		if core.Clock(0) != 0 || core.Clock(now.Add(-100*time.Hour).UnixMilli()) != 0 {
+			t.Error("long ago is not 0")
+		}
+	})
+}
+
+// Guards against a caller that waits for an event loop that has stopped with a full mailbox.
+func TestStoppedCoreDoesNotBlockCallers(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		f, stop := startTestCore(t, testSettings())
+		open, _ := f.submit(time.Second, twoParts...)
+		wait(50 * time.Millisecond)
+		stop()
+		if a := onlyAnswer(t, open, Failed); len(a.Missing) != 2 {
+			t.Errorf("the open query is answered %+v", a)
+		}
+		for range cap(f.core.mailbox) {
+			f.core.mailbox <- openCountRequested{make(chan int, 1)}
+		}
+		late, disconnect := f.submit(time.Second, twoParts...)
+		if a := onlyAnswer(t, late, Failed); len(a.Missing) != 2 {
+			t.Errorf("the late query is answered %+v", a)
+		}
+		disconnect()
+		f.core.Arm(f.core.Now(), func() { t.Error("a deadline fired") })()
+		if n := f.core.OpenCount(); n != 0 {
+			t.Errorf("%d open", n)
+		}
+		if _, ok := f.core.Snapshot(time.Second); ok {
+			t.Error("a snapshot of a stopped core")
+		}
+	})
+}
+
+// Guards against a caller that waits for the event loop: Arm is called with a full mailbox, too.
+func TestArmWithFullMailbox(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		core := newTestCore(t, testSettings())
+		core.SetTransports(&fakeTransports{core: core})
+		for range cap(core.mailbox) {
+			core.mailbox <- openCountRequested{make(chan int, 1)}
+		}
+		fired := 0
+		core.Arm(core.Now()+time.Second, func() { fired++ })
+		core.Arm(core.Now()+time.Second, func() { t.Error("a removed deadline fired") })()
+		ctx, cancel := context.WithCancel(t.Context())
+		done := make(chan struct{})
+		go func() { defer close(done); core.Run(ctx) }()
+		wait(2 * time.Second)
+		cancel()
+		<-done
+		if fired != 1 {
+			t.Errorf("fired %d times", fired)
+		}
+	})
+}
--- a/internal/coordinator/doc.go
+++ b/internal/coordinator/doc.go
@@ -1,10 +1,10 @@
 // Package coordinator runs the queries of one coordinator process. It hands the routing package what happened, once a
 // turn, carries out the actions that routing decides, and gives each query exactly one final answer.
 //
-// A Core is an event loop: the goroutine that calls Core.Run owns the router and every open query, part, attempt, health
-// check and deadline. The package starts no goroutine. Everybody else posts messages to the loop's mailbox, which is
-// bounded, or defers them to a queue that never makes its caller wait (mailbox.go). Run ends when its context is
-// canceled; it closes Core.stopped then, after which nobody waits for the loop. The mailbox is never closed.
+// A Core is an event loop: the goroutine that calls Core.Run owns the router and every open query, part, attempt,
+// health check and deadline. The package starts no goroutine. Everybody else posts messages to the loop's mailbox,
+// which is bounded, or defers them to a queue that never makes its caller wait (mailbox.go). Run ends when its context
+// is canceled; it closes Core.stopped then, after which nobody waits for the loop. The mailbox is never closed.
 //
 // The package knows no wire format. Fronts submit queries (query.go) and take answers (answer.go), Transports carry
 // attempts and health checks to servers (attempt.go), discovery updates the endpoint list (endpoints.go), and the owner
--- a/internal/coordinator/mailbox.go
+++ b/internal/coordinator/mailbox.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// post puts a message into the mailbox. It waits while the mailbox is full, which the event loop, which never blocks,
-// soon ends. It returns false if the loop has stopped.
+// post puts a message into the mailbox and waits while that is full; the event loop itself never blocks. It returns
+// false if the loop has stopped.
 func (c *Core) post(m message) bool {
 	select {
 	case c.mailbox <- m:
--- a/internal/coordinator/replan.go
+++ b/internal/coordinator/replan.go
@@ -29,8 +29,8 @@
 	return q.newParts(replan.Plan(col.current, q.coverage.Requested()), 1)
 }
 
-// newParts returns the query's parts for planned ones on the current map. Their weights follow the sizes of their ranges
-// and add up to totalWeight.
+// newParts returns the query's parts for planned ones on the current map. Their weights follow the sizes of their
+// ranges and add up to totalWeight.
 func (q *query) newParts(planned []replan.Part, totalWeight float64) []Part {
 	current := q.collection.current
 	parts := make([]Part, len(planned))
@@ -44,7 +44,8 @@
 		shard, _ := current.Shard(p.Shard)
 		requests[i] = ShardRequest{Shard: p.Shard, MapVersion: current.Version(), Range: p.Range,
 			Subrange: shard.Range != p.Range, round: p.Round}
-		parts[i] = Part{Shard: q.collection.routerShard(p.Shard), Weight: weights[i], Payload: q.Payload, Request: &requests[i]}
+		parts[i] = Part{Shard: q.collection.routerShard(p.Shard), Weight: weights[i], Payload: q.Payload,
+			Request: &requests[i]}
 	}
 	return parts
 }
