--- a/internal/coordinator/mailbox.go
+++ b/internal/coordinator/mailbox.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// deferredQueue is an unbounded queue of messages to the event loop, beside the mailbox, for callers that must not wait.
+// deferredQueue is an unbounded queue of messages to the event loop, for callers that must not wait for the mailbox.
 type deferredQueue struct {
 	waiting chan struct{} // of capacity 1: holds a token while the loop is to look at the queue
 
