--- a/internal/coordinator/query.go
+++ b/internal/coordinator/query.go
@@ -10,7 +10,7 @@
 // Part is one part of a query, as its client named it.
 type Part struct {
 	Shard        int
-	Weight       float64       // share of the query's value; the weights of all parts add up to 1
+	Weight       float64       // its share of the answer, 0 to 1
 	ExpectedWork time.Duration // service time at a server; 0: unknown
 	Key          uint64        // idempotency key; 0: none
 	Payload      []byte        // passed on to the server unchanged
