--- a/internal/coordinator/attempts.go
+++ b/internal/coordinator/attempts.go
@@ -16,7 +16,7 @@
 func (c *Core) openAttempt(now time.Duration, send routing.Send) {
 	p := c.parts[send.ID]
 	if p == nil {
-		c.counters.Add("sends_stray", 1)
+		c.counters.Add("sends_of_unknown_parts", 1)
 		return
 	}
 	a := &attempt{id: AttemptID{send.ID, p.attempts}, part: p, server: send.Server, sentAt: now}
@@ -76,7 +76,7 @@
 	if a == nil {
 		return
 	}
-	c.counters.Add("attempts_cancelled", 1)
+	c.counters.Add("attempt_cancellations", 1)
 	c.removeFromBatch(a)
 	c.transports.Cancel(a.server, id)
 	c.endAttempt(id, Result{Outcome: outcome.Canceled, At: now})
--- a/internal/coordinator/body_retention.go
+++ b/internal/coordinator/body_retention.go
@@ -43,7 +43,7 @@
 	}
 	first := !q.bodyEvicted
 	if first {
-		c.countClass("queries_bare", q.Class)
+		c.countClass("queries_body_evicted", q.Class)
 	}
 	q.bodyEvicted = true
 	for _, p := range q.parts {
@@ -58,7 +58,7 @@
 		case p.inFlight == 0:
 			c.markFailed(p, c.Now())
 		case first:
-			c.countClass("copies_forgone", q.Class)
+			c.countClass("hedges_forgone", q.Class)
 		}
 	}
 }
--- a/internal/coordinator/coverage.go
+++ b/internal/coordinator/coverage.go
@@ -39,7 +39,7 @@
 	if reason == replan.Replanned {
 		return outcome.ShardMoved, []routing.Event{replaced}
 	}
-	c.counters.Add("replans_refused_"+string(reason), 1)
+	c.counters.Add("replans_rejected_"+string(reason), 1)
 	return outcome.UnknownShardMap, nil
 }
 
@@ -75,7 +75,7 @@
 	remaining := coverage.NewRangeSet(p.Request.Range).Subtract(coverage.NewRangeSet(covers)).Ranges()
 	replaced, reason := c.replan(p, remaining)
 	if reason != replan.Replanned {
-		c.counters.Add("replans_refused_"+string(reason), 1)
+		c.counters.Add("replans_rejected_"+string(reason), 1)
 		c.forgetReplaced(p)
 		p.query.parts = slices.DeleteFunc(p.query.parts, func(other *part) bool { return other == p })
 		replaced = routing.PartsReplaced{IDs: []routing.RequestID{p.id}}
@@ -91,7 +91,7 @@
 	if answer.Status == Answered {
 		answer.Values = append(answer.Values, q.subValues...)
 		if answer.Complete && !q.coverage.Complete() {
-			c.counters.Add("answers_not_whole", 1)
+			c.counters.Add("answers_incomplete", 1)
 			answer.Complete = false
 		}
 	}
--- a/internal/coordinator/coverage_test.go
+++ b/internal/coordinator/coverage_test.go
@@ -19,12 +19,12 @@
 			t.Fatalf("the rest: %+v", rest)
 		}
 		r.end(rest[0], Result{Outcome: outcome.Success, Value: []byte("v")})
-		if n := r.core.counters.Get("attempts_unversioned"); n != 1 {
+		if n := r.core.counters.Get("attempts_unknown_coverage"); n != 1 {
 			t.Errorf("%d of unknown coverage", n)
 		}
 		retries := r.newAttempts()
 		r.end(retries[0], Result{Outcome: outcome.Success, Covers: &shardmap.FullRange, Value: []byte("v")})
-		if n := r.core.counters.Get("attempts_doubled"); n != 1 {
+		if n := r.core.counters.Get("attempts_duplicate_coverage"); n != 1 {
 			t.Errorf("%d of duplicate coverage", n)
 		}
 		retries = r.newAttempts()
@@ -40,7 +40,7 @@
 		answers := r.search(half, key)
 		attempts := r.newAttempts()
 		r.end(attempts[0], Result{Outcome: outcome.Success, Covers: &shardmap.FullRange, Value: []byte("v")})
-		if n := r.core.counters.Get("attempts_doubled"); n != 1 {
+		if n := r.core.counters.Get("attempts_duplicate_coverage"); n != 1 {
 			t.Errorf("%d of duplicate coverage", n)
 		}
 		r.answer(r.newAttempts()...)
--- a/internal/coordinator/endpoints.go
+++ b/internal/coordinator/endpoints.go
@@ -27,7 +27,7 @@
 }
 
 func (c *Core) updateEndpoints(update EndpointUpdate) {
-	c.counters.Add("list_updates", 1)
+	c.counters.Add("endpoint_updates", 1)
 	c.transports.UpdateEndpoints(update)
 	endpoints := make([]routing.Endpoint, len(update.Endpoints))
 	for i, e := range update.Endpoints {
--- a/internal/coordinator/finish.go
+++ b/internal/coordinator/finish.go
@@ -70,7 +70,7 @@
 	case Answered:
 		c.countAnswer("queries_answered", &c.totals.Served[q.Class])
 	case Rejected:
-		c.countAnswer("queries_refused", &c.totals.Rejected[q.Class])
+		c.countAnswer("queries_rejected", &c.totals.Rejected[q.Class])
 	case Failed:
 		c.countAnswer("queries_failed", &c.totals.Failed[q.Class])
 	}
@@ -89,12 +89,12 @@
 	attempted := false
 	for _, p := range q.parts {
 		if !p.answered && c.settings.MaxAttempts > 0 && p.attempts >= c.settings.MaxAttempts {
-			return "refused_spent"
+			return "rejected_attempts_exhausted"
 		}
 		attempted = attempted || p.attempts > 0
 	}
 	if attempted {
-		return "refused_begun"
+		return "rejected_in_progress"
 	}
-	return "refused_unsent"
+	return "rejected_unsent"
 }
--- a/internal/coordinator/health_checks.go
+++ b/internal/coordinator/health_checks.go
@@ -25,7 +25,7 @@
 
 // openHealthCheck sends a health check, which ends at its timeout if no reply has come.
 func (c *Core) openHealthCheck(now time.Duration, server routing.ServerID) {
-	c.counters.Add("probes_sent", 1)
+	c.counters.Add("health_checks_sent", 1)
 	c.lastNumber++
 	number := c.lastNumber
 	check := &healthCheck{server: server, sentAt: now}
@@ -47,7 +47,7 @@
 	}
 	delete(c.healthChecks, number)
 	c.deadlines.Disarm(check.timeout)
-	c.counters.Add("probes_"+result.Outcome.String(), 1)
+	c.counters.Add("health_checks_"+result.Outcome.String(), 1)
 	c.addEvent(routing.HealthCheckResult{Server: check.server, Code: result.Outcome.RoutingCode(),
 		Latency: max(0, result.At-check.sentAt), LoadReport: result.LoadReport})
 }
--- a/internal/coordinator/metrics.go
+++ b/internal/coordinator/metrics.go
@@ -21,9 +21,9 @@
 	delay := c.Now() - q.unanswerableAt
 	for _, bound := range answerDelayBuckets {
 		if delay <= time.Duration(bound)*time.Millisecond {
-			c.countClass("bare_final_ms_"+strconv.Itoa(bound), q.Class)
+			c.countClass("body_evicted_final_ms_"+strconv.Itoa(bound), q.Class)
 			return
 		}
 	}
-	c.countClass("bare_final_ms_more", q.Class)
+	c.countClass("body_evicted_final_ms_more", q.Class)
 }
--- a/internal/coordinator/replan_test.go
+++ b/internal/coordinator/replan_test.go
@@ -89,7 +89,7 @@
 		attempts := r.newAttempts()
 		r.end(attempts[0], Result{Outcome: outcome.ShardMoved, ShardMapVersion: 999})
 		retries := r.newAttempts()
-		if len(retries) != 1 || r.servers[0] == r.servers[1] || r.core.counters.Get("attempts_ahead") != 1 {
+		if len(retries) != 1 || r.servers[0] == r.servers[1] || r.core.counters.Get("attempts_unknown_shard_map") != 1 {
 			t.Fatalf("sent %+v to %v", retries, r.servers)
 		}
 		r.answer(retries...)
--- a/internal/coordinator/submit.go
+++ b/internal/coordinator/submit.go
@@ -45,7 +45,7 @@
 // open opens a query: it and its parts go to the router in one turn.
 func (c *Core) open(q *query) {
 	now := c.Now()
-	c.counters.Add("queries_taken", 1)
+	c.counters.Add("queries_accepted", 1)
 	c.lastRequestID++
 	c.lastNumber++
 	q.id, q.number, q.deadline = c.lastRequestID, c.lastNumber, q.StartedAt+q.Timeout
@@ -101,7 +101,7 @@
 	if c.queries[q.id] == nil {
 		return
 	}
-	c.counters.Add("clients_gone", 1)
+	c.counters.Add("clients_disconnected", 1)
 	c.addEvent(routing.ClientDisconnected{ID: q.id})
 	c.finish(q, Answer{Status: Failed})
 }
--- a/internal/daemon/limits_share_test.go
+++ b/internal/daemon/limits_share_test.go
@@ -58,7 +58,7 @@
 	for !successor.p.readiness.Ready() {
 		time.Sleep(time.Millisecond)
 	}
-	if n := successor.p.counters.Get("probes_served"); n < 6 {
+	if n := successor.p.counters.Get("health_checks_success"); n < 6 {
 		t.Errorf("says yes having heard of %d servers", n)
 	}
 	limits := func(p *Program) (processes, clients, room int) {
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -37,7 +37,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	second.nc.Close()
-	for b.p.counters.Get("clients_gone") == 0 {
+	for b.p.counters.Get("clients_disconnected") == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	if status, _ := b.query(b.platform, "whole", 15*time.Second, 1, 2); status != 200 {
--- a/internal/eventlog/events_fronts.go
+++ b/internal/eventlog/events_fronts.go
@@ -53,7 +53,7 @@
 	QueryOverdue = register(Event{
 		Component: "core", Name: "query_overdue", Level: hclog.Error,
 		Fields:  []string{"query", "class"},
-		Meaning: "the policy module did not end a query by its deadline; the core failed it",
+		Meaning: "the router did not end a query by its deadline; the core failed it",
 		Action:  "a fault of the program: keep the log, tell the developers",
 	})
 )
--- a/internal/eventlog/events_upstream.go
+++ b/internal/eventlog/events_upstream.go
@@ -16,11 +16,11 @@
 		Component: "peer", Name: "conn_lost", Level: hclog.Warn,
 		Fields:       []string{"server", "outcome", "parts", "probes"},
 		FormerFields: []Rename{{"end", "outcome"}},
-		Meaning: "a connection ended with requests in flight: `broken` (reset), `closed`, `garbled` (malformed response), " +
-			"`rejected` (the server could not use what it got). `silent` (timeout) is not logged: a health check got no " +
+		Meaning: "a connection ended with requests in flight: `conn_reset`, `conn_closed`, `malformed_response`, " +
+			"`bad_request` (the server could not use what it got). `timeout` is not logged: a health check got no " +
 			"response for a fifth of the connect timeout, and nothing else was in flight or the server answered on " +
 			"another connection meanwhile",
-		Action: "`broken` follows a server's death; the policy module retries the parts on other replicas",
+		Action: "`conn_reset` follows a server's death; the router retries the parts on other replicas",
 	})
 	MessageMalformed = register(Event{
 		Component: "peer", Name: "message_malformed", FormerName: "message_bad", Level: hclog.Warn,
--- a/internal/eventlog/oncall_renames_test.go
+++ b/internal/eventlog/oncall_renames_test.go
@@ -14,6 +14,7 @@
 	"testing"
 
 	"linkpass/internal/eventlog"
+	"linkpass/internal/outcome"
 )
 
 // The renames stand in docs/oncall.md between these lines, under this header.
@@ -132,7 +133,7 @@
 // The page has a row for each rename that the registries know, and no other; UPDATE_DOCS=1 writes the table.
 func TestOncallRenameTableMatchesRegistries(t *testing.T) {
 	before, table, after := readPage(t)
-	want := renamesHeader + eventlog.MarkdownRenames() + markdownCounterRenames()
+	want := renamesHeader + eventlog.MarkdownRenames() + markdownCounterRenames() + markdownOutcomeRenames()
 	if os.Getenv("UPDATE_DOCS") != "" {
 		page := before + renamesBegin + want + renamesEnd + after
 		if err := os.WriteFile(oncallPath(), []byte(page), 0o644); err != nil {
@@ -194,6 +195,8 @@
 		if literals[row.old] {
 			t.Errorf("something still counts %s", row.old)
 		}
+	case row.kind == "outcome":
+		checkOutcomeRow(t, row)
 	default:
 		t.Errorf("unknown kind %q", row.kind)
 	}
@@ -245,6 +248,37 @@
 	return strings.TrimSuffix(out.String(), "\n")
 }
 
+// checkOutcomeRow checks that the new word is one of an outcome. The old one is none any more, or has passed to another
+// outcome, which has a row that says so.
+func checkOutcomeRow(t *testing.T, row renameRow) {
+	t.Helper()
+	words := map[string]bool{}
+	for o := range outcome.Count {
+		words[outcome.Outcome(o).String()] = true
+	}
+	if !words[row.new] {
+		t.Errorf("no outcome is %s", row.new)
+	}
+	passedOn := slices.ContainsFunc(outcomeRenames, func(r outcomeRename) bool { return r.New == row.old })
+	if words[row.old] && !passedOn {
+		t.Errorf("%s is still an outcome", row.old)
+	}
+}
+
+// Every outcome of the release before leads to one of this release.
+func TestFormerOutcomesFoundByRenameTable(t *testing.T) {
+	former := readLines(t, "former_outcomes.txt")
+	if len(former) != outcome.Count {
+		t.Errorf("%d former outcomes, %d today", len(former), outcome.Count)
+	}
+	rows := readRenames(t)
+	for i, old := range former {
+		if got, want := newName(rows, "outcome", old), outcome.Outcome(i).String(); got != want {
+			t.Errorf("the page leads from %s to %s, want %s", old, got, want)
+		}
+	}
+}
+
 // testdata/former_counters.txt has the names and prefixes under which the release before counted; each is still counted
 // under, or the page's table has the name that took its place.
 func TestFormerCountersFoundByRenameTable(t *testing.T) {
--- a/internal/lab/bodies.go
+++ b/internal/lab/bodies.go
@@ -48,7 +48,7 @@
 	count map[string]int64 // by counter and class
 }
 
-var bodyCounts = []string{"retries_needed", "retries_made", "retries_won", "retries_forgone", "copies_forgone", "queries_bare"}
+var bodyCounts = []string{"retries_needed", "retries_made", "retries_won", "retries_forgone", "hedges_forgone", "queries_body_evicted"}
 var bareSteps = []string{"5", "10", "20", "50", "100", "500", "more"}
 
 // BodiesRun forces each tier under failing and stalling servers. It is false where a rule broke.
@@ -85,7 +85,7 @@
 				out[name+"_"+class.name] = w.sum(name + "_" + class.name)
 			}
 			for _, step := range bareSteps {
-				out["bare_final_ms_"+step+"_"+class.name] = w.sum("bare_final_ms_" + step + "_" + class.name)
+				out["body_evicted_final_ms_"+step+"_"+class.name] = w.sum("body_evicted_final_ms_" + step + "_" + class.name)
 			}
 		}
 		return out
@@ -128,7 +128,7 @@
 }
 
 func reportBodies(c BodiesConfig, all []bodyOutcome) (bool, error) {
-	table := Table{Name: "bodies", Columns: []string{"tier", "seed", "class", "queries", "lost", "retries_needed", "made", "won", "forgone", "copies_forgone",
+	table := Table{Name: "bodies", Columns: []string{"tier", "seed", "class", "queries", "lost", "retries_needed", "made", "won", "forgone", "hedges_forgone",
 		"bare", "final_p50_ms", "final_p99_ms", "final_max_ms", "answer_p50_ms", "answer_p99_ms", "service", "causes"}}
 	needed, won, lost, broken := map[string]int64{}, map[string]int64{}, 0, 0
 	service := map[string][]float64{}
@@ -141,13 +141,13 @@
 			n := func(name string) int64 { return o.count[name+"_"+class.name] }
 			final := map[string]int64{}
 			for _, s := range bareSteps {
-				final[s] = n("bare_final_ms_" + s)
+				final[s] = n("body_evicted_final_ms_" + s)
 				if class.name == "team-lookup" {
 					steps[s] += final[s]
 				}
 			}
 			table.Add(o.run, o.seed, class.name, o.Queries, o.Lost, n("retries_needed"), n("retries_made"), n("retries_won"), n("retries_forgone"),
-				n("copies_forgone"), n("queries_bare"), quantile(final, 0.5), quantile(final, 0.99), quantile(final, 1),
+				n("hedges_forgone"), n("queries_body_evicted"), quantile(final, 0.5), quantile(final, 0.99), quantile(final, 1),
 				float64(o.latency[i].ValueAtQuantile(50))/1000, float64(o.latency[i].ValueAtQuantile(99))/1000, o.service(), summary(o.Causes))
 			needed[o.run] += n("retries_needed")
 			won[o.run] += n("retries_won")
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -93,8 +93,8 @@
 			t.Fatalf("%d %.300s %v", status, body, err)
 		}
 	}
-	if s[0].Stale.Load() == 0 || d.w.sum("attempts_ahead") == 0 {
-		t.Errorf("the liar was never asked: %d, %d", s[0].Stale.Load(), d.w.sum("attempts_ahead"))
+	if s[0].Stale.Load() == 0 || d.w.sum("attempts_unknown_shard_map") == 0 {
+		t.Errorf("the liar was never asked: %d, %d", s[0].Stale.Load(), d.w.sum("attempts_unknown_shard_map"))
 	}
 	s[2].Cut(false)
 }
--- a/internal/lab/reshape.go
+++ b/internal/lab/reshape.go
@@ -106,7 +106,7 @@
 		out.pushed += s.Pushed.Load()
 		out.stale += s.Stale.Load()
 	}
-	for _, name := range []string{"attempts_moved", "attempts_ahead", "attempts_pieced", "attempts_unversioned", "attempts_doubled", "answers_not_whole"} {
+	for _, name := range []string{"attempts_shard_moved", "attempts_unknown_shard_map", "attempts_partial_coverage", "attempts_unknown_coverage", "attempts_duplicate_coverage", "answers_incomplete"} {
 		out.elsewhere[name] = w.sum(name)
 	}
 	return out, nil
@@ -128,7 +128,7 @@
 	for _, o := range all {
 		table.Add(o.run, o.seed, o.Queries, o.Whole, o.Partial, o.Refused, o.Failed, o.Lost, o.WronglyWhole, o.Duplicates, o.Unexplained, o.late,
 			o.pushed, o.service(), float64(o.latency[0].ValueAtQuantile(50))/1000, float64(o.latency[0].ValueAtQuantile(99))/1000,
-			o.ordered["split"], o.ordered["merge"], o.ordered["move"], o.ended["switched"], o.ended["abandoned"], o.elsewhere["attempts_moved"],
+			o.ordered["split"], o.ordered["merge"], o.ordered["move"], o.ended["switched"], o.ended["abandoned"], o.elsewhere["attempts_shard_moved"],
 			o.replans, o.attempts, summary(o.Causes))
 		kind := "plain"
 		ratio := 0.0
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -34,12 +34,12 @@
 const Count = len(names)
 
 var names = [...]string{
-	Success: "served", ServerError: "server_error", Rejected: "turned_away",
+	Success: "success", ServerError: "server_error", Rejected: "rejected",
 	DialRefused: "dial_refused", DialTimeout: "dial_timeout", DialFailed: "dial_failed",
-	WriteInterrupted: "cut_in_write", ConnReset: "broken", ConnClosed: "closed", MalformedResponse: "garbled",
-	BadRequest: "rejected", Timeout: "silent", Canceled: "called_off",
-	NotSent: "withheld", QueueFull: "crowded", ShardMoved: "moved", UnknownShardMap: "ahead",
-	UnknownCoverage: "unversioned", DuplicateCoverage: "doubled", PartialCoverage: "pieced", BodyEvicted: "unkept",
+	WriteInterrupted: "write_interrupted", ConnReset: "conn_reset", ConnClosed: "conn_closed", MalformedResponse: "malformed_response",
+	BadRequest: "bad_request", Timeout: "timeout", Canceled: "canceled",
+	NotSent: "not_sent", QueueFull: "queue_full", ShardMoved: "shard_moved", UnknownShardMap: "unknown_shard_map",
+	UnknownCoverage: "unknown_coverage", DuplicateCoverage: "duplicate_coverage", PartialCoverage: "partial_coverage", BodyEvicted: "body_evicted",
 }
 
 // String is the outcome's name in log lines and counters.
@@ -47,5 +47,5 @@
 	if int(o) < len(names) {
 		return names[o]
 	}
-	return fmt.Sprintf("end(%d)", uint8(o))
+	return fmt.Sprintf("outcome(%d)", uint8(o))
 }
--- a/internal/upstream/body_write.go
+++ b/internal/upstream/body_write.go
@@ -120,7 +120,7 @@
 
 func (c *Client) bodyCompleted(conn *connection, b *bodyWrite) {
 	conn.body, conn.lastUsed = nil, c.config.Sink.Now()
-	c.config.Counters.Add("peer_parts_written", 1)
+	c.config.Counters.Add("upstream_parts_sent", 1)
 	c.config.Totals.Attempts.Add(1)
 	c.config.Sink.BodySent(b.attempt.ID)
 	for _, name := range b.cancelAfter {
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -83,7 +83,7 @@
 	if len(conn.inFlight)+len(conn.healthChecks) > 0 && o != outcome.Timeout && o != outcome.Canceled {
 		c.log.Log(eventlog.ConnLost, c.server, o, len(conn.inFlight), len(conn.healthChecks))
 	}
-	c.config.Counters.Add("peer_conn_"+o.String(), 1)
+	c.config.Counters.Add("upstream_conn_ended_"+o.String(), 1)
 	c.startWaiting(conn)
 	c.endInFlight(conn, o)
 }
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -20,7 +20,7 @@
 		cancelDial: func() { cancel(context.Canceled) },
 	}
 	c.conns = append(c.conns, conn)
-	c.config.Counters.Add("peer_dials", 1)
+	c.config.Counters.Add("upstream_dials", 1)
 	c.goroutines.Go(func() { c.runDial(ctx, cancel, conn) })
 	return conn
 }
--- a/internal/upstream/event_loop.go
+++ b/internal/upstream/event_loop.go
@@ -59,7 +59,7 @@
 	case c.mailbox <- e:
 		return true
 	default:
-		c.config.Counters.Add("peer_mailbox_full", 1)
+		c.config.Counters.Add("upstream_mailbox_full", 1)
 		return false
 	}
 }
--- a/internal/upstream/idle_timeout.go
+++ b/internal/upstream/idle_timeout.go
@@ -32,7 +32,7 @@
 	case len(conn.inFlight) > 0 || conn.body != nil:
 		conn.lastUsed = c.config.Sink.Now()
 	case c.config.Sink.Now() >= conn.lastUsed+c.idleLimit():
-		c.config.Counters.Add("peer_idle_closed", 1)
+		c.config.Counters.Add("upstream_idle_closed", 1)
 		c.drop(conn, outcome.ConnClosed)
 		return
 	}
--- a/internal/upstream/read.go
+++ b/internal/upstream/read.go
@@ -37,7 +37,7 @@
 		return messageRead{conn, m, at}, nil
 	}
 	if !errors.Is(err, net.ErrClosed) { // not closed by this client
-		c.config.Counters.Add("peer_messages_bad", 1)
+		c.config.Counters.Add("upstream_messages_malformed", 1)
 		c.log.Log(eventlog.MessageMalformed, c.server, o, err)
 	}
 	return connEnded{conn, o}, err
@@ -80,11 +80,11 @@
 		c.config.Sink.AttemptEnded(id, m.result(at))
 	case m.HealthCheck || c.limits.Exclusive || !slices.Contains(conn.endedNames, m.Name):
 		// Guards the parts in flight: a reply to a name never sent is a corrupted reply to one of them.
-		c.config.Counters.Add("peer_messages_bad", 1)
+		c.config.Counters.Add("upstream_messages_malformed", 1)
 		c.log.Log(eventlog.MessageMalformed, c.server, outcome.MalformedResponse, "an answer to nothing")
 		c.drop(conn, outcome.MalformedResponse)
 	default:
-		c.config.Counters.Add("peer_answers_late", 1)
+		c.config.Counters.Add("upstream_answers_late", 1)
 	}
 }
 
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -52,7 +52,7 @@
 		c.endAttempts(sent, outcome.WriteInterrupted)
 		return
 	}
-	c.config.Counters.Add("peer_parts_written", int64(len(parts)))
+	c.config.Counters.Add("upstream_parts_sent", int64(len(parts)))
 	c.config.Totals.Attempts.Add(int64(len(parts)))
 	for i, a := range sent {
 		conn.inFlight[parts[i].Name] = a.ID
