--- a/internal/routing/replica_selection.go
+++ b/internal/routing/replica_selection.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// candidates lists the replicas that a part may be sent to now, without outliers; those that it has not
-// tried, if there are any.
+// candidates lists the replicas that a part may be sent to now, without outliers; those that got none of
+// its attempts, if there are any.
 func (r *replicaSelector) candidates(now time.Duration, p *part) []*server {
 	eligible := filter(r.endpoints.replicasOf(p.shard), func(s *server) bool {
 		return r.eligibility.mayGetAttempt(now, s) && !p.isAt(s)
--- a/internal/routing/trace_api_test.go
+++ b/internal/routing/trace_api_test.go
@@ -48,31 +48,31 @@
 func eventWord(e event) string {
 	switch e.(type) {
 	case routing.EndpointUpdate:
-		return "list"
+		return "endpoint-update"
 	case routing.Arrival:
 		return "arrival"
 	case routing.StreamStarted:
-		return "started"
+		return "stream-started"
 	case routing.AttemptResult:
-		return "outcome"
+		return "attempt-result"
 	case routing.ClientDisconnected:
-		return "client-gone"
+		return "client-disconnected"
 	case routing.TimerFired:
-		return "alarm"
+		return "timer-fired"
 	case routing.HealthCheckResult:
-		return "probed"
+		return "health-check-result"
 	case routing.CapacityChange:
-		return "room"
+		return "capacity-change"
 	case routing.WarmUp:
-		return "warm"
+		return "warm-up"
 	case routing.ShardPlacement:
-		return "placed"
+		return "shard-placement"
 	case routing.PartsReplaced:
-		return "replaced"
+		return "parts-replaced"
 	case routing.BodyEvicted:
-		return "bare"
+		return "body-evicted"
 	case routing.GossipMessage:
-		return "peer-message"
+		return "gossip-message"
 	}
 	return fmt.Sprintf("unknown event %T", e)
 }
@@ -105,7 +105,7 @@
 	}
 }
 
-func outcomeEvent(a *simAttempt, code string, took time.Duration, report []float64) event {
+func attemptResultEvent(a *simAttempt, code string, took time.Duration, report []float64) event {
 	return routing.AttemptResult{
 		ID:         routing.RequestID(a.part.id),
 		Attempt:    a.number,
@@ -117,11 +117,11 @@
 	}
 }
 
-func probedEvent(server uint64, code string, took time.Duration, report []float64) event {
+func healthCheckResultEvent(server uint64, code string, took time.Duration, report []float64) event {
 	return routing.HealthCheckResult{Server: routing.ServerID(server), Code: outcomeCodes[code], Latency: took, LoadReport: report}
 }
 
-func placedEvent(shard int, servers []uint64) event {
+func shardPlacementEvent(shard int, servers []uint64) event {
 	var ids []routing.ServerID
 	for _, id := range servers {
 		ids = append(ids, routing.ServerID(id))
@@ -129,7 +129,7 @@
 	return routing.ShardPlacement{Shard: shard, Servers: ids}
 }
 
-func replacedEvent(yielding []*simPart, in float64, parts []*simPart) event {
+func partsReplacedEvent(yielding []*simPart, in float64, parts []*simPart) event {
 	out := routing.PartsReplaced{ReceivedWeight: in}
 	for _, p := range yielding {
 		out.IDs = append(out.IDs, routing.RequestID(p.id))
@@ -140,7 +140,7 @@
 	return out
 }
 
-func listEvent(mode string, servers []*simServer) event {
+func endpointUpdateEvent(mode string, servers []*simServer) event {
 	out := routing.EndpointUpdate{Mode: listModes[mode]}
 	for _, s := range servers {
 		out.Endpoints = append(out.Endpoints, routing.Endpoint{
@@ -156,23 +156,23 @@
 	return out
 }
 
-func startedEvent(a *simAttempt) event {
+func streamStartedEvent(a *simAttempt) event {
 	return routing.StreamStarted{ID: routing.RequestID(a.part.id), Attempt: a.number}
 }
 
-func clientGoneEvent(query uint64) event {
+func clientDisconnectedEvent(query uint64) event {
 	return routing.ClientDisconnected{ID: routing.RequestID(query)}
 }
 
-func alarmEvent(token uint64) event { return routing.TimerFired{Token: token} }
+func timerFiredEvent(token uint64) event { return routing.TimerFired{Token: token} }
 
-func bareEvent(part uint64) event { return routing.BodyEvicted{ID: routing.RequestID(part)} }
+func bodyEvictedEvent(part uint64) event { return routing.BodyEvicted{ID: routing.RequestID(part)} }
 
-func roomEvent(open int) event { return routing.CapacityChange{MaxOpen: open} }
+func capacityChangeEvent(open int) event { return routing.CapacityChange{MaxOpen: open} }
 
-func warmEvent() event { return routing.WarmUp{} }
+func warmUpEvent() event { return routing.WarmUp{} }
 
-func peerMessageEvent() event { return routing.GossipMessage{From: 1, Data: []byte("load")} }
+func gossipMessageEvent() event { return routing.GossipMessage{From: 1, Data: []byte("load")} }
 
 // router is what the trace needs of the decision module.
 type router struct{ *routing.Router }
@@ -203,7 +203,7 @@
 			w.closeQuery(uint64(a.ID))
 		case routing.SetTimer:
 			w.write("timer", "after=%d token=%d", a.After, a.Token)
-			w.at(w.now+a.After, func() []event { return []event{alarmEvent(a.Token)} })
+			w.at(w.now+a.After, func() []event { return []event{timerFiredEvent(a.Token)} })
 		case routing.HealthCheck:
 			w.write("health-check", "server=%d", a.Server)
 			w.checkHealth(uint64(a.Server))
--- a/internal/routing/trace_attempt_test.go
+++ b/internal/routing/trace_attempt_test.go
@@ -25,7 +25,7 @@
 	}
 	w.end(a, due, code)
 	if w.chance(50) {
-		w.at(w.now+time.Millisecond, func() []event { return []event{startedEvent(a)} })
+		w.at(w.now+time.Millisecond, func() []event { return []event{streamStartedEvent(a)} })
 	}
 }
 
@@ -74,7 +74,7 @@
 	if answered && (w.site.Tier[0].Report.How == "answers" || w.chance(20)) {
 		report = a.server.load(w.now, w.set.ReportFields, w.random)
 	}
-	return outcomeEvent(a, code, w.now-a.sent, report)
+	return attemptResultEvent(a, code, w.now-a.sent, report)
 }
 
 // cancelAttempt calls an attempt back; an answer on its way may come before that.
@@ -135,10 +135,10 @@
 	}
 	if w.chance(4) {
 		w.at(w.now+w.between(0, 60*time.Millisecond), func() []event {
-			return []event{bareEvent(heirs[0].id), bareEvent(heirs[1].id)}
+			return []event{bodyEvictedEvent(heirs[0].id), bodyEvictedEvent(heirs[1].id)}
 		})
 	}
-	return []event{replacedEvent(yielding, in, heirs)}
+	return []event{partsReplacedEvent(yielding, in, heirs)}
 }
 
 // retire keeps a part that is no longer open for what its attempts may still bring.
@@ -168,6 +168,6 @@
 			report = s.load(w.now, w.set.ReportFields, w.random)
 		}
 		w.counts["probed "+code]++
-		return []event{probedEvent(server, code, w.now-sent, report)}
+		return []event{healthCheckResultEvent(server, code, w.now-sent, report)}
 	})
 }
--- a/internal/routing/trace_client_test.go
+++ b/internal/routing/trace_client_test.go
@@ -126,18 +126,18 @@
 	if len(w.queries) > 0 && w.chance(60) {
 		q := w.queries[w.random.IntN(len(w.queries))]
 		w.closeQuery(q.id)
-		out = append(out, clientGoneEvent(q.id))
+		out = append(out, clientDisconnectedEvent(q.id))
 	}
 	if len(w.queries) > 0 && w.chance(60) {
 		q := w.queries[w.random.IntN(len(w.queries))]
 		for _, p := range q.parts {
 			if w.chance(2) {
-				out = append(out, bareEvent(p.id))
+				out = append(out, bodyEvictedEvent(p.id))
 			}
 		}
 	}
 	if w.chance(100) {
-		out = append(out, peerMessageEvent(), bareEvent(1<<40), clientGoneEvent(1<<40))
+		out = append(out, gossipMessageEvent(), bodyEvictedEvent(1<<40), clientDisconnectedEvent(1<<40))
 	}
 	return out
 }
--- a/internal/routing/trace_settings_test.go
+++ b/internal/routing/trace_settings_test.go
@@ -124,7 +124,7 @@
 	return &out
 }
 
-// settings maps a site to the settings of one of its front nodes.
+// settings maps a site to the settings of one of its coordinators.
 func (s *site) settings() routing.Settings {
 	kind := s.Tier[0].Kind[0]
 	out := routing.Settings{
--- a/internal/routing/trace_test.go
+++ b/internal/routing/trace_test.go
@@ -111,8 +111,8 @@
 var happened = strings.Fields(`
 	action:send action:cancel action:reject action:fail action:answer action:timer action:health-check action:subscribe
 	action:belief action:listed
-	event:list event:arrival event:started event:outcome event:client-gone event:alarm event:probed event:room
-	event:warm event:placed event:replaced event:bare event:peer-message
+	event:endpoint-update event:arrival event:stream-started event:attempt-result event:client-disconnected event:timer-fired event:health-check-result event:capacity-change
+	event:warm-up event:shard-placement event:parts-replaced event:body-evicted event:gossip-message
 	outcome:ok outcome:errored outcome:full outcome:timed-out outcome:connect-failed outcome:reset outcome:cancelled
 	outcome:moot outcome:stale
 	probed:ok probed:timed-out probed:connect-failed
--- a/internal/routing/trace_trouble_test.go
+++ b/internal/routing/trace_trouble_test.go
@@ -76,10 +76,10 @@
 		out = append(out, w.move()...)
 	}
 	if w.chance(80) {
-		out = append(out, warmEvent())
+		out = append(out, warmUpEvent())
 	}
 	if w.set.MaxOpen > 0 && w.chance(40) {
-		out = append(out, roomEvent(w.set.MaxOpen/2+w.random.IntN(w.set.MaxOpen)))
+		out = append(out, capacityChangeEvent(w.set.MaxOpen/2+w.random.IntN(w.set.MaxOpen)))
 	}
 	return out
 }
@@ -93,7 +93,7 @@
 			w.counts["listed cold"]++
 		}
 	}
-	return []event{listEvent(mode, servers)}
+	return []event{endpointUpdateEvent(mode, servers)}
 }
 
 // listNews is one change of the fleet and how discovery tells of it.
@@ -157,9 +157,9 @@
 	w.overtake(shard)
 	w.at(w.now+w.between(400*millisecond, 900*millisecond), func() []event {
 		delete(w.moved, shard)
-		return []event{placedEvent(target, nil)}
+		return []event{shardPlacementEvent(target, nil)}
 	})
-	return []event{placedEvent(target, holders)}
+	return []event{shardPlacementEvent(target, holders)}
 }
 
 // overtake lets the move of a shard end some of the attempts that are on their way to it.
--- a/internal/routing/trace_world_test.go
+++ b/internal/routing/trace_world_test.go
@@ -39,14 +39,14 @@
 	closed bool
 }
 
-// delivery is what reaches the front node at a time.
+// delivery is what reaches the coordinator at a time.
 type delivery struct {
 	due    time.Duration
 	order  int
 	events func() []event
 }
 
-// world is a simulated fleet with its clients, as one front node meets them.
+// world is a simulated fleet with its clients, as one coordinator meets them.
 type world struct {
 	site     *site
 	set      routerSettings
@@ -184,7 +184,7 @@
 	return slices.DeleteFunc(slices.Clone(w.servers), func(s *simServer) bool { return s.state != "ready" })
 }
 
-// backgroundLoad brings the servers what the other front nodes send them.
+// backgroundLoad brings the servers what the other coordinators send them.
 func (w *world) backgroundLoad() {
 	list := w.ready()
 	for range w.arrivals(float64(w.set.Coordinators-1) * 3) {
