--- a/internal/bodystore/compaction.go
+++ b/internal/bodystore/compaction.go
@@ -5,7 +5,7 @@
 const (
 	maxCompactionBytes  = 1 << 20                // written each time, so that moves don't wait long
 	compactionInterval  = 100 * time.Millisecond // between two compactions at least
-	compactionDiskRatio = 1.5                    // bytes on disk by Limits.Files from which on it compacts
+	compactionDiskRatio = 1.5                    // compacts from this multiple of Limits.Files on disk
 )
 
 // compact rewrites what is left in the sparsest segment, where segments take much more of the disk than
--- a/internal/coordinator/attempts.go
+++ b/internal/coordinator/attempts.go
@@ -76,7 +76,7 @@
 	if a == nil {
 		return
 	}
-	c.counters.Add("attempt_cancellations", 1)
+	c.counters.Add("cancels_by_router", 1)
 	c.removeFromBatch(a)
 	c.transports.Cancel(a.server, id)
 	c.endAttempt(id, Result{Outcome: outcome.Canceled, At: now})
--- a/internal/coordinator/finish.go
+++ b/internal/coordinator/finish.go
@@ -6,7 +6,8 @@
 	"linkpass/internal/routing"
 )
 
-// timedOutTicks is how many ticks before its deadline a query counts as timed out: the router answers it that early.
+// timedOutTicks is how many ticks before its deadline a query counts as timed out: the router ends it that early, by its
+// deadlineMarginTicks.
 const timedOutTicks = 2
 
 // finishOpen finishes the query of that ID, if it is open.
--- a/internal/coordinator/submit.go
+++ b/internal/coordinator/submit.go
@@ -45,7 +45,7 @@
 // open opens a query: it and its parts go to the router in one turn.
 func (c *Core) open(q *query) {
 	now := c.Now()
-	c.counters.Add("queries_accepted", 1)
+	c.counters.Add("queries_received", 1)
 	c.lastRequestID++
 	c.lastNumber++
 	q.id, q.number, q.deadline = c.lastRequestID, c.lastNumber, q.StartedAt+q.Timeout
--- a/internal/daemon/admin_backend.go
+++ b/internal/daemon/admin_backend.go
@@ -104,39 +104,39 @@
 	return s
 }
 
-// Servers is the module's view of the league servers.
+// Servers is what the router knows of the league servers.
 func (b *adminBackend) Servers() ([]adminapi.Server, error) {
 	list, ok := b.core.core.Snapshot(coreTimeout)
 	if !ok {
 		return nil, adminapi.ErrCoreBusy
 	}
 	out := make([]adminapi.Server, 0, len(list))
-	for _, belief := range list {
-		out = append(out, b.server(belief))
+	for _, snapshot := range list {
+		out = append(out, b.server(snapshot))
 	}
 	slices.SortFunc(out, func(x, y adminapi.Server) int { return strings.Compare(x.Name, y.Name) })
 	return out, nil
 }
 
-func (b *adminBackend) server(belief routing.ServerSnapshot) adminapi.Server {
+func (b *adminBackend) server(snapshot routing.ServerSnapshot) adminapi.Server {
 	s := adminapi.Server{
-		Name:                   b.names.name(belief.Server),
+		Name:                   b.names.name(snapshot.Server),
 		State:                  "in_service",
-		InFlight:               belief.InFlight,
-		MedianMS:               milliseconds(belief.MedianLatency),
-		WarmingUp:              belief.WarmingUp,
-		ConsecutiveProbeLosses: belief.FailedHealthChecks,
+		InFlight:               snapshot.InFlight,
+		MedianMS:               milliseconds(snapshot.MedianLatency),
+		WarmingUp:              snapshot.WarmingUp,
+		ConsecutiveProbeLosses: snapshot.FailedHealthChecks,
 		Health:                 map[string]float64{},
 	}
-	for i, h := range belief.Health {
+	for i, h := range snapshot.Health {
 		s.Health[b.totals.Classes[i]] = roundToThousandths(h)
 	}
 	switch {
-	case belief.State == routing.Draining:
+	case snapshot.State == routing.Draining:
 		s.State, s.Excluded = "draining", "drains"
-	case belief.Unreachable:
+	case snapshot.Unreachable:
 		s.Excluded = "down"
-	case belief.Backoff > 0:
+	case snapshot.Backoff > 0:
 		s.Excluded = "full"
 	}
 	return s
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -182,7 +182,7 @@
 	}
 	count := b.p.counters
 	ended := count.Get("queries_answered") + count.Get("queries_rejected") + count.Get("queries_failed")
-	if taken := count.Get("queries_accepted"); taken != ended || taken == 0 {
+	if taken := count.Get("queries_received"); taken != ended || taken == 0 {
 		b.t.Errorf("%d queries taken, %d ended", taken, ended)
 	}
 }
--- a/internal/daemon/discovery_watcher.go
+++ b/internal/daemon/discovery_watcher.go
@@ -35,7 +35,7 @@
 	}
 	d.watcher = discovery.NewWatcher(d.cfg.discovery, newListReader(d.process, d.core), target, d.counters)
 	d.watcher.Seed = d.cfg.seed
-	d.watcher.Timeouts = watchPatience(d.cfg.module)
+	d.watcher.Timeouts = discoveryTimeouts(d.cfg.module)
 	return nil
 }
 
@@ -51,8 +51,8 @@
 	}
 }
 
-// watchPatience is that with one service for all where changes have to be polled, and that with an agent otherwise.
-func watchPatience(set routing.Settings) discovery.Timeouts {
+// discoveryTimeouts is that with one service for all where changes have to be polled, and that with an agent otherwise.
+func discoveryTimeouts(set routing.Settings) discovery.Timeouts {
 	if set.SubscribesToEndpoints {
 		return discovery.SharedServiceTimeouts
 	}
--- a/internal/daemon/discovery_watcher_test.go
+++ b/internal/daemon/discovery_watcher_test.go
@@ -12,7 +12,7 @@
 // for all.
 func TestWatchPatience(t *testing.T) {
 	for polls, want := range map[bool]discovery.Timeouts{true: discovery.SharedServiceTimeouts, false: discovery.LocalAgentTimeouts(2 * time.Second)} {
-		if got := watchPatience(routing.Settings{SubscribesToEndpoints: polls, DrainGrace: 2 * time.Second}); got != want {
+		if got := discoveryTimeouts(routing.Settings{SubscribesToEndpoints: polls, DrainGrace: 2 * time.Second}); got != want {
 			t.Errorf("polls: %v: %+v, want %+v", polls, got, want)
 		}
 	}
--- a/internal/daemon/endpoint_names.go
+++ b/internal/daemon/endpoint_names.go
@@ -8,7 +8,7 @@
 	"linkpass/internal/routing"
 )
 
-// endpointNames maps the module's numbers of the listed servers to their names.
+// endpointNames maps the router's ids of the listed servers to their names.
 type endpointNames struct {
 	mu    sync.Mutex // guards what follows
 	names map[routing.ServerID]string
--- a/internal/discovery/timeouts.go
+++ b/internal/discovery/timeouts.go
@@ -51,8 +51,11 @@
 	}
 }
 
+// minBackoffJitter is the least wait after a failure, as a share of its base; the greatest is 1 more.
+const minBackoffJitter = 0.5
+
 // backoff returns how long to wait after a failure and the base of the next wait. The wait is base with a jitter of
 // half of it to either side; random is from 0 to 1.
 func (t Timeouts) backoff(base time.Duration, random float64) (wait, nextBase time.Duration) {
-	return time.Duration((0.5 + random) * float64(base)), min(2*base, t.maxBackoff)
+	return time.Duration((minBackoffJitter + random) * float64(base)), min(2*base, t.maxBackoff)
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -20,6 +20,9 @@
 	Arm(at time.Duration, fire func()) (disarm func())
 }
 
+// firstCalls is how many calls after a failure may wait in the queue of a service that answers all coordinators in turn.
+const firstCalls = 2
+
 // Watcher follows the endpoint list. Run's goroutine owns its state and connection; it starts one goroutine for each
 // call, one at a time, and receives the call's result before it goes on or returns.
 type Watcher struct {
@@ -145,7 +148,7 @@
 	if w.consecutiveAnswers == 0 || request.version == noVersion {
 		request.wait = 0
 	}
-	if w.consecutiveAnswers < 2 {
+	if w.consecutiveAnswers < firstCalls {
 		request.slack = w.Timeouts.startSlack
 	}
 	return request
--- a/internal/eventlog/counter_renames_test.go
+++ b/internal/eventlog/counter_renames_test.go
@@ -14,7 +14,7 @@
 // counterRenames are the counters that this release renames. The list is kept for one release.
 var counterRenames = []counterRename{
 	{Old: "answers_not_whole", New: "answers_incomplete"},
-	{Old: "attempts_cancelled", New: "attempt_cancellations"},
+	{Old: "attempts_cancelled", New: "cancels_by_router"},
 	{Old: "bare_final_ms_", New: "body_evicted_final_ms_", IsPrefix: true},
 	{Old: "clients_gone", New: "clients_disconnected"},
 	{Old: "config_bad", New: "config_invalid"},
@@ -40,7 +40,7 @@
 	{Old: "probes_sent", New: "health_checks_sent"},
 	{Old: "queries_bare", New: "queries_body_evicted"},
 	{Old: "queries_refused", New: "queries_rejected"},
-	{Old: "queries_taken", New: "queries_accepted"},
+	{Old: "queries_taken", New: "queries_received"},
 	{Old: "refused_begun", New: "rejected_in_progress"},
 	{Old: "refused_spent", New: "rejected_attempts_exhausted"},
 	{Old: "refused_unsent", New: "rejected_unsent"},
--- a/internal/eventlog/events_upstream.go
+++ b/internal/eventlog/events_upstream.go
@@ -20,7 +20,8 @@
 			"`bad_request` (the server could not use what it got). `timeout` is not logged: a health check got no " +
 			"response for a fifth of the connect timeout, and nothing else was in flight or the server answered on " +
 			"another connection meanwhile",
-		Action: "`conn_reset` follows a server's death; the router retries the parts on other replicas",
+		Action: "`conn_reset` follows a server's death or restart, a reset of the network, or a write that blocked for the " +
+			"connect timeout; the router retries the parts on other replicas",
 	})
 	MessageMalformed = register(Event{
 		Component: "peer", Name: "message_malformed", FormerName: "message_bad", Level: hclog.Warn,
--- a/internal/http1/timeouts.go
+++ b/internal/http1/timeouts.go
@@ -20,7 +20,7 @@
 // maxReadAheadBytes is how much is read behind a request while it is served.
 const maxReadAheadBytes = MaxHeader + MaxBody
 
-// How old a connection's state has to be to count against it when the connections are full, or drained.
+// How old a connection's state has to be to count against it when the connections are full.
 const (
 	silentConnAge   = 250 * time.Millisecond // of a new connection that has sent nothing
 	stuckRequestAge = time.Second            // of a request that is still incomplete
--- a/internal/metrics/totals.go
+++ b/internal/metrics/totals.go
@@ -9,9 +9,9 @@
 	Rejected        []atomic.Int64 // by class
 	Failed          []atomic.Int64 // by class
 	Attempts        atomic.Int64   // attempts written completely to league servers
-	InFlight        atomic.Int64   // queries admitted and not yet ended
+	InFlight        atomic.Int64   // queries submitted to the core and not yet ended
 	ServersKnown    atomic.Int64   // servers in the endpoint list
-	ServersExcluded atomic.Int64   // those of them that get no work now
+	ServersExcluded atomic.Int64   // those of them that drain, are unreachable, or are ejected for every class
 }
 
 // NewTotals returns totals for classes of these names, all 0.
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -21,7 +21,7 @@
 	Timeout                          // no reply came in time
 	Canceled                         // the router canceled the attempt
 	NotSent                          // not written: the query had ended, or the server accepted no more work
-	QueueFull                        // not written: no connection had a free stream
+	QueueFull                        // not written: no mailbox slot, connection or stream was free for it
 	ShardMoved                       // the server does not have the shard any more; nothing ran
 	UnknownShardMap                  // as ShardMoved, and the shard maps known here give no other place for its keys
 	UnknownCoverage                  // the server does not say which keys its reply covers
--- a/internal/routing/completion.go
+++ b/internal/routing/completion.go
@@ -58,7 +58,7 @@
 	answerComplete
 	answerPartial
 	fail
-	reject        // the last attempt came to nothing, and asking again does no harm
+	reject        // too little weight can still be answered, and asking again does no harm
 	rejectTooLate // its answer would be worth less than its work
 )
 
@@ -75,6 +75,7 @@
 		return answerPartial
 	case isTimeUp:
 		return fail
+	// Where a repeat may do harm, the client gets no promise that it does none.
 	case isHopeless && (q.class.Idempotency != Idempotent || p.mayHaveRun && p.bodyEvicted):
 		return fail
 	case isHopeless:
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -46,7 +46,7 @@
 	}
 	restarted = s.health.byClass == nil || e.StartedAt > s.endpoint.StartedAt
 	if restarted {
-		s.restarted(e, len(l.settings.Classes))
+		s.resetForRestart(e, len(l.settings.Classes))
 	}
 	s.endpoint, s.listed = e, e.State != Removed
 	return s, restarted
--- a/internal/routing/events.go
+++ b/internal/routing/events.go
@@ -63,7 +63,7 @@
 	IsRetry      bool          // the client repeats a query
 	ExpectedWork time.Duration // 0: unknown
 	Key          uint64        // 0: none
-	Weight       float64       // of a query: its number of parts; of a part: its share of the answer, 0 to 1
+	Weight       float64       // of a part: its share of the answer, 0 to 1; of a query: its number of parts
 	QueryNumber  uint64        // ties parts to their query
 	Tenant       int           // index into Settings.Tenants; beyond them: none
 }
--- a/internal/routing/harness_test.go
+++ b/internal/routing/harness_test.go
@@ -219,7 +219,7 @@
 // newServer is a listed and ready server of its own, without a router.
 func newServer(id ServerID) *server {
 	s := &server{id: id, listed: true}
-	s.restarted(readyEndpoint(id, int(id)-1), 1)
+	s.resetForRestart(readyEndpoint(id, int(id)-1), 1)
 	return s
 }
 
--- a/internal/routing/health_check_race.go
+++ b/internal/routing/health_check_race.go
@@ -13,11 +13,15 @@
 	firstReplyTimeoutReplies      = 2
 	firstReplyTimeoutLatencyShare = 0.5
 
-	// For each coordinator, how long a reply counts in later races: the fleet together sends a server one
-	// check in it.
+	// How long a reply counts in later races, for each coordinator: the whole fleet together then sends a
+	// server about one check in 25 ms.
 	replyValidityPerCoordinator = 25 * time.Millisecond
 
-	maxConsecutiveCheckFailures = 2 // so many tell that the server, or the path to it, is down
+	minFirstReplyTicks = 2 // least wait for a first reply
+
+	// So many tell that the server, or the path to it, is down. Only the forecast leaves such a server out;
+	// it still gets health checks and attempts.
+	maxConsecutiveCheckFailures = 2
 )
 
 // healthCheckState is what is known of a server's health checks.
@@ -185,5 +189,5 @@
 func (h *healthChecks) firstReplyTimeout(now time.Duration, p *part) time.Duration {
 	byReplies := firstReplyTimeoutReplies * h.replyTimes.median(now, 0)
 	byLatency := firstReplyTimeoutLatencyShare * h.latencies.classMedian(now, p.query.classIndex)
-	return max(time.Duration(max(byReplies, byLatency)), deadlineMarginTicks*h.settings.Tick)
+	return max(time.Duration(max(byReplies, byLatency)), minFirstReplyTicks*h.settings.Tick)
 }
--- a/internal/routing/hedging.go
+++ b/internal/routing/hedging.go
@@ -7,14 +7,14 @@
 
 	// Hedges are sent while the further attempts counted, retries included, are at most this many and this
 	// share of the arrivals: hedges add load where servers are slow because of load.
-	minHedges  = 10
-	hedgeRatio = 0.1
+	hedgeAllowance = 10
+	hedgeRatio     = 0.1
 )
 
 // mayHedge tells whether a hedge may be sent, given the further attempts counted, this one included, and the
 // arrivals. Where servers report no load, a hedge could make an overload worse unseen.
 func (r *retryPolicy) mayHedge(further, arrived float64) bool {
-	return len(r.settings.ReportFields) > 0 && further <= minHedges+hedgeRatio*arrived
+	return len(r.settings.ReportFields) > 0 && further <= hedgeAllowance+hedgeRatio*arrived
 }
 
 // hedger looks after the parts that are in flight.
--- a/internal/routing/hedging_test.go
+++ b/internal/routing/hedging_test.go
@@ -17,7 +17,7 @@
 		}
 		h.advance(2 * time.Second)
 		retries := h.router.retries
-		if n := retries.furtherAttempts.count(h.now); n == 0 || n > minHedges+int(hedgeRatio*80) {
+		if n := retries.furtherAttempts.count(h.now); n == 0 || n > hedgeAllowance+int(hedgeRatio*80) {
 			t.Errorf("write delay %v: %d hedges of 40 parts within %v", delay, n, statsWindow)
 		}
 		if retries.furtherAttempts.span != statsWindow || retries.arrivals.span != statsWindow {
@@ -104,7 +104,7 @@
 
 func TestRetryPolicyMayHedge(t *testing.T) {
 	const arrivals = 200
-	const limit = minHedges + hedgeRatio*arrivals
+	const limit = hedgeAllowance + hedgeRatio*arrivals
 	for name, c := range map[string]struct {
 		fields  []ReportField
 		further float64
--- a/internal/routing/outlier_detection.go
+++ b/internal/routing/outlier_detection.go
@@ -9,9 +9,9 @@
 const (
 	healthSmoothingFactor      = 0.4 // weight of one result in a server's health for its class
 	otherClassesFactor         = 0.5 // share of that weight which a bad result has for the other classes
-	healthCheckSmoothingFactor = 0.1 // weight of one failed health check: a pause of the server fails several
+	healthCheckSmoothingFactor = 0.1 // of a failed health check: a short pause of a server fails several at once
 
-	// Latency, in medians of its class, up to which a result is wholly good; twice that is half good.
+	// Latency, in medians of its class, up to which a result is wholly good; at twice that it is half good.
 	goodLatencyFactor = 1
 
 	ejectionHealthRatio  = 0.55 // a replica below this share of its shard's best health is ejected
--- a/internal/routing/outlier_detection_test.go
+++ b/internal/routing/outlier_detection_test.go
@@ -159,7 +159,7 @@
 			detector := newOutlierDetector(newLatencyStats(&settings))
 			detector.latencies.byClass[0].add(time.Minute, recordedMedian)
 			s := newServer(1)
-			s.restarted(s.endpoint, 2)
+			s.resetForRestart(s.endpoint, 2)
 			c.record(detector, s)
 			for class, want := range c.want {
 				if got := detector.health(time.Minute, s, class); math.Abs(got-want) > 1e-9 {
--- a/internal/routing/overload_backoff.go
+++ b/internal/routing/overload_backoff.go
@@ -15,7 +15,7 @@
 type overloadBackoff struct {
 	until       time.Duration
 	count       int  // pauses in a row with nothing served between them
-	unreachable bool // the latest pause is for a connect that failed
+	unreachable bool // the latest pause is for an attempt that could not be delivered
 }
 
 // start begins a pause. Many attempts may fail at once: within a pause none is added.
--- a/internal/routing/replica_selection.go
+++ b/internal/routing/replica_selection.go
@@ -16,6 +16,9 @@
 	// What it is worth, in requests of load, to share a request to a server where requests cost.
 	sharedRequestBonus = 1.1
 
+	// The load of a server counts over this power of its health: a failing server looks idle.
+	healthExponent = 2
+
 	// What it is worth, in requests of load, to stay in the zone, for each unit of Settings.CrossZoneCost.
 	sameZoneBonus = 50
 )
@@ -82,7 +85,7 @@
 	if r.settings.RequestCost > 0 && r.partsSent[s]%max(1, r.settings.PartsPerRequest) > 0 {
 		cost -= sharedRequestBonus
 	}
-	cost /= math.Pow(r.outliers.health(now, s, p.query.classIndex), 2)
+	cost /= math.Pow(r.outliers.health(now, s, p.query.classIndex), healthExponent)
 	if s.endpoint.Zone != r.settings.Zone && !r.admission.wasOverloaded(now) {
 		cost += sameZoneBonus * r.settings.CrossZoneCost
 	}
--- a/internal/routing/server.go
+++ b/internal/routing/server.go
@@ -20,8 +20,8 @@
 	slowStart slowStartState
 }
 
-// restarted forgets what was learned of the server's incarnation before.
-func (s *server) restarted(e Endpoint, classes int) {
+// resetForRestart forgets what was learned of the server's incarnation before, but for a backoff in force.
+func (s *server) resetForRestart(e Endpoint, classes int) {
 	s.endpoint = e
 	s.health.byClass = slices.Repeat([]float64{1}, classes)
 	s.checks.consecutiveFailures = 0
--- a/internal/settings/host.go
+++ b/internal/settings/host.go
@@ -6,7 +6,7 @@
 type Host struct {
 	Zones, Kinds, Classes []string
 	Tenants               []string      // none on some sites
-	ReportNames           []string      // names of a load report's values, in the order of the module's ReportFields
+	ReportNames           []string      // names of a load report's values, in the order of the router's ReportFields
 	MaxStreams            int           // requests that one connection carries at a time
 	ConnectTimeout        time.Duration // a connection that is not up by then has failed
 	Keepalive             time.Duration // the other side closes an idle connection after this
--- a/internal/settings/module.go
+++ b/internal/settings/module.go
@@ -60,7 +60,7 @@
 	out.CachesKeys = r.flag("extra.warm_keys")
 }
 
-// bounds reads limits, and which means the module may use.
+// bounds reads limits, and which means the router may use.
 func (r *reader) bounds(out *routing.Settings) {
 	out.MaxAttempts = int(r.number("bounds.max_attempts"))
 	out.MaxOpen = int(r.number("bounds.max_open"))
