--- a/internal/routing/outlier_detection.go
+++ b/internal/routing/outlier_detection.go
@@ -9,7 +9,7 @@
 const (
 	healthSmoothingFactor      = 0.4 // weight of one result in a server's health for its class
 	otherClassesFactor         = 0.5 // share of that weight which a bad result has for the other classes
-	healthCheckSmoothingFactor = 0.1 // of a failed health check: a short pause of a server fails several at once
+	healthCheckSmoothingFactor = 0.1 // of a failed health check: one short pause fails several
 
 	// Latency, in medians of its class, up to which a result is wholly good; at twice that it is half good.
 	goodLatencyFactor = 1
--- a/internal/routing/settings.go
+++ b/internal/routing/settings.go
@@ -33,7 +33,7 @@
 type Class struct {
 	Idempotency       Idempotency
 	LatencyObjective  time.Duration // an answer within it earns the full PriorityWeight
-	Deadline          time.Duration // the client's whole wait, all its retries together; Arrival.Timeout decides
+	Deadline          time.Duration // the client's whole wait, retries included; not used by the rules
 	IdempotencyWindow time.Duration // IdempotentWithKey: for how long servers drop repeats
 	PriorityWeight    float64       // value of a complete answer
 	LateValue         float64       // share of that value, 0 to 1, which an answer after the objective earns
--- a/internal/routing/snapshot.go
+++ b/internal/routing/snapshot.go
@@ -15,7 +15,7 @@
 	Health             []float64     // by class; 1 is healthy, 0 failing
 	FailedHealthChecks int           // in a row
 	WarmingUp          bool
-	Unreachable        bool          // the latest attempt could not be delivered, and the server is in backoff
+	Unreachable        bool          // in backoff after an attempt that could not be delivered
 	Backoff            time.Duration // remaining time without attempts, after an overload or a failed connect
 	SinceLastSend      time.Duration
 }
@@ -57,7 +57,8 @@
 	if s.inFlight.count > 0 || r.now < s.inFlight.lastSentAt+idleBeforeExclusion {
 		return false
 	}
-	replicas := r.endpoints.replicasOf(s.endpoint.Cell % r.settings.Shards) // of one shard that its cell holds
+	shard := s.endpoint.Cell % r.settings.Shards // one that its cell holds
+	replicas := r.endpoints.replicasOf(shard)
 	outliers := r.results.outliers
 	for class := range s.health.byClass {
 		if !outliers.isOutlier(r.now, s, class, outliers.bestHealth(r.now, replicas, class)) {
