--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"linkpass/internal/routing"
-	"linkpass/internal/wire"
+	"linkpass/internal/simwire"
 )
 
 func main() {
@@ -26,12 +26,12 @@
 	routers map[int]*routing.Router
 	pending map[int][]routing.Event
 	order   []int
-	reply   wire.Encoder
+	reply   simwire.Encoder
 }
 
 func run(in io.Reader, out io.Writer) error {
 	h := &host{routers: map[int]*routing.Router{}, pending: map[int][]routing.Event{}}
-	decoder := wire.NewDecoder(bufio.NewReaderSize(in, 1<<20))
+	decoder := simwire.NewDecoder(bufio.NewReaderSize(in, 1<<20))
 	writer := bufio.NewWriterSize(out, 1<<20)
 	for {
 		now, messages, err := decoder.Next()
@@ -64,20 +64,20 @@
 }
 
 // take starts, stops or queues for one instance.
-func (h *host) take(m wire.Message) error {
+func (h *host) take(m simwire.Message) error {
 	switch m.Kind {
-	case wire.Stop:
+	case simwire.InstanceStopped:
 		delete(h.routers, m.Node)
 		delete(h.pending, m.Node)
 		return nil
-	case wire.Enlist:
+	case simwire.InstanceStarted:
 		r, err := routing.New(m.Settings, m.Seed)
 		if err != nil {
 			return fmt.Errorf("enlist of node %d: %w", m.Node, err)
 		}
 		h.routers[m.Node] = r
 		h.pending[m.Node] = nil
-	case wire.News:
+	case simwire.EventReceived:
 		if h.routers[m.Node] == nil {
 			return fmt.Errorf("event for node %d, which was not enlisted", m.Node)
 		}
@@ -100,7 +100,7 @@
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			h.reply.BailOut(node, fmt.Sprint(p))
+			h.reply.AddPanic(node, fmt.Sprint(p))
 			actions = nil
 		}
 	}()
--- a/cmd/linkpass-lab/main.go
+++ b/cmd/linkpass-lab/main.go
@@ -12,7 +12,7 @@
 	"github.com/alecthomas/kong"
 
 	"linkpass/internal/eventlog"
-	"linkpass/internal/lab"
+	"linkpass/internal/experiment"
 )
 
 type commands struct {
@@ -71,7 +71,7 @@
 	if err := c.logs(); err != nil {
 		return err
 	}
-	ok, err := lab.Reshape(lab.ReshapeConfig{Seeds: c.seeds(), Seconds: c.Seconds, Servers: c.Servers, Rate: c.Rate, Every: c.Every, Out: c.Out})
+	ok, err := experiment.RunResharding(experiment.ReshardingConfig{Seeds: c.seeds(), Seconds: c.Seconds, Servers: c.Servers, Rate: c.Rate, Every: c.Every, Out: c.Out})
 	if err == nil && !ok {
 		err = fmt.Errorf("a rule broke")
 	}
@@ -90,7 +90,7 @@
 	if err := c.logs(); err != nil {
 		return err
 	}
-	ok, err := lab.BodiesRun(lab.BodiesConfig{Seeds: c.seeds(), Seconds: c.Seconds, Rate: c.Rate, BodyKiB: c.BodyKiB, Memory: c.Memory, Out: c.Out})
+	ok, err := experiment.RunBodies(experiment.BodiesConfig{Seeds: c.seeds(), Seconds: c.Seconds, Rate: c.Rate, BodyKiB: c.BodyKiB, Memory: c.Memory, Out: c.Out})
 	if err == nil && !ok {
 		err = fmt.Errorf("a rule broke")
 	}
@@ -108,7 +108,7 @@
 	if err := c.logs(); err != nil {
 		return err
 	}
-	ok, err := lab.Drains(lab.DrainsConfig{Seeds: c.seeds(), Orders: c.Orders, Rate: c.Rate, Out: c.Out})
+	ok, err := experiment.RunDrains(experiment.DrainsConfig{Seeds: c.seeds(), Orders: c.Orders, Rate: c.Rate, Out: c.Out})
 	if err == nil && !ok {
 		err = fmt.Errorf("a rule broke")
 	}
@@ -125,7 +125,7 @@
 	if err := (common{Log: c.Log}).logs(); err != nil {
 		return err
 	}
-	return lab.RunDemo(c.Seed)
+	return experiment.RunDemo(c.Seed)
 }
 
 type holdCommand struct {
@@ -134,7 +134,7 @@
 }
 
 // Run holds many bodies and prints what that takes; run bodies starts it.
-func (c *holdCommand) Run() error { return lab.Hold(c.What, c.Bodies) }
+func (c *holdCommand) Run() error { return experiment.HoldBodies(c.What, c.Bodies) }
 
 type fleetCommand struct {
 	Servers   int    `help:"League servers." default:"6"`
@@ -148,7 +148,7 @@
 
 // Run runs the fleet until it is interrupted.
 func (c *fleetCommand) Run() error {
-	return lab.Fleet(lab.FleetConfig{Servers: c.Servers, Slices: c.Slices, Records: c.Records, Discovery: c.Discovery, Search: c.Search, Dir: c.Dir, Seed: c.Seed})
+	return experiment.RunFleet(experiment.FleetConfig{Servers: c.Servers, Slices: c.Slices, Records: c.Records, Discovery: c.Discovery, Search: c.Search, Dir: c.Dir, Seed: c.Seed})
 }
 
 func main() {
--- a/internal/adminapi/signature/verifier_test.go
+++ b/internal/adminapi/signature/verifier_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "linkpass/internal/seeded"
+	_ "linkpass/internal/testrand"
 )
 
 var verifierStart = time.UnixMilli(1_700_000_000_000)
--- a/internal/bodystore/store_test.go
+++ b/internal/bodystore/store_test.go
@@ -20,7 +20,7 @@
 
 	"linkpass/internal/bodystore/tier"
 	"linkpass/internal/metrics"
-	_ "linkpass/internal/seeded"
+	_ "linkpass/internal/testrand"
 )
 
 // faults is a file system that fails as it is told: full, short or broken on the way out.
--- a/internal/bodystore/tier/tier_test.go
+++ b/internal/bodystore/tier/tier_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "linkpass/internal/seeded"
+	_ "linkpass/internal/testrand"
 )
 
 // twin is a body as the brute-force model has it.
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -19,8 +19,8 @@
 	"linkpass/internal/adminapi/signature"
 	"linkpass/internal/daemon"
 	"linkpass/internal/eventlog"
+	"linkpass/internal/experiment"
 	"linkpass/internal/http1"
-	"linkpass/internal/lab"
 	"linkpass/internal/launch"
 )
 
@@ -40,7 +40,7 @@
 		t.Fatal(files, err)
 	}
 	testscript.Run(t, testscript.Params{Files: append(files, documented(t)...), Setup: func(e *testscript.Env) error {
-		d, err := lab.StartDemo(1) // one for each script: they change it
+		d, err := experiment.StartDemo(1) // one for each script: they change it
 		if err != nil {
 			return err
 		}
@@ -51,8 +51,8 @@
 		e.Setenv("FILE", d.File)
 		e.Setenv("CONFIG", d.Config)
 		e.Setenv("SEARCH", d.Search)
-		e.Setenv("DOOR", d.Door)
-		e.Setenv("SET", strings.Join(d.Sets()[0], "+"))
+		e.Setenv("DOOR", d.AdminListener)
+		e.Setenv("SET", strings.Join(d.ReplicaSets()[0], "+"))
 		e.Setenv("DEAD_SOCKET", e.WorkDir+"/nobody.sock")
 		return deaf(e)
 	}})
@@ -83,11 +83,11 @@
 }
 
 // demo starts a coordinator on a stand-in fleet.
-func demo(t *testing.T, seed uint64) *lab.Demo {
+func demo(t *testing.T, seed uint64) *experiment.Demo {
 	eventlog.SetOutput(io.Discard, false)
 	t.Cleanup(func() { eventlog.SetOutput(os.Stderr, false) })
 	t.Setenv("TMPDIR", t.TempDir())
-	d, err := lab.StartDemo(seed)
+	d, err := experiment.StartDemo(seed)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cli/docs_test.go
+++ b/internal/cli/docs_test.go
@@ -28,10 +28,10 @@
 var elsewhere = map[string]string{
 	"linkpass --opensearch":   "TestNewConfiguration of internal/daemon, and each demo",
 	"linkpass demo":           "TestCommands runs on one",
-	"linkpass page":           "TestServe of internal/page runs what it calls",
+	"linkpass page":           "TestServe of internal/dashboard runs what it calls",
 	"linkpass-lab fleet":      "no test: the demo starts the same stand-ins",
-	"linkpass-lab run":        "TestReshapeKeepsTheRules and TestDrainsKeepTheRules of internal/lab; run bodies is run by hand alone",
-	"linkpass-lab hold":       "TestBodiesUnder32MB of internal/lab",
+	"linkpass-lab run":        "TestReshapeKeepsTheRules and TestDrainsKeepTheRules of internal/experiment; run bodies is run by hand alone",
+	"linkpass-lab hold":       "TestBodiesUnder32MB of internal/experiment",
 	"linkpass slices abandon": "slices.txtar, where it is certain how far the plan has come",
 	"linkpass store promote":  "store.txtar: a member that no process stands for does not catch up",
 }
--- a/internal/cli/page.go
+++ b/internal/cli/page.go
@@ -9,7 +9,7 @@
 
 	"os"
 
-	"linkpass/internal/page"
+	"linkpass/internal/dashboard"
 )
 
 type pageCommand struct {
@@ -25,5 +25,5 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	fmt.Fprintf(e.out, "the page is at http://%s/\n", ln.Addr())
-	return page.Serve(ctx, ln, e.client)
+	return dashboard.Serve(ctx, ln, e.client)
 }
--- a/internal/config/endpointmerge/merger_test.go
+++ b/internal/config/endpointmerge/merger_test.go
@@ -10,7 +10,7 @@
 	"linkpass/internal/config/restriction"
 	"linkpass/internal/coordinator"
 	"linkpass/internal/routing"
-	_ "linkpass/internal/seeded"
+	_ "linkpass/internal/testrand"
 )
 
 var serverNames = []string{"a", "b", "c"}
--- a/internal/config/restriction/pending_set_test.go
+++ b/internal/config/restriction/pending_set_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 
 	. "linkpass/internal/config/restriction"
-	_ "linkpass/internal/seeded"
+	_ "linkpass/internal/testrand"
 )
 
 // settledLog is a replicated state that settled some requests and restricts no server.
--- a/internal/config/state_test.go
+++ b/internal/config/state_test.go
@@ -12,8 +12,8 @@
 
 	"linkpass/internal/config/restriction"
 	"linkpass/internal/searchconfig"
-	_ "linkpass/internal/seeded"
 	"linkpass/internal/shardmap"
+	_ "linkpass/internal/testrand"
 )
 
 // testSettings have an index of two shards with the replicas a and b, and c.
--- a/internal/page/page.go
+++ b/internal/dashboard/dashboard.go
@@ -1,4 +1,4 @@
-package page
+package dashboard
 
 import (
 	"bytes"
@@ -31,7 +31,7 @@
 	Now    func() time.Time
 }
 
-//go:embed page.html
+//go:embed dashboard.html
 var text string
 
 var page = template.Must(template.New("page").Parse(text))
--- a/internal/page/page_test.go
+++ b/internal/dashboard/dashboard_test.go
@@ -1,4 +1,4 @@
-package page
+package dashboard
 
 import (
 	"context"
@@ -54,12 +54,12 @@
 				t.Fatal(err)
 			}
 			served += 10
-			time.Sleep(Every)
+			time.Sleep(SampleInterval)
 		}
 		synctest.Wait()
 		got, err := s.rates(time.Now(), "c", "served")
-		if n := len(got); err != nil || n < int(Window/Every)-1 || n > int(Window/Every)+1 {
-			t.Fatalf("%d samples of %d: %v", n, Window/Every, err)
+		if n := len(got); err != nil || n < int(Window/SampleInterval)-1 || n > int(Window/SampleInterval)+1 {
+			t.Fatalf("%d samples of %d: %v", n, Window/SampleInterval, err)
 		}
 		for _, p := range got {
 			if p.rate != 5 {
@@ -89,7 +89,7 @@
 	defer s.Close()
 	start := time.Now().Add(-time.Minute)
 	for i := range 20 {
-		at := start.Add(time.Duration(i) * Every)
+		at := start.Add(time.Duration(i) * SampleInterval)
 		if err := s.Add(at, []adminapi.ClassStatus{{Name: "lookup & <co>", Served: int64(i * i * 3), Failed: int64(i)}}); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/page/series.go
+++ b/internal/dashboard/series.go
@@ -1,6 +1,6 @@
-// Package page draws a coordinator for a browser: its state, the fleet, slices, open plans, and service by class over the
+// Package dashboard draws a coordinator for a browser: its state, the fleet, slices, open plans, and service by class over the
 // last minutes. It only reads.
-package page
+package dashboard
 
 import (
 	"errors"
@@ -14,8 +14,8 @@
 )
 
 const (
-	// Every is between two samples.
-	Every = 2 * time.Second
+	// SampleInterval is between two samples.
+	SampleInterval = 2 * time.Second
 	// Window is how far back the charts go.
 	Window = 5 * time.Minute
 	// partition is the library's unit of forgetting: it keeps two in memory, and what is older goes.
--- a/internal/page/serve.go
+++ b/internal/dashboard/serve.go
@@ -1,4 +1,4 @@
-package page
+package dashboard
 
 import (
 	"context"
@@ -42,7 +42,7 @@
 
 // sample adds to the series until the context ends. A coordinator that does not answer leaves a gap.
 func sample(ctx context.Context, source Source, series *Series) {
-	tick := time.NewTicker(Every)
+	tick := time.NewTicker(SampleInterval)
 	defer tick.Stop()
 	for {
 		if s, err := source.Status(); err == nil {
--- a/internal/deadline/deadline_test.go
+++ b/internal/deadline/deadline_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "linkpass/internal/seeded"
+	_ "linkpass/internal/testrand"
 )
 
 // Whatever is armed and disarmed, a sweep fires what is due and nothing else, in
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -16,7 +16,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "linkpass/internal/seeded"
+	_ "linkpass/internal/testrand"
 
 	"linkpass/internal/coordinator"
 	"linkpass/internal/http1"
--- a/internal/standin/agent.go
+++ b/internal/emulator/agent.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"encoding/json"
@@ -12,8 +12,8 @@
 	"linkpass/internal/discovery"
 )
 
-// Agent is discovery: it holds the list and answers watches, each coordinator's at once.
-type Agent struct {
+// Discovery is discovery: it holds the list and answers watches, each coordinator's at once.
+type Discovery struct {
 	mu      sync.Mutex
 	version int64
 	list    map[string]discovery.Endpoint
@@ -25,26 +25,26 @@
 
 const keptChanges = 256
 
-// NewAgent starts discovery on a port of its own.
-func NewAgent(addr string) (*Agent, error) {
+// NewDiscovery starts discovery on a port of its own.
+func NewDiscovery(addr string) (*Discovery, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("standin: discovery: %w", err)
 	}
-	a := &Agent{list: map[string]discovery.Endpoint{}, news: make(chan struct{}), ln: ln, version: 1}
+	a := &Discovery{list: map[string]discovery.Endpoint{}, news: make(chan struct{}), ln: ln, version: 1}
 	a.web = &http.Server{Handler: http.HandlerFunc(a.serve), ReadHeaderTimeout: 10 * time.Second}
 	go func() { _ = a.web.Serve(ln) }()
 	return a, nil
 }
 
 // Addr is where it listens.
-func (a *Agent) Addr() string { return a.ln.Addr().String() }
+func (a *Discovery) Addr() string { return a.ln.Addr().String() }
 
 // Close ends it.
-func (a *Agent) Close() { _ = a.web.Close() }
+func (a *Discovery) Close() { _ = a.web.Close() }
 
-// Tell changes the list: lines that are new, changed, or terminated.
-func (a *Agent) Tell(lines ...discovery.Endpoint) {
+// Update changes the list: lines that are new, changed, or terminated.
+func (a *Discovery) Update(lines ...discovery.Endpoint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.version++
@@ -61,14 +61,14 @@
 	a.news = make(chan struct{})
 }
 
-// Document is the whole list.
-func (a *Agent) Document() discovery.EndpointList {
+// EndpointList is the whole list.
+func (a *Discovery) EndpointList() discovery.EndpointList {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.whole()
 }
 
-func (a *Agent) whole() discovery.EndpointList {
+func (a *Discovery) whole() discovery.EndpointList {
 	d := discovery.EndpointList{Version: a.version, Full: true}
 	for _, s := range a.list {
 		d.Endpoints = append(d.Endpoints, s)
@@ -77,7 +77,7 @@
 }
 
 // since is what changed after a version, or the whole list where that is too long ago.
-func (a *Agent) since(after int64) (discovery.EndpointList, chan struct{}) {
+func (a *Discovery) since(after int64) (discovery.EndpointList, chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	d := discovery.EndpointList{Version: a.version}
@@ -95,13 +95,13 @@
 	return d, nil
 }
 
-func (a *Agent) serve(w http.ResponseWriter, r *http.Request) {
+func (a *Discovery) serve(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/registry/instances" {
 		http.NotFound(w, r)
 		return
 	}
 	q := r.URL.Query()
-	d := a.Document()
+	d := a.EndpointList()
 	if q.Has("after") {
 		after, _ := strconv.ParseInt(q.Get("after"), 10, 64)
 		wait, _ := strconv.ParseInt(q.Get("wait_ms"), 10, 64)
--- a/internal/standin/copy.go
+++ b/internal/emulator/copy.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"context"
--- a/internal/standin/fleet.go
+++ b/internal/emulator/fleet.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"fmt"
@@ -12,35 +12,35 @@
 
 // Fleet is servers and the discovery that lists them.
 type Fleet struct {
-	Agent   *Agent
-	Truth   []Record
-	Servers []*Server // in order of their names
+	Discovery *Discovery
+	Records   []Record
+	Servers   []*Server // in order of their names
 
 	mu    sync.Mutex
 	state map[string]string
 }
 
 // NewFleet starts n servers, named s-01 and so on, that hold nothing.
-func NewFleet(n, records int, w Work, seed uint64) (*Fleet, error) {
+func NewFleet(n, records int, w Capacity, seed uint64) (*Fleet, error) {
 	return NewFleetAt(n, records, w, seed, "127.0.0.1:0")
 }
 
 // NewFleetAt is the same with a discovery at an address.
-func NewFleetAt(n, records int, w Work, seed uint64, addr string) (*Fleet, error) {
-	agent, err := NewAgent(addr)
+func NewFleetAt(n, records int, w Capacity, seed uint64, addr string) (*Fleet, error) {
+	agent, err := NewDiscovery(addr)
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{Agent: agent, Truth: Records(records), state: map[string]string{}}
+	f := &Fleet{Discovery: agent, Records: Records(records), state: map[string]string{}}
 	for i := range n {
-		s := NewServer(fmt.Sprintf("s-%02d", i+1), w, f.Truth, seed, f.addrOf)
-		s.Pieces = i%2 == 1
+		s := NewServer(fmt.Sprintf("s-%02d", i+1), w, f.Records, seed, f.addrOf)
+		s.AnswersSubranges = i%2 == 1
 		f.Servers = append(f.Servers, s)
 		if err := s.Start(); err != nil {
 			f.Close()
 			return nil, err
 		}
-		f.Tell(s, "in_service")
+		f.SetState(s, "in_service")
 	}
 	return f, nil
 }
@@ -60,16 +60,16 @@
 	return nil
 }
 
-// Tell lists a server in a state.
-func (f *Fleet) Tell(s *Server, state string) {
+// SetState lists a server in a state.
+func (f *Fleet) SetState(s *Server, state string) {
 	f.mu.Lock()
 	f.state[s.Name] = state
 	f.mu.Unlock()
-	f.Agent.Tell(discovery.Endpoint{ID: s.Name, Addr: s.Addr(), Zone: "ebene", Kind: "std-2core", State: state, Weight: 1, StartedMS: s.Started()})
+	f.Discovery.Update(discovery.Endpoint{ID: s.Name, Addr: s.Addr(), Zone: "ebene", Kind: "std-2core", State: state, Weight: 1, StartedMS: s.StartedAtUnixMS()})
 	if state == "terminating" {
-		s.Drained(time.Now())
+		s.SetDrainedAt(time.Now())
 	} else {
-		s.Drained(time.Time{})
+		s.SetDrainedAt(time.Time{})
 	}
 }
 
@@ -85,15 +85,15 @@
 	return names
 }
 
-// Give lets every server hold what a layout gives it.
-func (f *Fleet) Give(index string, l *shardmap.Map) {
+// PlaceShards lets every server hold what a layout gives it.
+func (f *Fleet) PlaceShards(index string, l *shardmap.Map) {
 	for _, s := range f.Servers {
-		s.Give(index, l)
+		s.PlaceShards(index, l)
 	}
 }
 
-// Sets pairs the servers up, each set with so many.
-func (f *Fleet) Sets(each int) (out [][]string) {
+// ReplicaSets pairs the servers up, each set with so many.
+func (f *Fleet) ReplicaSets(each int) (out [][]string) {
 	for i := 0; i+each <= len(f.Servers); i += each {
 		var set []string
 		for _, s := range f.Servers[i : i+each] {
@@ -104,10 +104,10 @@
 	return out
 }
 
-// Late is how many parts came to a server over a second after its drain was told.
-func (f *Fleet) Late() (n int64) {
+// LateParts is how many parts came to a server over a second after its drain was told.
+func (f *Fleet) LateParts() (n int64) {
 	for _, s := range f.Servers {
-		n += s.Late.Load()
+		n += s.LateParts.Load()
 	}
 	return n
 }
@@ -115,7 +115,7 @@
 // Close ends all of it.
 func (f *Fleet) Close() {
 	for _, s := range f.Servers {
-		s.Die(false)
+		s.Kill(false)
 	}
-	f.Agent.Close()
+	f.Discovery.Close()
 }
--- a/internal/standin/records.go
+++ b/internal/emulator/records.go
@@ -1,7 +1,7 @@
-// Package standin is a scripted fleet for experiments and for trying the program by hand:
+// Package emulator is a scripted fleet for experiments and for trying the program by hand:
 // league servers that hold ranges of records, copy them and can fail, the discovery that
 // lists them, and clients that know the truth. All of it is small, seeded and on the loopback.
-package standin
+package emulator
 
 import (
 	"fmt"
@@ -53,18 +53,18 @@
 	return sorted[from:to]
 }
 
-// Verdict is what an answer was, against the truth.
-type Verdict struct {
-	Claimed   bool // it says that it is whole
-	Whole     bool // it is
-	Doubles   int  // records that are in it twice
-	Strangers int  // records that were not asked for
-	Missing   int
+// Judgement is what an answer was, against the truth.
+type Judgement struct {
+	ClaimedComplete bool // it says that it is whole
+	Complete        bool // it is
+	Duplicates      int  // records that are in it twice
+	Unrequested     int  // records that were not asked for
+	Missing         int
 }
 
 // Judge compares an answer with what was asked for.
-func Judge(truth []Record, wanted []shardmap.Range, ids []string, claimed bool) Verdict {
-	v := Verdict{Claimed: claimed}
+func Judge(truth []Record, wanted []shardmap.Range, ids []string, claimed bool) Judgement {
+	v := Judgement{ClaimedComplete: claimed}
 	due := map[string]bool{}
 	for _, r := range wanted {
 		for _, rec := range within(truth, r) {
@@ -75,9 +75,9 @@
 	for _, id := range ids {
 		switch {
 		case seen[id]:
-			v.Doubles++
+			v.Duplicates++
 		case !due[id]:
-			v.Strangers++
+			v.Unrequested++
 		}
 		seen[id] = true
 	}
@@ -86,6 +86,6 @@
 			v.Missing++
 		}
 	}
-	v.Whole = v.Doubles+v.Strangers+v.Missing == 0
+	v.Complete = v.Duplicates+v.Unrequested+v.Missing == 0
 	return v
 }
--- a/internal/standin/search.go
+++ b/internal/emulator/search.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"encoding/json"
@@ -124,13 +124,13 @@
 		w.Header().Set(headerVersion, strconv.FormatUint(version, 10))
 	}
 	covers := asked
-	if moved && s.Pieces {
+	if moved && s.AnswersSubranges {
 		covers, found, ready = s.piece(r.PathValue("index"), asked)
 		moved = !ready
 	}
 	switch {
 	case moved:
-		s.Stale.Add(1)
+		s.MovedParts.Add(1)
 		w.WriteHeader(http.StatusConflict)
 		return
 	case !ready || !s.toil(len(found)):
--- a/internal/standin/server.go
+++ b/internal/emulator/server.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"bufio"
@@ -14,23 +14,23 @@
 	"linkpass/internal/shardmap"
 )
 
-// Work is what a server of the fleet can do.
-type Work struct {
-	Cores     int           // parts at work at a time
-	Part      time.Duration // of work for a part, give or take a half
-	Record    time.Duration // and for each record of the range asked for
-	Queue     int           // parts that wait at most; more are turned away
-	CopyRate  int           // records a second that it copies in
-	Cold      time.Duration // until it is warm after a start
-	ColdShare float64       // of its speed, at the start
+// Capacity is what a server of the fleet can do.
+type Capacity struct {
+	Cores              int           // parts at work at a time
+	WorkPerPart        time.Duration // of work for a part, give or take a half
+	WorkPerRecord      time.Duration // and for each record of the range asked for
+	Queue              int           // parts that wait at most; more are turned away
+	CopyRate           int           // records a second that it copies in
+	WarmupDuration     time.Duration // until it is warm after a start
+	WarmupInitialShare float64       // of its speed, at the start
 }
 
 // Server is one league server. It holds slices of one or more indices.
 type Server struct {
-	Name   string
-	Pieces bool // asked for a slice that it has no more, it answers what it has of its keys
-	work   Work
-	data   []Record // what there is to know; a slice is held once its records were copied
+	Name             string
+	AnswersSubranges bool // asked for a slice that it has no more, it answers what it has of its keys
+	work             Capacity
+	data             []Record // what there is to know; a slice is held once its records were copied
 
 	mu      sync.Mutex
 	rng     *rand.Rand
@@ -53,12 +53,12 @@
 	waiting, active atomic.Int64
 	spent           atomic.Int64 // ns of work lately, averaged
 
-	Parts   atomic.Int64 // that came
-	Late    atomic.Int64 // that came over a second after the drain was told
-	Stale   atomic.Int64 // told that the slice has moved
-	Pushed  atomic.Int64 // that came while it was cold and over twice its speed
-	coldDue float64      // work offered while cold, against what it could do
-	coldAt  time.Time
+	Parts               atomic.Int64 // that came
+	LateParts           atomic.Int64 // that came over a second after the drain was told
+	MovedParts          atomic.Int64 // told that the slice has moved
+	OverloadedWhileCold atomic.Int64 // that came while it was cold and over twice its speed
+	coldDue             float64      // work offered while cold, against what it could do
+	coldAt              time.Time
 }
 
 // indexHeld is what a server has of an index.
@@ -75,13 +75,13 @@
 }
 
 // NewServer makes a server; Start brings it up.
-func NewServer(name string, w Work, data []Record, seed uint64, sources func(string) string) *Server {
+func NewServer(name string, w Capacity, data []Record, seed uint64, sources func(string) string) *Server {
 	return &Server{Name: name, work: w, data: data, rng: rand.New(rand.NewPCG(seed, shardmap.HashKey(name))), sources: sources,
 		held: map[string]*indexHeld{}, slow: 1}
 }
 
-// Give lets a server hold slices from the start, as if copied long ago.
-func (s *Server) Give(index string, l *shardmap.Map) {
+// PlaceShards lets a server hold slices from the start, as if copied long ago.
+func (s *Server) PlaceShards(index string, l *shardmap.Map) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := &indexHeld{version: l.Version(), slices: map[shardmap.ShardID]*sliceHeld{}}
@@ -117,8 +117,8 @@
 // Addr is where it listens.
 func (s *Server) Addr() string { s.mu.Lock(); defer s.mu.Unlock(); return s.addr }
 
-// Started is when this life began in Unix milliseconds; 0: long ago.
-func (s *Server) Started() int64 {
+// StartedAtUnixMS is when this life began in Unix milliseconds; 0: long ago.
+func (s *Server) StartedAtUnixMS() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.started.IsZero() {
@@ -127,8 +127,8 @@
 	return s.started.UnixMilli()
 }
 
-// Die ends the process: connections are reset, what it held in memory is gone if so told.
-func (s *Server) Die(forget bool) {
+// Kill ends the process: connections are reset, what it held in memory is gone if so told.
+func (s *Server) Kill(forget bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ln == nil {
@@ -148,8 +148,8 @@
 	}
 }
 
-// Rise starts a server that died: it is cold.
-func (s *Server) Rise() error {
+// Restart starts a server that died: it is cold.
+func (s *Server) Restart() error {
 	s.mu.Lock()
 	s.started, s.drained, s.coldDue, s.coldAt = time.Now(), time.Time{}, 0, time.Now()
 	s.mu.Unlock()
@@ -159,26 +159,26 @@
 // Alive tells whether it runs.
 func (s *Server) Alive() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.ln != nil }
 
-// Stall lets it stand still for a while.
-func (s *Server) Stall(d time.Duration) { s.mu.Lock(); s.stalled = time.Now().Add(d); s.mu.Unlock() }
+// Pause lets it stand still for a while.
+func (s *Server) Pause(d time.Duration) { s.mu.Lock(); s.stalled = time.Now().Add(d); s.mu.Unlock() }
 
-// Slow makes its work take so many times as long.
-func (s *Server) Slow(by float64) { s.mu.Lock(); s.slow = by; s.mu.Unlock() }
+// SetSlowdown makes its work take so many times as long.
+func (s *Server) SetSlowdown(by float64) { s.mu.Lock(); s.slow = by; s.mu.Unlock() }
 
-// Fail lets a share of its parts end in an error.
-func (s *Server) Fail(share float64) { s.mu.Lock(); s.fail = share; s.mu.Unlock() }
+// SetErrorShare lets a share of its parts end in an error.
+func (s *Server) SetErrorShare(share float64) { s.mu.Lock(); s.fail = share; s.mu.Unlock() }
 
 // fails tells whether a part ends in an error.
 func (s *Server) fails() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.rng.Float64() < s.fail }
 
-// Lie lets it claim a version of the layout and hold nothing; 0: no more.
-func (s *Server) Lie(version uint64) { s.mu.Lock(); s.lie = version; s.mu.Unlock() }
+// ClaimShardMapVersion lets it claim a version of the layout and hold nothing; 0: no more.
+func (s *Server) ClaimShardMapVersion(version uint64) { s.mu.Lock(); s.lie = version; s.mu.Unlock() }
 
-// Cut lets nothing through, either way, and says nothing; its connections stay open.
-func (s *Server) Cut(off bool) { s.mu.Lock(); s.drop = off; s.mu.Unlock() }
+// Partition lets nothing through, either way, and says nothing; its connections stay open.
+func (s *Server) Partition(off bool) { s.mu.Lock(); s.drop = off; s.mu.Unlock() }
 
-// Drained says by when every coordinator was told that it drains.
-func (s *Server) Drained(at time.Time) { s.mu.Lock(); s.drained = at; s.mu.Unlock() }
+// SetDrainedAt says by when every coordinator was told that it drains.
+func (s *Server) SetDrainedAt(at time.Time) { s.mu.Lock(); s.drained = at; s.mu.Unlock() }
 
 // accept tells the dialect of each connection by its first byte.
 func (s *Server) accept(ln net.Listener) {
@@ -288,7 +288,7 @@
 func (s *Server) toil(records int) bool {
 	s.mu.Lock()
 	run, slow, stalled := s.run, s.slow, s.stalled
-	amount := s.work.Part/2 + time.Duration(s.rng.Int64N(int64(s.work.Part)+1)) + time.Duration(records)*s.work.Record
+	amount := s.work.WorkPerPart/2 + time.Duration(s.rng.Int64N(int64(s.work.WorkPerPart)+1)) + time.Duration(records)*s.work.WorkPerRecord
 	amount = time.Duration(float64(amount) * slow / s.speed(amount))
 	s.mu.Unlock()
 	s.active.Add(1)
@@ -307,19 +307,19 @@
 // speed is its present share of full speed; while it is cold, what is offered beyond twice
 // that is counted. The mutex is held.
 func (s *Server) speed(amount time.Duration) float64 {
-	if s.started.IsZero() || s.work.Cold <= 0 {
+	if s.started.IsZero() || s.work.WarmupDuration <= 0 {
 		return 1
 	}
 	age := time.Since(s.started)
-	if age >= s.work.Cold {
+	if age >= s.work.WarmupDuration {
 		return 1
 	}
-	share := s.work.ColdShare + (1-s.work.ColdShare)*float64(age)/float64(s.work.Cold)
+	share := s.work.WarmupInitialShare + (1-s.work.WarmupInitialShare)*float64(age)/float64(s.work.WarmupDuration)
 	now := time.Now()
 	s.coldDue = max(0, s.coldDue-2*share*float64(s.work.Cores)*now.Sub(s.coldAt).Seconds()) + amount.Seconds()
 	s.coldAt = now
 	if s.coldDue > 2*share*float64(s.work.Cores)*3 { // three seconds' worth of twice its speed wait
-		s.Pushed.Add(1)
+		s.OverloadedWhileCold.Add(1)
 	}
 	return share
 }
@@ -335,7 +335,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.drained.IsZero() && time.Since(s.drained) > time.Second+50*time.Millisecond {
-		s.Late.Add(1)
+		s.LateParts.Add(1)
 	}
 }
 
--- a/internal/standin/standin_test.go
+++ b/internal/emulator/standin_test.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"testing"
@@ -16,16 +16,16 @@
 		ids[i] = r.ID
 	}
 	wanted := []shardmap.Range{half}
-	if v := Judge(truth, wanted, ids, true); !v.Whole {
+	if v := Judge(truth, wanted, ids, true); !v.Complete {
 		t.Errorf("all of it: %+v", v)
 	}
-	if v := Judge(truth, wanted, ids[1:], true); v.Whole || v.Missing != 1 {
+	if v := Judge(truth, wanted, ids[1:], true); v.Complete || v.Missing != 1 {
 		t.Errorf("one missing: %+v", v)
 	}
-	if v := Judge(truth, wanted, append(ids, ids[0]), true); v.Whole || v.Doubles != 1 {
+	if v := Judge(truth, wanted, append(ids, ids[0]), true); v.Complete || v.Duplicates != 1 {
 		t.Errorf("one twice: %+v", v)
 	}
-	if v := Judge(truth, wanted, append(ids, within(truth, shardmap.FullRange.Split(2)[1])[0].ID), true); v.Whole || v.Strangers != 1 {
+	if v := Judge(truth, wanted, append(ids, within(truth, shardmap.FullRange.Split(2)[1])[0].ID), true); v.Complete || v.Unrequested != 1 {
 		t.Errorf("one that was not asked for: %+v", v)
 	}
 }
--- a/internal/lab/bodies.go
+++ b/internal/experiment/bodies.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"bytes"
@@ -18,8 +18,8 @@
 
 	"linkpass/internal/bodystore"
 	"linkpass/internal/bodystore/tier"
+	"linkpass/internal/emulator"
 	"linkpass/internal/metrics"
-	"linkpass/internal/standin"
 )
 
 // BodiesConfig sets the experiment up.
@@ -51,8 +51,8 @@
 var bodyCounts = []string{"retries_needed", "retries_made", "retries_won", "retries_forgone", "copies_forgone", "queries_bare"}
 var bareSteps = []string{"5", "10", "20", "50", "100", "500", "more"}
 
-// BodiesRun forces each tier under failing and stalling servers. It is false where a rule broke.
-func BodiesRun(c BodiesConfig) (bool, error) {
+// RunBodies forces each tier under failing and stalling servers. It is false where a rule broke.
+func RunBodies(c BodiesConfig) (bool, error) {
 	var all []bodyOutcome
 	for _, seed := range c.Seeds {
 		list, errs := make([]bodyOutcome, len(bodyRuns)), make([]error, len(bodyRuns))
@@ -73,7 +73,7 @@
 	r := bodyRuns[i]
 	w, err := newWorld(shape{name: r.name, seed: seed*100 + uint64(i), servers: 12, nodes: 2, slices: 12, records: 600, each: 2, maxOpen: 4000,
 		memoryMB: 256, reshape: "poll = \"1s\"", bodies: r.settings + fmt.Sprintf("\nmax_body_kib = %d", 2*c.BodyKiB+64),
-		work: standin.Work{Cores: 2, Part: 20 * time.Millisecond, Record: 20 * time.Microsecond, Queue: 64, CopyRate: 400}})
+		work: emulator.Capacity{Cores: 2, WorkPerPart: 20 * time.Millisecond, WorkPerRecord: 20 * time.Microsecond, Queue: 64, CopyRate: 400}})
 	if err != nil {
 		return bodyOutcome{}, err
 	}
@@ -93,10 +93,10 @@
 	before := counts()
 	for k, s := range w.fleet.Servers { // a third of the fleet fails a tenth of its parts
 		if k%3 == 0 {
-			s.Fail(0.1)
+			s.SetErrorShare(0.1)
 		}
 	}
-	queries := draw(seed, time.Duration(c.Seconds)*time.Second, c.Rate, w.fleet.Truth)
+	queries := draw(seed, time.Duration(c.Seconds)*time.Second, c.Rate, w.fleet.Records)
 	rng := rand.New(rand.NewPCG(seed, 5))
 	for k := range queries {
 		queries[k].body = padded(rng, c.BodyKiB)
@@ -233,8 +233,8 @@
 	return (distinct["resident"] - holdBudget) / (1 << 20), distinct["base"] / (1 << 20), shared["held"] / float64(holdBodies*holdSize), nil
 }
 
-// Hold keeps many bodies and prints what the process took at its largest.
-func Hold(what string, count int) error {
+// HoldBodies keeps many bodies and prints what the process took at its largest.
+func HoldBodies(what string, count int) error {
 	base, budget, limit := highWater(), int64(holdBudget), int64(24<<20) // as the program sets it for a limit of 40 MB
 	if what == "tight" {                                                 // 32 MB in all: the default budget, and the limit that the program gives its collector
 		budget, limit = 4<<20, 19<<20
--- a/internal/lab/chaos.go
+++ b/internal/experiment/chaos.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"cmp"
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
+	"linkpass/internal/emulator"
 	"linkpass/internal/shardmap"
-	"linkpass/internal/standin"
 )
 
 // trouble is what happens to a world while it is loaded.
@@ -79,7 +79,7 @@
 		if t.stalls {
 			for i, s := range w.fleet.Servers {
 				if now() >= nextStall[i] {
-					s.Stall(79*time.Millisecond + time.Duration(rng.Int64N(int64(161*time.Millisecond))))
+					s.Pause(79*time.Millisecond + time.Duration(rng.Int64N(int64(161*time.Millisecond))))
 					nextStall[i] = now() + 4900*time.Millisecond + time.Duration(rng.Int64N(int64(3800*time.Millisecond)))
 				}
 			}
@@ -88,20 +88,20 @@
 			if now() < s.at {
 				return false
 			}
-			w.fleet.Server(s.server).Stall(s.length)
+			w.fleet.Server(s.server).Pause(s.length)
 			return true
 		})
 		if t.drains > 0 && now() >= nextDrain {
 			nextDrain += t.drains
 			if s := t.spare(w, rng); s != nil {
-				w.fleet.Tell(s, "terminating")
+				w.fleet.SetState(s, "terminating")
 				back := now() + 2500*time.Millisecond
 				t.ordered["drains"]++
 				later = append(later, func() bool {
 					if now() < back {
 						return false
 					}
-					w.fleet.Tell(s, "in_service")
+					w.fleet.SetState(s, "in_service")
 					return true
 				})
 			}
@@ -109,19 +109,19 @@
 		if t.deaths > 0 && now() >= nextDeath {
 			nextDeath += t.deaths
 			if s := t.spare(w, rng); s != nil {
-				s.Die(true)
+				s.Kill(true)
 				told, rises := now()+800*time.Millisecond, now()+2*time.Second
 				t.ordered["deaths"]++
 				later = append(later, func() bool {
 					if told > 0 && now() >= told {
 						told = 0
-						w.fleet.Tell(s, "terminated")
+						w.fleet.SetState(s, "terminated")
 					}
 					if now() < rises {
 						return false
 					}
-					if s.Rise() == nil {
-						w.fleet.Tell(s, "in_service")
+					if s.Restart() == nil {
+						w.fleet.SetState(s, "in_service")
 					}
 					return true
 				})
@@ -141,7 +141,7 @@
 
 // spare finds a server in service whose slices all have another holder that runs, and that no
 // open plan is about to rest on alone.
-func (*trouble) spare(w *world, rng *rand.Rand) *standin.Server {
+func (*trouble) spare(w *world, rng *rand.Rand) *emulator.Server {
 	rows, up := w.rows(), w.fleet.InService()
 	if len(rows) == 0 || len(up) == 0 {
 		return nil
--- a/internal/lab/demo.go
+++ b/internal/experiment/demo.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -12,17 +12,17 @@
 	"time"
 
 	"linkpass/internal/adminapi"
-	"linkpass/internal/page"
+	"linkpass/internal/dashboard"
+	"linkpass/internal/emulator"
 	"linkpass/internal/shardmap"
-	"linkpass/internal/standin"
 )
 
 // Demo is a fleet and a coordinator with both fronts, ready to be tried.
 type Demo struct {
-	w      *world
-	Socket string // of the operators' API
-	Search string // address of the search front
-	Door   string // address of the door
+	w             *world
+	Socket        string // of the operators' API
+	Search        string // address of the search front
+	AdminListener string // address of the door
 
 	Operator, KeyFile string // address of the operators' API over TCP, and the key that it takes
 	File, Config      string // the operators' file, the platform's configuration
@@ -33,20 +33,20 @@
 	w, err := newWorld(shape{name: "demo", seed: seed, servers: 6, nodes: 1, slices: 4, records: 500, each: 2, maxOpen: 1000, memoryMB: 128, door: true,
 		reshape: "poll = \"200ms\"\nretire_after = \"1s\"", operator: "socket = \"DIR/linkpass.sock\"\nlisten = \"127.0.0.1:0\"\nkeys = \"DIR/keys.toml\"",
 		keys: "\"demo\" = \"" + strings.Repeat("d0", 32) + "\"\n",
-		work: standin.Work{Cores: 2, Part: 20 * time.Millisecond, Record: 20 * time.Microsecond, Queue: 64, CopyRate: 200, Cold: 5 * time.Second, ColdShare: 0.2}})
+		work: emulator.Capacity{Cores: 2, WorkPerPart: 20 * time.Millisecond, WorkPerRecord: 20 * time.Microsecond, Queue: 64, CopyRate: 200, WarmupDuration: 5 * time.Second, WarmupInitialShare: 0.2}})
 	if err != nil {
 		return nil, err
 	}
-	return &Demo{w: w, Socket: filepath.Join(w.dir, "linkpass.sock"), Search: w.nodes[0].search, Door: w.nodes[0].door,
+	return &Demo{w: w, Socket: filepath.Join(w.dir, "linkpass.sock"), Search: w.nodes[0].search, AdminListener: w.nodes[0].door,
 		Operator: w.nodes[0].p.Status().AdminListen, KeyFile: filepath.Join(w.dir, "keys.toml"), File: filepath.Join(w.dir, "n0-search.toml"),
 		Config: filepath.Join(w.dir, "n0-config.json")}, nil
 }
 
 // Fleet is the demo's fleet.
-func (d *Demo) Fleet() *standin.Fleet { return d.w.fleet }
+func (d *Demo) Fleet() *emulator.Fleet { return d.w.fleet }
 
-// Sets are the sets of servers that hold its slices.
-func (d *Demo) Sets() [][]string { return d.w.fleet.Sets(d.w.each) }
+// ReplicaSets are the sets of servers that hold its slices.
+func (d *Demo) ReplicaSets() [][]string { return d.w.fleet.ReplicaSets(d.w.each) }
 
 // Close ends it.
 func (d *Demo) Close() { d.w.close() }
@@ -65,7 +65,7 @@
 	if err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
-	go func() { _ = page.Serve(ctx, ln, &adminapi.Client{Socket: d.Socket, Timeout: time.Second}) }()
+	go func() { _ = dashboard.Serve(ctx, ln, &adminapi.Client{Socket: d.Socket, Timeout: time.Second}) }()
 	fmt.Printf(`six stand-in servers, discovery and a coordinator, ready after %d ms. Try, in another terminal:
 
   a browser at http://%[6]s/
@@ -93,16 +93,16 @@
 		}
 		s := d.Fleet().Servers[next%len(d.Fleet().Servers)]
 		fmt.Printf("%s dies\n", s.Name)
-		s.Die(false)
+		s.Kill(false)
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-time.After(5 * time.Second):
 		}
-		if err := s.Rise(); err != nil {
+		if err := s.Restart(); err != nil {
 			return err
 		}
-		d.Fleet().Tell(s, "in_service")
+		d.Fleet().SetState(s, "in_service")
 		fmt.Printf("%s is back\n", s.Name)
 	}
 }
--- a/internal/lab/drains.go
+++ b/internal/experiment/drains.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"linkpass/internal/adminapi"
-	"linkpass/internal/standin"
+	"linkpass/internal/emulator"
 )
 
 // DrainsConfig sets up the experiment on drains by agreement.
@@ -33,9 +33,9 @@
 
 const drainBar = time.Second
 
-// Drains measures how soon a drain ordered at any instance holds at every one that is up: with load and a majority, and
+// RunDrains measures how soon a drain ordered at any instance holds at every one that is up: with load and a majority, and
 // without a majority. It tells whether every rule was kept.
-func Drains(c DrainsConfig) (bool, error) {
+func RunDrains(c DrainsConfig) (bool, error) {
 	table := Table{Name: "drains", Columns: []string{"side", "seed", "orders", "here_p50_ms", "everywhere_p50_ms", "everywhere_p99_ms", "over_1s", "queries", "lost", "service", "diverged"}}
 	lost, broken, diverged := 0, int64(0), 0
 	p99 := map[string]float64{}
@@ -73,7 +73,7 @@
 func drainsOne(c DrainsConfig, seed uint64, up int) (drainOutcome, error) {
 	o := drainOutcome{here: hdrhistogram.New(1, 20_000_000, 3), all: hdrhistogram.New(1, 20_000_000, 3), load: newTally()}
 	w, err := newWorld(shape{name: "drains", seed: seed*10 + uint64(up), servers: 12, nodes: 5, slices: 6, records: 300, each: 2, maxOpen: 1000, memoryMB: 256,
-		reshape: "poll = \"1s\"", work: standin.Work{Cores: 2, Part: 10 * time.Millisecond, Queue: 64, CopyRate: 400}})
+		reshape: "poll = \"1s\"", work: emulator.Capacity{Cores: 2, WorkPerPart: 10 * time.Millisecond, Queue: 64, CopyRate: 400}})
 	if err != nil {
 		return o, err
 	}
@@ -90,7 +90,7 @@
 				case <-stop:
 					return
 				default:
-					w.play(draw(seed+part, time.Second, c.Rate, w.fleet.Truth), o.load)
+					w.play(draw(seed+part, time.Second, c.Rate, w.fleet.Records), o.load)
 				}
 			}
 		})
--- a/internal/lab/lab_test.go
+++ b/internal/experiment/experiment_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -16,10 +16,10 @@
 
 	"linkpass/internal/adminapi"
 	"linkpass/internal/config"
+	"linkpass/internal/emulator"
 	"linkpass/internal/endpoints"
 	"linkpass/internal/eventlog"
 	"linkpass/internal/http1"
-	"linkpass/internal/standin"
 	"linkpass/internal/store"
 )
 
@@ -30,7 +30,7 @@
 	t.Cleanup(func() { eventlog.SetOutput(os.Stderr, false) })
 	t.Setenv("TMPDIR", t.TempDir())
 	dir := t.TempDir()
-	ok, err := Reshape(ReshapeConfig{Seeds: []uint64{7}, Seconds: 4, Servers: 12, Rate: 30, Every: time.Second, Out: dir})
+	ok, err := RunResharding(ReshardingConfig{Seeds: []uint64{7}, Seconds: 4, Servers: 12, Rate: 30, Every: time.Second, Out: dir})
 	if err != nil || !ok {
 		t.Fatalf("rules kept: %v, %v", ok, err)
 	}
@@ -80,9 +80,9 @@
 	}
 	t.Cleanup(d.Close)
 	s := d.Fleet().Servers
-	s[0].Lie(999)
-	s[2].Cut(true)
-	s[4].Slow(5)
+	s[0].ClaimShardMapVersion(999)
+	s[2].Partition(true)
+	s[4].SetSlowdown(5)
 	n := d.w.nodes[0]
 	if status, body, err := d.w.ask(n, "PUT", "/_cluster/settings", `{"persistent":{"servers.s-06.protocol":"plain"}}`); err != nil || status != 200 {
 		t.Fatalf("%d %s %v", status, body, err)
@@ -93,10 +93,10 @@
 			t.Fatalf("%d %.300s %v", status, body, err)
 		}
 	}
-	if s[0].Stale.Load() == 0 || d.w.sum("attempts_ahead") == 0 {
-		t.Errorf("the liar was never asked: %d, %d", s[0].Stale.Load(), d.w.sum("attempts_ahead"))
+	if s[0].MovedParts.Load() == 0 || d.w.sum("attempts_ahead") == 0 {
+		t.Errorf("the liar was never asked: %d, %d", s[0].MovedParts.Load(), d.w.sum("attempts_ahead"))
 	}
-	s[2].Cut(false)
+	s[2].Partition(false)
 }
 
 // A backup that is taken while settings are written is one document that held, whole; restored into a cluster with other
@@ -168,7 +168,7 @@
 // cluster starts coordinators on a fleet of their own.
 func cluster(t *testing.T, seed uint64, nodes int) *world {
 	w, err := newWorld(shape{name: "cluster", seed: seed, servers: 4, nodes: nodes, slices: 2, records: 50, each: 2, maxOpen: 100, memoryMB: 64,
-		reshape: "poll = \"200ms\"", work: standin.Work{Cores: 2, Part: time.Millisecond, Queue: 64, CopyRate: 200}})
+		reshape: "poll = \"200ms\"", work: emulator.Capacity{Cores: 2, WorkPerPart: time.Millisecond, Queue: 64, CopyRate: 200}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -322,7 +322,7 @@
 	eventlog.SetOutput(io.Discard, false)
 	t.Cleanup(func() { eventlog.SetOutput(os.Stderr, false) })
 	t.Setenv("TMPDIR", t.TempDir())
-	if ok, err := Drains(DrainsConfig{Seeds: []uint64{3}, Orders: 4, Rate: 20, Out: t.TempDir()}); err != nil || !ok {
+	if ok, err := RunDrains(DrainsConfig{Seeds: []uint64{3}, Orders: 4, Rate: 20, Out: t.TempDir()}); err != nil || !ok {
 		t.Fatalf("rules kept: %v, %v", ok, err)
 	}
 }
--- a/internal/lab/fleet.go
+++ b/internal/experiment/fleet.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"syscall"
 	"time"
 
+	"linkpass/internal/emulator"
 	"linkpass/internal/shardmap"
-	"linkpass/internal/standin"
 )
 
 // FleetConfig sets up a fleet to try the program against by hand.
@@ -22,25 +22,25 @@
 	Seed                     uint64
 }
 
-// Fleet runs the fleet until SIGINT or SIGTERM. It writes the files of a coordinator with a
+// RunFleet runs the fleet until SIGINT or SIGTERM. It writes the files of a coordinator with a
 // store of its own and says how to start it.
-func Fleet(c FleetConfig) error {
-	work := standin.Work{Cores: 2, Part: 20 * time.Millisecond, Record: 20 * time.Microsecond, Queue: 64, CopyRate: 100, Cold: 10 * time.Second, ColdShare: 0.2}
-	f, err := standin.NewFleetAt(c.Servers, c.Records, work, c.Seed, c.Discovery)
+func RunFleet(c FleetConfig) error {
+	work := emulator.Capacity{Cores: 2, WorkPerPart: 20 * time.Millisecond, WorkPerRecord: 20 * time.Microsecond, Queue: 64, CopyRate: 100, WarmupDuration: 10 * time.Second, WarmupInitialShare: 0.2}
+	f, err := emulator.NewFleetAt(c.Servers, c.Records, work, c.Seed, c.Discovery)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	sets := f.Sets(2)
+	sets := f.ReplicaSets(2)
 	first, err := shardmap.NewEven(c.Slices, sets)
 	if err != nil {
 		return err
 	}
-	f.Give("players", first)
+	f.PlaceShards("players", first)
 	if err := writeFiles(c, f, sets); err != nil {
 		return err
 	}
-	fmt.Printf("fleet of %d servers, discovery at %s. In another terminal:\n\n", c.Servers, f.Agent.Addr())
+	fmt.Printf("fleet of %d servers, discovery at %s. In another terminal:\n\n", c.Servers, f.Discovery.Addr())
 	fmt.Printf("  ROUTER_CONFIG=%s bin/linkpass -opensearch %s\n", filepath.Join(c.Dir, "config.json"), filepath.Join(c.Dir, "search.toml"))
 	fmt.Printf("  curl -s '%s/_cat/shards?v'\n", c.Search)
 	fmt.Printf("  curl -s '%s/players/_search?size=3'\n", c.Search)
@@ -51,17 +51,17 @@
 	return nil
 }
 
-func writeFiles(c FleetConfig, f *standin.Fleet, sets [][]string) error {
+func writeFiles(c FleetConfig, f *emulator.Fleet, sets [][]string) error {
 	if err := os.MkdirAll(c.Dir, 0o755); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
-	known, err := json.Marshal(f.Agent.Document())
+	known, err := json.Marshal(f.Discovery.EndpointList())
 	if err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
-	sh := shape{nodes: 1, maxOpen: 1000, work: standin.Work{Cold: 10 * time.Second, ColdShare: 0.2}}
+	sh := shape{nodes: 1, maxOpen: 1000, work: emulator.Capacity{WarmupDuration: 10 * time.Second, WarmupInitialShare: 0.2}}
 	config := fmt.Sprintf(`{"name":"by-hand","listen":"127.0.0.1:0","discovery":%q,"seed":"5","limits":{"memory_mb":128,"sockets":1024},"known":%s,"settings":%s}`,
-		f.Agent.Addr(), known, settingsOf(sh))
+		f.Discovery.Addr(), known, settingsOf(sh))
 	var t strings.Builder
 	list, _ := json.Marshal(sets) // arrays of strings are the same in TOML
 	fmt.Fprintf(&t, "listen = %q\n\n[indices.players]\nclass = \"team-lookup\"\nspread = { slices = %d, sets = %s }\n\n", c.Search, c.Slices, list)
--- a/internal/lab/load.go
+++ b/internal/experiment/load.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"cmp"
@@ -12,8 +12,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"linkpass/internal/emulator"
 	"linkpass/internal/shardmap"
-	"linkpass/internal/standin"
 )
 
 // query is one query of a run: drawn ahead from the seed, so that runs side by side get the same.
@@ -26,7 +26,7 @@
 }
 
 // draw makes the queries of a run: Poisson arrivals, a sixth of them league tables.
-func draw(seed uint64, length time.Duration, rate float64, truth []standin.Record) (out []query) {
+func draw(seed uint64, length time.Duration, rate float64, truth []emulator.Record) (out []query) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for at := time.Duration(0); ; {
 		at += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
@@ -141,12 +141,12 @@
 	for i, h := range a.Hits.Hits {
 		ids[i] = h.ID
 	}
-	v := standin.Judge(w.fleet.Truth, q.wanted, ids, a.Shards.Failed == 0 && !a.TimedOut)
-	t.Duplicates += v.Doubles + v.Strangers
+	v := emulator.Judge(w.fleet.Records, q.wanted, ids, a.Shards.Failed == 0 && !a.TimedOut)
+	t.Duplicates += v.Duplicates + v.Unrequested
 	switch {
-	case v.Claimed && !v.Whole:
+	case v.ClaimedComplete && !v.Complete:
 		t.WronglyWhole++
-	case !v.Claimed:
+	case !v.ClaimedComplete:
 		t.Partial++
 		if w.unexplained(q, ids, a) {
 			t.Unexplained++
@@ -185,7 +185,7 @@
 		in[id] = true
 	}
 	for _, want := range q.wanted {
-		for _, rec := range w.fleet.Truth {
+		for _, rec := range w.fleet.Records {
 			if !want.Contains(rec.Key) || in[rec.ID] {
 				continue
 			}
--- a/internal/lab/reshape.go
+++ b/internal/experiment/reshape.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -7,11 +7,11 @@
 	"sync"
 	"time"
 
-	"linkpass/internal/standin"
+	"linkpass/internal/emulator"
 )
 
-// ReshapeConfig sets the experiment up.
-type ReshapeConfig struct {
+// ReshardingConfig sets the experiment up.
+type ReshardingConfig struct {
 	Seeds   []uint64
 	Seconds int
 	Servers int
@@ -50,9 +50,9 @@
 	elsewhere map[string]int64
 }
 
-// Reshape reshapes slices under load, each seed with all runs side by side. It is false
+// RunResharding reshapes slices under load, each seed with all runs side by side. It is false
 // where a rule broke.
-func Reshape(c ReshapeConfig) (bool, error) {
+func RunResharding(c ReshardingConfig) (bool, error) {
 	var all []outcome
 	for _, seed := range c.Seeds {
 		list := make([]outcome, len(reshapeRuns))
@@ -73,15 +73,15 @@
 }
 
 // reshapeOne is one run in a world of its own.
-func reshapeOne(c ReshapeConfig, seed uint64, i int) (outcome, error) {
+func reshapeOne(c ReshardingConfig, seed uint64, i int) (outcome, error) {
 	r := reshapeRuns[i]
 	// Old holders drop their data with the first call after a switch: the hard way, so that
 	// parts on their way meet slices that have moved.
 	lines := fmt.Sprintf("moves = 4\nper_server = 2\npoll = \"50ms\"\nretire_after = \"1ms\"\npatience = \"10s\"\nreplan = %v", r.replan)
 	w, err := newWorld(shape{name: r.name, seed: seed*100 + uint64(i), servers: c.Servers, nodes: 3, slices: 8, records: 1000, each: 2,
 		maxOpen: 4000, memoryMB: 256, reshape: lines,
-		work: standin.Work{Cores: 2, Part: 20 * time.Millisecond, Record: 20 * time.Microsecond, Queue: 64, CopyRate: 400,
-			Cold: 3 * time.Second, ColdShare: 0.3}})
+		work: emulator.Capacity{Cores: 2, WorkPerPart: 20 * time.Millisecond, WorkPerRecord: 20 * time.Microsecond, Queue: 64, CopyRate: 400,
+			WarmupDuration: 3 * time.Second, WarmupInitialShare: 0.3}})
 	if err != nil {
 		return outcome{}, err
 	}
@@ -97,14 +97,14 @@
 	ctx, stop := context.WithCancel(context.Background())
 	var making sync.WaitGroup
 	making.Go(func() { mess.run(ctx, w, seed) })
-	w.play(draw(seed, time.Duration(c.Seconds)*time.Second, c.Rate, w.fleet.Truth), t)
+	w.play(draw(seed, time.Duration(c.Seconds)*time.Second, c.Rate, w.fleet.Records), t)
 	stop()
 	making.Wait()
-	out := outcome{tally: t, run: r.name, seed: seed, ordered: mess.ordered, ended: w.ended(), late: w.fleet.Late(), replans: w.sum("replans"),
+	out := outcome{tally: t, run: r.name, seed: seed, ordered: mess.ordered, ended: w.ended(), late: w.fleet.LateParts(), replans: w.sum("replans"),
 		attempts: w.sum("attempts_sent"), elsewhere: map[string]int64{}}
 	for _, s := range w.fleet.Servers {
-		out.pushed += s.Pushed.Load()
-		out.stale += s.Stale.Load()
+		out.pushed += s.OverloadedWhileCold.Load()
+		out.stale += s.MovedParts.Load()
 	}
 	for _, name := range []string{"attempts_moved", "attempts_ahead", "attempts_pieced", "attempts_unversioned", "attempts_doubled", "answers_not_whole"} {
 		out.elsewhere[name] = w.sum(name)
@@ -113,7 +113,7 @@
 }
 
 // report writes the tables and the chart, and prints the line of figures.
-func report(c ReshapeConfig, all []outcome) (bool, error) {
+func report(c ReshardingConfig, all []outcome) (bool, error) {
 	table := Table{Name: "reshape", Columns: []string{"run", "seed", "queries", "whole", "partial", "refused", "failed", "lost", "wrongly_whole",
 		"duplicates", "untold", "late_after_drain", "pushed", "service", "p50_ms", "p99_ms", "splits", "merges", "moves", "switched", "abandoned", "told_moved", "replans", "attempts", "causes"}}
 	still := map[string]float64{}
--- a/internal/lab/table.go
+++ b/internal/experiment/table.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"encoding/csv"
--- a/internal/lab/world.go
+++ b/internal/experiment/world.go
@@ -1,7 +1,7 @@
-// Package lab runs experiments on the stand-in fleet: whole coordinators under load and
+// Package experiment runs experiments on the stand-in fleet: whole coordinators under load and
 // breakage, from a seed, side by side with what they are compared with. What one shows is
 // a table, a chart and a line of figures.
-package lab
+package experiment
 
 import (
 	"bytes"
@@ -19,8 +19,8 @@
 	"time"
 
 	"linkpass/internal/daemon"
+	"linkpass/internal/emulator"
 	"linkpass/internal/shardmap"
-	"linkpass/internal/standin"
 )
 
 // class is a class of the experiments' queries.
@@ -47,7 +47,7 @@
 	nodes    int // coordinators
 	slices   int
 	records  int
-	work     standin.Work
+	work     emulator.Capacity
 	reshape  string // lines of [reshape] in the coordinators' file
 	bodies   string // lines of [bodies]
 	operator string // lines of [operator]
@@ -61,7 +61,7 @@
 // world is a fleet and the coordinators before it.
 type world struct {
 	shape
-	fleet  *standin.Fleet
+	fleet  *emulator.Fleet
 	dir    string
 	nodes  []*node
 	client *http.Client
@@ -90,7 +90,7 @@
 "extra":{"class_need":[1,1],"least_share":[%s],"in_a_row":1,"parts_a_call":1,"places":1,"slabs":1},"peers_total":%d,
 "report":{"fields":["active","avg_ms","waiting"],"how":"inline"},"tenants":[],"tick":5,"request_classes":[%s],
 "rules":{"answer_slack":20,"cold":%d,"cold_from":%g,"drain_grace":1000,"fall_multiple":2,"tip_after":3000}}`,
-		sh.maxOpen, strings.Join(floors, ","), sh.nodes, strings.Join(list, ","), max(1, sh.work.Cold.Milliseconds()), max(0.01, sh.work.ColdShare))
+		sh.maxOpen, strings.Join(floors, ","), sh.nodes, strings.Join(list, ","), max(1, sh.work.WarmupDuration.Milliseconds()), max(0.01, sh.work.WarmupInitialShare))
 }
 
 // worlds counts the worlds of this process.
@@ -123,15 +123,15 @@
 	if w.dir, err = os.MkdirTemp("", "linkpass-lab-"); err != nil {
 		return w, fmt.Errorf("lab: %w", err)
 	}
-	if w.fleet, err = standin.NewFleet(sh.servers, sh.records, sh.work, sh.seed); err != nil {
+	if w.fleet, err = emulator.NewFleet(sh.servers, sh.records, sh.work, sh.seed); err != nil {
 		return w, err
 	}
-	first, err := shardmap.NewEven(sh.slices, w.fleet.Sets(sh.each))
+	first, err := shardmap.NewEven(sh.slices, w.fleet.ReplicaSets(sh.each))
 	if err != nil {
 		return w, err
 	}
 	for _, c := range classes {
-		w.fleet.Give(c.index, first)
+		w.fleet.PlaceShards(c.index, first)
 	}
 	raft, web, number := make([]string, sh.nodes), make([]string, sh.nodes), worlds.Add(1)
 	for i := range raft {
@@ -154,7 +154,7 @@
 
 // startNode writes a coordinator's files and starts it.
 func (w *world) startNode(i int, raft, web []string) (*node, error) {
-	known, err := json.Marshal(w.fleet.Agent.Document())
+	known, err := json.Marshal(w.fleet.Discovery.EndpointList())
 	if err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
 	}
@@ -166,10 +166,10 @@
 		}
 	}
 	config := fmt.Sprintf(`{"name":%q,"listen":"127.0.0.1:0","operator":%q,"discovery":%q,"seed":"%x","limits":{"memory_mb":%d,"sockets":4096},"known":%s,"settings":%s}`,
-		name, door, w.fleet.Agent.Addr(), w.seed*31+uint64(i), w.memoryMB, known, settingsOf(w.shape))
+		name, door, w.fleet.Discovery.Addr(), w.seed*31+uint64(i), w.memoryMB, known, settingsOf(w.shape))
 	var t bytes.Buffer
 	fmt.Fprintf(&t, "listen = %q\n[search]\nmax_result_window = 100000\n", web[i])
-	sets, _ := json.Marshal(w.fleet.Sets(w.each)) // arrays of strings are the same in TOML
+	sets, _ := json.Marshal(w.fleet.ReplicaSets(w.each)) // arrays of strings are the same in TOML
 	for _, c := range classes {
 		fmt.Fprintf(&t, "[indices.%s]\nclass = %q\nspread = { slices = %d, sets = %s }\n", c.index, c.name, w.slices, sets)
 	}
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "linkpass/internal/seeded"
+	_ "linkpass/internal/testrand"
 
 	"linkpass/internal/loadreport"
 	"linkpass/internal/outcome"
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -14,7 +14,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "linkpass/internal/seeded"
+	_ "linkpass/internal/testrand"
 
 	"linkpass/internal/metrics"
 )
--- a/internal/http1/spool_test.go
+++ b/internal/http1/spool_test.go
@@ -12,7 +12,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "linkpass/internal/seeded"
+	_ "linkpass/internal/testrand"
 )
 
 // spool keeps what it takes, up to a room.
--- a/internal/lifecycle/group_test.go
+++ b/internal/lifecycle/group_test.go
@@ -11,7 +11,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "linkpass/internal/seeded"
+	_ "linkpass/internal/testrand"
 )
 
 // Whichever component fails to start, those before it are stopped in reverse order and nothing else happens; if
--- a/internal/opensearch/opensearch_test.go
+++ b/internal/opensearch/opensearch_test.go
@@ -16,8 +16,8 @@
 	"linkpass/internal/metrics"
 	"linkpass/internal/outcome"
 	"linkpass/internal/searchconfig"
-	_ "linkpass/internal/seeded"
 	"linkpass/internal/store"
+	_ "linkpass/internal/testrand"
 	"linkpass/internal/upstream"
 )
 
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -12,7 +12,7 @@
 	"linkpass/internal/coordinator"
 	"linkpass/internal/http1"
 	"linkpass/internal/metrics"
-	_ "linkpass/internal/seeded"
+	_ "linkpass/internal/testrand"
 )
 
 const valid = `{"parts":[{"id":3,"w":0.5,"hint":9000},{"id":5,"w":0.5,"tag":"00000000000000ff"}],"expr":"c41e77d0"}`
--- a/internal/schema/read_test.go
+++ b/internal/schema/read_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "linkpass/internal/seeded"
+	_ "linkpass/internal/testrand"
 )
 
 // fileLine is a line that a file may have. Only a valid one is read without an error.
--- a/internal/searchconfig/config_test.go
+++ b/internal/searchconfig/config_test.go
@@ -10,7 +10,7 @@
 
 	"linkpass/internal/shardmap"
 
-	_ "linkpass/internal/seeded"
+	_ "linkpass/internal/testrand"
 )
 
 const validDocument = `{
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "linkpass/internal/seeded"
+	_ "linkpass/internal/testrand"
 )
 
 const object = `{"az":1,"bounds":{"connect_timeout":250.0,"keepalive":30000.0,"max_attempts":3,"max_streams":32,"probes":true},
--- a/internal/shardmap/coverage/tracker_test.go
+++ b/internal/shardmap/coverage/tracker_test.go
@@ -5,8 +5,8 @@
 
 	"pgregory.net/rapid"
 
-	_ "linkpass/internal/seeded"
 	"linkpass/internal/shardmap"
+	_ "linkpass/internal/testrand"
 )
 
 // modelKeys is the number of keys of the model.
--- a/internal/shardmap/map_test.go
+++ b/internal/shardmap/map_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "linkpass/internal/seeded"
+	_ "linkpass/internal/testrand"
 )
 
 func drawReplicaSet(t *rapid.T) []string {
--- a/internal/shardmap/replan/replan_test.go
+++ b/internal/shardmap/replan/replan_test.go
@@ -8,9 +8,9 @@
 
 	"pgregory.net/rapid"
 
-	_ "linkpass/internal/seeded"
 	"linkpass/internal/shardmap"
 	"linkpass/internal/shardmap/coverage"
+	_ "linkpass/internal/testrand"
 )
 
 // drawSwitchedPlan draws a plan and carries it through to its end.
--- a/internal/shardmap/resharding/controller_test.go
+++ b/internal/shardmap/resharding/controller_test.go
@@ -8,8 +8,8 @@
 
 	"pgregory.net/rapid"
 
-	_ "linkpass/internal/seeded"
 	"linkpass/internal/shardmap"
+	_ "linkpass/internal/testrand"
 )
 
 // Every plan ends, whatever servers die and however often the controller is replaced. As
--- a/internal/wire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
@@ -53,9 +53,9 @@
 		{Server: goldenOther, Zone: 4, Kind: 5, Cell: 6, State: routing.Draining, Weight: 0.5},
 		{Server: 0xc0a800ff_ffff, Zone: 7, Kind: 8, Cell: 9, State: routing.Removed, Weight: 2.25, StartedAt: 7 * time.Millisecond},
 	}
-	news := func(e routing.Event) Message { return Message{Kind: News, Node: 3, Event: e} }
+	news := func(e routing.Event) Message { return Message{Kind: EventReceived, Node: 3, Event: e} }
 	out := []Message{
-		{Kind: Enlist, Node: 258, Seed: 0x1122334455667788, Settings: routing.Settings{Coordinators: 1, Shards: 6, Cells: 3, ReplicasPerShard: 2}},
+		{Kind: InstanceStarted, Node: 258, Seed: 0x1122334455667788, Settings: routing.Settings{Coordinators: 1, Shards: 6, Cells: 3, ReplicasPerShard: 2}},
 		news(routing.EndpointUpdate{Mode: routing.UpdateDelta, Endpoints: entries}),
 		news(routing.EndpointUpdate{Mode: routing.UpdateFull, Endpoints: entries}),
 		news(routing.EndpointUpdate{Mode: routing.UpdateCached, Endpoints: entries}),
@@ -79,11 +79,11 @@
 			Latency: 18500 * time.Microsecond, Final: c.final, LoadReport: c.report}))
 	}
 	return append(out,
-		Message{Kind: News, Node: 5, Event: routing.ClientDisconnected{ID: 0x279440e6f2b19}},
+		Message{Kind: EventReceived, Node: 5, Event: routing.ClientDisconnected{ID: 0x279440e6f2b19}},
 		news(routing.TimerFired{Token: 0x8877665544332211}),
 		news(routing.HealthCheckResult{Server: goldenOther, Code: routing.OK, Latency: 1400 * time.Microsecond, LoadReport: []float64{0.625, 7, 3}}),
 		news(routing.GossipMessage{From: 0x01020304, Data: []byte("hi 7\x00\xff")}),
-		Message{Kind: Stop, Node: 65535})
+		Message{Kind: InstanceStopped, Node: 65535})
 }
 
 func TestBatchGolden(t *testing.T) {
@@ -122,8 +122,8 @@
 	e.Add(258, routing.Subscribe{})
 	e.Add(3, routing.Answer{ID: goldenQuery, Complete: true})
 	e.Add(65535, routing.Answer{ID: goldenQuery})
-	e.BailOut(4, "index out of range")
-	e.BailOut(5, "nil")
+	e.AddPanic(4, "index out of range")
+	e.AddPanic(5, "nil")
 	var out bytes.Buffer
 	if err := e.Flush(&out); err != nil {
 		t.Fatal(err)
--- a/internal/wire/wire.go
+++ b/internal/simwire/simwire.go
@@ -1,6 +1,6 @@
-// Package wire translates between the bench's binary frames and the events and
+// Package simwire translates between the bench's binary frames and the events and
 // actions of package routing. It decides nothing.
-package wire
+package simwire
 
 import (
 	"encoding/binary"
@@ -30,9 +30,9 @@
 
 // The kinds of message.
 const (
-	Enlist Kind = iota // an instance starts
-	Stop               // an instance is gone
-	News               // an event for an instance
+	InstanceStarted Kind = iota // an instance starts
+	InstanceStopped             // an instance is gone
+	EventReceived               // an event for an instance
 )
 
 // Message is one event record, addressed to an instance.
@@ -160,7 +160,7 @@
 }
 
 func (d *Decoder) decode(r *record) error {
-	m := Message{Kind: News, Node: int(r.u16(2))}
+	m := Message{Kind: EventReceived, Node: int(r.u16(2))}
 	switch code := r.u16(0); code {
 	case 1100:
 		return d.decodeList(r)
@@ -169,12 +169,12 @@
 		if err != nil {
 			return fmt.Errorf("enlist: %w", err)
 		}
-		m.Kind, m.Seed = Enlist, r.u64(4)
+		m.Kind, m.Seed = InstanceStarted, r.u64(4)
 		if m.Settings, err = settings.ParseText(string(text)); err != nil {
 			return fmt.Errorf("enlist: %w", err)
 		}
 	case 1090:
-		m.Kind = Stop
+		m.Kind = InstanceStopped
 	case 1010:
 		update := routing.EndpointUpdate{Mode: routing.UpdateMode(r.u8(4))}
 		if update.Mode > routing.UpdateFailed {
@@ -283,8 +283,8 @@
 	e.tail = append(e.tail, msg...)
 }
 
-// BailOut declares the decision code of a node broken.
-func (e *Encoder) BailOut(node int, msg string) { e.text(e.record(1090, node), msg) }
+// AddPanic declares the decision code of a node broken.
+func (e *Encoder) AddPanic(node int, msg string) { e.text(e.record(1090, node), msg) }
 
 // Add appends an action of a node.
 func (e *Encoder) Add(node int, action routing.Action) {
--- a/internal/wire/wire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
@@ -125,7 +125,7 @@
 	if m := got[7].Event.(routing.GossipMessage); m.From != 2 || string(m.Data) != "hi 7" {
 		t.Errorf("message = %+v", m)
 	}
-	if got[8].Kind != Stop {
+	if got[8].Kind != InstanceStopped {
 		t.Errorf("stop = %+v", got[8])
 	}
 }
@@ -156,7 +156,7 @@
 		}
 	}
 	var e Encoder
-	e.BailOut(3, "index out of range")
+	e.AddPanic(3, "index out of range")
 	var out bytes.Buffer
 	if err := e.Flush(&out); err != nil {
 		t.Fatal(err)
