--- /dev/null
+++ b/internal/simwire/decoder.go
@@ -0,0 +1,113 @@
+package simwire
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"time"
+
+	"linkpass/internal/routing"
+	"linkpass/internal/settings"
+)
+
+// Kind tells what a Message is.
+type Kind uint8
+
+// The kinds of message.
+const (
+	InstanceStarted Kind = iota // an instance starts, with Seed and Settings
+	InstanceStopped             // an instance has stopped
+	EventReceived               // an Event for an instance
+)
+
+// Message is one event record, addressed to an instance.
+type Message struct {
+	Kind     Kind
+	Node     int              // number of the instance
+	Seed     uint64           // of InstanceStarted
+	Settings routing.Settings // of InstanceStarted
+	Event    routing.Event    // of EventReceived
+}
+
+// Decoder reads batches. It keeps the numbered endpoint lists between them.
+type Decoder struct {
+	input    io.Reader
+	lists    [maxEndpointLists][]routing.Endpoint
+	hasList  [maxEndpointLists]bool // an empty list counts too
+	body     []byte                 // of the current batch; reused
+	messages []Message              // of the current batch; reused
+}
+
+// NewDecoder reads batches from input.
+func NewDecoder(input io.Reader) *Decoder { return &Decoder{input: input} }
+
+// header is what stands before a batch's records.
+type header struct {
+	size  int // of records and tail, in bytes
+	count int // of records
+	now   time.Duration
+}
+
+// Next reads one batch and returns its clock and messages. The end of the input between batches is io.EOF; any other
+// error leaves the decoder unusable. The messages are valid until the next call.
+func (d *Decoder) Next() (time.Duration, []Message, error) {
+	h, err := d.readHeader()
+	if err != nil {
+		return 0, nil, err
+	}
+	if err := d.readBody(h.size); err != nil {
+		return 0, nil, err
+	}
+	d.messages = d.messages[:0]
+	tail := d.body[h.count*eventSize:]
+	for i := range h.count {
+		r := record{fields: d.body[i*eventSize : (i+1)*eventSize], tail: tail}
+		if err := d.decode(&r); err != nil {
+			return 0, nil, fmt.Errorf("batch record %d: %w", i, err)
+		}
+	}
+	return h.now, d.messages, nil
+}
+
+func (d *Decoder) readHeader() (header, error) {
+	var b [headerSize]byte
+	if _, err := io.ReadFull(d.input, b[:]); err != nil {
+		if errors.Is(err, io.EOF) {
+			return header{}, io.EOF
+		}
+		return header{}, fmt.Errorf("batch header: %w", err)
+	}
+	now, err := parseClock(math.Float64frombits(binary.LittleEndian.Uint64(b[8:])))
+	if err != nil {
+		return header{}, err
+	}
+	h := header{size: int(binary.LittleEndian.Uint32(b[0:])), count: int(binary.LittleEndian.Uint32(b[4:])), now: now}
+	if h.size > maxBatchSize {
+		return header{}, fmt.Errorf("batch header: length %d is over the limit", h.size)
+	}
+	if h.count > h.size/eventSize {
+		return header{}, fmt.Errorf("batch header: %d records do not fit in %d bytes", h.count, h.size)
+	}
+	return h, nil
+}
+
+func (d *Decoder) readBody(size int) error {
+	if cap(d.body) < size {
+		d.body = make([]byte, size)
+	}
+	d.body = d.body[:size]
+	if _, err := io.ReadFull(d.input, d.body); err != nil {
+		return fmt.Errorf("batch body: %w", err)
+	}
+	return nil
+}
+
+// parseClock reads the simulator's clock, in milliseconds since its start.
+func parseClock(ms float64) (time.Duration, error) {
+	if math.IsNaN(ms) || ms < 0 || ms > maxClockMS {
+		return 0, fmt.Errorf("batch header: clock %v is out of range", ms)
+	}
+	return settings.FromMilliseconds(ms), nil
+}
--- /dev/null
+++ b/internal/simwire/encoder.go
@@ -0,0 +1,112 @@
+package simwire
+
+import (
+	"encoding/binary"
+	"fmt"
+	"io"
+	"math"
+	"time"
+
+	"linkpass/internal/routing"
+)
+
+// Encoder builds one reply at a time; the zero value is an empty reply.
+type Encoder struct {
+	records, tail []byte
+	count         int // of records
+}
+
+// Reset starts a new reply and reuses the memory of the last one.
+func (e *Encoder) Reset() { e.records, e.tail, e.count = e.records[:0], e.tail[:0], 0 }
+
+// appendRecord adds a record of zeros with its number and instance; it is valid until the next record.
+func (e *Encoder) appendRecord(number uint16, node int) []byte {
+	var empty [actionSize]byte
+	e.records = append(e.records, empty[:]...)
+	e.count++
+	b := e.records[len(e.records)-actionSize:]
+	binary.LittleEndian.PutUint16(b, number)
+	binary.LittleEndian.PutUint16(b[2:], uint16(node))
+	return b
+}
+
+// AddPanic reports that the decision code of an instance panicked.
+func (e *Encoder) AddPanic(node int, message string) {
+	b := e.appendRecord(actionPanic, node)
+	binary.LittleEndian.PutUint32(b[4:], uint32(len(e.tail)))
+	binary.LittleEndian.PutUint32(b[8:], uint32(len(message)))
+	e.tail = append(e.tail, message...)
+}
+
+// Add appends an action of an instance. It panics for a type without a record: guards against an action that routing
+// gained and this package did not.
+func (e *Encoder) Add(node int, action routing.Action) {
+	switch a := action.(type) {
+	case routing.Send:
+		e.addSend(node, a)
+	case routing.Reject:
+		b := e.appendRecord(actionReject, node)
+		putRequestID(b[4:], a.ID)
+		putDuration(b[12:], a.RetryAfter)
+	case routing.Fail:
+		putRequestID(e.appendRecord(actionFail, node)[4:], a.ID)
+	case routing.Cancel:
+		b := e.appendRecord(actionCancel, node)
+		putRequestID(b[4:], a.ID)
+		b[12] = uint8(a.Attempt)
+	case routing.SetTimer:
+		b := e.appendRecord(actionSetTimer, node)
+		putDuration(b[4:], a.After)
+		binary.LittleEndian.PutUint64(b[12:], a.Token)
+	case routing.HealthCheck:
+		putServer(e.appendRecord(actionHealthCheck, node)[4:], a.Server)
+	case routing.Subscribe:
+		e.appendRecord(actionSubscribe, node)[4] = 1
+	case routing.Answer:
+		e.addAnswer(node, a)
+	default:
+		panic(fmt.Sprintf("wire: no record for action %T", action))
+	}
+}
+
+func (e *Encoder) addSend(node int, a routing.Send) {
+	b := e.appendRecord(actionSend, node)
+	putRequestID(b[4:], a.ID)
+	putServer(b[12:], a.Server)
+	putDuration(b[18:], a.Timeout)
+}
+
+func (e *Encoder) addAnswer(node int, a routing.Answer) {
+	b := e.appendRecord(actionAnswer, node)
+	putRequestID(b[4:], a.ID)
+	if a.Complete {
+		b[12] = 1
+	}
+}
+
+// Flush writes the reply to output; Reset has to come before the next one.
+func (e *Encoder) Flush(output io.Writer) error {
+	var h [replyHeaderSize]byte
+	binary.LittleEndian.PutUint32(h[0:], uint32(len(e.records)+len(e.tail)))
+	binary.LittleEndian.PutUint32(h[4:], uint32(e.count))
+	for _, b := range [][]byte{h[:], e.records, e.tail} {
+		if _, err := output.Write(b); err != nil {
+			return fmt.Errorf("reply: %w", err)
+		}
+	}
+	return nil
+}
+
+func putRequestID(b []byte, id routing.RequestID) { binary.LittleEndian.PutUint64(b, uint64(id)) }
+
+// putServer writes four address bytes, first byte first, and the port.
+func putServer(b []byte, s routing.ServerID) {
+	binary.BigEndian.PutUint32(b, uint32(s>>16))
+	binary.LittleEndian.PutUint16(b[4:], uint16(s))
+}
+
+// putDuration writes milliseconds, as a float64.
+func putDuration(b []byte, d time.Duration) {
+	ms := float64(d) / float64(time.Millisecond)
+	binary.LittleEndian.PutUint64(b, math.Float64bits(ms))
+}
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -17,9 +17,9 @@
 	"linkpass/internal/routing"
 )
 
-var update = flag.Bool("update", false, "write the golden reply anew")
+var update = flag.Bool("update", false, "rewrite the golden reply")
 
-// readHex reads a golden file of hexadecimal lines; # begins a remark.
+// readHex reads a golden file of hexadecimal lines; # begins a comment.
 func readHex(t *testing.T, file string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", file))
@@ -53,19 +53,31 @@
 		{Server: goldenOther, Zone: 4, Kind: 5, Cell: 6, State: routing.Draining, Weight: 0.5},
 		{Server: 0xc0a800ff_ffff, Zone: 7, Kind: 8, Cell: 9, State: routing.Removed, Weight: 2.25, StartedAt: 7 * time.Millisecond},
 	}
-	news := func(e routing.Event) Message { return Message{Kind: EventReceived, Node: 3, Event: e} }
+	received := func(e routing.Event) Message { return Message{Kind: EventReceived, Node: 3, Event: e} }
 	out := []Message{
 		{Kind: InstanceStarted, Node: 258, Seed: 0x1122334455667788, Settings: routing.Settings{Coordinators: 1, Shards: 6, Cells: 3, ReplicasPerShard: 2}},
-		news(routing.EndpointUpdate{Mode: routing.UpdateDelta, Endpoints: entries}),
-		news(routing.EndpointUpdate{Mode: routing.UpdateFull, Endpoints: entries}),
-		news(routing.EndpointUpdate{Mode: routing.UpdateCached, Endpoints: entries}),
-		news(routing.EndpointUpdate{Mode: routing.UpdateFailed}),
-		news(routing.Arrival{ID: goldenQuery, Shard: -1, Timeout: 240500 * time.Microsecond, Class: 513, IsRetry: true, Weight: 8,
+		received(routing.EndpointUpdate{Mode: routing.UpdateDelta, Endpoints: entries}),
+		received(routing.EndpointUpdate{Mode: routing.UpdateFull, Endpoints: entries}),
+		received(routing.EndpointUpdate{Mode: routing.UpdateCached, Endpoints: entries}),
+		received(routing.EndpointUpdate{Mode: routing.UpdateFailed}),
+		received(routing.Arrival{ID: goldenQuery, Shard: -1, Timeout: 240500 * time.Microsecond, Class: 513, IsRetry: true, Weight: 8,
 			QueryNumber: 214, Tenant: 770}),
-		news(routing.Arrival{ID: goldenPart, Shard: 5, Timeout: 240 * time.Millisecond, Class: 1, ExpectedWork: 12250 * time.Microsecond,
+		received(routing.Arrival{ID: goldenPart, Shard: 5, Timeout: 240 * time.Millisecond, Class: 1, ExpectedWork: 12250 * time.Microsecond,
 			Key: 0x91f03b7c55d20a64, Weight: 0.125, QueryNumber: 214, Tenant: 2}),
-		news(routing.StreamStarted{ID: goldenPart, Attempt: 6}),
+		received(routing.StreamStarted{ID: goldenPart, Attempt: 6}),
 	}
+	out = append(out, goldenAttempts()...)
+	return append(out,
+		Message{Kind: EventReceived, Node: 5, Event: routing.ClientDisconnected{ID: 0x279440e6f2b19}},
+		received(routing.TimerFired{Token: 0x8877665544332211}),
+		received(routing.HealthCheckResult{Server: goldenOther, Code: routing.OK, Latency: 1400 * time.Microsecond, LoadReport: []float64{0.625, 7, 3}}),
+		received(routing.GossipMessage{From: 0x01020304, Data: []byte("hi 7\x00\xff")}),
+		Message{Kind: InstanceStopped, Node: 65535})
+}
+
+// goldenAttempts has an attempt of each outcome.
+func goldenAttempts() []Message {
+	var out []Message
 	for _, c := range []struct {
 		code   routing.Code
 		final  bool
@@ -75,18 +87,13 @@
 		{routing.TimedOut, false, nil}, {routing.ConnectFailed, true, nil}, {routing.ConnReset, false, nil},
 		{routing.Canceled, false, nil}, {routing.NotSent, true, nil},
 	} {
-		out = append(out, news(routing.AttemptResult{ID: goldenPart, Attempt: 7, Server: goldenServer, Code: c.code,
-			Latency: 18500 * time.Microsecond, Final: c.final, LoadReport: c.report}))
+		out = append(out, Message{Kind: EventReceived, Node: 3, Event: routing.AttemptResult{ID: goldenPart, Attempt: 7, Server: goldenServer, Code: c.code,
+			Latency: 18500 * time.Microsecond, Final: c.final, LoadReport: c.report}})
 	}
-	return append(out,
-		Message{Kind: EventReceived, Node: 5, Event: routing.ClientDisconnected{ID: 0x279440e6f2b19}},
-		news(routing.TimerFired{Token: 0x8877665544332211}),
-		news(routing.HealthCheckResult{Server: goldenOther, Code: routing.OK, Latency: 1400 * time.Microsecond, LoadReport: []float64{0.625, 7, 3}}),
-		news(routing.GossipMessage{From: 0x01020304, Data: []byte("hi 7\x00\xff")}),
-		Message{Kind: InstanceStopped, Node: 65535})
+	return out
 }
 
-func TestBatchGolden(t *testing.T) {
+func TestDecoderMatchesGoldenBatch(t *testing.T) {
 	d := NewDecoder(bytes.NewReader(readHex(t, "batch.hex")))
 	now, got, err := d.Next()
 	if err != nil || now != 8412250*time.Microsecond {
@@ -108,7 +115,7 @@
 	}
 }
 
-func TestReplyGolden(t *testing.T) {
+func TestEncoderMatchesGoldenReply(t *testing.T) {
 	var e Encoder
 	e.Add(9, routing.Fail{ID: 1}) // a reply before it leaves nothing behind
 	e.Reset()
@@ -129,20 +136,26 @@
 		t.Fatal(err)
 	}
 	if *update {
-		text := "# header, twelve actions, texts\n"
-		for rest := out.Bytes(); len(rest) > 0; {
-			n := min(len(rest), actionSize)
-			if len(rest) == out.Len() {
-				n = replyHeaderSize
-			}
-			text += hex.EncodeToString(rest[:n]) + "\n"
-			rest = rest[n:]
-		}
-		if err := os.WriteFile("testdata/reply.hex", []byte(text), 0o644); err != nil {
-			t.Fatal(err)
-		}
+		writeReply(t, out.Bytes())
 	}
 	if want := readHex(t, "reply.hex"); !bytes.Equal(out.Bytes(), want) {
 		t.Errorf("got\n%x\nwant\n%x", out.Bytes(), want)
 	}
 }
+
+// writeReply writes the golden reply, a line for the header, each action and the texts.
+func writeReply(t *testing.T, reply []byte) {
+	t.Helper()
+	text := "# header, twelve actions, texts\n"
+	for rest := reply; len(rest) > 0; {
+		n := min(len(rest), actionSize)
+		if len(rest) == len(reply) {
+			n = replyHeaderSize
+		}
+		text += hex.EncodeToString(rest[:n]) + "\n"
+		rest = rest[n:]
+	}
+	if err := os.WriteFile("testdata/reply.hex", []byte(text), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
