--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -12,8 +12,8 @@
 	"membership_mode=subscribe\nrequest_classes.count=1\nrequest_classes.0.aim=1000\n" +
 	"request_classes.0.hard_limit=2000\nrequest_classes.0.idempotency=free\n"
 
-// enlist is a batch that starts instance 4 with the given settings.
-func enlist(settings string) []byte {
+// startBatch is a batch that starts instance 4 with the given settings.
+func startBatch(settings string) []byte {
 	record := make([]byte, 56)
 	binary.LittleEndian.PutUint16(record, 1000)
 	binary.LittleEndian.PutUint16(record[2:], 4)
@@ -24,10 +24,10 @@
 	return append(append(head, record...), settings...)
 }
 
-func TestRepliesUntilEndOfInput(t *testing.T) {
+func TestRunRepliesUntilEndOfInput(t *testing.T) {
 	var out bytes.Buffer
 	empty := append(make([]byte, 8), 0, 0, 0, 0, 0x20, 0x6e, 0xc0, 0x40)
-	if err := run(bytes.NewReader(append(empty, enlist(settingsText)...)), &out); err != nil {
+	if err := run(bytes.NewReader(append(empty, startBatch(settingsText)...)), &out); err != nil {
 		t.Fatal(err)
 	}
 	reply := out.Bytes()
@@ -39,15 +39,17 @@
 	}
 }
 
-func TestBadInputIsOnePlainLine(t *testing.T) {
+func TestRunRejectsMalformedInput(t *testing.T) {
 	for name, in := range map[string][]byte{
-		"cut":      enlist(settingsText)[:30],
-		"settings": enlist(strings.Replace(settingsText, "extra.slabs", "extra.slab", 1)),
-		"layout":   enlist(strings.Replace(settingsText, "in_a_row=1", "in_a_row=5", 1)),
+		"truncated body":   startBatch(settingsText)[:30],
+		"missing key":      startBatch(strings.Replace(settingsText, "extra.slabs", "extra.slab", 1)),
+		"invalid settings": startBatch(strings.Replace(settingsText, "in_a_row=1", "in_a_row=5", 1)),
 	} {
-		err := run(bytes.NewReader(in), &bytes.Buffer{})
-		if err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v", name, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			err := run(bytes.NewReader(in), &bytes.Buffer{})
+			if err == nil || strings.Contains(err.Error(), "\n") {
+				t.Errorf("error %v, want one line", err)
+			}
+		})
 	}
 }
