--- a/internal/dashboard/dashboard_test.go
+++ b/internal/dashboard/dashboard_test.go
@@ -19,18 +19,21 @@
 	"linkpass/internal/shardmap"
 )
 
-type fake struct {
+// markupStatus has a name that must not become an element of the page.
+var markupStatus = adminapi.Status{Name: "<b>n0</b>", State: "serving", Core: "ok"}
+
+// fakeSource is a coordinator, or one that does not answer.
+type fakeSource struct {
+	status  adminapi.Status
 	servers []adminapi.Server
-	err     error
+	err     error // of Status
 }
 
-func (f fake) Status() (adminapi.Status, error) {
-	return adminapi.Status{Name: "<b>n0</b>", State: "serving", Core: "ok"}, f.err
-}
-func (f fake) Servers() ([]adminapi.Server, error) { return f.servers, nil }
+func (f fakeSource) Status() (adminapi.Status, error)    { return f.status, f.err }
+func (f fakeSource) Servers() ([]adminapi.Server, error) { return f.servers, nil }
 
 // ShardMaps has an index with an open plan.
-func (fake) ShardMaps() ([]adminapi.IndexShardMap, error) {
+func (fakeSource) ShardMaps() ([]adminapi.IndexShardMap, error) {
 	l, err := shardmap.NewEven(4, [][]string{{"a", "<script>"}, {"c"}})
 	if err == nil {
 		l, err = l.Apply(shardmap.Command{Request: &shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{shardmap.FirstDynamicID}, Pieces: 2}})
@@ -94,7 +97,7 @@
 			t.Fatal(err)
 		}
 	}
-	h := &Handler{Source: fake{servers: []adminapi.Server{{Name: "<script>alert(1)</script>", State: "in_service", Health: map[string]float64{"c": 0.25}}}},
+	h := &Handler{Source: fakeSource{status: markupStatus, servers: []adminapi.Server{{Name: "<script>alert(1)</script>", State: "in_service", Health: map[string]float64{"c": 0.25}}}},
 		Series: s, Now: time.Now}
 	get := func(host string) (int, string) {
 		w := httptest.NewRecorder()
@@ -125,7 +128,7 @@
 	if len(points) != 3*19 {
 		t.Errorf("%d points", len(points))
 	}
-	h.Source = fake{err: adminapi.ErrUnreachable}
+	h.Source = fakeSource{status: markupStatus, err: adminapi.ErrUnreachable}
 	if _, body := get("[::1]:1"); !strings.Contains(body, adminapi.ErrUnreachable.Error()) || !strings.Contains(body, "<polyline") {
 		t.Errorf("%s", body)
 	}
@@ -142,7 +145,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- Serve(ctx, ln, fake{err: adminapi.ErrUnreachable}) }()
+	go func() { done <- Serve(ctx, ln, fakeSource{status: markupStatus, err: adminapi.ErrUnreachable}) }()
 	for call, want := range map[[2]string]int{{"GET", "/"}: 200, {"PUT", "/"}: 405, {"GET", "/v1/drain"}: 404} {
 		req, err := http.NewRequest(call[0], "http://"+ln.Addr().String()+call[1], nil)
 		if err != nil {
--- /dev/null
+++ b/internal/dashboard/golden_test.go
@@ -0,0 +1,47 @@
+package dashboard
+
+import (
+	"net/http/httptest"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"linkpass/internal/adminapi"
+	"linkpass/internal/goldentest"
+)
+
+// goldenStatus sets all that the page draws of a status.
+func goldenStatus() adminapi.Status {
+	return adminapi.Status{Name: "n0", Program: "v1", State: "serving", Core: "busy", InFlight: 7, ServersKnown: 3, ServersExcluded: 1,
+		Bodies: &adminapi.BodyStatus{Stored: 12}, Store: &adminapi.StoreStatus{ID: "n0", Leader: "n1", Revision: 42}}
+}
+
+func TestPageMatchesGolden(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		s, err := NewSeries()
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer s.Close()
+		for i := range int64(5) {
+			classes := []adminapi.ClassStatus{{Name: "lookup & <co>", Served: i * i * 3, Rejected: 9 - 3*i, Failed: i}, {Name: "idle"}}
+			if err := s.Add(time.Now(), classes); err != nil {
+				t.Fatal(err)
+			}
+			time.Sleep(SampleInterval)
+		}
+		source := fakeSource{status: goldenStatus(), servers: []adminapi.Server{
+			{Name: "<b>", State: "in_service", InFlight: 3, MedianMS: 12.34, Health: map[string]float64{"c": 0.25, "d": 0.75}, WarmingUp: true},
+			{Name: "s-02", State: "draining", Excluded: "ejected", Health: map[string]float64{"c": 1}},
+		}}
+		for name, h := range map[string]*Handler{
+			"page.html":             {Source: source, Series: s, Now: time.Now},
+			"page_unreachable.html": {Source: fakeSource{err: adminapi.ErrUnreachable}, Series: s, Now: time.Now},
+		} {
+			t.Log(name)
+			w := httptest.NewRecorder()
+			h.ServeHTTP(w, httptest.NewRequest("GET", "http://127.0.0.1:9302/", nil))
+			goldentest.Bytes(t, name, w.Body.Bytes())
+		}
+	})
+}
