--- a/internal/cli/docs_test.go
+++ b/internal/cli/docs_test.go
@@ -28,7 +28,7 @@
 var elsewhere = map[string]string{
 	"linkpass --opensearch":   "TestNewConfiguration of internal/daemon, and each demo",
 	"linkpass demo":           "TestCommands runs on one",
-	"linkpass page":           "TestServe of internal/dashboard runs what it calls",
+	"linkpass page":           "TestServeUntilContextEnds of internal/dashboard runs what it calls",
 	"linkpass-lab fleet":      "no test: the demo starts the same stand-ins",
 	"linkpass-lab run":        "TestReshapeKeepsTheRules and TestDrainsKeepTheRules of internal/experiment; run bodies is run by hand alone",
 	"linkpass-lab hold":       "TestBodiesUnder32MB of internal/experiment",
--- a/internal/dashboard/golden_test.go
+++ b/internal/dashboard/golden_test.go
@@ -1,7 +1,6 @@
 package dashboard
 
 import (
-	"net/http/httptest"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -34,14 +33,12 @@
 			{Name: "<b>", State: "in_service", InFlight: 3, MedianMS: 12.34, Health: map[string]float64{"c": 0.25, "d": 0.75}, WarmingUp: true},
 			{Name: "s-02", State: "draining", Excluded: "ejected", Health: map[string]float64{"c": 1}},
 		}}
-		for name, h := range map[string]*Handler{
-			"page.html":             {Source: source, Series: s, Now: time.Now},
-			"page_unreachable.html": {Source: fakeSource{err: adminapi.ErrUnreachable}, Series: s, Now: time.Now},
+		for name, source := range map[string]Source{
+			"page.html":             source,
+			"page_unreachable.html": fakeSource{err: adminapi.ErrUnreachable},
 		} {
-			t.Log(name)
-			w := httptest.NewRecorder()
-			h.ServeHTTP(w, httptest.NewRequest("GET", "http://127.0.0.1:9302/", nil))
-			goldentest.Bytes(t, name, w.Body.Bytes())
+			_, body := getPage(&Handler{Source: source, Series: s, Now: time.Now}, "127.0.0.1:9302")
+			goldentest.Bytes(t, name, []byte(body))
 		}
 	})
 }
--- /dev/null
+++ b/internal/dashboard/main_test.go
@@ -0,0 +1,10 @@
+package dashboard
+
+import (
+	"testing"
+
+	"go.uber.org/goleak"
+)
+
+// Guards against a sampler, a storage or a connection that outlives Serve.
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/dashboard/series.go
+++ b/internal/dashboard/series.go
@@ -1,5 +1,3 @@
-// Package dashboard draws a coordinator for a browser: its state, the fleet, slices, open plans, and service by class over the
-// last minutes. It only reads.
 package dashboard
 
 import (
@@ -14,101 +12,119 @@
 )
 
 const (
-	// SampleInterval is between two samples.
+	// SampleInterval is the time between two samples.
 	SampleInterval = 2 * time.Second
-	// Window is how far back the charts go.
+	// Window is the time that the charts span.
 	Window = 5 * time.Minute
-	// partition is the library's unit of forgetting: it keeps two in memory, and what is older goes.
+	// partition is the storage's unit of retention; it holds two.
 	partition = Window
 )
 
-// kinds of final answers, as they are drawn.
-var kinds = []string{"served", "refused", "failed"}
+// outcomes of a response: metrics of the storage, classes in the page's style sheet, words in the page.
+var outcomes = []string{"served", "refused", "failed"}
 
-// Series is the answers by class over the last minutes. Its use of memory is bounded: two partitions of samples.
+// Series holds the rates of final responses by class and outcome. Its memory is bounded: two partitions of samples.
+// Classes and rates are safe for concurrent use, also with Add.
 type Series struct {
-	store tstorage.Storage
+	storage tstorage.Storage
 
 	mu      sync.Mutex
-	classes []string // as last sampled
+	classes []string // of the last sample
 
-	// Owned by Add's caller.
-	last map[string]int64 // counts at the last sample, by class and kind
-	at   time.Time        // of the last sample
+	// Owned by the goroutine that calls Add.
+	counts map[countKey]int64 // at the last sample
+	at     time.Time          // of the last sample
 }
 
-// NewSeries makes an empty one, in memory.
+type countKey struct{ class, outcome string }
+
+// NewSeries returns an empty series in memory; Close has to follow.
 func NewSeries() (*Series, error) {
-	s, err := tstorage.NewStorage(tstorage.WithTimestampPrecision(tstorage.Milliseconds), tstorage.WithPartitionDuration(partition),
-		tstorage.WithRetention(2*partition))
+	s, err := tstorage.NewStorage(
+		tstorage.WithTimestampPrecision(tstorage.Milliseconds),
+		tstorage.WithPartitionDuration(partition),
+		tstorage.WithRetention(2*partition),
+	)
 	if err != nil {
 		return nil, fmt.Errorf("time series: %w", err)
 	}
-	return &Series{store: s, last: map[string]int64{}}, nil
+	return &Series{storage: s, counts: map[countKey]int64{}}, nil
 }
 
-// Close gives it back.
-func (s *Series) Close() error { return s.store.Close() }
+// Close frees the storage and ends its goroutines.
+func (s *Series) Close() error { return s.storage.Close() }
 
-// Add takes a sample: the answers since the last one become a rate. The first only says where to count from. One
-// goroutine calls it.
+// Add stores the rates since the last sample; the first sample is only counted from. One goroutine calls it, in the
+// order of time: after a step back of the clock it counts anew.
 func (s *Series) Add(now time.Time, classes []adminapi.ClassStatus) error {
-	first := s.at.IsZero()
-	per := now.Sub(s.at).Seconds()
-	if per <= 0 {
-		first = true // the clock went back: count from here
-	}
+	elapsed := now.Sub(s.at).Seconds()
+	hasRates := !s.at.IsZero() && elapsed > 0
 	var rows []tstorage.Row
 	var names []string
 	for _, c := range classes {
 		names = append(names, c.Name)
-		for i, n := range []int64{c.Served, c.Rejected, c.Failed} {
-			name := c.Name + " " + kinds[i]
-			if !first && n >= s.last[name] { // a count that fell is a restart: a gap
-				rows = append(rows, tstorage.Row{Metric: kinds[i], Labels: []tstorage.Label{{Name: "class", Value: c.Name}},
-					DataPoint: tstorage.DataPoint{Timestamp: now.UnixMilli(), Value: float64(n-s.last[name]) / per}})
+		for i, count := range []int64{c.Served, c.Rejected, c.Failed} {
+			key := countKey{c.Name, outcomes[i]}
+			if hasRates && count >= s.counts[key] { // a lower count is a restart: a gap
+				rows = append(rows, newRow(key, now, float64(count-s.counts[key])/elapsed))
 			}
-			s.last[name] = n
+			s.counts[key] = count
 		}
 	}
 	s.at = now
-	s.mu.Lock()
-	s.classes = names
-	s.mu.Unlock()
+	s.setClasses(names)
 	if len(rows) == 0 {
 		return nil
 	}
-	if err := s.store.InsertRows(rows); err != nil {
+	if err := s.storage.InsertRows(rows); err != nil {
 		return fmt.Errorf("time series: %w", err)
 	}
 	return nil
 }
 
-// Classes are the classes as last sampled.
+func newRow(key countKey, at time.Time, rate float64) tstorage.Row {
+	return tstorage.Row{
+		Metric:    key.outcome,
+		Labels:    classLabels(key.class),
+		DataPoint: tstorage.DataPoint{Timestamp: at.UnixMilli(), Value: rate},
+	}
+}
+
+func classLabels(class string) []tstorage.Label {
+	return []tstorage.Label{{Name: "class", Value: class}}
+}
+
+func (s *Series) setClasses(names []string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.classes = names
+}
+
+// Classes returns the classes of the last sample, in its order.
 func (s *Series) Classes() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.classes
 }
 
-// point is a rate at a time.
+// point is a rate in responses a second.
 type point struct {
 	at   time.Time
 	rate float64
 }
 
-// rates are those of a class and kind within the window before now, oldest first.
-func (s *Series) rates(now time.Time, class, kind string) ([]point, error) {
-	list, err := s.store.Select(kind, []tstorage.Label{{Name: "class", Value: class}}, now.Add(-Window).UnixMilli(), now.UnixMilli()+1)
+// rates returns those of a class and outcome within Window before now, oldest first.
+func (s *Series) rates(now time.Time, class, outcome string) ([]point, error) {
+	stored, err := s.storage.Select(outcome, classLabels(class), now.Add(-Window).UnixMilli(), now.UnixMilli()+1)
 	if errors.Is(err, tstorage.ErrNoDataPoints) {
 		return nil, nil
 	}
 	if err != nil {
 		return nil, fmt.Errorf("time series: %w", err)
 	}
-	out := make([]point, len(list))
-	for i, p := range list {
-		out[i] = point{time.UnixMilli(p.Timestamp), p.Value}
+	points := make([]point, len(stored))
+	for i, p := range stored {
+		points[i] = point{time.UnixMilli(p.Timestamp), p.Value}
 	}
-	return out, nil
+	return points, nil
 }
--- a/internal/dashboard/serve.go
+++ b/internal/dashboard/serve.go
@@ -10,11 +10,13 @@
 )
 
 const (
-	readLimit  = 5 * time.Second
-	writeLimit = 30 * time.Second // two calls of the source at most, and a slow browser
+	readTimeout    = 5 * time.Second
+	writeTimeout   = 30 * time.Second // for the calls of the source, and a slow browser
+	maxHeaderBytes = 16 << 10
 )
 
-// Serve serves the page on ln until the context ends, and samples the source meanwhile.
+// Serve serves the page on ln until ctx ends, and samples the source meanwhile. It closes ln, and returns nil when ctx
+// has ended.
 func Serve(ctx context.Context, ln net.Listener, source Source) error {
 	series, err := NewSeries()
 	if err != nil {
@@ -22,9 +24,7 @@
 		return err
 	}
 	defer series.Close()
-	mux := http.NewServeMux()
-	mux.Handle("GET /{$}", &Handler{Source: source, Series: series, Now: time.Now})
-	server := &http.Server{Handler: mux, ReadTimeout: readLimit, WriteTimeout: writeLimit, MaxHeaderBytes: 16 << 10}
+	server := newServer(&Handler{Source: source, Series: series, Now: time.Now})
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	sampled := make(chan struct{})
@@ -40,18 +40,24 @@
 	return nil
 }
 
-// sample adds to the series until the context ends. A coordinator that does not answer leaves a gap.
+func newServer(h *Handler) *http.Server {
+	mux := http.NewServeMux()
+	mux.Handle("GET /{$}", h)
+	return &http.Server{Handler: mux, ReadTimeout: readTimeout, WriteTimeout: writeTimeout, MaxHeaderBytes: maxHeaderBytes}
+}
+
+// sample adds to the series until ctx ends. A failed call of the source, or of the series, leaves a gap.
 func sample(ctx context.Context, source Source, series *Series) {
-	tick := time.NewTicker(SampleInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(SampleInterval)
+	defer ticker.Stop()
 	for {
 		if s, err := source.Status(); err == nil {
-			_ = series.Add(time.Now(), s.Classes) // what fails is a gap too
+			_ = series.Add(time.Now(), s.Classes)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 	}
 }
