--- /dev/null
+++ b/internal/cli/bodies.go
@@ -0,0 +1,24 @@
+package cli
+
+import (
+	"fmt"
+	"io"
+)
+
+type bodiesCommand struct{}
+
+// Run shows how many bodies are stored, and in how many bytes.
+func (bodiesCommand) Run(e *env) error {
+	s, err := e.client.Status()
+	if err != nil {
+		return err
+	}
+	if s.Bodies == nil {
+		return fmt.Errorf("bodies are not kept by a store here")
+	}
+	b := *s.Bodies
+	return e.show(b, func(w io.Writer) {
+		fmt.Fprintf(w, "held\t%d\nshared by further queries\t%d\narriving\t%d\nwith a part to be written\t%d\nin memory\t%s\nin files\t%s\non disk\t%s\n",
+			b.Stored, b.Shared, b.Arriving, b.Waiting, formatBytes(b.Memory), formatBytes(b.Files), formatBytes(b.Disk))
+	})
+}
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -171,17 +171,17 @@
 		}
 		return out.String() + errOut.String()
 	}
-	if out := run(Done, "log", "peer", "error"); !strings.Contains(out, "peer       error") {
+	if out := run(ExitDone, "log", "peer", "error"); !strings.Contains(out, "peer       error") {
 		t.Error(out)
 	}
-	if out := run(Done, "log", "-o", "json"); !strings.Contains(out, `"peer": "error"`) {
+	if out := run(ExitDone, "log", "-o", "json"); !strings.Contains(out, `"peer": "error"`) {
 		t.Error(out)
 	}
-	run(Refused, "log", "peer", "loud")
-	run(Refused, "log", "nobody", "warn")
-	run(Refused, "log", "peer")
-	run(Done, "config", "reload")
-	if out := run(Done, "log"); !strings.Contains(out, "peer       info") || !strings.Contains(out, "raft       warn") {
+	run(ExitFailed, "log", "peer", "loud")
+	run(ExitFailed, "log", "nobody", "warn")
+	run(ExitFailed, "log", "peer")
+	run(ExitDone, "config", "reload")
+	if out := run(ExitDone, "log"); !strings.Contains(out, "peer       info") || !strings.Contains(out, "raft       warn") {
 		t.Error(out)
 	}
 }
@@ -196,7 +196,7 @@
 	r.Close()
 	defer w.Close()
 	var errOut bytes.Buffer
-	if code := Main([]string{"--socket", d.Socket, "-o", "json", "status"}, w, &errOut); code != Done || errOut.Len() > 0 {
+	if code := Main([]string{"--socket", d.Socket, "-o", "json", "status"}, w, &errOut); code != ExitDone || errOut.Len() > 0 {
 		t.Errorf("exit code %d, %s", code, errOut.String())
 	}
 }
@@ -213,19 +213,19 @@
 		_, _ = io.WriteString(nc, "GET /v1/sta") // those that had to make room already can't
 	}
 	var out, errOut bytes.Buffer
-	if code := Main([]string{"--socket", d.Socket, "status"}, &out, &errOut); code != Done || !strings.Contains(out.String(), "serving") {
+	if code := Main([]string{"--socket", d.Socket, "status"}, &out, &errOut); code != ExitDone || !strings.Contains(out.String(), "serving") {
 		t.Errorf("exit code %d: %s%s", code, out.String(), errOut.String())
 	}
 }
 
 // No line of a view is wider than its terminal.
 func TestLinesAreCutToTheTerminal(t *testing.T) {
-	for _, l := range strings.Split(cut("short\n"+strings.Repeat("wide ä ", 30)+"\n", 60), "\n") {
+	for _, l := range strings.Split(truncateLines("short\n"+strings.Repeat("wide ä ", 30)+"\n", 60), "\n") {
 		if n := len([]rune(l)); n > 60 {
 			t.Errorf("%d columns: %s", n, l)
 		}
 	}
-	if text := strings.Repeat("x", 100); cut(text, 0) != text {
+	if text := strings.Repeat("x", 100); truncateLines(text, 0) != text {
 		t.Error("cut where there is no terminal")
 	}
 }
@@ -233,14 +233,14 @@
 // The exit codes are those of docs/cli.md.
 func TestExitCodes(t *testing.T) {
 	nobody := t.TempDir() + "/none"
-	for want, args := range map[int][]string{Done: {"--version"}, Misused: {"frobnicate"}, Nobody: {"--socket", nobody, "status"},
-		Refused: {"check", "--file-only", "--opensearch", nobody}} {
+	for want, args := range map[int][]string{ExitDone: {"--version"}, ExitMisused: {"frobnicate"}, ExitUnreachable: {"--socket", nobody, "status"},
+		ExitFailed: {"check", "--file-only", "--opensearch", nobody}} {
 		if got := Main(args, io.Discard, io.Discard); got != want {
 			t.Errorf("%v: exit code %d, want %d", args, got, want)
 		}
 	}
-	e := &env{out: &output{Writer: io.Discard}, err: io.Discard, cli: &commands{}}
-	if got := e.code(e.wait("it", func() (bool, error) { return false, nil })); got != TimedOut {
+	e := &env{out: &output{Writer: io.Discard}, err: io.Discard, flags: &commands{}}
+	if got := e.fail(e.wait("it", func() (bool, error) { return false, nil })); got != ExitTimedOut {
 		t.Errorf("a wait in vain: exit code %d", got)
 	}
 }
--- /dev/null
+++ b/internal/cli/config.go
@@ -0,0 +1,82 @@
+package cli
+
+import (
+	"crypto/rand"
+	"encoding/hex"
+	"fmt"
+	"io"
+
+	"linkpass/internal/adminapi"
+	"linkpass/internal/adminapi/signature"
+)
+
+// configCommands are the commands of the settings.
+type configCommands struct {
+	Show   configShow   `cmd:"" help:"The settings as they hold, and where each came from."`
+	Reload configReload `cmd:"" help:"Read the files again; tell which keys took hold and which wait for a start."`
+	NewKey configNewKey `cmd:"" help:"Print a line with a fresh key for the file of operator.keys."`
+}
+
+// keyBytes is the length of a new key.
+const keyBytes = 32
+
+type configReload struct{}
+
+// Run makes the coordinator reload its files, and shows when each changed key takes effect.
+func (configReload) Run(e *env) error {
+	var result adminapi.ReloadResult
+	if err := e.client.Call("PUT", "/config/reload", nil, &result); err != nil {
+		return err
+	}
+	return e.show(result, func(w io.Writer) {
+		fmt.Fprintln(w, "KEY\tTAKES HOLD")
+		list := func(when string, keys []string) {
+			for _, k := range keys {
+				fmt.Fprintf(w, "%s\t%s\n", k, when)
+			}
+		}
+		list("now", result.Applied)
+		list("with the next start", result.NeedsRestart)
+		list("never: the store says", result.Replicated)
+	})
+}
+
+type configNewKey struct {
+	ID string `arg:"" help:"Of the key."`
+}
+
+// Run prints a random key to standard output alone: guards against a file that others can read.
+func (c configNewKey) Run(e *env) error {
+	key := make([]byte, keyBytes)
+	if _, err := rand.Read(key); err != nil {
+		return fmt.Errorf("a fresh key: %w", err)
+	}
+	if err := (signature.KeyRing{c.ID: key}).Validate(); err != nil {
+		return err
+	}
+	_, err := fmt.Fprintf(e.out, "%q = %q\n", c.ID, hex.EncodeToString(key))
+	return err
+}
+
+type configShow struct {
+	Effective bool `help:"Those that a file or the environment did not set, too." default:"true" negatable:""`
+}
+
+// Run shows the settings of the running coordinator.
+func (c configShow) Run(e *env) error {
+	var all, shown []adminapi.Setting
+	if err := e.client.Call("GET", "/config", nil, &all); err != nil {
+		return err
+	}
+	for _, s := range all {
+		if c.Effective || s.Source != "default" {
+			shown = append(shown, s)
+		}
+	}
+	return e.show(shown, func(w io.Writer) {
+		fmt.Fprintln(w, "KEY\tVALUE\tFROM")
+		for _, s := range shown {
+			fmt.Fprintf(w, "%s\t%s\t%s\n", s.Key, s.Value, s.Source)
+		}
+	})
+}
--- a/internal/cli/page.go
+++ b/internal/cli/page.go
@@ -4,11 +4,10 @@
 	"context"
 	"fmt"
 	"net"
+	"os"
 	"os/signal"
 	"syscall"
 
-	"os"
-
 	"linkpass/internal/dashboard"
 )
 
@@ -16,7 +15,7 @@
 	Listen string `help:"Where the page is served. It asks for no key: keep it on the loopback." default:"127.0.0.1:9302"`
 }
 
-// Run serves the page until it is interrupted. A coordinator that does not answer is said on it.
+// Run serves the dashboard until SIGINT or SIGTERM. The page shows it when the coordinator does not answer.
 func (c pageCommand) Run(e *env) error {
 	ln, err := net.Listen("tcp", c.Listen)
 	if err != nil {
--- /dev/null
+++ b/internal/cli/store_diff.go
@@ -0,0 +1,101 @@
+package cli
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"maps"
+	"os"
+	"slices"
+	"strings"
+
+	"linkpass/internal/adminapi"
+	"linkpass/internal/store"
+)
+
+type storeDiff struct {
+	File string `arg:"" optional:"" type:"existingfile" help:"A backup; this instance's own document if missing."`
+}
+
+// Run compares two documents key by key; it fails if they differ.
+func (c storeDiff) Run(e *env) error {
+	current, err := e.document(store.Linearizable, 0)
+	if err != nil {
+		return err
+	}
+	other, err := c.other(e)
+	if err != nil {
+		return err
+	}
+	lines := diffLines(other, current)
+	if err := e.show(lines, func(w io.Writer) {
+		for _, line := range lines {
+			fmt.Fprintln(w, line)
+		}
+	}); err != nil {
+		return err
+	}
+	if len(lines) > 0 {
+		return fmt.Errorf("%d lines differ", len(lines))
+	}
+	return nil
+}
+
+// other returns the document to compare with.
+func (c storeDiff) other(e *env) (doc any, err error) {
+	if c.File == "" {
+		return e.document(store.Local, 0)
+	}
+	data, err := os.ReadFile(c.File)
+	if err != nil {
+		return nil, fmt.Errorf("diff: %w", err)
+	}
+	if _, err := adminapi.ReadBackup(data); err != nil {
+		return nil, err
+	}
+	var b adminapi.Backup
+	if err := json.Unmarshal(data, &b); err != nil {
+		return nil, fmt.Errorf("diff: %w", err)
+	}
+	if err := json.Unmarshal(b.Document, &doc); err != nil {
+		return nil, fmt.Errorf("diff: %w", err)
+	}
+	return doc, nil
+}
+
+// diffLines returns the leaves of before that after hasn't, and the reverse, by key; nil if there are none.
+func diffLines(before, after any) []string {
+	old, current := map[string]string{}, map[string]string{}
+	flatten(old, "", before)
+	flatten(current, "", after)
+	var lines []string
+	for key, value := range old {
+		if current[key] != value {
+			lines = append(lines, fmt.Sprintf("%s\t- %s", key, value))
+		}
+	}
+	for key, value := range current {
+		if old[key] != value {
+			lines = append(lines, fmt.Sprintf("%s\t+ %s", key, value))
+		}
+	}
+	slices.Sort(lines)
+	return lines
+}
+
+// flatten adds a document's leaves to out, under dotted keys below key.
+func flatten(out map[string]string, key string, v any) {
+	switch v := v.(type) {
+	case map[string]any:
+		for _, k := range slices.Sorted(maps.Keys(v)) {
+			flatten(out, strings.TrimPrefix(key+"."+k, "."), v[k])
+		}
+	case []any:
+		for i, item := range v {
+			flatten(out, fmt.Sprintf("%s[%d]", key, i), item)
+		}
+	default:
+		data, _ := json.Marshal(v) // decoded from JSON, so that it encodes
+		out[key] = string(data)
+	}
+}
--- a/internal/dashboard/main_test.go
+++ b/internal/dashboard/main_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// Guards against a sampler, a storage or a connection that outlives Serve.
+// Guards against a sampler or a connection that outlives Serve.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
