--- a/internal/cli/docs_test.go
+++ b/internal/cli/docs_test.go
@@ -13,80 +13,86 @@
 )
 
 var (
-	// shown is a command in a page: between backquotes, or on a line of a block that is set in.
+	// shown matches a command in a page: between backquotes, or on a line of an indented block.
 	shown = regexp.MustCompile("(?m)`((?:bin/)?linkpass(?:-lab)? [^`]*)`|^    ((?:bin/)?linkpass(?:-lab)? [^#\n]*|curl [^#\n]*)")
 
-	// What stands for something in a table of commands, and addresses that a test can't bind or reach.
+	// samples replaces placeholders of commands, addresses what a test cannot bind or reach.
 	samples = strings.NewReplacer("[serve] ", "", "[", "", "]", "", " …", "", "KIND", "lease", "SLICE SLICE", "1048578 1048579", "move INDEX SLICE", "move players 1048577",
 		"--cell 3", "--cell 0", "SLICE", "1048576", "INDEX", "players", " PLAN", " 1", "BACKUP", "backup.json", "KEY", "search.max_result_window", "PART LEVEL", "peer warn", "--into N", "--into 2", "--to a+b", "--to $SET",
 		"--count N", "--count 2", " ID", " x", "recover --opensearch FILE", "recover --opensearch $FILE", "--opensearch FILE", "--opensearch $FILE", "backup FILE", "backup backup.json")
 	addresses = strings.NewReplacer("127.0.0.1:9200", "$SEARCH", "127.0.0.1:19000", "$DOOR")
 )
 
-// elsewhere are the commands that are not run from the page, by their beginning, and what runs instead: they take long, or
-// end when told.
+// elsewhere are commands that take long or run until interrupted, by their beginning, and the tests that run them.
 var elsewhere = map[string]string{
 	"linkpass --opensearch":   "TestNewConfiguration of internal/daemon, and each demo",
-	"linkpass demo":           "TestCommands runs on one",
+	"linkpass demo":           "TestCommandsOfScriptsAndPages runs on one",
 	"linkpass page":           "TestServeUntilContextEnds of internal/dashboard runs what it calls",
-	"linkpass-lab fleet":      "no test: the demo starts the same stand-ins",
+	"linkpass-lab fleet":      "no test: the demo starts the same emulated servers",
 	"linkpass-lab run":        "TestReshapeKeepsTheRules and TestDrainsKeepTheRules of internal/experiment; run bodies is run by hand alone",
 	"linkpass-lab hold":       "TestBodiesUnder32MB of internal/experiment",
 	"linkpass slices abandon": "slices.txtar, where it is certain how far the plan has come",
 	"linkpass store promote":  "store.txtar: a member that no process stands for does not catch up",
 }
 
-// refused are the commands that a coordinator which runs alone, as the test's does, has to turn down, and why.
-var refused = map[string]string{"linkpass store recover": "recovery refused"}
+// rejected are the commands that a running coordinator without other instances rejects, and why.
+var rejected = map[string]string{"linkpass store recover": "recovery refused"}
 
-// documented makes a script of each page: every command that it shows, as it stands there and in its order, to be run
-// against a coordinator on a stand-in fleet; of a table's optional words all are given.
+// documented writes a script of each page: every command that it shows, in its order; of a table's optional words all.
 func documented(t *testing.T) (scripts []string) {
+	t.Helper()
 	pages, err := filepath.Glob(filepath.Join("..", "..", "docs", "*.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	dir, n := t.TempDir(), 0
+	dir, total := t.TempDir(), 0
 	for _, page := range append(pages, filepath.Join("..", "..", "README.md")) {
 		text, err := os.ReadFile(page)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var script bytes.Buffer
-		fmt.Fprintln(&script, "env ROUTER_CONFIG=$CONFIG")
-		m := n
-		for _, found := range shown.FindAllStringSubmatch(string(text), -1) {
-			line := addresses.Replace(strings.TrimPrefix(strings.TrimSpace(found[1]+found[2]), "bin/"))
-			if !strings.HasPrefix(line, "curl") {
-				line = samples.Replace(line)
-			}
-			if starts(elsewhere, line) != "" {
-				continue
-			}
-			if why := starts(refused, line); why != "" {
-				fmt.Fprintf(&script, "! %s\nstderr '%s'\n", line, why)
-			} else {
-				fmt.Fprintln(&script, line)
-			}
-			n++
-		}
-		if n == m {
+		script, n := pageScript(string(text))
+		if n == 0 {
 			continue
 		}
+		total += n
 		file := filepath.Join(dir, strings.TrimSuffix(filepath.Base(page), ".md")+"-page.txtar")
-		if err := os.WriteFile(file, script.Bytes(), 0o600); err != nil {
+		if err := os.WriteFile(file, script, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		scripts = append(scripts, file)
 	}
-	if n < 40 {
-		t.Errorf("only %d commands found in the pages", n)
+	if total < 40 {
+		t.Errorf("only %d commands found in the pages", total)
 	}
 	return scripts
 }
 
-// starts is the value of the key that a line begins with.
-func starts(m map[string]string, line string) string {
+// pageScript returns a page's script and the number of its commands.
+func pageScript(text string) ([]byte, int) {
+	var script bytes.Buffer
+	fmt.Fprintln(&script, "env ROUTER_CONFIG=$CONFIG")
+	n := 0
+	for _, found := range shown.FindAllStringSubmatch(text, -1) {
+		line := addresses.Replace(strings.TrimPrefix(strings.TrimSpace(found[1]+found[2]), "bin/"))
+		if !strings.HasPrefix(line, "curl") {
+			line = samples.Replace(line)
+		}
+		if valueOfPrefix(elsewhere, line) != "" {
+			continue
+		}
+		if reason := valueOfPrefix(rejected, line); reason != "" {
+			fmt.Fprintf(&script, "! %s\nstderr '%s'\n", line, reason)
+		} else {
+			fmt.Fprintln(&script, line)
+		}
+		n++
+	}
+	return script.Bytes(), n
+}
+
+// valueOfPrefix returns the value of a key that a line begins with, or "".
+func valueOfPrefix(m map[string]string, line string) string {
 	for key, v := range m {
 		if strings.HasPrefix(line, key) {
 			return v
@@ -95,8 +101,7 @@
 	return ""
 }
 
-// curl makes the call that curl would, for the words that the pages use: -s, -i, -L, -X and -d. It fails on a status
-// of 400 or more, where curl would not, as no example is to show that.
+// curl makes the call that curl would, for the flags that the pages use. Unlike curl it fails on a status of 400 or more.
 func curl(args []string) int {
 	method, url, body := "", "", ""
 	for i := 0; i < len(args); i++ {
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -7,7 +7,7 @@
 	"linkpass/internal/adminapi"
 )
 
-// Exit codes.
+// Exit codes; docs/cli.md lists them.
 const (
 	ExitDone        = 0
 	ExitFailed      = 1 // or rejected by the coordinator
