--- a/cmd/linkpass-ctl/main.go
+++ b/cmd/linkpass-ctl/main.go
@@ -1,4 +1,4 @@
-// Linkpass-ctl is the command line of those who look after a coordinator; it is called as linkpass.
+// Linkpass-ctl is the operators' command line; linkpass executes it for every command that is not the daemon's.
 package main
 
 import (
--- a/cmd/linkpass/main.go
+++ b/cmd/linkpass/main.go
@@ -1,4 +1,4 @@
-// Linkpass is the coordinator, and leads to the command line of those who look after it.
+// Linkpass is the coordinator's daemon. Any other command line it hands over to linkpass-ctl.
 package main
 
 import (
--- a/cmd/linkpass/main_test.go
+++ b/cmd/linkpass/main_test.go
@@ -8,23 +8,24 @@
 	"testing"
 )
 
-// Guards the full fleet's start: the bench loads a library into the process, which a static program never loads.
-// `make test` names the folder of what it has built.
+// Guards against a static program: the full fleet's bench loads a library into the process. `make test` sets the folder.
 func TestBuiltProgramsAreDynamic(t *testing.T) {
 	dir := os.Getenv("LINKPASS_BUILT")
 	if dir == "" {
 		t.Skip("LINKPASS_BUILT names no folder; make test does")
 	}
 	for _, name := range []string{"linkpass", "adapter"} {
-		f, err := elf.Open(filepath.Join(dir, name))
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer f.Close()
-		loader := slices.ContainsFunc(f.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP })
-		libs, err := f.ImportedLibraries()
-		if err != nil || !loader || !slices.Contains(libs, "libc.so.6") {
-			t.Errorf("%s: loader %v, libraries %v, %v; want the C library, linked dynamically", name, loader, libs, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			f, err := elf.Open(filepath.Join(dir, name))
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer f.Close()
+			loader := slices.ContainsFunc(f.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP })
+			libs, err := f.ImportedLibraries()
+			if err != nil || !loader || !slices.Contains(libs, "libc.so.6") {
+				t.Errorf("loader %v, libraries %v, %v; want the C library, linked dynamically", loader, libs, err)
+			}
+		})
 	}
 }
--- a/cmd/linkpass/policy_test.go
+++ b/cmd/linkpass/policy_test.go
@@ -12,8 +12,8 @@
 // routingFolder holds the decisions.
 const routingFolder = "internal/routing"
 
-// The deploy file has to list single files. A file of the decisions that it leaves out, or one that is gone, fails here.
-func TestDeployFileListsEveryFileOfTheDecisions(t *testing.T) {
+// Guards against a file of the decisions that the deploy file leaves out, or lists although it was removed.
+func TestDeployFileListsRoutingFiles(t *testing.T) {
 	root := filepath.Join("..", "..")
 	var deploy struct {
 		Policy []string `toml:"policy"`
