--- /dev/null
+++ b/internal/coordinator/mailbox.go
@@ -0,0 +1,152 @@
+package coordinator
+
+import (
+	"sync"
+
+	"linkpass/internal/routing"
+	"linkpass/internal/shardmap"
+)
+
+// message is what others send to the event loop. The loop handles messages one at a time: those of the mailbox in the
+// order in which they were posted, deferred ones in the order in which they were queued.
+type message interface{ isMessage() }
+
+// The messages of the mailbox.
+type (
+	querySubmitted     struct{ query *query }
+	clientDisconnected struct{ query *query }
+	attemptEnded       struct {
+		id     AttemptID
+		result Result
+	}
+	bodySent         struct{ attempt AttemptID }
+	healthCheckEnded struct {
+		number uint64
+		result Result
+	}
+	warmUpRequested  struct{ done func() }
+	endpointsUpdated struct{ update EndpointUpdate }
+	shardMapsUpdated struct {
+		changes  []shardmap.Change
+		serverID func(string) routing.ServerID
+	}
+	maxOpenChanged     struct{ maxOpen int }
+	openCountRequested struct{ reply chan<- int }
+	snapshotRequested  struct {
+		reply chan<- []routing.ServerSnapshot
+	}
+)
+
+// The deferred messages.
+type (
+	deadlineArmed    struct{ deadline *externalDeadline }
+	deadlineDisarmed struct{ deadline *externalDeadline }
+	bodyEvicted      struct{ query *query }
+)
+
+func (querySubmitted) isMessage()     {}
+func (clientDisconnected) isMessage() {}
+func (attemptEnded) isMessage()       {}
+func (bodySent) isMessage()           {}
+func (healthCheckEnded) isMessage()   {}
+func (warmUpRequested) isMessage()    {}
+func (endpointsUpdated) isMessage()   {}
+func (shardMapsUpdated) isMessage()   {}
+func (maxOpenChanged) isMessage()     {}
+func (openCountRequested) isMessage() {}
+func (snapshotRequested) isMessage()  {}
+func (deadlineArmed) isMessage()      {}
+func (deadlineDisarmed) isMessage()   {}
+func (bodyEvicted) isMessage()        {}
+
+// handle carries out one message.
+func (c *Core) handle(m message) {
+	switch m := m.(type) {
+	case querySubmitted:
+		c.open(m.query)
+	case clientDisconnected:
+		c.disconnect(m.query)
+	case attemptEnded:
+		c.endAttempt(m.id, m.result)
+	case bodySent:
+		c.markSent(m.attempt)
+	case healthCheckEnded:
+		c.endHealthCheck(m.number, m.result)
+	case warmUpRequested:
+		c.warmUp(m.done)
+	case endpointsUpdated:
+		c.updateEndpoints(m.update)
+	case shardMapsUpdated:
+		c.updateShardMaps(m.changes, m.serverID)
+	case maxOpenChanged:
+		c.addEvent(routing.CapacityChange{MaxOpen: m.maxOpen})
+	case openCountRequested:
+		m.reply <- len(c.queries) + len(c.parts)
+	case snapshotRequested:
+		m.reply <- c.router.Snapshot(c.Now())
+	case deadlineArmed:
+		c.armExternal(m.deadline)
+	case deadlineDisarmed:
+		c.disarmExternal(m.deadline)
+	case bodyEvicted:
+		c.evictBody(m.query)
+	}
+}
+
+// post puts a message into the mailbox and waits while that is full; the event loop itself never blocks. It returns
+// false if the loop has stopped.
+func (c *Core) post(m message) bool {
+	select {
+	case c.mailbox <- m:
+		return true
+	case <-c.stopped:
+		return false
+	}
+}
+
+// drainMailbox takes the messages that already wait, up to a full mailbox of them.
+func (c *Core) drainMailbox() {
+	for range cap(c.mailbox) {
+		select {
+		case m := <-c.mailbox:
+			c.handle(m)
+		default:
+			return
+		}
+	}
+}
+
+// deferredQueue is an unbounded queue of messages to the event loop, for callers that must not wait for the mailbox.
+type deferredQueue struct {
+	waiting chan struct{} // of capacity 1: holds a token while the loop is to look at the queue
+
+	mu       sync.Mutex
+	messages []message
+}
+
+// add queues a message and wakes the event loop. It never waits for the loop.
+func (d *deferredQueue) add(m message) {
+	d.mu.Lock()
+	d.messages = append(d.messages, m)
+	d.mu.Unlock()
+	select {
+	case d.waiting <- struct{}{}:
+	default: // the loop has yet to look at the queue
+	}
+}
+
+// takeAll empties the queue, oldest message first.
+func (d *deferredQueue) takeAll() []message {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	messages := d.messages
+	d.messages = nil
+	return messages
+}
+
+// handleDeferred handles the deferred messages.
+func (c *Core) handleDeferred() {
+	for _, m := range c.deferred.takeAll() {
+		c.handle(m)
+	}
+}
