--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -11,7 +11,7 @@
 	"linkpass/internal/daemon"
 )
 
-// commands is the whole command line.
+// commands has the flags and the commands of the command line.
 type commands struct {
 	Socket  string        `help:"Socket of the operators' API." env:"LINKPASS_SOCKET" default:"/run/linkpass/linkpass.sock"`
 	Address string        `help:"Address of the operators' API over TCP, in place of the socket; needs a key." env:"LINKPASS_ADDRESS"`
--- a/internal/cli/env.go
+++ b/internal/cli/env.go
@@ -18,7 +18,7 @@
 // waitInterval is the time between two checks of a condition that a command waits for.
 const waitInterval = 200 * time.Millisecond
 
-// output remembers that its reader closed it. EPIPE alone doesn't tell: a connection to a coordinator fails with it too.
+// output remembers that its reader closed it. EPIPE alone is not enough: a connection to a coordinator fails with it too.
 type output struct {
 	io.Writer
 	closed bool
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -49,7 +49,9 @@
 func (c planWatch) Run(e *env) error { return e.watchPlan(c.Index, c.Plan) }
 
 // planSteps is the order of a plan's steps.
-var planSteps = []shardmap.PlanStep{shardmap.Planned, shardmap.Copying, shardmap.Replicated, shardmap.Switched, shardmap.Retired}
+var planSteps = []shardmap.PlanStep{
+	shardmap.Planned, shardmap.Copying, shardmap.Replicated, shardmap.Switched, shardmap.Retired,
+}
 
 // watchPlan prints each step of a plan that a poll sees, with a bar, until the plan has ended; an abandoned plan is an
 // error.
--- a/internal/cli/top.go
+++ b/internal/cli/top.go
@@ -54,7 +54,8 @@
 // writeView writes one view; with hasRates, counts are rates since the last sample.
 func (e *env) writeView(w io.Writer, s adminapi.Status, last sample, hasRates bool) {
 	elapsed := time.Since(last.at)
-	fmt.Fprintf(w, "%s  %s  %s  core %s  %d open  %s resident\n", time.Now().Format(time.TimeOnly), s.Name, s.State, s.Core, s.InFlight, formatBytes(s.ResidentKB<<10))
+	fmt.Fprintf(w, "%s  %s  %s  core %s  %d open  %s resident\n", time.Now().Format(time.TimeOnly), s.Name, s.State, s.Core,
+		s.InFlight, formatBytes(s.ResidentKB<<10))
 	if hasRates {
 		writeClassRates(w, s, last.status, elapsed)
 	} else {
--- a/internal/dashboard/handler_test.go
+++ b/internal/dashboard/handler_test.go
@@ -33,12 +33,15 @@
 func (fakeSource) ShardMaps() ([]adminapi.IndexShardMap, error) {
 	l, err := shardmap.NewEven(4, [][]string{{"a", "<script>"}, {"c"}})
 	if err == nil {
-		l, err = l.Apply(shardmap.Command{Request: &shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{shardmap.FirstDynamicID}, Pieces: 2}})
+		request := &shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{shardmap.FirstDynamicID}, Pieces: 2}
+		l, err = l.Apply(shardmap.Command{Request: request})
 	}
 	if err != nil {
 		return nil, err
 	}
-	return []adminapi.IndexShardMap{{Index: "players", Version: l.Version(), Total: l.Len(), Shards: l.Shards(), Plans: l.Plans()}}, nil
+	return []adminapi.IndexShardMap{
+		{Index: "players", Version: l.Version(), Total: l.Len(), Shards: l.Shards(), Plans: l.Plans()},
+	}, nil
 }
 
 // newTestHandler has a series of one class with 20 samples of the last minute.
@@ -70,7 +73,8 @@
 	h := newTestHandler(t, fakeSource{status: markupStatus, servers: []adminapi.Server{
 		{Name: "<script>alert(1)</script>", State: "in_service", Health: map[string]float64{"c": 0.25}}}})
 	status, body := getPage(h, "127.0.0.1:9302")
-	if status != 200 || strings.Contains(body, "<script>") || strings.Contains(body, "<b>n0") || strings.Count(body, "<rect") != 4 || !strings.Contains(body, "0.25") {
+	if status != 200 || strings.Contains(body, "<script>") || strings.Contains(body, "<b>n0") ||
+		strings.Count(body, "<rect") != 4 || !strings.Contains(body, "0.25") {
 		t.Errorf("%d %s", status, body)
 	}
 	d := xml.NewDecoder(strings.NewReader(body))
@@ -88,7 +92,8 @@
 // checkPoints checks that a page has all points of the series, inside the charts.
 func checkPoints(t *testing.T, body string) {
 	t.Helper()
-	points := regexp.MustCompile(`([-\d.]+),([-\d.]+)`).FindAllStringSubmatch(strings.Join(regexp.MustCompile(`points="[^"]*"`).FindAllString(body, -1), " "), -1)
+	lines := strings.Join(regexp.MustCompile(`points="[^"]*"`).FindAllString(body, -1), " ")
+	points := regexp.MustCompile(`([-\d.]+),([-\d.]+)`).FindAllStringSubmatch(lines, -1)
 	for _, p := range points {
 		x, _ := strconv.ParseFloat(p[1], 64)
 		y, _ := strconv.ParseFloat(p[2], 64)
--- a/internal/dashboard/page.go
+++ b/internal/dashboard/page.go
@@ -42,7 +42,9 @@
 }
 
 // planSteps is the order of a plan's steps; others count as the first.
-var planSteps = []shardmap.PlanStep{shardmap.Planned, shardmap.Copying, shardmap.Replicated, shardmap.Switched, shardmap.Retired}
+var planSteps = []shardmap.PlanStep{
+	shardmap.Planned, shardmap.Copying, shardmap.Replicated, shardmap.Switched, shardmap.Retired,
+}
 
 // page calls the source for all contents. Failed calls are shown; if the coordinator's status fails, the page has the
 // charts alone.
--- a/internal/launch/launch_test.go
+++ b/internal/launch/launch_test.go
@@ -24,7 +24,9 @@
 	ownDir, pathDir := filepath.Dir(self), t.TempDir()
 	t.Setenv("PATH", pathDir)
 	const inBoth, onPath, isDir = "launch-test-both", "launch-test-path", "launch-test-dir"
-	for _, path := range []string{filepath.Join(ownDir, inBoth), filepath.Join(pathDir, inBoth), filepath.Join(pathDir, onPath), filepath.Join(pathDir, isDir)} {
+	for _, path := range []string{
+		filepath.Join(ownDir, inBoth), filepath.Join(pathDir, inBoth), filepath.Join(pathDir, onPath), filepath.Join(pathDir, isDir),
+	} {
 		writeProgram(t, path)
 	}
 	folder := filepath.Join(ownDir, isDir)
