--- a/internal/bodystore/model_test.go
+++ b/internal/bodystore/model_test.go
@@ -13,7 +13,7 @@
 
 	"linkpass/internal/bodystore/tier"
 	"linkpass/internal/metrics"
-	_ "linkpass/internal/seeded"
+	_ "linkpass/internal/testrand"
 )
 
 // modelRef is a reference to a body, and what it should read as.
--- a/internal/bodystore/tier/tier_test.go
+++ b/internal/bodystore/tier/tier_test.go
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "linkpass/internal/seeded"
+	_ "linkpass/internal/testrand"
 )
 
 // Any sequence of events keeps limits and guarantees, moves bodies down only and evicts no pending one;
--- a/internal/discovery/converter_test.go
+++ b/internal/discovery/converter_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "linkpass/internal/seeded"
+	_ "linkpass/internal/testrand"
 )
 
 // An endpoint that can't be used is named by the error, whose text stands in the log.
--- a/internal/http1/body_sink_test.go
+++ b/internal/http1/body_sink_test.go
@@ -12,7 +12,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "linkpass/internal/seeded"
+	_ "linkpass/internal/testrand"
 )
 
 // Guards against a sink that receives another body than memory would have, or writes of unbounded size.
--- a/internal/opensearch/fakes_test.go
+++ b/internal/opensearch/fakes_test.go
@@ -11,9 +11,9 @@
 	"linkpass/internal/http1"
 	"linkpass/internal/metrics"
 	"linkpass/internal/searchconfig"
-	_ "linkpass/internal/seeded"
 	"linkpass/internal/shardmap"
 	"linkpass/internal/store"
+	_ "linkpass/internal/testrand"
 )
 
 // fakeCore records the queries and answers each at once.
