--- a/internal/opensearch/missing_reason.go
+++ b/internal/opensearch/missing_reason.go
@@ -16,10 +16,39 @@
 	}
 	return apiError{
 		Type:   outcomeErrorType(m.LastOutcome),
-		Reason: "the latest attempt ended as " + m.LastOutcome.String() + evicted,
+		Reason: "the latest attempt ended as " + outcomeWord(m.LastOutcome) + evicted,
 	}
 }
 
+// outcomeWords are the outcomes as clients know them, where that is not the name in the log.
+var outcomeWords = map[outcome.Outcome]string{
+	outcome.Success:           "served",
+	outcome.Rejected:          "turned_away",
+	outcome.BadRequest:        "rejected",
+	outcome.WriteInterrupted:  "cut_in_write",
+	outcome.ConnReset:         "broken",
+	outcome.ConnClosed:        "closed",
+	outcome.MalformedResponse: "garbled",
+	outcome.Timeout:           "silent",
+	outcome.Canceled:          "called_off",
+	outcome.NotSent:           "withheld",
+	outcome.QueueFull:         "crowded",
+	outcome.ShardMoved:        "moved",
+	outcome.UnknownShardMap:   "ahead",
+	outcome.UnknownCoverage:   "unversioned",
+	outcome.DuplicateCoverage: "doubled",
+	outcome.PartialCoverage:   "pieced",
+	outcome.BodyEvicted:       "unkept",
+}
+
+// outcomeWord is the word for an outcome in a response.
+func outcomeWord(o outcome.Outcome) string {
+	if word, ok := outcomeWords[o]; ok {
+		return word
+	}
+	return o.String()
+}
+
 // outcomeErrorType is the exception type that stands for an attempt's outcome.
 func outcomeErrorType(o outcome.Outcome) string {
 	switch o {
--- a/internal/opensearch/missing_reason_test.go
+++ b/internal/opensearch/missing_reason_test.go
@@ -37,3 +37,18 @@
 		t.Errorf("not tried: %s", got)
 	}
 }
+
+// Guards the responses against a new name of an outcome in the log: clients match these words.
+func TestMissingReasonKeepsOutcomeWords(t *testing.T) {
+	words := [outcome.Count]string{
+		"served", "server_error", "turned_away", "dial_refused", "dial_timeout", "dial_failed", "cut_in_write", "broken",
+		"closed", "garbled", "rejected", "silent", "called_off", "withheld", "crowded", "moved", "ahead", "unversioned",
+		"doubled", "pieced", "unkept",
+	}
+	for i, word := range words {
+		got := missingReason(coordinator.MissingPart{LastOutcome: outcome.Outcome(i), Attempted: true}).Reason
+		if want := "the latest attempt ended as " + word; got != want {
+			t.Errorf("%q, want %q", got, want)
+		}
+	}
+}
