--- /dev/null
+++ b/internal/emulator/assignment.go
@@ -0,0 +1,86 @@
+package emulator
+
+import (
+	"encoding/json"
+	"net/http"
+	"slices"
+
+	"linkpass/internal/reshardexec"
+	"linkpass/internal/shardmap"
+	"linkpass/internal/shardmap/resharding"
+)
+
+// serveAssignment applies the assignments of all indices and answers with the state of their shards. Shards of
+// an index without an assignment are dropped.
+func (s *Server) serveAssignment(w http.ResponseWriter, r *http.Request) {
+	request, err := decodeAssignmentRequest(r.Body)
+	if err != nil {
+		http.Error(w, malformedAssignmentText, http.StatusBadRequest)
+		return
+	}
+	_ = json.NewEncoder(w).Encode(s.applyAssignments(request.Assignments))
+}
+
+func (s *Server) applyAssignments(assignments []resharding.Assignment) reshardexec.AssignmentResponse {
+	response := reshardexec.AssignmentResponse{Indices: map[string]reshardexec.IndexStatus{}}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, assignment := range assignments {
+		response.Indices[assignment.Index] = s.applyAssignment(assignment)
+	}
+	for index, replica := range s.indices {
+		if !slices.ContainsFunc(assignments, func(a resharding.Assignment) bool { return a.Index == index }) {
+			clear(replica.shards)
+		}
+	}
+	return response
+}
+
+// applyAssignment drops shards that are no longer assigned and starts the copies of missing ones. An assignment
+// older than the latest changes nothing. The caller holds the mutex.
+func (s *Server) applyAssignment(assignment resharding.Assignment) reshardexec.IndexStatus {
+	replica := s.indices[assignment.Index]
+	if replica == nil {
+		replica = &indexReplica{shards: map[shardmap.ShardID]*shardReplica{}}
+		s.indices[assignment.Index] = replica
+	}
+	if assignment.Version >= replica.version {
+		replica.version = assignment.Version
+		replica.dropUnassigned(assignment.Tasks)
+		for _, task := range assignment.Tasks {
+			s.startTask(assignment.Index, replica, task)
+		}
+	}
+	return replica.status()
+}
+
+func (r *indexReplica) dropUnassigned(tasks []resharding.Task) {
+	for id := range r.shards {
+		if !slices.ContainsFunc(tasks, func(t resharding.Task) bool { return t.Shard == id }) {
+			delete(r.shards, id)
+		}
+	}
+}
+
+// startTask starts the copy of a shard that is incomplete and has sources. The caller holds the mutex.
+func (s *Server) startTask(index string, replica *indexReplica, task resharding.Task) {
+	shard := replica.shards[task.Shard]
+	if shard == nil {
+		shard = &shardReplica{keys: task.Range}
+		replica.shards[task.Shard] = shard
+	}
+	if !shard.complete && !shard.copying && len(task.Sources) > 0 {
+		shard.copying = true
+		go s.copyShard(s.ctx, index, shard, task.Sources)
+	}
+}
+
+// status lists the shards by id.
+func (r *indexReplica) status() reshardexec.IndexStatus {
+	status := reshardexec.IndexStatus{Version: r.version}
+	for id, shard := range r.shards {
+		status.Shards = append(status.Shards, resharding.ShardStatus{Shard: id, Complete: shard.complete, Records: int64(len(shard.records))})
+	}
+	slices.SortFunc(status.Shards, func(a, b resharding.ShardStatus) int { return int(int64(a.Shard) - int64(b.Shard)) })
+	return status
+}
--- /dev/null
+++ b/internal/emulator/errors_test.go
@@ -0,0 +1,45 @@
+package emulator
+
+import (
+	"errors"
+	"net"
+	"testing"
+
+	"linkpass/internal/shardmap"
+	"linkpass/internal/shardmap/resharding"
+)
+
+func TestCopySourceErrors(t *testing.T) {
+	fleet, err := NewFleet(2, 10, Capacity{Cores: 1, Queue: 1}, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(fleet.Close)
+	noRecords := func(int) { t.Error("progress without records") }
+	source := resharding.Source{Shard: 1, Range: shardmap.FullRange, Servers: []string{"s-01"}}
+	if _, err := fleet.Servers[0].copySource(t.Context(), "players", source, noRecords); !errors.Is(err, errNoSource) {
+		t.Errorf("source is the server itself: %v", err)
+	}
+	source.Servers = []string{"s-02"}
+	var status *statusError
+	if _, err := fleet.Servers[0].copySource(t.Context(), "players", source, noRecords); !errors.As(err, &status) || status.status != 409 {
+		t.Errorf("source without the shard: %v", err)
+	}
+	source.Servers = []string{"s-99"}
+	var dial *net.OpError
+	if _, err := fleet.Servers[0].copySource(t.Context(), "players", source, noRecords); !errors.As(err, &dial) {
+		t.Errorf("source that the fleet does not have: %v", err)
+	}
+}
+
+func TestNewDiscoveryAtUsedAddressFails(t *testing.T) {
+	d, err := NewDiscovery("127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(d.Close)
+	var listen *net.OpError
+	if _, err := NewFleetAt(1, 1, Capacity{Cores: 1}, 1, d.Addr()); !errors.As(err, &listen) {
+		t.Errorf("listening twice: %v", err)
+	}
+}
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -10,112 +10,134 @@
 	"linkpass/internal/shardmap"
 )
 
+// Attributes of every endpoint of a fleet.
+const (
+	fleetZone = "ebene"
+	fleetKind = "std-2core"
+)
+
+// unreachableAddr refuses connections; it stands for a server that the fleet does not have.
+const unreachableAddr = "127.0.0.1:1"
+
 // Fleet is servers and the discovery that lists them.
 type Fleet struct {
 	Discovery *Discovery
-	Records   []Record
-	Servers   []*Server // in order of their names
+	Records   []Record  // of the league, sorted by key
+	Servers   []*Server // sorted by name
 
 	mu    sync.Mutex
-	state map[string]string
+	state map[string]string // of a server in the endpoint list, by name
 }
 
-// NewFleet starts n servers, named s-01 and so on, that hold nothing.
-func NewFleet(n, records int, w Capacity, seed uint64) (*Fleet, error) {
-	return NewFleetAt(n, records, w, seed, "127.0.0.1:0")
+// NewFleet starts n servers without shards, named s-01 and so on, and a discovery on a free port. It fails
+// where one of them cannot listen.
+func NewFleet(n, records int, capacity Capacity, seed uint64) (*Fleet, error) {
+	return NewFleetAt(n, records, capacity, seed, "127.0.0.1:0")
 }
 
-// NewFleetAt is the same with a discovery at an address.
-func NewFleetAt(n, records int, w Capacity, seed uint64, addr string) (*Fleet, error) {
-	agent, err := NewDiscovery(addr)
+// NewFleetAt is NewFleet with a discovery at an address (host:port).
+func NewFleetAt(n, records int, capacity Capacity, seed uint64, addr string) (*Fleet, error) {
+	d, err := NewDiscovery(addr)
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{Discovery: agent, Records: Records(records), state: map[string]string{}}
+	f := &Fleet{Discovery: d, Records: Records(records), state: map[string]string{}}
 	for i := range n {
-		s := NewServer(fmt.Sprintf("s-%02d", i+1), w, f.Records, seed, f.addrOf)
+		s := NewServer(fmt.Sprintf("s-%02d", i+1), capacity, f.Records, seed, f.addrOf)
 		s.AnswersSubranges = i%2 == 1
 		f.Servers = append(f.Servers, s)
 		if err := s.Start(); err != nil {
 			f.Close()
 			return nil, err
 		}
-		f.SetState(s, "in_service")
+		f.SetState(s, discovery.StateInService)
 	}
 	return f, nil
 }
 
-func (f *Fleet) addrOf(name string) string {
-	if s := f.Server(name); s != nil {
-		return s.Addr()
+// Close ends all servers and discovery.
+func (f *Fleet) Close() {
+	for _, s := range f.Servers {
+		s.Kill(false)
 	}
-	return "127.0.0.1:1"
+	f.Discovery.Close()
 }
 
-// Server is a server by its name.
+// Server returns a server by its name; nil: there is none.
 func (f *Fleet) Server(name string) *Server {
-	if i := slices.IndexFunc(f.Servers, func(s *Server) bool { return s.Name == name }); i >= 0 {
-		return f.Servers[i]
+	i := slices.IndexFunc(f.Servers, func(s *Server) bool { return s.Name == name })
+	if i < 0 {
+		return nil
+	}
+	return f.Servers[i]
+}
+
+func (f *Fleet) addrOf(name string) string {
+	if s := f.Server(name); s != nil {
+		return s.Addr()
 	}
-	return nil
+	return unreachableAddr
 }
 
-// SetState lists a server in a state.
+// SetState lists a server in a state of package discovery. Terminating starts its drain, any other state ends it.
 func (f *Fleet) SetState(s *Server, state string) {
 	f.mu.Lock()
 	f.state[s.Name] = state
 	f.mu.Unlock()
-	f.Discovery.Update(discovery.Endpoint{ID: s.Name, Addr: s.Addr(), Zone: "ebene", Kind: "std-2core", State: state, Weight: 1, StartedMS: s.StartedAtUnixMS()})
-	if state == "terminating" {
+	f.Discovery.Update(discovery.Endpoint{
+		ID:        s.Name,
+		Addr:      s.Addr(),
+		Zone:      fleetZone,
+		Kind:      fleetKind,
+		State:     state,
+		Weight:    1,
+		StartedMS: s.StartedAtUnixMS(),
+	})
+	if state == discovery.StateTerminating {
 		s.SetDrainedAt(time.Now())
 	} else {
 		s.SetDrainedAt(time.Time{})
 	}
 }
 
-// InService lists the servers that take new work and run.
+// InService lists the names of the servers that run and are listed as in service.
 func (f *Fleet) InService() (names []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.Servers {
-		if f.state[s.Name] == "in_service" && s.Alive() {
+		if f.state[s.Name] == discovery.StateInService && s.Alive() {
 			names = append(names, s.Name)
 		}
 	}
 	return names
 }
 
-// PlaceShards lets every server hold what a layout gives it.
-func (f *Fleet) PlaceShards(index string, l *shardmap.Map) {
+// PlaceShards makes every server hold the shards of an index that a shard map assigns to it.
+func (f *Fleet) PlaceShards(index string, shardMap *shardmap.Map) {
 	for _, s := range f.Servers {
-		s.PlaceShards(index, l)
+		s.PlaceShards(index, shardMap)
 	}
 }
 
-// ReplicaSets pairs the servers up, each set with so many.
-func (f *Fleet) ReplicaSets(each int) (out [][]string) {
-	for i := 0; i+each <= len(f.Servers); i += each {
+// ReplicaSets groups the names of the servers into sets of a size; servers beyond the last full set are left out.
+func (f *Fleet) ReplicaSets(size int) (sets [][]string) {
+	for group := range slices.Chunk(f.Servers, size) {
+		if len(group) < size {
+			return sets
+		}
 		var set []string
-		for _, s := range f.Servers[i : i+each] {
+		for _, s := range group {
 			set = append(set, s.Name)
 		}
-		out = append(out, set)
+		sets = append(sets, set)
 	}
-	return out
+	return sets
 }
 
-// LateParts is how many parts came to a server over a second after its drain was told.
+// LateParts sums Server.LateParts.
 func (f *Fleet) LateParts() (n int64) {
 	for _, s := range f.Servers {
 		n += s.LateParts.Load()
 	}
 	return n
 }
-
-// Close ends all of it.
-func (f *Fleet) Close() {
-	for _, s := range f.Servers {
-		s.Kill(false)
-	}
-	f.Discovery.Close()
-}
--- /dev/null
+++ b/internal/emulator/frame_conn.go
@@ -0,0 +1,74 @@
+package emulator
+
+import (
+	"sync"
+
+	"linkpass/internal/frame"
+)
+
+// frameConn serves the frames of one connection. Parts of a frame ask for complete shards, whatever the shard map.
+type frameConn struct {
+	server *Server
+	conn   *peekedConn
+	write  sync.Mutex     // a frame is written at a time
+	parts  sync.WaitGroup // parts in flight
+}
+
+// serveFrames answers frames until the connection fails or the server is partitioned. It waits for the parts
+// in flight, then closes the connection.
+func (s *Server) serveFrames(conn *peekedConn) {
+	defer conn.Close()
+	f := &frameConn{server: s, conn: conn}
+	defer f.parts.Wait()
+	for {
+		letter, payload, err := frame.Read(conn.reader)
+		if err != nil || s.isPartitioned() {
+			return
+		}
+		switch letter {
+		case frame.Probe:
+			f.send(letter, healthyStatus)
+		case frame.LoadProbe:
+			f.send(letter, s.loadReport())
+		case frame.Call:
+			if !f.startParts(payload) {
+				return
+			}
+		}
+	}
+}
+
+func (f *frameConn) send(letter byte, payload string) {
+	f.write.Lock()
+	defer f.write.Unlock()
+	_, _ = f.conn.Write(frame.Append(nil, letter, []byte(payload)))
+}
+
+// startParts starts a goroutine for each part of a call. It is false after one that cannot be read.
+func (f *frameConn) startParts(payload []byte) bool {
+	for len(payload) > 0 {
+		part, size, ok := parseFramePart(string(payload))
+		if !ok {
+			f.send(frame.Complaint, malformedCallText)
+			return false
+		}
+		payload = payload[size:]
+		f.server.countPart()
+		f.parts.Go(func() { f.answer(part) })
+	}
+	return true
+}
+
+func (f *frameConn) answer(part framePart) {
+	s := f.server
+	release, ok := s.acquireCore()
+	if ok {
+		defer release()
+		ok = s.doWork(1)
+	}
+	if !ok {
+		f.send(frame.Answer, formatFrameRejection(part, s.loadReport()))
+		return
+	}
+	f.send(frame.Answer, formatFrameAnswer(part, s.loadReport(), s.Name))
+}
--- /dev/null
+++ b/internal/emulator/server_test.go
@@ -0,0 +1,188 @@
+package emulator_test
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"linkpass/internal/frame"
+	"linkpass/internal/shardmap"
+)
+
+func TestSearchStatusAndHeaders(t *testing.T) {
+	fleet, shardMap := startFleet(t, 40)
+	shards := shardMap.Shards()
+	first, second := fmt.Sprint(shards[0].ID), fmt.Sprint(shards[1].ID)
+	version, all := fmt.Sprint(shardMap.Version()), shardmap.FullRange.String()
+	cases := map[string]struct {
+		server, shard, keys string
+		status              int
+		version, covered    string
+	}{
+		"shard that the server holds":       {"s-01", first, shards[0].Range.String(), 200, version, shards[0].Range.String()},
+		"range beyond the shard":            {"s-01", first, all, 200, version, all},
+		"moved shard":                       {"s-01", second, all, 409, version, ""},
+		"moved shard, subrange answered":    {"s-02", second, all, 200, version, shards[0].Range.String()},
+		"moved shard, no subrange is held":  {"s-02", second, shards[1].Range.String(), 409, version, ""},
+		"no shard":                          {"s-01", "x", all, 400, "", ""},
+		"no range":                          {"s-01", first, "x", 400, "", ""},
+		"server that started without state": {"s-03", first, all, 429, "", ""},
+	}
+	s3 := fleet.Server("s-03")
+	s3.Kill(true)
+	if err := s3.Restart(); err != nil {
+		t.Fatal(err)
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			got := searchRange(t, fleet.Server(c.server), c.shard, c.keys)
+			if got.status != c.status || got.header.Get("X-Layout-Version") != c.version || got.header.Get("X-Layout-Covers") != c.covered {
+				t.Errorf("%d %v %s", got.status, got.header, got.body)
+			}
+			if !strings.HasPrefix(got.header.Get("X-Server-Load"), "active=") {
+				t.Errorf("load report %q", got.header.Get("X-Server-Load"))
+			}
+		})
+	}
+	if n := fleet.Server("s-01").MovedParts.Load() + fleet.Server("s-02").MovedParts.Load(); n != 2 {
+		t.Errorf("%d parts counted as moved", n)
+	}
+}
+
+func TestSearchBodyGolden(t *testing.T) {
+	fleet, shardMap := startFleet(t, 2)
+	shard := shardMap.Shards()[0]
+	hits := ""
+	for _, record := range fleet.Records {
+		if shard.Range.Contains(record.Key) {
+			hits += fmt.Sprintf(`{"_id":%q,"_score":%v},`, record.ID, float64(record.Key>>40)/(1<<24))
+		}
+	}
+	want := fmt.Sprintf(`{"_shards":{"failed":0,"successful":1,"total":1},"hits":{"hits":[%s],"total":{"relation":"eq","value":%d}},"timed_out":false,"took":1}`+"\n",
+		strings.TrimSuffix(hits, ","), strings.Count(hits, "_id"))
+	if got := searchRange(t, fleet.Servers[0], fmt.Sprint(shard.ID), shard.Range.String()); got.body != want {
+		t.Errorf("%s, want %s", got.body, want)
+	}
+}
+
+func TestHealthCheckBody(t *testing.T) {
+	fleet, _ := startFleet(t, 2)
+	got := call(t, "GET", "http://"+fleet.Servers[0].Addr()+"/", "")
+	if got.status != 200 || got.body != `{"name":"s-01"}` || got.header.Get("X-Server-Load") != "active=0,avg_ms=0.0,waiting=0" {
+		t.Errorf("%+v", got)
+	}
+}
+
+func TestFaultsChangeAnswers(t *testing.T) {
+	fleet, shardMap := startFleet(t, 2)
+	s, shard := fleet.Servers[0], shardMap.Shards()[0]
+	search := func() response { return searchRange(t, s, fmt.Sprint(shard.ID), shard.Range.String()) }
+	s.SetErrorShare(1)
+	if got := search(); got.status != 500 || got.header.Get("X-Layout-Covers") != "" {
+		t.Errorf("error share 1: %+v", got)
+	}
+	s.SetErrorShare(0)
+	s.ClaimShardMapVersion(999)
+	if got := search(); got.status != 409 || got.header.Get("X-Layout-Version") != "999" {
+		t.Errorf("claimed version: %+v", got)
+	}
+	s.ClaimShardMapVersion(0)
+	began := time.Now()
+	s.Pause(50 * time.Millisecond)
+	if got := search(); got.status != 200 || time.Since(began) < 50*time.Millisecond {
+		t.Errorf("paused: %d after %s", got.status, time.Since(began))
+	}
+	s.Partition(true)
+	heal := time.AfterFunc(50*time.Millisecond, func() { s.Partition(false) })
+	defer heal.Stop()
+	began = time.Now()
+	if got := search(); got.status != 200 || time.Since(began) < 50*time.Millisecond {
+		t.Errorf("partitioned: %d after %s", got.status, time.Since(began))
+	}
+}
+
+func TestSearchAfterDrainCountsLatePart(t *testing.T) {
+	fleet, shardMap := startFleet(t, 2)
+	s, shard := fleet.Servers[0], shardMap.Shards()[0]
+	for _, since := range []time.Duration{0, 500 * time.Millisecond, 2 * time.Second} {
+		s.SetDrainedAt(time.Now().Add(-since))
+		searchRange(t, s, fmt.Sprint(shard.ID), shard.Range.String())
+	}
+	if s.Parts.Load() != 3 || fleet.LateParts() != 1 {
+		t.Errorf("%d parts, %d late", s.Parts.Load(), fleet.LateParts())
+	}
+}
+
+func TestFrameRequestsGolden(t *testing.T) {
+	fleet, _ := startFleet(t, 2)
+	conn, err := net.Dial("tcp", fleet.Servers[0].Addr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	if err := conn.SetDeadline(time.Now().Add(5 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	reader := bufio.NewReader(conn)
+	cases := []struct {
+		name            string
+		letter          byte
+		payload         string
+		answer          byte
+		prefix, trailer string
+	}{
+		{"health check", frame.Probe, "", frame.Probe, "200", ""},
+		{"load health check", frame.LoadProbe, "", frame.LoadProbe, "active=0,avg_ms=0.0,waiting=0", ""},
+		{"call", frame.Call, "a1 7 d=500 3\nabc", frame.Answer, "a1 200 7 active=", "\nslice 7 by s-01"},
+		{"call beyond its payload", frame.Call, "a2 7 d=500 4\nabc", frame.Complaint, "a call that cannot be read", ""},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			if _, err := conn.Write(frame.Append(nil, c.letter, []byte(c.payload))); err != nil {
+				t.Fatal(err)
+			}
+			letter, payload, err := frame.Read(reader)
+			if err != nil || letter != c.answer || !strings.HasPrefix(string(payload), c.prefix) || !strings.HasSuffix(string(payload), c.trailer) {
+				t.Errorf("%q %q %v", letter, payload, err)
+			}
+		})
+	}
+}
+
+func TestKillClosesConnectionsAndRestartKeepsAddress(t *testing.T) {
+	fleet, _ := startFleet(t, 2)
+	s := fleet.Servers[0]
+	addr := s.Addr()
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	s.Pause(time.Minute)
+	if _, err := conn.Write([]byte("GET / HTTP/1.1\r\nHost: s\r\n\r\n")); err != nil {
+		t.Fatal(err)
+	}
+	time.Sleep(20 * time.Millisecond)
+	s.Kill(false)
+	if err := conn.SetReadDeadline(time.Now().Add(5 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := io.Copy(io.Discard, conn); errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("the connection stayed open: %v", err)
+	}
+	if s.Alive() || s.StartedAtUnixMS() != 0 {
+		t.Error("killed server is alive or restarted")
+	}
+	if err := s.Restart(); err != nil {
+		t.Fatal(err)
+	}
+	if !s.Alive() || s.Addr() != addr || s.StartedAtUnixMS() == 0 {
+		t.Errorf("restarted at %s, was %s", s.Addr(), addr)
+	}
+}
--- /dev/null
+++ b/internal/emulator/work.go
@@ -0,0 +1,100 @@
+package emulator
+
+import "time"
+
+const (
+	warmupOverloadFactor = 2 // tolerated work in warm-up, as a multiple of what the present speed does
+	warmupOverloadWindow = 3 // seconds of tolerated work that may be open
+
+	drainGrace     = time.Second           // from a drain until no part may come
+	drainTolerance = 50 * time.Millisecond // for parts on their way
+
+	averageWorkWeight = 8 // a new value weighs 1/8 in the moving average
+)
+
+// warmupLoad measures the work offered during warm-up.
+type warmupLoad struct {
+	openSeconds float64 // work offered beyond what warmupOverloadFactor times the speed has done since
+	updatedAt   time.Time
+}
+
+// acquireCore waits for a core. It is false if the queue is full or the server is killed.
+func (s *Server) acquireCore() (release func(), ok bool) {
+	s.mu.Lock()
+	ctx, cores := s.ctx, s.cores
+	s.mu.Unlock()
+	if s.queued.Add(1) > int64(s.capacity.Queue) {
+		s.queued.Add(-1)
+		return nil, false
+	}
+	defer s.queued.Add(-1)
+	select {
+	case cores <- struct{}{}:
+		return func() { <-cores }, true
+	case <-ctx.Done():
+		return nil, false
+	}
+}
+
+// doWork takes the time of one part that finds so many records. It is false if the server is killed meanwhile.
+func (s *Server) doWork(records int) bool {
+	s.mu.Lock()
+	ctx, pausedUntil := s.ctx, s.faults.pausedUntil
+	work := s.drawWork(records)
+	s.mu.Unlock()
+	s.active.Add(1)
+	defer s.active.Add(-1)
+	timer := time.NewTimer(max(work, time.Until(pausedUntil)+work))
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+	case <-ctx.Done():
+		return false
+	}
+	s.averageWorkNS.Store(((averageWorkWeight-1)*s.averageWorkNS.Load() + int64(work)) / averageWorkWeight)
+	return true
+}
+
+// drawWork draws the duration of one part at the present speed. The caller holds the mutex.
+func (s *Server) drawWork(records int) time.Duration {
+	jitter := time.Duration(s.rng.Int64N(int64(s.capacity.WorkPerPart) + 1))
+	work := s.capacity.WorkPerPart/2 + jitter + time.Duration(records)*s.capacity.WorkPerRecord
+	return time.Duration(float64(work) * s.faults.slowdown / s.speed(work))
+}
+
+// speed is the present share of full speed, from 0 to 1. During warm-up it counts work as offered, and
+// overload. The caller holds the mutex.
+func (s *Server) speed(work time.Duration) float64 {
+	if s.startedAt.IsZero() || s.capacity.WarmupDuration <= 0 {
+		return 1
+	}
+	age := time.Since(s.startedAt)
+	if age >= s.capacity.WarmupDuration {
+		return 1
+	}
+	initial := s.capacity.WarmupInitialShare
+	share := initial + (1-initial)*float64(age)/float64(s.capacity.WarmupDuration)
+	now := time.Now()
+	toleratedRate := warmupOverloadFactor * share * float64(s.capacity.Cores) // seconds of work a second
+	elapsed := now.Sub(s.warmup.updatedAt).Seconds()
+	s.warmup.openSeconds = max(0, s.warmup.openSeconds-toleratedRate*elapsed) + work.Seconds()
+	s.warmup.updatedAt = now
+	if s.warmup.openSeconds > toleratedRate*warmupOverloadWindow {
+		s.OverloadedWhileWarming.Add(1)
+	}
+	return share
+}
+
+func (s *Server) loadReport() string {
+	return formatLoadReport(s.active.Load(), float64(s.averageWorkNS.Load())/1e6, s.queued.Load())
+}
+
+// countPart counts a part that has come, and whether a drain forbids it.
+func (s *Server) countPart() {
+	s.Parts.Add(1)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.drainedAt.IsZero() && time.Since(s.drainedAt) > drainGrace+drainTolerance {
+		s.LateParts.Add(1)
+	}
+}
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -141,7 +141,7 @@
 	for i, h := range a.Hits.Hits {
 		ids[i] = h.ID
 	}
-	v := emulator.Judge(w.fleet.Records, q.wanted, ids, a.Shards.Failed == 0 && !a.TimedOut)
+	v := emulator.CheckAnswer(w.fleet.Records, q.wanted, ids, a.Shards.Failed == 0 && !a.TimedOut)
 	t.Duplicates += v.Duplicates + v.Unrequested
 	switch {
 	case v.ClaimedComplete && !v.Complete:
--- a/internal/experiment/reshape.go
+++ b/internal/experiment/reshape.go
@@ -103,7 +103,7 @@
 	out := outcome{tally: t, run: r.name, seed: seed, ordered: mess.ordered, ended: w.ended(), late: w.fleet.LateParts(), replans: w.sum("replans"),
 		attempts: w.sum("attempts_sent"), elsewhere: map[string]int64{}}
 	for _, s := range w.fleet.Servers {
-		out.pushed += s.OverloadedWhileCold.Load()
+		out.pushed += s.OverloadedWhileWarming.Load()
 		out.stale += s.MovedParts.Load()
 	}
 	for _, name := range []string{"attempts_moved", "attempts_ahead", "attempts_pieced", "attempts_unversioned", "attempts_doubled", "answers_not_whole"} {
