--- a/cmd/linkpass-lab/main.go
+++ b/cmd/linkpass-lab/main.go
@@ -1,9 +1,9 @@
-// Linkpass-lab runs experiments on a stand-in fleet, and the fleet itself for trying the
-// program by hand. All of it stays on the loopback.
+// Linkpass-lab runs experiments on an emulated fleet, and the fleet itself to try a coordinator by hand. Everything
+// listens on the loopback. It exits with 1 if an experiment failed or a rule was broken.
 package main
 
 import (
-	"fmt"
+	"errors"
 	"io"
 	"os"
 	"path/filepath"
@@ -26,8 +26,19 @@
 	Fleet fleetCommand `cmd:"" help:"Run a stand-in fleet and its discovery in the foreground, and print how to start a coordinator against it."`
 }
 
-// common is what every experiment takes.
-type common struct {
+// errRuleBroken ends an experiment whose results break a rule.
+var errRuleBroken = errors.New("a rule broke")
+
+// checkRules turns the result of an experiment into an error.
+func checkRules(ok bool, err error) error {
+	if err == nil && !ok {
+		return errRuleBroken
+	}
+	return err
+}
+
+// runFlags are the flags of every experiment.
+type runFlags struct {
 	Seed    uint64 `help:"First seed." default:"1"`
 	Seeds   int    `help:"How many seeds, from the first on." default:"1"`
 	Seconds int    `help:"Length of each run." default:"20"`
@@ -35,15 +46,16 @@
 	Log     string `help:"File for the coordinators' log lines; dropped without."`
 }
 
-func (c common) seeds() (out []uint64) {
+// seeds lists the seeds of the runs.
+func (c runFlags) seeds() (out []uint64) {
 	for i := range c.Seeds {
 		out = append(out, c.Seed+uint64(i))
 	}
 	return out
 }
 
-// logs sends the coordinators' lines where they are wanted.
-func (c common) logs() error {
+// redirectLog sends the coordinators' log lines to the file, or drops them. The file stays open until the process ends.
+func (c runFlags) redirectLog() error {
 	eventlog.SetOutput(io.Discard, false)
 	if c.Log == "" {
 		return nil
@@ -60,7 +72,7 @@
 }
 
 type reshapeCommand struct {
-	common
+	runFlags
 	Servers int           `help:"League servers." default:"12"`
 	Rate    float64       `help:"Queries a second in each run." default:"40"`
 	Every   time.Duration `help:"Between two changes of each index." default:"2s"`
@@ -68,18 +80,21 @@
 
 // Run runs the experiment.
 func (c *reshapeCommand) Run() error {
-	if err := c.logs(); err != nil {
+	if err := c.redirectLog(); err != nil {
 		return err
 	}
-	ok, err := experiment.RunResharding(experiment.ReshardingConfig{Seeds: c.seeds(), Seconds: c.Seconds, Servers: c.Servers, Rate: c.Rate, Every: c.Every, Out: c.Out})
-	if err == nil && !ok {
-		err = fmt.Errorf("a rule broke")
-	}
-	return err
+	return checkRules(experiment.RunResharding(experiment.ReshardingConfig{
+		Seeds:   c.seeds(),
+		Seconds: c.Seconds,
+		Servers: c.Servers,
+		Rate:    c.Rate,
+		Every:   c.Every,
+		Out:     c.Out,
+	}))
 }
 
 type bodiesCommand struct {
-	common
+	runFlags
 	Rate    float64 `help:"Queries a second in each run." default:"30"`
 	BodyKiB int     `name:"body-kib" help:"Size of a query's body." default:"24"`
 	Memory  bool    `help:"Measure resident memory with 10,000 bodies too." default:"true" negatable:""`
@@ -87,32 +102,36 @@
 
 // Run runs the experiment.
 func (c *bodiesCommand) Run() error {
-	if err := c.logs(); err != nil {
+	if err := c.redirectLog(); err != nil {
 		return err
 	}
-	ok, err := experiment.RunBodies(experiment.BodiesConfig{Seeds: c.seeds(), Seconds: c.Seconds, Rate: c.Rate, BodyKiB: c.BodyKiB, Memory: c.Memory, Out: c.Out})
-	if err == nil && !ok {
-		err = fmt.Errorf("a rule broke")
-	}
-	return err
+	return checkRules(experiment.RunBodies(experiment.BodiesConfig{
+		Seeds:   c.seeds(),
+		Seconds: c.Seconds,
+		Rate:    c.Rate,
+		BodyKiB: c.BodyKiB,
+		Memory:  c.Memory,
+		Out:     c.Out,
+	}))
 }
 
 type drainsCommand struct {
-	common
+	runFlags
 	Orders int     `help:"Drains of each run." default:"24"`
 	Rate   float64 `help:"Queries a second." default:"60"`
 }
 
 // Run runs the experiment.
 func (c *drainsCommand) Run() error {
-	if err := c.logs(); err != nil {
+	if err := c.redirectLog(); err != nil {
 		return err
 	}
-	ok, err := experiment.RunDrains(experiment.DrainsConfig{Seeds: c.seeds(), Orders: c.Orders, Rate: c.Rate, Out: c.Out})
-	if err == nil && !ok {
-		err = fmt.Errorf("a rule broke")
-	}
-	return err
+	return checkRules(experiment.RunDrains(experiment.DrainsConfig{
+		Seeds:  c.seeds(),
+		Orders: c.Orders,
+		Rate:   c.Rate,
+		Out:    c.Out,
+	}))
 }
 
 type demoCommand struct {
@@ -122,7 +141,7 @@
 
 // Run runs the demo.
 func (c *demoCommand) Run() error {
-	if err := (common{Log: c.Log}).logs(); err != nil {
+	if err := (runFlags{Log: c.Log}).redirectLog(); err != nil {
 		return err
 	}
 	return experiment.RunDemo(c.Seed)
@@ -148,7 +167,15 @@
 
 // Run runs the fleet until it is interrupted.
 func (c *fleetCommand) Run() error {
-	return experiment.RunFleet(experiment.FleetConfig{Servers: c.Servers, Slices: c.Slices, Records: c.Records, Discovery: c.Discovery, Search: c.Search, Dir: c.Dir, Seed: c.Seed})
+	return experiment.RunFleet(experiment.FleetConfig{
+		Servers:   c.Servers,
+		Shards:    c.Slices,
+		Records:   c.Records,
+		Discovery: c.Discovery,
+		Search:    c.Search,
+		Dir:       c.Dir,
+		Seed:      c.Seed,
+	})
 }
 
 func main() {
--- /dev/null
+++ b/internal/experiment/backup_test.go
@@ -0,0 +1,75 @@
+package experiment
+
+import (
+	"context"
+	"fmt"
+	"reflect"
+	"strings"
+	"testing"
+
+	"linkpass/internal/adminapi"
+	"linkpass/internal/http1"
+)
+
+// A backup is one revision; its restore brings settings, but neither members nor shard maps.
+func TestBackupDuringWritesIntoAnotherCluster(t *testing.T) {
+	isolate(t)
+	here, there := startCluster(t, 11, 3), startCluster(t, 12, 1)
+	call := func(n *node, method, path string, body []byte) *http1.Response {
+		return adminapi.Handler{Coordinator: n.program}.Serve(context.Background(), 0, &http1.Request{Method: method, Path: "/v1" + path, Body: body})
+	}
+	stop, written := make(chan struct{}), make(chan int)
+	go func() {
+		for i := 1; ; i++ {
+			select {
+			case <-stop:
+				written <- i
+				return
+			default:
+			}
+			// Both keys change together: a backup with one alone would be torn.
+			text := fmt.Sprintf(`{"persistent":{"search.max_result_window":%d,"search.default_search_timeout":"%dms"}}`, 1000+i, 1000+i)
+			if status, body, err := here.call(here.nodes[i%3], "PUT", "/_cluster/settings", text); err != nil || status != 200 {
+				t.Errorf("%d %s %v", status, body, err)
+			}
+		}
+	}()
+	var last []byte
+	revision := uint64(0)
+	for taken := 0; taken < 20; {
+		res := call(here.nodes[taken%3], "GET", "/store/backup", nil)
+		if res.Status != 200 { // it does not lead
+			taken = (taken + 1) % 3
+			continue
+		}
+		doc, err := adminapi.ReadBackup(res.Body)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if want := fmt.Sprintf("%dms", doc.Search.MaxResultWindow); doc.Search.Timeout != "" && doc.Search.Timeout != want || doc.Revision < revision {
+			t.Fatalf("torn or old: %+v, revision %d after %d", doc.Search, doc.Revision, revision)
+		}
+		last, revision = res.Body, doc.Revision
+		taken += 3
+	}
+	close(stop)
+	<-written
+	before, members := there.nodes[0].program.ShardMaps(), fmt.Sprint(there.nodes[0].program.Store().Members())
+	if res := call(there.nodes[0], "PUT", "/store/document", last); res.Status != 200 {
+		t.Fatalf("%d %s", res.Status, res.Body)
+	}
+	doc, err := adminapi.ReadBackup(last)
+	if err != nil {
+		t.Fatal(err)
+	}
+	now := there.nodes[0].program.Store().Settings()
+	if now.Search.MaxResultWindow != doc.Search.MaxResultWindow || revision < 2 {
+		t.Errorf("%+v, backup %+v of revision %d", now.Search, doc.Search, revision)
+	}
+	if after := there.nodes[0].program.ShardMaps(); !reflect.DeepEqual(before, after) || fmt.Sprint(there.nodes[0].program.Store().Members()) != members {
+		t.Error("the restore moved slices or members")
+	}
+	if status, body, err := there.call(there.nodes[0], "POST", "/players/_search", `{"size":1}`); err != nil || !strings.Contains(string(body), `"failed":0`) {
+		t.Errorf("%d %s %v", status, body, err)
+	}
+}
--- /dev/null
+++ b/internal/experiment/body_memory.go
@@ -0,0 +1,195 @@
+package experiment
+
+import (
+	"bytes"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"os"
+	"os/exec"
+	"runtime/debug"
+	"strconv"
+	"strings"
+	"time"
+
+	"linkpass/internal/bodystore"
+	"linkpass/internal/bodystore/tier"
+	"linkpass/internal/metrics"
+)
+
+// Contents of the bodies that HoldBodies keeps.
+const (
+	holdDistinct = "distinct" // all differ
+	holdShared   = "shared"   // holdSharedContents contents
+	holdTight    = "tight"    // all differ, under the default budget
+)
+
+const (
+	holdBodies         = 10_000
+	holdBodyBytes      = 64 << 10
+	holdBudgetBytes    = 16 << 20
+	holdSharedContents = 100
+	holdMemoryLimit    = 24 << 20 // what the program sets for a limit of 40 MB
+
+	holdTightBudgetBytes = 4 << 20  // the default budget
+	holdTightMemoryLimit = 19 << 20 // what the program sets for a limit of 32 MB
+)
+
+// memoryFigures is what processes took that held many bodies.
+type memoryFigures struct {
+	overBudgetMB float64 // resident memory at its largest, beyond the budget; -1: not measured
+	baseMB       float64 // of that before the first body
+	sharedShare  float64 // share of the bytes that is held where bodies share contents, from 0 to 1
+}
+
+// measureMemory runs HoldBodies in processes of their own.
+func measureMemory() (m memoryFigures, err error) {
+	distinct, err := runHold(holdDistinct)
+	if err != nil {
+		return m, err
+	}
+	shared, err := runHold(holdShared)
+	if err != nil {
+		return m, err
+	}
+	return memoryFigures{
+		overBudgetMB: (distinct["resident"] - holdBudgetBytes) / (1 << 20),
+		baseMB:       distinct["base"] / (1 << 20),
+		sharedShare:  shared["held"] / float64(holdBodies*holdBodyBytes),
+	}, nil
+}
+
+// runHold runs this program's command hold and reads the figures that it prints.
+func runHold(contents string) (figures map[string]float64, err error) {
+	self, err := os.Executable()
+	if err != nil {
+		return nil, fmt.Errorf("experiment: path of this program: %w", err)
+	}
+	out, err := exec.Command(self, "hold", contents).Output()
+	if err != nil {
+		return nil, fmt.Errorf("experiment: run hold %s: %w", contents, err)
+	}
+	figures = map[string]float64{}
+	for _, field := range strings.Fields(string(out)) {
+		key, value, _ := strings.Cut(field, "=")
+		figures[key], _ = strconv.ParseFloat(value, 64)
+	}
+	return figures, nil
+}
+
+// HoldBodies keeps so many bodies, reads each once more and prints what the process took at its largest. Contents is
+// distinct, shared or tight.
+func HoldBodies(contents string, count int) error {
+	base := peakResidentBytes()
+	budget, limit := int64(holdBudgetBytes), int64(holdMemoryLimit)
+	if contents == holdTight {
+		budget, limit = holdTightBudgetBytes, holdTightMemoryLimit
+	}
+	debug.SetMemoryLimit(limit)
+	dir, err := os.MkdirTemp("", "linkpass-hold-")
+	if err != nil {
+		return fmt.Errorf("experiment: directory of bodies: %w", err)
+	}
+	defer os.RemoveAll(dir)
+	store := openHoldStore(dir, budget)
+	defer store.Close()
+	bodies, err := keepBodies(store, contents, count)
+	if err != nil {
+		return err
+	}
+	totals := store.Totals()
+	for i, body := range bodies { // as for a retry
+		if err := readBody(body); err != nil {
+			return fmt.Errorf("experiment: read body %d: %w", i, err)
+		}
+	}
+	fmt.Printf("base=%d resident=%d held=%d bodies=%d memory=%d files=%d disk=%d\n",
+		base, peakResidentBytes(), totals.Memory+totals.Files, totals.Bodies, totals.Memory, totals.Files, totals.Disk)
+	for _, body := range bodies {
+		body.Release()
+	}
+	return nil
+}
+
+func openHoldStore(dir string, budget int64) *bodystore.Store {
+	began := time.Now()
+	return bodystore.Open(bodystore.Config{
+		Limits:   tier.Limits{Memory: budget, Files: 1 << 30, Largest: 1 << 20},
+		Classes:  []string{"lookup"},
+		Dir:      dir,
+		Counters: metrics.NewCounters(),
+		Now:      func() time.Duration { return time.Since(began) },
+	})
+}
+
+// keepBodies keeps bodies of random content that differ in their first bytes.
+func keepBodies(store *bodystore.Store, contents string, count int) (bodies []*bodystore.Body, err error) {
+	data := make([]byte, holdBodyBytes)
+	rng := rand.New(rand.NewPCG(1, 1))
+	for i := range data {
+		data[i] = byte(rng.Uint32())
+	}
+	for i := range count {
+		n := i
+		if contents == holdShared {
+			n %= holdSharedContents
+		}
+		binary.LittleEndian.PutUint64(data, uint64(n))
+		body, err := keepBody(store, data)
+		if err != nil {
+			return nil, fmt.Errorf("experiment: keep body %d: %w", i, err)
+		}
+		bodies = append(bodies, body)
+	}
+	return bodies, nil
+}
+
+// keepBody repeats the write while the store has no capacity, as a client would.
+func keepBody(store *bodystore.Store, data []byte) (*bodystore.Body, error) {
+	for {
+		w := store.NewWriter(0, 1)
+		_, err := w.Write(data)
+		if errors.Is(err, bodystore.ErrNoCapacity) {
+			time.Sleep(time.Millisecond)
+			continue
+		}
+		if err != nil {
+			return nil, err
+		}
+		return w.Commit()
+	}
+}
+
+func readBody(body *bodystore.Body) error {
+	r, err := body.Open()
+	if err != nil {
+		return err
+	}
+	defer r.Close()
+	buf := make([]byte, 16<<10)
+	for {
+		if _, err := r.Read(buf); err != nil {
+			if errors.Is(err, io.EOF) {
+				return nil
+			}
+			return err
+		}
+	}
+}
+
+// peakResidentBytes is the most that this process had resident; 0: the system does not say.
+func peakResidentBytes() int {
+	status, err := os.ReadFile("/proc/self/status")
+	if err != nil {
+		return 0
+	}
+	for line := range bytes.Lines(status) {
+		if fields := strings.Fields(string(line)); len(fields) > 1 && fields[0] == "VmHWM:" {
+			kib, _ := strconv.Atoi(fields[1])
+			return kib << 10
+		}
+	}
+	return 0
+}
--- a/internal/experiment/demo.go
+++ b/internal/experiment/demo.go
@@ -6,52 +6,87 @@
 	"net"
 	"os"
 	"os/signal"
-	"path/filepath"
 	"strings"
 	"syscall"
 	"time"
 
 	"linkpass/internal/adminapi"
 	"linkpass/internal/dashboard"
+	"linkpass/internal/discovery"
 	"linkpass/internal/emulator"
 	"linkpass/internal/shardmap"
 )
 
-// Demo is a fleet and a coordinator with both fronts, ready to be tried.
+// demoRestartDelay is the time from a kill to the restart, and that of the warm-up after it.
+const demoRestartDelay = 5 * time.Second
+
+// Demo is a fleet and one coordinator with both fronts.
 type Demo struct {
 	w             *world
-	Socket        string // of the operators' API
-	Search        string // address of the search front
-	AdminListener string // address of the door
+	Socket        string // path of the admin API's socket
+	Search        string // address of the search front (host:port)
+	AdminListener string // address of the platform's admin listener (host:port)
 
-	Operator, KeyFile string // address of the operators' API over TCP, and the key that it takes
-	File, Config      string // the operators' file, the platform's configuration
+	Operator, KeyFile string // address of the admin API over TCP (host:port), and path of the file with its keys
+	File, Config      string // paths of the operators' file and of the platform's configuration
 }
 
-// StartDemo starts one. Everything lies in a folder of its own, which Close removes.
+// StartDemo starts a demo in a directory of its own, which Close removes. It fails as a world does that cannot start.
 func StartDemo(seed uint64) (*Demo, error) {
-	w, err := newWorld(shape{name: "demo", seed: seed, servers: 6, nodes: 1, slices: 4, records: 500, each: 2, maxOpen: 1000, memoryMB: 128, door: true,
-		reshape: "poll = \"200ms\"\nretire_after = \"1s\"", operator: "socket = \"DIR/linkpass.sock\"\nlisten = \"127.0.0.1:0\"\nkeys = \"DIR/keys.toml\"",
-		keys: "\"demo\" = \"" + strings.Repeat("d0", 32) + "\"\n",
-		work: emulator.Capacity{Cores: 2, WorkPerPart: 20 * time.Millisecond, WorkPerRecord: 20 * time.Microsecond, Queue: 64, CopyRate: 200, WarmupDuration: 5 * time.Second, WarmupInitialShare: 0.2}})
+	w, err := newWorld(demoWorld(seed))
 	if err != nil {
 		return nil, err
 	}
-	return &Demo{w: w, Socket: filepath.Join(w.dir, "linkpass.sock"), Search: w.nodes[0].search, AdminListener: w.nodes[0].door,
-		Operator: w.nodes[0].p.Status().AdminListen, KeyFile: filepath.Join(w.dir, "keys.toml"), File: filepath.Join(w.dir, "n0-search.toml"),
-		Config: filepath.Join(w.dir, "n0-config.json")}, nil
+	n := w.nodes[0]
+	return &Demo{
+		w:             w,
+		Socket:        w.path("linkpass.sock"),
+		Search:        n.searchAddr,
+		AdminListener: n.adminAddr,
+		Operator:      n.program.Status().AdminListen,
+		KeyFile:       w.path("keys.toml"),
+		File:          w.path("n0-search.toml"),
+		Config:        w.path("n0-config.json"),
+	}, nil
 }
 
-// Fleet is the demo's fleet.
+func demoWorld(seed uint64) worldConfig {
+	return worldConfig{
+		seed:          seed,
+		servers:       6,
+		coordinators:  1,
+		shards:        4,
+		records:       500,
+		replicas:      2,
+		maxOpen:       1000,
+		memoryMB:      128,
+		adminListener: true,
+		resharding:    "poll = \"200ms\"\nretire_after = \"1s\"",
+		admin:         "socket = \"DIR/linkpass.sock\"\nlisten = \"127.0.0.1:0\"\nkeys = \"DIR/keys.toml\"",
+		adminKeys:     "\"demo\" = \"" + strings.Repeat("d0", 32) + "\"\n",
+		capacity: emulator.Capacity{
+			Cores:              2,
+			WorkPerPart:        20 * time.Millisecond,
+			WorkPerRecord:      20 * time.Microsecond,
+			Queue:              64,
+			CopyRate:           200,
+			WarmupDuration:     demoRestartDelay,
+			WarmupInitialShare: 0.2,
+		},
+	}
+}
+
+// Fleet returns the demo's fleet.
 func (d *Demo) Fleet() *emulator.Fleet { return d.w.fleet }
 
-// ReplicaSets are the sets of servers that hold its slices.
-func (d *Demo) ReplicaSets() [][]string { return d.w.fleet.ReplicaSets(d.w.each) }
+// ReplicaSets returns the names of the servers that hold each shard at the start.
+func (d *Demo) ReplicaSets() [][]string { return d.w.fleet.ReplicaSets(d.w.replicas) }
 
-// Close ends it.
+// Close ends the coordinator, waits for it and ends the fleet.
 func (d *Demo) Close() { d.w.close() }
 
-// RunDemo runs one until it is interrupted, and says what to try.
+// RunDemo runs a demo with a dashboard until SIGINT or SIGTERM, and prints what to try. SIGUSR1 kills a server, which
+// restarts after demoRestartDelay. It fails if the demo or the dashboard cannot start, or a server cannot restart.
 func RunDemo(seed uint64) error {
 	began := time.Now()
 	d, err := StartDemo(seed)
@@ -61,11 +96,16 @@
 	defer d.Close()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return fmt.Errorf("demo: %w", err)
+		return fmt.Errorf("demo: listen for the dashboard: %w", err)
 	}
-	go func() { _ = dashboard.Serve(ctx, ln, &adminapi.Client{Socket: d.Socket, Timeout: time.Second}) }()
+	go func() { _ = dashboard.Serve(ctx, listener, &adminapi.Client{Socket: d.Socket, Timeout: time.Second}) }() // ends with ctx
+	d.printInstructions(time.Since(began), listener.Addr())
+	return d.killOnSignal(ctx)
+}
+
+func (d *Demo) printInstructions(ready time.Duration, dashboardAddr net.Addr) {
 	fmt.Printf(`six stand-in servers, discovery and a coordinator, ready after %d ms. Try, in another terminal:
 
   a browser at http://%[6]s/
@@ -82,27 +122,39 @@
       a server dies (and comes back cold after 5 s): it is avoided, and searches stay whole
 
 Ctrl-C ends it.
-`, time.Since(began).Milliseconds(), d.Search, d.Socket, uint64(shardmap.FirstDynamicID), os.Getpid(), ln.Addr())
-	kills := make(chan os.Signal, 1)
-	signal.Notify(kills, syscall.SIGUSR1)
+`, ready.Milliseconds(), d.Search, d.Socket, uint64(shardmap.FirstDynamicID), os.Getpid(), dashboardAddr)
+}
+
+// killOnSignal kills the servers in turn, one for each SIGUSR1, until the context ends.
+func (d *Demo) killOnSignal(ctx context.Context) error {
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGUSR1)
+	servers := d.Fleet().Servers
 	for next := 0; ; next++ {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-kills:
+		case <-signals:
 		}
-		s := d.Fleet().Servers[next%len(d.Fleet().Servers)]
-		fmt.Printf("%s dies\n", s.Name)
-		s.Kill(false)
-		select {
-		case <-ctx.Done():
-			return nil
-		case <-time.After(5 * time.Second):
-		}
-		if err := s.Restart(); err != nil {
+		if err := d.killAndRestart(ctx, servers[next%len(servers)]); err != nil {
 			return err
 		}
-		d.Fleet().SetState(s, "in_service")
-		fmt.Printf("%s is back\n", s.Name)
 	}
 }
+
+// killAndRestart kills a server, which keeps its data, and restarts it unless the context ends before.
+func (d *Demo) killAndRestart(ctx context.Context, server *emulator.Server) error {
+	fmt.Printf("%s dies\n", server.Name)
+	server.Kill(false)
+	select {
+	case <-ctx.Done():
+		return nil
+	case <-time.After(demoRestartDelay):
+	}
+	if err := server.Restart(); err != nil {
+		return err
+	}
+	d.Fleet().SetState(server, discovery.StateInService)
+	fmt.Printf("%s is back\n", server.Name)
+	return nil
+}
--- /dev/null
+++ b/internal/experiment/disruption.go
@@ -0,0 +1,197 @@
+package experiment
+
+import (
+	"context"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"linkpass/internal/discovery"
+	"linkpass/internal/emulator"
+)
+
+// Keys of disruption.ordered. The kinds of shard commands are those of the API.
+const (
+	orderSplit    = "split"
+	orderMerge    = "merge"
+	orderMove     = "move"
+	orderRejected = "refused"
+	orderDrain    = "drains"
+	orderKill     = "deaths"
+)
+
+const (
+	disruptionTick  = 20 * time.Millisecond
+	drainDuration   = 2500 * time.Millisecond // until a drained server is in service again
+	killListedAfter = 800 * time.Millisecond  // until discovery lists a killed server as terminated
+	killDuration    = 2 * time.Second         // until a killed server restarts
+)
+
+// disruption is what disturbs a world under load.
+type disruption struct {
+	reshardEvery time.Duration  // between changes of each index's shards; 0: none
+	drainEvery   time.Duration  // between drains of a server; 0: none
+	killEvery    time.Duration  // between kills of a server; 0: none
+	pauses       bool           // servers pause for a moment now and then
+	ordered      map[string]int // what was ordered, by kind
+}
+
+// disruptor carries out a disruption. One goroutine owns it.
+type disruptor struct {
+	*disruption
+	world *world
+	rng   *rand.Rand
+	begin time.Time
+
+	nextReshard, nextDrain, nextKill time.Duration   // since begin
+	nextPause                        []time.Duration // of each server
+	switchPauses                     []switchPause
+	recoveries                       []recovery
+}
+
+// recovery ends a disruption of one server.
+type recovery interface {
+	// advance does what is due and is true when the server has recovered.
+	advance(d *disruptor) bool
+}
+
+// run disturbs a world until the context ends. Everything is drawn from the seed.
+func (p *disruption) run(ctx context.Context, w *world, seed uint64) {
+	d := newDisruptor(p, w, seed)
+	ticker := time.NewTicker(disruptionTick)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+			d.step()
+		}
+	}
+}
+
+func newDisruptor(p *disruption, w *world, seed uint64) *disruptor {
+	d := &disruptor{disruption: p, world: w, rng: rand.New(rand.NewPCG(seed, 2)), begin: time.Now()}
+	d.nextReshard, d.nextDrain, d.nextKill = p.reshardEvery/2, p.drainEvery, p.killEvery
+	d.nextPause = make([]time.Duration, len(w.fleet.Servers))
+	for i := range d.nextPause {
+		d.nextPause[i] = d.drawDuration(firstPauseWithin)
+	}
+	return d
+}
+
+func (d *disruptor) now() time.Duration { return time.Since(d.begin) }
+
+func (d *disruptor) drawDuration(below time.Duration) time.Duration {
+	return time.Duration(d.rng.Int64N(int64(below)))
+}
+
+// step does what is due, in a fixed order: the draws depend on it.
+func (d *disruptor) step() {
+	d.recoveries = slices.DeleteFunc(d.recoveries, func(r recovery) bool { return r.advance(d) })
+	if d.reshardEvery > 0 && d.now() >= d.nextReshard {
+		d.nextReshard += d.reshardEvery
+		d.reshard(d.now())
+	}
+	if d.pauses {
+		d.pauseServers()
+	}
+	d.pauseAtSwitches()
+	if d.drainEvery > 0 && d.now() >= d.nextDrain {
+		d.nextDrain += d.drainEvery
+		d.drain()
+	}
+	if d.killEvery > 0 && d.now() >= d.nextKill {
+		d.nextKill += d.killEvery
+		d.kill()
+	}
+}
+
+// drain drains a server for drainDuration.
+func (d *disruptor) drain() {
+	server := d.drawRedundantServer()
+	if server == nil {
+		return
+	}
+	d.world.fleet.SetState(server, discovery.StateTerminating)
+	d.recoveries = append(d.recoveries, &drainRecovery{server, d.now() + drainDuration})
+	d.ordered[orderDrain]++
+}
+
+type drainRecovery struct {
+	server *emulator.Server
+	at     time.Duration
+}
+
+func (r *drainRecovery) advance(d *disruptor) bool {
+	if d.now() < r.at {
+		return false
+	}
+	d.world.fleet.SetState(r.server, discovery.StateInService)
+	return true
+}
+
+// kill kills a server, which loses its data, and restarts it after killDuration.
+func (d *disruptor) kill() {
+	server := d.drawRedundantServer()
+	if server == nil {
+		return
+	}
+	server.Kill(true)
+	d.recoveries = append(d.recoveries, &killRecovery{server: server, listAt: d.now() + killListedAfter, restartAt: d.now() + killDuration})
+	d.ordered[orderKill]++
+}
+
+type killRecovery struct {
+	server    *emulator.Server
+	listed    bool // discovery lists the server as terminated
+	listAt    time.Duration
+	restartAt time.Duration
+}
+
+func (r *killRecovery) advance(d *disruptor) bool {
+	if !r.listed && d.now() >= r.listAt {
+		r.listed = true
+		d.world.fleet.SetState(r.server, discovery.StateTerminated)
+	}
+	if d.now() < r.restartAt {
+		return false
+	}
+	if r.server.Restart() == nil {
+		d.world.fleet.SetState(r.server, discovery.StateInService)
+	}
+	return true
+}
+
+// drawRedundantServer draws a server in service each of whose shards has another replica in service; nil: there is none.
+func (d *disruptor) drawRedundantServer() *emulator.Server {
+	rows, serving := d.world.shardRows(), d.world.fleet.InService()
+	if len(rows) == 0 || len(serving) == 0 {
+		return nil
+	}
+	replicas := map[shardKey]int{}
+	for _, row := range rows {
+		if slices.Contains(serving, row.Server) {
+			replicas[row.key()]++
+		}
+	}
+	d.shuffle(serving)
+	for _, name := range serving {
+		isLast := func(row shardRow) bool { return row.Server == name && replicas[row.key()] < 2 }
+		if !slices.ContainsFunc(rows, isLast) {
+			return d.world.fleet.Server(name)
+		}
+	}
+	return nil
+}
+
+func (d *disruptor) shuffle(names []string) {
+	d.rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
+}
+
+type shardKey struct {
+	index string
+	shard uint64
+}
+
+func (r shardRow) key() shardKey { return shardKey{r.Index, r.Shard} }
--- /dev/null
+++ b/internal/experiment/drain_test.go
@@ -0,0 +1,92 @@
+package experiment
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"testing"
+	"time"
+
+	"linkpass/internal/adminapi"
+	"linkpass/internal/config"
+	"linkpass/internal/endpoints"
+	"linkpass/internal/store"
+)
+
+// Guards against a drain that needs a majority, and against other changes that do without.
+func TestDrainWithAndWithoutMajority(t *testing.T) {
+	isolate(t)
+	w := startCluster(t, 13, 3)
+	order := func(n *node, verb, server string, force bool) error {
+		_, err := n.program.ChangeServer(context.Background(), adminapi.ServerRequest{Server: server, Action: verb, Force: force})
+		return err
+	}
+	byLeader := func(verb, server string) {
+		t.Helper()
+		for i := 0; ; i++ {
+			var other *store.NotLeaderError
+			if err := order(w.nodes[i%3], verb, server, false); err == nil {
+				return
+			} else if !errors.As(err, &other) && !errors.Is(err, store.ErrNoLeader) || t.Context().Err() != nil {
+				t.Fatal(err)
+			}
+			time.Sleep(2 * time.Millisecond)
+		}
+	}
+	byLeader("weight", "s-03") // the settings are agreed from here on
+	for i, n := range w.nodes {
+		if err := order(n, "drain", "s-01", false); err != nil {
+			t.Fatal(i, err)
+		}
+		awaitServerState(t, w.nodes[i:i+1], "s-01", "draining", false)
+		awaitServerState(t, w.nodes, "s-01", "draining", true)
+		byLeader("undrain", "s-01")
+		awaitServerState(t, w.nodes, "s-01", "in_service", true)
+	}
+	stranger := `[{"id":{"origin":{"instance":"nobody","boot":1},"seq":1},"server":"s-04","kind":"draining","force":true}]`
+	if status, body, err := w.call(w.nodes[0], "POST", "/_linkpass/orders?from=n1", stranger); err != nil || status != 200 {
+		t.Errorf("%d %s %v", status, body, err)
+	}
+	if n := w.nodes[0].program.Counters().Get("restrictions_malformed"); n != 1 {
+		t.Errorf("%d orders of no member were counted", n)
+	}
+	awaitServerState(t, w.nodes, "s-04", "in_service", true) // an instance that never was orders nothing
+	if err := order(w.nodes[0], "drain", "s-01", false); err != nil {
+		t.Fatal(err)
+	}
+	awaitServerState(t, w.nodes, "s-01", "draining", true)
+	var refused *endpoints.RejectedError
+	if err := order(w.nodes[1], "drain", "s-02", false); !errors.As(err, &refused) || refused.Reason != config.NoReplicaLeft {
+		t.Errorf("the last holder was drained: %v", err)
+	}
+	if err := order(w.nodes[1], "remove", "s-02", true); err != nil {
+		t.Fatal(err)
+	}
+	awaitServerState(t, w.nodes, "s-02", stateRemoved, true)
+	if err := order(w.nodes[2], "drain", "s-02", true); !errors.As(err, &refused) || refused.Reason != config.ServerIDRetired {
+		t.Errorf("what was removed was drained: %v", err)
+	}
+	hashes := map[string]bool{}
+	for _, n := range w.nodes {
+		a, err := n.program.ReplicatedState()
+		if err != nil {
+			t.Fatal(err)
+		}
+		hashes[fmt.Sprint(a.Version, a.Hash)] = true
+	}
+	if len(hashes) > 1 {
+		t.Errorf("states differ: %v", hashes)
+	}
+	w.stopNodes(1)
+	if err := order(w.nodes[0], "drain", "s-03", false); err != nil {
+		t.Fatal(err)
+	}
+	awaitServerState(t, w.nodes[:1], "s-03", "draining", false)
+	if err := order(w.nodes[0], "undrain", "s-03", false); err == nil {
+		t.Error("an undrain held without a majority")
+	}
+	if a, err := w.nodes[0].program.ReplicatedState(); err != nil || len(a.Pending) != 1 {
+		t.Errorf("%+v %v", a.Pending, err)
+	}
+	awaitServerState(t, w.nodes[:1], "s-03", "draining", false)
+}
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -15,69 +15,102 @@
 	"linkpass/internal/shardmap"
 )
 
-// FleetConfig sets up a fleet to try the program against by hand.
+const (
+	fleetIndex              = "players"
+	fleetReplicas           = 2 // servers of a replica set
+	fleetWarmup             = 10 * time.Second
+	fleetWarmupInitialShare = 0.2
+)
+
+// FleetConfig sets up a fleet to try a coordinator against by hand.
 type FleetConfig struct {
-	Servers, Slices, Records int
-	Discovery, Search, Dir   string
-	Seed                     uint64
+	Servers   int
+	Shards    int // of the index at the start
+	Records   int
+	Discovery string // address of discovery (host:port)
+	Search    string // address of the coordinator's search front (host:port)
+	Dir       string // of the coordinator's files; created if it does not exist
+	Seed      uint64
 }
 
-// RunFleet runs the fleet until SIGINT or SIGTERM. It writes the files of a coordinator with a
-// store of its own and says how to start it.
+// RunFleet writes the files of a coordinator, prints how to start it and runs the fleet until SIGINT or SIGTERM. It
+// fails if the fleet cannot listen or a file cannot be written.
 func RunFleet(c FleetConfig) error {
-	work := emulator.Capacity{Cores: 2, WorkPerPart: 20 * time.Millisecond, WorkPerRecord: 20 * time.Microsecond, Queue: 64, CopyRate: 100, WarmupDuration: 10 * time.Second, WarmupInitialShare: 0.2}
-	f, err := emulator.NewFleetAt(c.Servers, c.Records, work, c.Seed, c.Discovery)
+	capacity := emulator.Capacity{
+		Cores:              2,
+		WorkPerPart:        20 * time.Millisecond,
+		WorkPerRecord:      20 * time.Microsecond,
+		Queue:              64,
+		CopyRate:           100,
+		WarmupDuration:     fleetWarmup,
+		WarmupInitialShare: fleetWarmupInitialShare,
+	}
+	fleet, err := emulator.NewFleetAt(c.Servers, c.Records, capacity, c.Seed, c.Discovery)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	sets := f.ReplicaSets(2)
-	first, err := shardmap.NewEven(c.Slices, sets)
+	defer fleet.Close()
+	shardMap, err := shardmap.NewEven(c.Shards, fleet.ReplicaSets(fleetReplicas))
 	if err != nil {
 		return err
 	}
-	f.PlaceShards("players", first)
-	if err := writeFiles(c, f, sets); err != nil {
+	fleet.PlaceShards(fleetIndex, shardMap)
+	if err := c.writeFiles(fleet); err != nil {
 		return err
 	}
-	fmt.Printf("fleet of %d servers, discovery at %s. In another terminal:\n\n", c.Servers, f.Discovery.Addr())
-	fmt.Printf("  ROUTER_CONFIG=%s bin/linkpass -opensearch %s\n", filepath.Join(c.Dir, "config.json"), filepath.Join(c.Dir, "search.toml"))
-	fmt.Printf("  curl -s '%s/_cat/shards?v'\n", c.Search)
-	fmt.Printf("  curl -s '%s/players/_search?size=3'\n", c.Search)
-	fmt.Printf("  curl -s -X POST -d '{\"commands\":[{\"split\":{\"index\":\"players\",\"shard\":%d,\"into\":2}}]}' '%s/_cluster/reroute'\n", shardmap.FirstDynamicID, c.Search)
+	c.printInstructions(fleet)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	<-ctx.Done()
 	return nil
 }
 
-func writeFiles(c FleetConfig, f *emulator.Fleet, sets [][]string) error {
+func (c FleetConfig) platformPath() string { return filepath.Join(c.Dir, "config.json") }
+func (c FleetConfig) searchPath() string   { return filepath.Join(c.Dir, "search.toml") }
+
+func (c FleetConfig) printInstructions(fleet *emulator.Fleet) {
+	fmt.Printf("fleet of %d servers, discovery at %s. In another terminal:\n\n", c.Servers, fleet.Discovery.Addr())
+	fmt.Printf("  ROUTER_CONFIG=%s bin/linkpass -opensearch %s\n", c.platformPath(), c.searchPath())
+	fmt.Printf("  curl -s '%s/_cat/shards?v'\n", c.Search)
+	fmt.Printf("  curl -s '%s/players/_search?size=3'\n", c.Search)
+	fmt.Printf("  curl -s -X POST -d '{\"commands\":[{\"split\":{\"index\":\"players\",\"shard\":%d,\"into\":2}}]}' '%s/_cluster/reroute'\n",
+		shardmap.FirstDynamicID, c.Search)
+}
+
+// writeFiles writes the files of a coordinator with a store of its own.
+func (c FleetConfig) writeFiles(fleet *emulator.Fleet) error {
 	if err := os.MkdirAll(c.Dir, 0o755); err != nil {
-		return fmt.Errorf("lab: %w", err)
+		return fmt.Errorf("experiment: directory of the coordinator's files: %w", err)
 	}
-	known, err := json.Marshal(f.Discovery.EndpointList())
+	platform, err := fleetPlatformConfig(fleet)
 	if err != nil {
-		return fmt.Errorf("lab: %w", err)
-	}
-	sh := shape{nodes: 1, maxOpen: 1000, work: emulator.Capacity{WarmupDuration: 10 * time.Second, WarmupInitialShare: 0.2}}
-	config := fmt.Sprintf(`{"name":"by-hand","listen":"127.0.0.1:0","discovery":%q,"seed":"5","limits":{"memory_mb":128,"sockets":1024},"known":%s,"settings":%s}`,
-		f.Discovery.Addr(), known, settingsOf(sh))
-	var t strings.Builder
-	list, _ := json.Marshal(sets) // arrays of strings are the same in TOML
-	fmt.Fprintf(&t, "listen = %q\n\n[indices.players]\nclass = \"team-lookup\"\nspread = { slices = %d, sets = %s }\n\n", c.Search, c.Slices, list)
-	for _, s := range f.Servers {
-		fmt.Fprintf(&t, "[servers.%s]\nprotocol = \"search\"\n", s.Name)
+		return err
 	}
-	raft, err := freePort("127.0.0.1")
+	raftAddr, err := freeAddr("127.0.0.1")
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(&t, "\n[reshape]\npoll = \"500ms\"\nretire_after = \"3s\"\n\n[store]\nid = \"a\"\ndir = %q\n[[store.members]]\nid = \"a\"\nraft = %q\nhttp = %q\n",
-		filepath.Join(c.Dir, "store"), raft, c.Search)
-	for name, text := range map[string]string{"config.json": config, "search.toml": t.String()} {
-		if err := os.WriteFile(filepath.Join(c.Dir, name), []byte(text), 0o600); err != nil {
-			return fmt.Errorf("lab: %w", err)
-		}
+	return writeFiles(map[string]string{c.platformPath(): platform, c.searchPath(): c.searchConfig(fleet, raftAddr)})
+}
+
+// fleetPlatformConfig is the configuration of the coordinator by the platform, in JSON.
+func fleetPlatformConfig(fleet *emulator.Fleet) (string, error) {
+	known, err := json.Marshal(fleet.Discovery.EndpointList())
+	if err != nil {
+		return "", fmt.Errorf("experiment: encode the endpoint list: %w", err)
 	}
-	return nil
+	cfg := worldConfig{coordinators: 1, maxOpen: 1000, capacity: emulator.Capacity{WarmupDuration: fleetWarmup, WarmupInitialShare: fleetWarmupInitialShare}}
+	return fmt.Sprintf(`{"name":"by-hand","listen":"127.0.0.1:0","discovery":%q,"seed":"5","limits":{"memory_mb":128,"sockets":1024},"known":%s,"settings":%s}`,
+		fleet.Discovery.Addr(), known, platformSettings(cfg)), nil
+}
+
+// searchConfig is the operators' file, in TOML.
+func (c FleetConfig) searchConfig(fleet *emulator.Fleet, raftAddr string) string {
+	var b strings.Builder
+	sets := replicaSetsTOML(fleet.ReplicaSets(fleetReplicas))
+	fmt.Fprintf(&b, "listen = %q\n\n[indices.players]\nclass = \"team-lookup\"\nspread = { slices = %d, sets = %s }\n\n", c.Search, c.Shards, sets)
+	b.WriteString(serversTOML(fleet))
+	b.WriteString("\n[reshape]\npoll = \"500ms\"\nretire_after = \"3s\"\n")
+	fmt.Fprintf(&b, "\n[store]\nid = \"a\"\ndir = %q\n[[store.members]]\nid = \"a\"\nraft = %q\nhttp = %q\n", filepath.Join(c.Dir, "store"), raftAddr, c.Search)
+	return b.String()
 }
--- /dev/null
+++ b/internal/experiment/pauses.go
@@ -0,0 +1,61 @@
+package experiment
+
+import (
+	"slices"
+	"time"
+)
+
+// Pauses of a server, each drawn evenly from its least value to least and spread.
+const (
+	firstPauseWithin    = 7 * time.Second
+	pauseLeast          = 79 * time.Millisecond
+	pauseSpread         = 161 * time.Millisecond
+	pauseIntervalLeast  = 4900 * time.Millisecond
+	pauseIntervalSpread = 3800 * time.Millisecond
+)
+
+// Pauses of a server about the time when its shard moves away.
+const (
+	switchPauseDelayLeast  = 100 * time.Millisecond // from the order to the pause
+	switchPauseDelaySpread = 900 * time.Millisecond
+	switchPauseLeast       = 200 * time.Millisecond
+	switchPauseSpread      = 300 * time.Millisecond
+)
+
+// switchPause is a pause of a server that is to come.
+type switchPause struct {
+	server   string
+	at       time.Duration // since the disruption's begin
+	duration time.Duration
+}
+
+func (d *disruptor) pauseServers() {
+	for i, server := range d.world.fleet.Servers {
+		if d.now() >= d.nextPause[i] {
+			server.Pause(pauseLeast + d.drawDuration(pauseSpread))
+			d.nextPause[i] = d.now() + pauseIntervalLeast + d.drawDuration(pauseIntervalSpread)
+		}
+	}
+}
+
+// scheduleSwitchPauses pauses the present replicas of a shard about when its plan switches: parts sent there before
+// find the shard moved.
+func (d *disruptor) scheduleSwitchPauses(rows []shardRow, index string, shard uint64, now time.Duration) {
+	for _, row := range rows {
+		if row.Index == index && row.Shard == shard {
+			at := now + switchPauseDelayLeast + d.drawDuration(switchPauseDelaySpread)
+			duration := switchPauseLeast + d.drawDuration(switchPauseSpread)
+			d.switchPauses = append(d.switchPauses, switchPause{row.Server, at, duration})
+		}
+	}
+}
+
+func (d *disruptor) pauseAtSwitches() {
+	d.switchPauses = slices.DeleteFunc(d.switchPauses, func(p switchPause) bool {
+		if d.now() < p.at {
+			return false
+		}
+		d.world.fleet.Server(p.server).Pause(p.duration)
+		return true
+	})
+}
--- /dev/null
+++ b/internal/experiment/query.go
@@ -0,0 +1,76 @@
+package experiment
+
+import (
+	"math/rand/v2"
+	"net/url"
+	"strings"
+	"time"
+
+	"linkpass/internal/emulator"
+	"linkpass/internal/shardmap"
+)
+
+const (
+	leagueTableShare  = 0.16 // of the queries
+	leagueTablePieces = 16   // pieces of the keys, half of which a league table asks for
+	lookupRecords     = 4    // records of a team lookup
+)
+
+// Positions in classes.
+const (
+	teamLookup  = 0
+	leagueTable = 1
+)
+
+// query is one query of a run.
+type query struct {
+	at        time.Duration // since the run's start
+	class     int           // position in classes
+	params    string
+	requested []shardmap.Range
+	body      string // "": every record
+}
+
+// drawQueries draws the queries of a run in advance, with Poisson arrivals: runs side by side get the same.
+func drawQueries(seed uint64, length time.Duration, rate float64, records []emulator.Record) (queries []query) {
+	rng := rand.New(rand.NewPCG(seed, 1))
+	for at := time.Duration(0); ; {
+		at += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
+		if at >= length {
+			return queries
+		}
+		if rng.Float64() < leagueTableShare {
+			queries = append(queries, drawLeagueTable(rng, at))
+		} else {
+			queries = append(queries, drawTeamLookup(rng, at, records))
+		}
+	}
+}
+
+// drawLeagueTable draws a query of adjacent ranges, from anywhere.
+func drawLeagueTable(rng *rand.Rand, at time.Duration) query {
+	q := query{at: at, class: leagueTable}
+	pieces := shardmap.FullRange.Split(leagueTablePieces)
+	var names []string
+	from := rng.IntN(leagueTablePieces)
+	for i := range leagueTablePieces / 2 {
+		piece := pieces[(from+i)%leagueTablePieces]
+		q.requested = append(q.requested, piece)
+		names = append(names, piece.String())
+	}
+	q.params = "preference=" + url.QueryEscape("_ranges:"+strings.Join(names, ","))
+	return q
+}
+
+// drawTeamLookup draws a query of single records.
+func drawTeamLookup(rng *rand.Rand, at time.Duration, records []emulator.Record) query {
+	q := query{at: at, class: teamLookup}
+	var ids []string
+	for range lookupRecords {
+		record := records[rng.IntN(len(records))]
+		ids = append(ids, record.ID)
+		q.requested = append(q.requested, shardmap.Range{First: record.Key, Last: record.Key})
+	}
+	q.params = "routing=" + strings.Join(ids, ",")
+	return q
+}
--- /dev/null
+++ b/internal/experiment/resharding.go
@@ -0,0 +1,148 @@
+package experiment
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"sync"
+	"time"
+
+	"linkpass/internal/emulator"
+)
+
+const (
+	reshardingDrainEvery = 4 * time.Second
+	reshardingKillEvery  = 3 * time.Second
+)
+
+// ReshardingConfig sets up the experiment on changes of shards under load.
+type ReshardingConfig struct {
+	Seeds   []uint64
+	Seconds int // length of a run
+	Servers int
+	Rate    float64       // queries a second
+	Every   time.Duration // between changes of each index
+	Out     string        // directory of the results; "": none are written
+}
+
+// reshardingRun is one of the runs that are compared.
+type reshardingRun struct {
+	name     string
+	reshards bool
+	kills    bool
+	replans  bool // parts that find their shard moved are sent to its new replicas; without, they fail
+}
+
+var reshardingRuns = []reshardingRun{
+	{"still", false, false, true},
+	{"reshape", true, false, true},
+	{"refuse", true, false, false},
+	{"still+deaths", false, true, true},
+	{"reshape+deaths", true, true, true},
+	{"refuse+deaths", true, true, false},
+}
+
+// reshardingResult is the result of one run of one seed.
+type reshardingResult struct {
+	*loadResult
+	run     reshardingRun
+	seed    uint64
+	ordered map[string]int // as disruption.ordered
+
+	switched, abandoned int64 // plans
+	lateParts           int64 // received more than a second after a drain
+	warmupOverloads     int64 // parts at a server in warm-up that was overloaded
+	replans             int64
+	attempts            int64
+	attemptsMoved       int64 // that found their shard moved
+}
+
+// RunResharding changes shards under load, for each seed in all runs side by side. It is false if a rule was broken,
+// and fails if a run could not start or a result could not be written.
+func RunResharding(c ReshardingConfig) (bool, error) {
+	var all []reshardingResult
+	for _, seed := range c.Seeds {
+		results, errs := make([]reshardingResult, len(reshardingRuns)), make([]error, len(reshardingRuns))
+		var runs sync.WaitGroup
+		for i := range reshardingRuns {
+			runs.Go(func() { results[i], errs[i] = runResharding(c, seed, i) })
+		}
+		runs.Wait()
+		if err := errors.Join(errs...); err != nil {
+			return false, err
+		}
+		all = append(all, results...)
+	}
+	return reportResharding(c, all)
+}
+
+// reshardingWorld is the world of one run. Replicas drop a shard with the first assignment after the switch of its
+// plan, so that parts in flight find it moved.
+func reshardingWorld(c ReshardingConfig, seed uint64, i int) worldConfig {
+	run := reshardingRuns[i]
+	return worldConfig{
+		seed:         seed*100 + uint64(i),
+		servers:      c.Servers,
+		coordinators: 3,
+		shards:       8,
+		records:      1000,
+		replicas:     2,
+		maxOpen:      4000,
+		memoryMB:     256,
+		resharding:   fmt.Sprintf("moves = 4\nper_server = 2\npoll = \"50ms\"\nretire_after = \"1ms\"\npatience = \"10s\"\nreplan = %v", run.replans),
+		capacity: emulator.Capacity{
+			Cores:              2,
+			WorkPerPart:        20 * time.Millisecond,
+			WorkPerRecord:      20 * time.Microsecond,
+			Queue:              64,
+			CopyRate:           400,
+			WarmupDuration:     3 * time.Second,
+			WarmupInitialShare: 0.3,
+		},
+	}
+}
+
+// runResharding is one run in a world of its own.
+func runResharding(c ReshardingConfig, seed uint64, i int) (reshardingResult, error) {
+	run := reshardingRuns[i]
+	w, err := newWorld(reshardingWorld(c, seed, i))
+	if err != nil {
+		return reshardingResult{}, err
+	}
+	defer w.close()
+	result := newLoadResult()
+	d := &disruption{pauses: true, drainEvery: reshardingDrainEvery, ordered: map[string]int{}}
+	if run.reshards {
+		d.reshardEvery = c.Every
+	}
+	if run.kills {
+		d.killEvery = reshardingKillEvery
+	}
+	w.runDisrupted(d, seed, drawQueries(seed, time.Duration(c.Seconds)*time.Second, c.Rate, w.fleet.Records), result)
+	out := reshardingResult{
+		loadResult:    result,
+		run:           run,
+		seed:          seed,
+		ordered:       d.ordered,
+		switched:      w.counterSum("resharding_switched"),
+		abandoned:     w.counterSum("resharding_abandoned"),
+		lateParts:     w.fleet.LateParts(),
+		replans:       w.counterSum("replans"),
+		attempts:      w.counterSum("attempts_sent"),
+		attemptsMoved: w.counterSum("attempts_moved"),
+	}
+	for _, server := range w.fleet.Servers {
+		out.warmupOverloads += server.OverloadedWhileWarming.Load()
+	}
+	return out, nil
+}
+
+// runDisrupted runs queries while a disruption goes on, and waits for its end.
+func (w *world) runDisrupted(d *disruption, seed uint64, queries []query, result *loadResult) {
+	ctx, stop := context.WithCancel(context.Background())
+	var disrupting sync.WaitGroup
+	disrupting.Go(func() { d.run(ctx, w, seed) })
+	w.runQueries(queries, result)
+	stop()
+	disrupting.Wait()
+}
--- /dev/null
+++ b/internal/experiment/search_faults_test.go
@@ -0,0 +1,34 @@
+package experiment
+
+import (
+	"strings"
+	"testing"
+)
+
+// Faults: a shard map version that does not exist, a partition, a slow server, one that is called in frames.
+func TestSearchIsCompleteBesideFaultyServers(t *testing.T) {
+	isolate(t)
+	d, err := StartDemo(3)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(d.Close)
+	s := d.Fleet().Servers
+	s[0].ClaimShardMapVersion(999)
+	s[2].Partition(true)
+	s[4].SetSlowdown(5)
+	n := d.w.nodes[0]
+	if status, body, err := d.w.call(n, "PUT", "/_cluster/settings", `{"persistent":{"servers.s-06.protocol":"plain"}}`); err != nil || status != 200 {
+		t.Fatalf("%d %s %v", status, body, err)
+	}
+	for range 12 {
+		status, body, err := d.w.call(n, "POST", "/tables/_search", `{"size":1000}`)
+		if err != nil || status != 200 || !strings.Contains(string(body), `"failed":0`) {
+			t.Fatalf("%d %.300s %v", status, body, err)
+		}
+	}
+	if s[0].MovedParts.Load() == 0 || d.w.counterSum("attempts_ahead") == 0 {
+		t.Errorf("the liar was never asked: %d, %d", s[0].MovedParts.Load(), d.w.counterSum("attempts_ahead"))
+	}
+	s[2].Partition(false)
+}
