--- a/internal/experiment/drain_test.go
+++ b/internal/experiment/drain_test.go
@@ -17,32 +17,50 @@
 func TestDrainWithAndWithoutMajority(t *testing.T) {
 	isolate(t)
 	w := startCluster(t, 13, 3)
-	order := func(n *node, verb, server string, force bool) error {
-		_, err := n.program.ChangeServer(context.Background(), adminapi.ServerRequest{Server: server, Action: verb, Force: force})
-		return err
-	}
-	byLeader := func(verb, server string) {
-		t.Helper()
-		for i := 0; ; i++ {
-			var other *store.NotLeaderError
-			if err := order(w.nodes[i%3], verb, server, false); err == nil {
-				return
-			} else if !errors.As(err, &other) && !errors.Is(err, store.ErrNoLeader) || t.Context().Err() != nil {
-				t.Fatal(err)
-			}
-			time.Sleep(2 * time.Millisecond)
+	orderByLeader(t, w, "weight", "s-03") // the coordinators agree on a first document
+	checkDrainAtEveryNode(t, w)
+	checkOrderOfStrangerIsRejected(t, w)
+	checkLastReplicaIsKept(t, w)
+	checkSameState(t, w)
+	w.stopNodes(1)
+	checkDrainWithoutMajority(t, w.nodes[0])
+}
+
+func order(n *node, action, server string, force bool) error {
+	_, err := n.program.ChangeServer(context.Background(), adminapi.ServerRequest{Server: server, Action: action, Force: force})
+	return err
+}
+
+// orderByLeader gives an order at each coordinator in turn until the leader takes it.
+func orderByLeader(t *testing.T, w *world, action, server string) {
+	t.Helper()
+	for i := 0; ; i++ {
+		var other *store.NotLeaderError
+		if err := order(w.nodes[i%3], action, server, false); err == nil {
+			return
+		} else if !errors.As(err, &other) && !errors.Is(err, store.ErrNoLeader) || t.Context().Err() != nil {
+			t.Fatal(err)
 		}
+		time.Sleep(2 * time.Millisecond)
 	}
-	byLeader("weight", "s-03") // the settings are agreed from here on
+}
+
+// A drain holds at once where it is ordered, then everywhere.
+func checkDrainAtEveryNode(t *testing.T, w *world) {
+	t.Helper()
 	for i, n := range w.nodes {
 		if err := order(n, "drain", "s-01", false); err != nil {
 			t.Fatal(i, err)
 		}
 		awaitServerState(t, w.nodes[i:i+1], "s-01", "draining", false)
 		awaitServerState(t, w.nodes, "s-01", "draining", true)
-		byLeader("undrain", "s-01")
+		orderByLeader(t, w, "undrain", "s-01")
 		awaitServerState(t, w.nodes, "s-01", "in_service", true)
 	}
+}
+
+func checkOrderOfStrangerIsRejected(t *testing.T, w *world) {
+	t.Helper()
 	stranger := `[{"id":{"origin":{"instance":"nobody","boot":1},"seq":1},"server":"s-04","kind":"draining","force":true}]`
 	if status, body, err := w.call(w.nodes[0], "POST", "/_linkpass/orders?from=n1", stranger); err != nil || status != 200 {
 		t.Errorf("%d %s %v", status, body, err)
@@ -51,6 +69,10 @@
 		t.Errorf("%d orders of no member were counted", n)
 	}
 	awaitServerState(t, w.nodes, "s-04", "in_service", true) // an instance that never was orders nothing
+}
+
+func checkLastReplicaIsKept(t *testing.T, w *world) {
+	t.Helper()
 	if err := order(w.nodes[0], "drain", "s-01", false); err != nil {
 		t.Fatal(err)
 	}
@@ -66,6 +88,10 @@
 	if err := order(w.nodes[2], "drain", "s-02", true); !errors.As(err, &refused) || refused.Reason != config.ServerIDRetired {
 		t.Errorf("what was removed was drained: %v", err)
 	}
+}
+
+func checkSameState(t *testing.T, w *world) {
+	t.Helper()
 	hashes := map[string]bool{}
 	for _, n := range w.nodes {
 		a, err := n.program.ReplicatedState()
@@ -77,16 +103,19 @@
 	if len(hashes) > 1 {
 		t.Errorf("states differ: %v", hashes)
 	}
-	w.stopNodes(1)
-	if err := order(w.nodes[0], "drain", "s-03", false); err != nil {
+}
+
+func checkDrainWithoutMajority(t *testing.T, n *node) {
+	t.Helper()
+	if err := order(n, "drain", "s-03", false); err != nil {
 		t.Fatal(err)
 	}
-	awaitServerState(t, w.nodes[:1], "s-03", "draining", false)
-	if err := order(w.nodes[0], "undrain", "s-03", false); err == nil {
+	awaitServerState(t, []*node{n}, "s-03", "draining", false)
+	if err := order(n, "undrain", "s-03", false); err == nil {
 		t.Error("an undrain held without a majority")
 	}
-	if a, err := w.nodes[0].program.ReplicatedState(); err != nil || len(a.Pending) != 1 {
+	if a, err := n.program.ReplicatedState(); err != nil || len(a.Pending) != 1 {
 		t.Errorf("%+v %v", a.Pending, err)
 	}
-	awaitServerState(t, w.nodes[:1], "s-03", "draining", false)
+	awaitServerState(t, []*node{n}, "s-03", "draining", false)
 }
