--- a/internal/experiment/backup_test.go
+++ b/internal/experiment/backup_test.go
@@ -15,47 +15,13 @@
 func TestBackupDuringWritesIntoAnotherCluster(t *testing.T) {
 	isolate(t)
 	here, there := startCluster(t, 11, 3), startCluster(t, 12, 1)
-	call := func(n *node, method, path string, body []byte) *http1.Response {
-		return adminapi.Handler{Coordinator: n.program}.Serve(context.Background(), 0, &http1.Request{Method: method, Path: "/v1" + path, Body: body})
-	}
 	stop, written := make(chan struct{}), make(chan int)
-	go func() {
-		for i := 1; ; i++ {
-			select {
-			case <-stop:
-				written <- i
-				return
-			default:
-			}
-			// Both keys change together: a backup with one alone would be torn.
-			text := fmt.Sprintf(`{"persistent":{"search.max_result_window":%d,"search.default_search_timeout":"%dms"}}`, 1000+i, 1000+i)
-			if status, body, err := here.call(here.nodes[i%3], "PUT", "/_cluster/settings", text); err != nil || status != 200 {
-				t.Errorf("%d %s %v", status, body, err)
-			}
-		}
-	}()
-	var last []byte
-	revision := uint64(0)
-	for taken := 0; taken < 20; {
-		res := call(here.nodes[taken%3], "GET", "/store/backup", nil)
-		if res.Status != 200 { // it does not lead
-			taken = (taken + 1) % 3
-			continue
-		}
-		doc, err := adminapi.ReadBackup(res.Body)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if want := fmt.Sprintf("%dms", doc.Search.MaxResultWindow); doc.Search.Timeout != "" && doc.Search.Timeout != want || doc.Revision < revision {
-			t.Fatalf("torn or old: %+v, revision %d after %d", doc.Search, doc.Revision, revision)
-		}
-		last, revision = res.Body, doc.Revision
-		taken += 3
-	}
+	go writeSettings(t, here, stop, written)
+	last, revision := takeBackups(t, here)
 	close(stop)
 	<-written
 	before, members := there.nodes[0].program.ShardMaps(), fmt.Sprint(there.nodes[0].program.Store().Members())
-	if res := call(there.nodes[0], "PUT", "/store/document", last); res.Status != 200 {
+	if res := callAdmin(there.nodes[0], "PUT", "/store/document", last); res.Status != 200 {
 		t.Fatalf("%d %s", res.Status, res.Body)
 	}
 	doc, err := adminapi.ReadBackup(last)
@@ -73,3 +39,46 @@
 		t.Errorf("%d %s %v", status, body, err)
 	}
 }
+
+func callAdmin(n *node, method, path string, body []byte) *http1.Response {
+	return adminapi.Handler{Coordinator: n.program}.Serve(context.Background(), 0, &http1.Request{Method: method, Path: "/v1" + path, Body: body})
+}
+
+// writeSettings changes two settings together until stop closes, then sends the number of the next change.
+func writeSettings(t *testing.T, w *world, stop <-chan struct{}, written chan<- int) {
+	for i := 1; ; i++ {
+		select {
+		case <-stop:
+			written <- i
+			return
+		default:
+		}
+		// Both keys change together: a backup with one alone would be torn.
+		text := fmt.Sprintf(`{"persistent":{"search.max_result_window":%d,"search.default_search_timeout":"%dms"}}`, 1000+i, 1000+i)
+		if status, body, err := w.call(w.nodes[i%3], "PUT", "/_cluster/settings", text); err != nil || status != 200 {
+			t.Errorf("%d %s %v", status, body, err)
+		}
+	}
+}
+
+// takeBackups returns the last backup and its revision, and fails if one is torn or older than the one before.
+func takeBackups(t *testing.T, w *world) (last []byte, revision uint64) {
+	t.Helper()
+	for taken := 0; taken < 20; {
+		res := callAdmin(w.nodes[taken%3], "GET", "/store/backup", nil)
+		if res.Status != 200 { // it does not lead
+			taken = (taken + 1) % 3
+			continue
+		}
+		doc, err := adminapi.ReadBackup(res.Body)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if want := fmt.Sprintf("%dms", doc.Search.MaxResultWindow); doc.Search.Timeout != "" && doc.Search.Timeout != want || doc.Revision < revision {
+			t.Fatalf("torn or old: %+v, revision %d after %d", doc.Search, doc.Revision, revision)
+		}
+		last, revision = res.Body, doc.Revision
+		taken += 3
+	}
+	return last, revision
+}
