--- a/internal/experiment/bodies_report.go
+++ b/internal/experiment/bodies_report.go
@@ -36,7 +36,7 @@
 
 func bodiesTable(all []bodiesResult) *resultTable {
 	table := &resultTable{name: "bodies", columns: []string{"tier", "seed", "class", "queries", "lost", "retries_needed", "made", "won", "forgone",
-		"copies_forgone", "bare", "final_p50_ms", "final_p99_ms", "final_max_ms", "answer_p50_ms", "answer_p99_ms", "service", "causes"}}
+		"hedges_forgone", "bare", "final_p50_ms", "final_p99_ms", "final_max_ms", "answer_p50_ms", "answer_p99_ms", "service", "causes"}}
 	for _, r := range all {
 		for i, c := range classes {
 			final := r.evictedFinal(c)
