--- a/internal/frame/codec.go
+++ b/internal/frame/codec.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	maxConns       = 8       // to a server
-	readBufferSize = 4 << 10 // bytes
+	maxConns       = 8       // connections to one server
+	readBufferSize = 4 << 10 // bytes, of each connection
 )
 
-// Codec is the plain protocol as an upstream.Codec.
+// Codec implements upstream.Codec for the plain protocol.
 type Codec struct {
-	MaxStreams  int      // parts in flight on a connection
-	ReportNames []string // names of the values of a load report; none: health checks request no report
+	MaxStreams  int      // maximum number of parts in flight on a connection; 0 allows none
+	ReportNames []string // names of the values in a load report; if empty, health checks request no report
 }
 
-// Limits is how much can be in flight.
+// Limits returns the maximum numbers of parts on a connection and of connections to a server.
 func (c Codec) Limits() upstream.Limits {
 	return upstream.Limits{MaxStreams: c.MaxStreams, MaxConns: maxConns}
 }
 
-// EncodeRequest encodes a request.
+// EncodeRequest encodes a request with the given parts as one message.
 func (Codec) EncodeRequest(parts []upstream.Part) []byte {
 	list := make([]Part, len(parts))
 	for i, p := range parts {
@@ -32,15 +32,15 @@
 	return AppendRequest(nil, list)
 }
 
-// EncodeHeader encodes a request of one part up to its payload of size bytes.
+// EncodeHeader encodes a request with one part, without its payload of size bytes, which has to follow.
 func (Codec) EncodeHeader(p upstream.Part, size int64) []byte {
 	return AppendRequestHeader(nil, Part{Name: p.Name, Shard: p.Shard, Timeout: p.Timeout}, size)
 }
 
-// EncodeCancel encodes the cancellation of a part.
+// EncodeCancel encodes a message that cancels the part with the given name.
 func (Codec) EncodeCancel(name string) []byte { return Append(nil, LetterCancel, []byte(name)) }
 
-// EncodeHealthCheck encodes a health check, which requests a load report where values are configured.
+// EncodeHealthCheck encodes a health check. It requests a load report if ReportNames is not empty.
 func (c Codec) EncodeHealthCheck() []byte {
 	if len(c.ReportNames) == 0 {
 		return Append(nil, LetterHealthCheck, nil)
@@ -48,7 +48,7 @@
 	return Append(nil, LetterLoadCheck, nil)
 }
 
-// NewReader makes a reader of the messages of a server.
+// NewReader returns a reader of the messages that a server sends on one connection.
 func (c Codec) NewReader(r io.Reader) upstream.Reader {
 	return &messageReader{reportNames: c.ReportNames, buf: bufio.NewReaderSize(r, readBufferSize)}
 }
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -8,14 +8,15 @@
 	"io"
 )
 
-// MaxSize is the longest frame that is read, in bytes, without its length.
+// MaxSize is the maximum size of a frame that Read accepts, in bytes: the letter and the content, without the four
+// bytes of the length.
 const MaxSize = 256 << 10
 
-// ErrMalformed marks an error of what was read, not of the connection.
+// ErrMalformed is wrapped by errors about the bytes that were read. Errors of the connection do not wrap it.
 var ErrMalformed = errors.New("frame: malformed")
 
-// Read reads one frame. The error is io.EOF at the end of the input between two frames, io.ErrUnexpectedEOF inside
-// one, and ErrMalformed where the length is not allowed.
+// Read reads one frame. The error is io.EOF if the input ends between two frames and io.ErrUnexpectedEOF if it ends
+// inside a frame. It wraps ErrMalformed if the length is zero or greater than MaxSize.
 func Read(r *bufio.Reader) (letter byte, rest []byte, err error) {
 	var head [4]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -23,7 +24,7 @@
 	}
 	size := binary.LittleEndian.Uint32(head[:])
 	if size < 1 || size > MaxSize {
-		return 0, nil, fmt.Errorf("%w: length %d", ErrMalformed, size)
+		return 0, nil, fmt.Errorf("%w: frame length is %d, want 1 to %d", ErrMalformed, size, MaxSize)
 	}
 	body := make([]byte, size)
 	if _, err := io.ReadFull(r, body); err != nil {
@@ -35,13 +36,13 @@
 	return body[0], body[1:], nil
 }
 
-// Append adds a frame to b.
+// Append appends a frame to b and returns the extended slice.
 func Append(b []byte, letter byte, rest []byte) []byte {
 	b = appendHead(b, letter, int64(len(rest)))
 	return append(b, rest...)
 }
 
-// appendHead adds the length and the letter of a frame to b; size is that of the rest, in bytes.
+// appendHead appends the length and the letter of a frame to b. size is the number of bytes that follow the letter.
 func appendHead(b []byte, letter byte, size int64) []byte {
 	b = binary.LittleEndian.AppendUint32(b, uint32(1+size))
 	return append(b, letter)
--- a/internal/frame/message_reader.go
+++ b/internal/frame/message_reader.go
@@ -11,20 +11,20 @@
 	"linkpass/internal/upstream"
 )
 
-// messageReader is the upstream.Reader of one connection.
+// messageReader implements upstream.Reader for one connection.
 type messageReader struct {
 	reportNames []string
 	buf         *bufio.Reader
 }
 
-// Wait waits for the first byte of a frame.
+// Wait blocks until the first byte of a frame is available, and returns the error if the connection fails first.
 func (r *messageReader) Wait() error {
 	_, err := r.buf.Peek(1)
 	return err
 }
 
-// Next reads one message. The error is ErrMalformed where a frame cannot be read, that of the connection, or what a
-// server says of a frame that it could not use.
+// Next reads one message. The error wraps ErrMalformed if the frame cannot be parsed. Otherwise it is the error of the
+// connection, or it quotes a frame with LetterError, in which the server says why it could not use a frame.
 func (r *messageReader) Next() (upstream.Message, outcome.Outcome, error) {
 	letter, rest, err := Read(r.buf)
 	if err != nil {
--- a/internal/frame/reply.go
+++ b/internal/frame/reply.go
@@ -9,29 +9,29 @@
 	"linkpass/internal/outcome"
 )
 
-// Reply is what a frame with LetterReply says.
+// Reply is the content of a frame with LetterReply.
 type Reply struct {
 	Name       string // of the part
 	Code       int    // 200, 500 or 503
 	Score      float64
-	LoadReport string // "-": none
+	LoadReport string // "-" if the server sent none
 	Value      []byte
 }
 
-// ParseReply reads the rest of a frame with LetterReply. The error is ErrMalformed. A score that cannot be read is
-// taken as 0: only merging by score needs it.
+// ParseReply parses the content of a frame with LetterReply. An error wraps ErrMalformed. A score that cannot be
+// parsed counts as 0 instead of an error, because only merging by score uses it.
 func ParseReply(rest []byte) (Reply, error) {
 	line, value, ok := bytes.Cut(rest, []byte{'\n'})
 	if !ok {
-		return Reply{}, fmt.Errorf("%w: answer without a line", ErrMalformed)
+		return Reply{}, fmt.Errorf("%w: reply has no newline after its header line", ErrMalformed)
 	}
 	fields := strings.Split(string(line), " ")
 	if len(fields) != 4 || fields[0] == "" {
-		return Reply{}, fmt.Errorf("%w: answer line %q", ErrMalformed, line)
+		return Reply{}, fmt.Errorf("%w: reply header line %q, want a name and 3 more fields", ErrMalformed, line)
 	}
 	code, err := strconv.Atoi(fields[1])
 	if _, known := replyOutcome(code); err != nil || !known {
-		return Reply{}, fmt.Errorf("%w: unknown end %q", ErrMalformed, fields[1])
+		return Reply{}, fmt.Errorf("%w: unknown reply code %q", ErrMalformed, fields[1])
 	}
 	score, err := strconv.ParseFloat(fields[2], 64)
 	if err != nil {
--- a/internal/frame/request.go
+++ b/internal/frame/request.go
@@ -7,13 +7,13 @@
 
 // Part is one part of a request.
 type Part struct {
-	Name    string
+	Name    string // identifies the part on its connection; the reply repeats it
 	Shard   int
-	Timeout time.Duration // sent in milliseconds, at least 1
+	Timeout time.Duration // sent in milliseconds, rounded down, at least 1
 	Payload []byte
 }
 
-// AppendRequest adds the frame of a request to b.
+// AppendRequest appends the frame of a request with the given parts to b and returns the extended slice.
 func AppendRequest(b []byte, parts []Part) []byte {
 	var rest []byte
 	for _, p := range parts {
@@ -23,7 +23,8 @@
 	return Append(b, LetterRequest, rest)
 }
 
-// AppendRequestHeader adds the frame of a request with one part to b, up to its payload of size bytes.
+// AppendRequestHeader appends the frame of a request with one part to b, without the payload of size bytes, which has
+// to follow. The frame's length counts that payload; p.Payload is ignored.
 func AppendRequestHeader(b []byte, p Part, size int64) []byte {
 	line := p.appendLine(nil, size)
 	b = appendHead(b, LetterRequest, int64(len(line))+size)
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -1,5 +1,5 @@
-// Package loadreport parses the load reports of servers: "name=value" pairs, separated by commas. All protocols carry
-// them in this form.
+// Package loadreport parses the load reports that servers send: "name=value" pairs, separated by commas. All protocols
+// use this format.
 package loadreport
 
 import (
@@ -9,8 +9,9 @@
 	"strings"
 )
 
-// Parse returns the values of a load report in the order of names, with NaN for a name that it lacks. It returns nil
-// where the report has none of them: "-", an empty text, and one that cannot be parsed.
+// Parse returns the values of a load report in the order of names, with NaN for each name that the report lacks. It
+// skips a pair whose name is not in names, or whose value is infinite or cannot be parsed. It returns nil if no pair is
+// left, as with "-", an empty text, and a text that is not a load report.
 func Parse(text string, names []string) []float64 {
 	if text == "-" || text == "" || len(names) == 0 {
 		return nil
--- a/internal/upstream/body_write.go
+++ b/internal/upstream/body_write.go
@@ -11,27 +11,29 @@
 	"linkpass/internal/outcome"
 )
 
-// bodyChunkSize is how many bytes of a body are read and written at a time.
+// bodyChunkSize is the number of bytes of a body that are read and written at a time.
 const bodyChunkSize = 16 << 10
 
-// Why a body was not written to its end, other than an error of the connection.
+// Reasons other than a connection error for which a body was not written completely.
 var (
 	errQueryEnded     = errors.New("the query has ended")
 	errWorkDeclined   = errors.New("the server accepts no more work")
 	errBodyUnreadable = errors.New("the body cannot be read")
 )
 
-// bodyWrite is one part whose body is written by a goroutine of its own, so that neither the event loop nor another
-// connection waits for it. The event loop owns it, except for lastChunk.
+// bodyWrite is the write of one part whose body is in the body store. A separate goroutine writes it, so that neither
+// the event loop nor another connection waits for it. The goroutine sets lastChunk and reads attempt and name, which
+// do not change; only the event loop uses cancelAfter.
 type bodyWrite struct {
 	attempt     coordinator.Attempt
 	name        string      // of the part
-	lastChunk   atomic.Bool // the write of the last chunk has begun
-	cancelAfter []string    // names of parts to cancel once the message is complete
+	lastChunk   atomic.Bool // set just before the last chunk is written
+	cancelAfter []string    // names of other parts on the connection, to cancel once this message is complete
 }
 
-// outcomeOf is the outcome of an attempt in flight on a connection that was closed with o during the write. Before
-// the last chunk the server cannot have run the part of the body; the other parts may run, whatever ended the write.
+// outcomeOf returns the outcome of an attempt that was in flight on the connection when it was closed with outcome o
+// during this write. Before the last chunk is written, the server cannot have run the part that the body belongs to.
+// The other parts in flight may have run, whatever ended the write.
 func (b *bodyWrite) outcomeOf(id coordinator.AttemptID, o outcome.Outcome) outcome.Outcome {
 	ofBody := o == outcome.Canceled || o == outcome.BodyEvicted || o == outcome.NotSent
 	switch {
@@ -43,7 +45,7 @@
 	return outcome.WriteInterrupted
 }
 
-// startBodyWrite begins to write a part whose message starts with header.
+// startBodyWrite starts a goroutine that writes the message of a part: header, then the body.
 func (c *Client) startBodyWrite(conn *connection, a coordinator.Attempt, name string, header []byte) {
 	body, err := a.Body.Open()
 	if err != nil {
@@ -60,8 +62,8 @@
 	})
 }
 
-// copyBody writes header and body in chunks. The server may be slow for as long as each chunk is written within
-// ConnectTimeout.
+// copyBody writes header and body in chunks. A slow server does not fail the write as long as each chunk is written
+// within ConnectTimeout.
 func (c *Client) copyBody(conn *connection, b *bodyWrite, header []byte, body io.Reader) error {
 	left := b.attempt.Body.Size()
 	buf := append(make([]byte, 0, len(header)+bodyChunkSize), header...)
@@ -90,7 +92,8 @@
 	}
 }
 
-// checkBodyWrite is made before each chunk: the query may have ended, and the server may have begun to drain.
+// checkBodyWrite is called before each chunk. It returns an error if the query has ended, or if the server has begun
+// to drain or no longer has the shard.
 func (c *Client) checkBodyWrite(b *bodyWrite, now time.Duration) error {
 	if b.attempt.Expired(now) || b.attempt.Canceled() {
 		return errQueryEnded
@@ -101,7 +104,7 @@
 	return nil
 }
 
-// bodyWritten handles the end of a write. After an error the message is truncated, and the connection is dropped.
+// bodyWritten handles the end of a body write. After an error the message is truncated, so the connection is dropped.
 func (c *Client) bodyWritten(conn *connection, b *bodyWrite, err error) {
 	if conn.closed {
 		return
--- a/internal/upstream/cancel.go
+++ b/internal/upstream/cancel.go
@@ -5,7 +5,7 @@
 	"linkpass/internal/outcome"
 )
 
-// cancelAttempt cancels an attempt if it is in flight. Its result is not reported.
+// cancelAttempt cancels an attempt if it is in flight. No result is reported to the sink for it.
 func (c *Client) cancelAttempt(id coordinator.AttemptID) {
 	for _, conn := range c.conns {
 		for name, inFlight := range conn.inFlight {
@@ -18,10 +18,10 @@
 	}
 }
 
-// writeCancel cancels a part at the server: by a message, or by closing the connection where that is the only way.
+// writeCancel cancels a part at the server: with a message if possible, otherwise by closing the connection.
 func (c *Client) writeCancel(conn *connection, id coordinator.AttemptID, name string) {
 	switch {
-	case conn.body != nil && conn.body.attempt.ID != id: // a message may not be written inside another
+	case conn.body != nil && conn.body.attempt.ID != id: // a message cannot be written inside another
 		conn.body.cancelAfter = append(conn.body.cancelAfter, name)
 	case c.limits.Exclusive || conn.body != nil:
 		c.drop(conn, outcome.Canceled)
--- a/internal/upstream/conn_task.go
+++ b/internal/upstream/conn_task.go
@@ -5,12 +5,13 @@
 	"linkpass/internal/outcome"
 )
 
-// connTask is what needs an open connection: a request or a health check.
+// connTask is a request or a health check, which needs an open connection to be written on.
 type connTask interface {
-	// streams is how many streams of the connection it needs.
+	// streams returns how many of the connection's streams the task needs.
 	streams(Limits) int
+	// start writes the task on an open connection.
 	start(*Client, *connection)
-	// fail ends it where there is no connection for it.
+	// fail reports the outcome of a task for which there is no connection.
 	fail(*Client, outcome.Outcome)
 }
 
@@ -31,8 +32,8 @@
 func (t healthCheckTask) start(c *Client, conn *connection) { c.writeHealthCheck(conn, t.number) }
 func (t healthCheckTask) fail(c *Client, o outcome.Outcome) { c.endHealthCheck(t.number, o) }
 
-// withConnection starts a task on a connection with enough free streams, once that is open. Where there is none, and
-// none can be dialed, the task fails with QueueFull.
+// withConnection starts a task on a connection with enough free streams, at once or when the connection has been
+// dialed. If there is no such connection and none can be dialed, the task fails with QueueFull.
 func (c *Client) withConnection(t connTask) {
 	streams := t.streams(c.limits)
 	conn := c.pickConnection(streams)
@@ -48,8 +49,9 @@
 	conn.waiting = append(conn.waiting, t)
 }
 
-// pickConnection returns a connection with that many free streams, an open one rather than one that is being
-// dialed, or dials one. It returns nil where a limit forbids that.
+// pickConnection returns a connection with at least the given number of free streams. It prefers an open connection to
+// one that is being dialed, and dials one if there is neither. It returns nil if it may not dial: the client is
+// stopping, or a limit is reached.
 func (c *Client) pickConnection(streams int) *connection {
 	for _, open := range []bool{true, false} {
 		for _, conn := range c.conns {
@@ -65,7 +67,7 @@
 	return c.dial()
 }
 
-// startWaiting starts or fails the tasks that wait for a connection: it is open, or it is closed.
+// startWaiting starts the tasks that wait for a connection if it is open, and fails them if it is closed.
 func (c *Client) startWaiting(conn *connection) {
 	waiting := conn.waiting
 	conn.waiting = nil
@@ -74,7 +76,7 @@
 		switch {
 		case conn.closed:
 			t.fail(c, conn.closeOutcome)
-		case conn.body != nil: // a task before it has begun to write a body
+		case conn.body != nil: // an earlier task has started to write a body
 			c.withConnection(t)
 		default:
 			t.start(c, conn)
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -10,36 +10,36 @@
 	"linkpass/internal/outcome"
 )
 
-// maxEndedNames is how many names of ended parts a connection remembers.
+// maxEndedNames is the maximum number of names of ended parts that a connection keeps.
 const maxEndedNames = 256
 
-// connection is one connection, open or being dialed. The event loop owns it; the goroutines that dial, read and
-// write a body use netConn and what the dial has set.
+// connection is one connection, open or being dialed. The event loop owns it. The goroutines that dial, read and write
+// a body use only netConn and the fields that the dial sets.
 type connection struct {
-	netConn  net.Conn // nil while it is dialed
-	dialedAt time.Duration
-	lastUsed time.Duration
-	waiting  []connTask // start once it is open
-	reserved int        // streams that waiting needs
+	netConn  net.Conn      // nil until the dial succeeds
+	dialedAt time.Duration // when the dial started
+	lastUsed time.Duration // last time at which the connection was opened, written to or found in use
+	waiting  []connTask    // tasks to start once the connection is open
+	reserved int           // number of streams that the tasks in waiting need
 
-	inFlight     map[string]coordinator.AttemptID // by name of part
-	healthChecks []uint64                         // in flight, in the order sent, which is that of the replies
-	body         *bodyWrite                       // not nil: nothing else may be written until it ends
-	endedNames   []string                         // of parts that ended, latest last: late replies have these names
+	inFlight     map[string]coordinator.AttemptID // attempts in flight, by name of their part
+	healthChecks []uint64                         // in flight, in the order sent, in which the replies come too
+	body         *bodyWrite                       // if not nil, nothing else may be written until it ends
+	endedNames   []string                         // names of ended parts, latest last: late replies have these names
 
-	checkPending bool          // a health check was sent at checkSentAt, and nothing was read since
-	checkSentAt  time.Duration // meaningless unless checkPending
+	checkPending bool          // a health check was sent at checkSentAt, and nothing has been read since
+	checkSentAt  time.Duration // valid only if checkPending
 
 	closed       bool
-	closeOutcome outcome.Outcome // once closed
+	closeOutcome outcome.Outcome // valid only if closed
 
 	cancelDial  func()
-	disarmIdle  func()      // nil: no idle timeout is armed
-	closeSocket func()      // closes netConn and releases it at the limiter; may be called again
-	keepSocket  func() bool // cancels the close of the socket at the client's stop
+	disarmIdle  func()      // disarms the idle timeout; nil if none was armed
+	closeSocket func()      // closes netConn and releases its slot in the limiter; further calls do nothing
+	keepSocket  func() bool // cancels closing the socket when the client stops
 }
 
-// recordEnded removes a part that has ended. Its reply may still come.
+// recordEnded removes a part that has ended from inFlight and keeps its name, because its reply may still arrive.
 func (conn *connection) recordEnded(name string) {
 	delete(conn.inFlight, name)
 	if len(conn.endedNames) == maxEndedNames {
@@ -48,7 +48,7 @@
 	conn.endedNames = append(conn.endedNames, name)
 }
 
-// usedStreams is how many of Limits.MaxStreams are in use or reserved.
+// usedStreams returns the number of the connection's streams that are in use or reserved, out of Limits.MaxStreams.
 func (c *Client) usedStreams(conn *connection) int {
 	if c.limits.Exclusive {
 		return len(conn.inFlight) + len(conn.healthChecks) + conn.reserved
@@ -56,7 +56,7 @@
 	return len(conn.inFlight) + conn.reserved
 }
 
-// dropConnsBefore closes the connections that were dialed before a time.
+// dropConnsBefore closes the connections that were dialed before startedAt.
 func (c *Client) dropConnsBefore(startedAt time.Duration) {
 	for _, conn := range slices.Clone(c.conns) {
 		if conn.dialedAt < startedAt {
@@ -65,7 +65,8 @@
 	}
 }
 
-// drop closes a connection and ends what waits and what is in flight on it. A second call does nothing.
+// drop closes a connection, and ends the tasks that wait for it and everything in flight on it, with outcome o. A
+// second call does nothing.
 func (c *Client) drop(conn *connection, o outcome.Outcome) {
 	if conn.closed {
 		return
@@ -88,7 +89,7 @@
 	c.endInFlight(conn, o)
 }
 
-// endInFlight ends what is in flight on a connection that was closed.
+// endInFlight reports the results of the attempts and health checks in flight on a connection that was closed.
 func (c *Client) endInFlight(conn *connection, o outcome.Outcome) {
 	at := c.config.Sink.Now()
 	for _, id := range conn.inFlight {
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -11,7 +11,7 @@
 	"linkpass/internal/outcome"
 )
 
-// dial begins to open a connection.
+// dial adds a connection and starts a goroutine that dials it.
 func (c *Client) dial() *connection {
 	ctx, cancel := context.WithCancelCause(c.ctx)
 	conn := &connection{
@@ -25,7 +25,7 @@
 	return conn
 }
 
-// runDial dials, on a goroutine that ends with the dial, and posts the result.
+// runDial dials a connection and posts the result to the event loop. It runs on its own goroutine.
 func (c *Client) runDial(ctx context.Context, cancel context.CancelCauseFunc, conn *connection) {
 	disarm := c.config.Sink.Arm(conn.dialedAt+c.config.ConnectTimeout, func() { cancel(context.DeadlineExceeded) })
 	netConn, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", c.addr)
@@ -51,7 +51,8 @@
 		_ = netConn.Close()
 		c.config.ConnLimiter.release()
 	})
-	// Guards against a write that blocks at the client's stop, and a socket that the event loop never learns of.
+	// Closes the socket when the client stops. Otherwise a write could block at that time, and a socket that the event
+	// loop has not received yet would stay open.
 	conn.keepSocket = context.AfterFunc(c.ctx, conn.closeSocket)
 	c.postConnEvent(connOpened{conn, netConn})
 	if c.ctx.Err() != nil {
@@ -59,8 +60,8 @@
 	}
 }
 
-// connOpened starts to read from an open connection, and starts the tasks that wait for it. One that was dropped
-// while it was dialed is closed.
+// connOpened starts to read from an open connection, and starts the tasks that wait for it. A connection that was
+// dropped while it was dialed is closed instead.
 func (c *Client) connOpened(conn *connection, netConn net.Conn) {
 	if conn.closed {
 		conn.keepSocket()
--- a/internal/upstream/event_loop.go
+++ b/internal/upstream/event_loop.go
@@ -6,7 +6,7 @@
 	"linkpass/internal/outcome"
 )
 
-// run is the event loop. It ends once the client is stopped.
+// run is the event loop. It returns once the client is stopped.
 func (c *Client) run() {
 	for {
 		select {
@@ -25,15 +25,16 @@
 	}
 }
 
-// handleConnEvents handles the events that wait. Before a command, this guards against a write to a connection whose
-// end is already known.
+// handleConnEvents handles the connection events that are queued. It is called before each command, so that a command
+// does not write to a connection whose end has already been reported.
 func (c *Client) handleConnEvents() {
 	for range len(c.connEvents) {
 		(<-c.connEvents).handle(c)
 	}
 }
 
-// shutDown ends what waits and what is in flight, so that nothing is left until its deadline.
+// shutDown handles the queued events and closes all connections. This ends everything that waits or is in flight;
+// otherwise it would stay open until its deadline.
 func (c *Client) shutDown() {
 	c.stopping = true
 	c.handleConnEvents()
@@ -45,12 +46,12 @@
 	}
 }
 
-// hasAttempts tells whether an attempt is in flight or waits for a connection.
+// hasAttempts reports whether an attempt is in flight or waits for a connection.
 func (c *Client) hasAttempts() bool {
 	return slices.ContainsFunc(c.conns, func(conn *connection) bool { return len(conn.inFlight)+conn.reserved > 0 })
 }
 
-// post posts a command without waiting. It returns false where the mailbox is full or the client has stopped.
+// post posts a command without waiting. It returns false if the mailbox is full or the client has stopped.
 func (c *Client) post(e event) bool {
 	if c.ctx.Err() != nil {
 		return false
@@ -64,7 +65,8 @@
 	}
 }
 
-// postConnEvent posts an event of a connection and waits for room. It returns false where the client has stopped.
+// postConnEvent posts a connection event, and waits while the channel is full. It returns false if the client stops
+// before the event is posted.
 func (c *Client) postConnEvent(e event) bool {
 	select {
 	case c.connEvents <- e:
--- a/internal/upstream/events.go
+++ b/internal/upstream/events.go
@@ -8,10 +8,10 @@
 	"linkpass/internal/outcome"
 )
 
-// event is what the event loop handles, by calling handle: a command or what happened on a connection.
+// event is a command or a connection event. The event loop calls its handle method.
 type event interface{ handle(*Client) }
 
-// The commands of the mailbox.
+// The commands, which are posted to the mailbox.
 type (
 	sendAttempts       struct{ attempts []coordinator.Attempt }
 	cancelAttempt      struct{ id coordinator.AttemptID }
@@ -22,7 +22,7 @@
 	idleTimeout        struct{ conn *connection }
 )
 
-// The events of connections.
+// The connection events.
 type (
 	connOpened struct {
 		conn    *connection
@@ -35,7 +35,7 @@
 	messageRead struct {
 		conn    *connection
 		message Message
-		at      time.Duration // when its first byte was there
+		at      time.Duration // when its first byte could be read
 	}
 	bodyWritten struct {
 		conn *connection
--- a/internal/upstream/health_check.go
+++ b/internal/upstream/health_check.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	maxHealthChecks = 512 // in flight on a connection, those abandoned included
+	maxHealthChecks = 512 // in flight on a connection, including abandoned ones
 
-	// unresponsiveDivisor sets after how long without a message a connection counts as unresponsive, once a health
-	// check was sent on it: ConnectTimeout divided by it.
+	// unresponsiveDivisor sets when a connection counts as unresponsive: if nothing is read from it for
+	// ConnectTimeout / unresponsiveDivisor after a health check was sent on it.
 	unresponsiveDivisor = 5
 )
 
@@ -32,8 +32,9 @@
 	c.config.Sink.HealthCheckEnded(number, coordinator.Result{Outcome: o, At: c.config.Sink.Now()})
 }
 
-// abandonHealthCheck closes the connection of a health check that nobody waits for, where its reply would block
-// others, or where the connection is unresponsive and idle. Elsewhere the reply may still come.
+// abandonHealthCheck handles a health check whose result is no longer needed. It closes the connection if waiting for
+// the reply would block other tasks, or if the connection is unresponsive and idle. Otherwise the reply may still
+// arrive.
 func (c *Client) abandonHealthCheck(number uint64) {
 	for _, conn := range c.conns {
 		if !slices.Contains(conn.healthChecks, number) {
@@ -46,13 +47,15 @@
 	}
 }
 
-// isUnresponsive tells whether nothing was read from a connection for too long after a health check was sent on it.
-// It gets no new work until something is read: it may be stuck inside a message, or lead to a host that is down. If
-// the server was only slow for a moment, that costs one more connection.
+// isUnresponsive reports whether nothing has been read from a connection for unresponsiveAfter since a health check was
+// sent on it. Such a connection gets no new work until something is read, because it may be stuck inside a message, or
+// its host may be down. If the server was only slow for a moment, this costs one more connection.
 func (c *Client) isUnresponsive(conn *connection) bool {
 	return conn.checkPending && c.config.Sink.Now() >= conn.checkSentAt+c.unresponsiveAfter()
 }
 
+// unresponsiveAfter returns the time without a message after which a connection with a pending health check is
+// unresponsive.
 func (c *Client) unresponsiveAfter() time.Duration {
 	return c.config.ConnectTimeout / unresponsiveDivisor
 }
@@ -61,8 +64,9 @@
 	return c.isUnresponsive(conn) && len(conn.inFlight)+conn.reserved == 0
 }
 
-// dropUnresponsive closes the connections that were unresponsive at the time at which a message came on another:
-// the server is up. Without it, what is in flight on them would look like a queue at the server until its deadline.
+// dropUnresponsive closes the connections that were unresponsive at the time at, when a message was received on
+// another connection, which shows that the server is up. Otherwise the attempts in flight on them would look like a
+// queue at the server until their deadline.
 func (c *Client) dropUnresponsive(responsive *connection, at time.Duration) {
 	for _, conn := range slices.Clone(c.conns) {
 		if conn != responsive && c.isUnresponsive(conn) && at >= conn.checkSentAt+c.unresponsiveAfter() {
--- a/internal/upstream/idle_timeout.go
+++ b/internal/upstream/idle_timeout.go
@@ -6,16 +6,17 @@
 	"linkpass/internal/outcome"
 )
 
-// idleMarginDivisor sets how long before the server an idle connection is closed here: Keepalive divided by it.
-// A request that crosses the server's close would be reset.
+// idleMarginDivisor sets how much earlier than the server the client closes an idle connection: by Keepalive /
+// idleMarginDivisor. Otherwise a request that is sent while the server closes the connection would be reset.
 const idleMarginDivisor = 4
 
-// idleLimit is how long a connection may be idle; 0: forever.
+// idleLimit returns how long a connection may be idle; 0 means without limit.
 func (c *Client) idleLimit() time.Duration {
 	return max(0, c.config.Keepalive-c.config.Keepalive/idleMarginDivisor)
 }
 
-// armIdleTimeout arms a check of the connection for when it will have been idle for the limit.
+// armIdleTimeout schedules a check of the connection for the time at which it reaches the idle limit, if it is not used
+// before.
 func (c *Client) armIdleTimeout(conn *connection) {
 	limit := c.idleLimit()
 	if limit == 0 {
@@ -24,7 +25,7 @@
 	conn.disarmIdle = c.config.Sink.Arm(conn.lastUsed+limit, func() { c.post(idleTimeout{conn}) })
 }
 
-// checkIdle closes a connection that was idle for the limit, and arms the next check otherwise.
+// checkIdle closes a connection that has been idle for the limit. Otherwise it schedules the next check.
 func (c *Client) checkIdle(conn *connection) {
 	switch {
 	case conn.closed:
--- a/internal/upstream/read.go
+++ b/internal/upstream/read.go
@@ -12,8 +12,8 @@
 	"linkpass/internal/outcome"
 )
 
-// readMessages posts the messages of a connection until it is closed or a message cannot be read, on a goroutine
-// that ends then.
+// readMessages reads messages from a connection and posts them to the event loop, until the connection is closed or a
+// message cannot be read. It runs on its own goroutine.
 func (c *Client) readMessages(conn *connection) {
 	r := c.codec.NewReader(conn.netConn)
 	for {
@@ -25,7 +25,7 @@
 	}
 }
 
-// readMessage reads a message. With an error, the event is the end of the connection.
+// readMessage reads a message. If it returns an error, the event is connEnded.
 func (c *Client) readMessage(conn *connection, r Reader) (event, error) {
 	err := r.Wait()
 	at := c.config.Sink.Now()
@@ -43,7 +43,7 @@
 	return connEnded{conn, o}, err
 }
 
-// messageRead ends the attempt or the health check that a message answers.
+// messageRead handles a message: it ends the attempt or the health check that the message is the reply to.
 func (c *Client) messageRead(conn *connection, m Message, at time.Duration) {
 	if conn.closed {
 		return
@@ -60,7 +60,8 @@
 	}
 }
 
-// answerInFlight makes the message the answer to what is in flight on an exclusive connection: it carries no name.
+// answerInFlight fills in which attempt or health check the message is the reply to. On an exclusive connection this is
+// the only one in flight, because the message carries no name.
 func (m *Message) answerInFlight(conn *connection) {
 	m.HealthCheck = m.HealthCheck || len(conn.healthChecks) > 0
 	for name := range conn.inFlight {
@@ -68,6 +69,8 @@
 	}
 }
 
+// endAnswered reports the result of the health check or attempt that a message is the reply to. It counts a late reply,
+// and closes the connection if the message is not a reply to anything that was sent.
 func (c *Client) endAnswered(conn *connection, m *Message, at time.Duration) {
 	id, inFlight := conn.inFlight[m.Name]
 	switch {
@@ -79,9 +82,10 @@
 		conn.recordEnded(m.Name)
 		c.config.Sink.AttemptEnded(id, m.result(at))
 	case m.HealthCheck || c.limits.Exclusive || !slices.Contains(conn.endedNames, m.Name):
-		// Guards the parts in flight: a reply to a name never sent is a corrupted reply to one of them.
+		// A reply with a name that was never sent is a corrupted reply to one of the parts in flight. Closing the
+		// connection ends them.
 		c.config.Counters.Add("upstream_messages_malformed", 1)
-		c.log.Log(eventlog.MessageMalformed, c.server, outcome.MalformedResponse, "an answer to nothing")
+		c.log.Log(eventlog.MessageMalformed, c.server, outcome.MalformedResponse, "reply does not match any part or health check in flight")
 		c.drop(conn, outcome.MalformedResponse)
 	default:
 		c.config.Counters.Add("upstream_answers_late", 1)
--- a/internal/upstream/stored_body.go
+++ b/internal/upstream/stored_body.go
@@ -7,9 +7,10 @@
 	"linkpass/internal/outcome"
 )
 
-// extractBodies takes the parts with a body in the body store out of a request: each becomes a message of its own.
-// Where the protocol cannot stream a body, it is read into the part's payload, and the part stays in the request. It
-// returns the parts that remain, with their attempts, in the slices that were passed.
+// extractBodies removes the parts whose body is in the body store from a request, because each of them is sent as a
+// separate message. If the protocol cannot stream a body, the body is read into the part's payload instead, and the
+// part stays in the request. extractBodies returns the remaining parts with their attempts, in the slices that were
+// passed.
 func (c *Client) extractBodies(
 	conn *connection, parts []Part, attempts []coordinator.Attempt,
 ) ([]Part, []coordinator.Attempt) {
@@ -25,15 +26,15 @@
 		c.endAttempts(attempts[:kept], outcome.WriteInterrupted)
 		return nil, nil
 	}
-	if conn.body != nil && kept > 0 { // a body is being written: the others go out on another connection
+	if conn.body != nil && kept > 0 { // a body is being written: send the others on another connection
 		c.sendRequest(append([]coordinator.Attempt(nil), attempts[:kept]...))
 		return nil, nil
 	}
 	return parts[:kept], attempts[:kept]
 }
 
-// loadBody reads the body of a part into its payload. It returns false where the part is no longer of this request:
-// its body is streamed, it is sent on another connection, or its body was evicted.
+// loadBody reads the body of a part into its payload. It returns false if the part no longer belongs to this request:
+// its body is streamed, the part is sent on another connection, or its body was evicted.
 func (c *Client) loadBody(conn *connection, part *Part, a coordinator.Attempt) bool {
 	if conn.closed || conn.body != nil {
 		c.sendRequest([]coordinator.Attempt{a})
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -9,7 +9,7 @@
 	"linkpass/internal/outcome"
 )
 
-// sendAttempts sends attempts in one request, or in one each where a connection carries one at a time.
+// sendAttempts sends attempts in one request, or in one request each if a connection carries only one at a time.
 func (c *Client) sendAttempts(attempts []coordinator.Attempt) {
 	if !c.limits.Exclusive {
 		c.sendRequest(attempts)
@@ -28,17 +28,18 @@
 	}
 }
 
-// request is a request after the last checks: the parts to write, and the attempts that must not be written.
+// request is the result of checkAttempts: the parts to write, and the attempts that must not be written.
 type request struct {
 	parts    []Part
-	attempts []coordinator.Attempt // of the parts, in their order
+	attempts []coordinator.Attempt // of the parts, in the same order
 
+	// Attempts that must not be written, by the outcome with which they end.
 	notSent         []coordinator.Attempt
 	shardMoved      []coordinator.Attempt
 	unknownCoverage []coordinator.Attempt
 }
 
-// writeRequest writes those of the attempts that may still be written, and ends the others.
+// writeRequest writes the attempts that may still be written, and reports the results of the others.
 func (c *Client) writeRequest(conn *connection, attempts []coordinator.Attempt) {
 	r := c.checkAttempts(conn, attempts)
 	parts, sent := c.extractBodies(conn, r.parts, r.attempts)
@@ -59,20 +60,20 @@
 	}
 }
 
-// checkAttempts checks each attempt again just before the write: since the routing decision its query may have
-// ended, its server may have begun to drain, and its shard may have moved.
+// checkAttempts checks each attempt again just before the write. Since the routing decision, the query may have ended,
+// the server may have begun to drain, and the shard may have moved.
 func (c *Client) checkAttempts(conn *connection, attempts []coordinator.Attempt) request {
 	now := c.config.Sink.Now()
 	var r request
 	for _, a := range attempts {
 		name := a.Query + "." + strconv.Itoa(a.Shard)
-		_, duplicate := conn.inFlight[name] // of another open query with that name: replies could not be told apart
+		_, duplicate := conn.inFlight[name] // another open query has the same name: the replies would be ambiguous
 		switch {
 		case a.Expired(now) || !c.acceptsWork.Load() || a.Canceled() || duplicate:
 			r.notSent = append(r.notSent, a)
 		case a.ShardMoved():
 			r.shardMoved = append(r.shardMoved, a)
-		case a.Request != nil && a.Request.Subrange && !c.limits.Subranges: // the reply would hold too many keys
+		case a.Request != nil && a.Request.Subrange && !c.limits.Subranges: // the reply would cover too many keys
 			r.unknownCoverage = append(r.unknownCoverage, a)
 		default:
 			r.parts = append(r.parts, newPart(name, a, now))
@@ -93,7 +94,7 @@
 	}
 }
 
-// write writes a message on the event loop. It returns false, with the connection dropped, where that fails.
+// write writes a message; only the event loop calls it. If the write fails, it drops the connection and returns false.
 func (c *Client) write(conn *connection, b []byte) bool {
 	if err := c.writeWithTimeout(conn.netConn, c.config.Sink.Now(), b); err != nil {
 		c.drop(conn, outcome.ConnReset)
@@ -103,7 +104,7 @@
 	return true
 }
 
-// writeWithTimeout writes b. A server that does not read for ConnectTimeout, counted from now, loses the connection.
+// writeWithTimeout writes b, and closes the connection if the write takes longer than ConnectTimeout, counted from now.
 func (c *Client) writeWithTimeout(netConn net.Conn, now time.Duration, b []byte) error {
 	disarm := c.config.Sink.Arm(now+c.config.ConnectTimeout, func() { _ = netConn.Close() })
 	defer disarm()
