--- a/internal/frame/wire_golden_test.go
+++ b/internal/frame/wire_golden_test.go
@@ -14,7 +14,7 @@
 	"linkpass/internal/upstream"
 )
 
-// The names of the report's values, in the order in which the settings of the golden messages list them.
+// goldenReportNames are the names of the load report's values in the golden frames, in the order of the settings.
 var goldenReportNames = []string{"active", "waiting", "cpu", "avg_ms"}
 
 func TestRequestFrameGolden(t *testing.T) {
@@ -33,7 +33,7 @@
 	})
 }
 
-// Sent frames read back by the same framing give the letter and the rest of each.
+// Read must return the letter and the content of each golden frame that is sent.
 func TestRequestFrameGoldenReadBack(t *testing.T) {
 	sent := goldentest.ReadEntries(t, "frames_sent.txt")
 	for name, want := range map[string]string{
@@ -48,10 +48,10 @@
 			r := bufio.NewReader(strings.NewReader(sent[name]))
 			letter, rest, err := Read(r)
 			if got := string(letter) + string(rest); err != nil || got != want {
-				t.Errorf("%q, %v, want %q", got, err, want)
+				t.Errorf("frame = %q, error = %v, want %q and no error", got, err, want)
 			}
 			if _, _, err := Read(r); err != io.EOF {
-				t.Errorf("after the frame: %v", err)
+				t.Errorf("error after the frame = %v, want io.EOF", err)
 			}
 		})
 	}
@@ -59,16 +59,17 @@
 		whole := sent["head of a call of 100000 bytes"] + strings.Repeat("x", 100000)
 		letter, rest, err := Read(bufio.NewReader(strings.NewReader(whole)))
 		if err != nil || letter != LetterRequest || string(rest) != "9b1f03aa5c7e2d41.3 3 d=240 100000\n"+strings.Repeat("x", 100000) {
-			t.Errorf("%q, %d bytes, %v", letter, len(rest), err)
+			t.Errorf("letter = %q, content of %d bytes, error = %v, want %q, the line with 100000 bytes of payload, and no error",
+				letter, len(rest), err, LetterRequest)
 		}
 	})
 }
 
-// goldenReplies is what each golden frame is read as.
+// goldenReplies has the message, outcome and error with which each golden frame is read.
 var goldenReplies = map[string]struct {
 	want  upstream.Message
 	end   outcome.Outcome
-	error error // nil: the frame can be read; io.EOF stands for any other than ErrMalformed
+	error error // nil: the frame can be read; io.EOF: any error that does not wrap ErrMalformed
 }{
 	"reply": {want: upstream.Message{Name: "9b1f03aa5c7e2d41.3", Outcome: outcome.Success, Score: 1840277719, Value: []byte("5be2")}},
 	"reply with a report": {want: upstream.Message{Name: "9b1f03aa5c7e2d41.3", Outcome: outcome.Success, Score: -0.25,
@@ -95,20 +96,20 @@
 func TestReplyFrameGolden(t *testing.T) {
 	received := goldentest.ReadEntries(t, "frames_received.txt")
 	if len(received) != len(goldenReplies) {
-		t.Errorf("%d golden frames, %d cases", len(received), len(goldenReplies))
+		t.Errorf("golden file has %d frames, want %d, one for each case", len(received), len(goldenReplies))
 	}
 	for name, c := range goldenReplies {
 		t.Run(name, func(t *testing.T) {
 			stream, ok := received[name]
 			if !ok {
-				t.Fatal("no golden frame")
+				t.Fatal("golden file has no frame of this name")
 			}
 			got, e, err := Codec{ReportNames: goldenReportNames}.NewReader(strings.NewReader(stream)).Next()
 			if !reflect.DeepEqual(got, c.want) || e != c.end {
-				t.Errorf("%+v %v, want %+v %v", got, e, c.want, c.end)
+				t.Errorf("message = %+v, outcome = %v, want %+v, %v", got, e, c.want, c.end)
 			}
 			if (err != nil) != (c.error != nil) || errors.Is(err, ErrMalformed) != errors.Is(c.error, ErrMalformed) {
-				t.Errorf("error %v, want %v", err, c.error)
+				t.Errorf("error = %v, want %v", err, c.error)
 			}
 		})
 	}
@@ -123,6 +124,6 @@
 	want := Reply{Name: "9b1f03aa5c7e2d41.3", Code: 200, Score: -0.25, LoadReport: "active=7,waiting=2,cpu=0.61,avg_ms=12.5",
 		Value: []byte("line one\nline \x00\xff two")}
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, %v, want %+v", got, err, want)
+		t.Errorf("ParseReply = %+v, error = %v, want %+v and no error", got, err, want)
 	}
 }
--- a/internal/loadreport/wire_golden_test.go
+++ b/internal/loadreport/wire_golden_test.go
@@ -28,20 +28,20 @@
 		"no pairs":                         nil,
 	}
 	if len(reports) != len(cases) {
-		t.Errorf("%d golden reports, %d cases", len(reports), len(cases))
+		t.Errorf("golden file has %d reports, want %d, one for each case", len(reports), len(cases))
 	}
 	same := func(a, b float64) bool { return math.Float64bits(a) == math.Float64bits(b) }
 	for name, want := range cases {
 		t.Run(name, func(t *testing.T) {
 			text, ok := reports[name]
 			if !ok {
-				t.Fatal("no golden report")
+				t.Fatal("golden file has no report of this name")
 			}
 			if got := Parse(text, names); (got == nil) != (want == nil) || !slices.EqualFunc(got, want, same) {
-				t.Errorf("%q: %v, want %v", text, got, want)
+				t.Errorf("Parse(%q) = %v, want %v", text, got, want)
 			}
 			if got := Parse(text, nil); got != nil {
-				t.Errorf("%q without names: %v", text, got)
+				t.Errorf("Parse(%q) without names = %v, want nil", text, got)
 			}
 		})
 	}
--- a/internal/upstream/body_write_test.go
+++ b/internal/upstream/body_write_test.go
@@ -13,12 +13,12 @@
 	"linkpass/internal/outcome"
 )
 
-const largeBody = 64 << 20 // bytes: more than the sockets buffer
+const largeBody = 64 << 20 // bytes: more than the socket buffers hold
 
-// storedBody is a body in a body store.
+// storedBody is a coordinator.Body in memory, which can fail to open or to read.
 type storedBody struct {
 	data     []byte
-	readable int // bytes that can be read before an error; 0: all, below 0: it cannot be opened
+	readable int // number of bytes that can be read before an error; 0: all, negative: the body cannot be opened
 }
 
 func (b *storedBody) Size() int64 { return int64(len(b.data)) }
@@ -46,7 +46,7 @@
 	return attempts
 }
 
-// readBytes reads the next n bytes of a connection: its message is under way then.
+// readBytes reads the next n bytes from a connection, after which its message is partly written.
 func readBytes(t *testing.T, netConn net.Conn, n int) {
 	t.Helper()
 	if _, err := io.ReadFull(netConn, make([]byte, n)); err != nil {
@@ -54,7 +54,8 @@
 	}
 }
 
-// A part sent during the write of a body goes out on another connection.
+// Guards against a part that is written into the message of a body: a part that is sent while a body is being written
+// goes out on another connection.
 func TestBodyIsWrittenInOneMessage(t *testing.T) {
 	srv := startServer(t)
 	client, s := startClient(t, srv.addr())
@@ -71,7 +72,7 @@
 		got := <-srv.frames
 		line, text, _ := strings.Cut(got, "\n")
 		if !heads[line+"\n"] || text != "x" && text != string(data) {
-			t.Fatalf("%.60q and %d bytes", line, len(text))
+			t.Fatalf("request line = %.60q with %d bytes of payload, want one of %v with its whole payload", line, len(text), heads)
 		}
 		delete(heads, line+"\n")
 	}
@@ -79,7 +80,8 @@
 	<-s.written
 }
 
-// A body that cannot be read, from its start or its middle, is never sent complete.
+// Guards against a truncated message that is completed by the next one: a body that cannot be opened, or fails in the
+// middle, must not reach the server as a complete part.
 func TestUnreadableBodyEndsAsEvicted(t *testing.T) {
 	srv := startServer(t)
 	client, s := startClient(t, srv.addr())
@@ -89,11 +91,12 @@
 	}
 	client.Send(attempt("after", 3, 9))
 	if got := <-srv.frames; got != "Dafter.3 3 d=3600000 1\nx" {
-		t.Errorf("a truncated message came complete: %.40q", got)
+		t.Errorf("next complete frame = %.40q, want the request \"after\", not a truncated body", got)
 	}
 }
 
-// A server that stops reading inside a large body blocks that part alone, for the connect timeout at most.
+// Guards against a server that stops reading inside a large body and thereby blocks other parts. It may block only that
+// part, and only for ConnectTimeout.
 func TestServerStalledInBodyBlocksOnlyItsPart(t *testing.T) {
 	ln := listenTCP(t)
 	client, s := startClient(t, ln.Addr().String())
@@ -105,12 +108,12 @@
 	readBytes(t, second, 10)
 	reply(second, "b.3 200 1 -\nv")
 	s.wantEnded(t, outcome.Success)
-	for len(s.ended) == 0 { // the writes fill the socket buffers, and then block
+	for len(s.ended) == 0 { // the writes fill the socket buffers and then block
 		s.advance(300 * time.Millisecond)
 		time.Sleep(time.Millisecond)
 	}
 	if r := s.wantEnded(t, outcome.WriteInterrupted); r.id.No != 0 {
-		t.Errorf("%+v", r)
+		t.Errorf("interrupted attempt = %+v, want number 0", r)
 	}
 }
 
@@ -130,14 +133,15 @@
 			readBytes(t, netConn, 100)
 			c.end(client.SetAcceptsWork, s)
 			if n, _ := io.Copy(io.Discard, netConn); n >= largeBody {
-				t.Errorf("all %d bytes came", n)
+				t.Errorf("server received %d bytes, want fewer than the body's %d", n, largeBody)
 			}
 			s.wantEnded(t, outcome.NotSent)
 		})
 	}
 }
 
-// Race: a body is truncated while another part is in flight on its connection. That one may run.
+// Race: a body is truncated while another part is in flight on the same connection. The other part may have run, so it
+// must not end as NotSent.
 func TestTruncatedBodyEndsOtherPartsAsClosed(t *testing.T) {
 	ln := listenTCP(t)
 	client, s := startClient(t, ln.Addr().String())
@@ -151,7 +155,7 @@
 	for range 2 {
 		got := <-s.ended
 		if want := []outcome.Outcome{outcome.ConnClosed, outcome.NotSent}[got.id.No]; got.Outcome != want {
-			t.Errorf("part %d ended as %s, want %s", got.id.No, got.Outcome, want)
+			t.Errorf("outcome of attempt %d = %s, want %s", got.id.No, got.Outcome, want)
 		}
 	}
 }
--- a/internal/upstream/canceled_queries_test.go
+++ b/internal/upstream/canceled_queries_test.go
@@ -16,7 +16,7 @@
 	"linkpass/internal/upstream"
 )
 
-// blockedDialCore is a core whose first dial waits for the test.
+// blockedDialCore is a core that blocks the first dial until the test sends to firstDial.
 type blockedDialCore struct {
 	*coordinator.Core
 	firstDial chan struct{}
@@ -30,7 +30,7 @@
 	return c.Core.Arm(at, fire)
 }
 
-// countedTransport connects a core to one client, and counts the attempts that it sends.
+// countedTransport connects a core to one client, and counts the attempts that the core sends.
 type countedTransport struct {
 	*upstream.Client
 	sent atomic.Int64
@@ -45,7 +45,7 @@
 func (*countedTransport) CheckHealth(routing.ServerID, uint64) bool             { return false }
 func (*countedTransport) AbandonHealthCheck(routing.ServerID, uint64)           {}
 
-// waitSent waits until n attempts were sent.
+// waitSent waits until the core has sent n attempts.
 func (c *countedTransport) waitSent(n int64) {
 	for c.sent.Load() < n {
 		time.Sleep(time.Millisecond)
@@ -70,7 +70,7 @@
 	}},
 }
 
-// startCore runs a core with one server, whose listener the test accepts from.
+// startCore runs a core with one server, and returns the listener on which the test accepts connections.
 func startCore(t *testing.T) (*blockedDialCore, *countedTransport, net.Listener) {
 	t.Helper()
 	core, err := coordinator.New(coordinator.Config{
@@ -98,7 +98,7 @@
 	return sink, transport, ln
 }
 
-// submit submits a query of one part, and returns how its client disconnects.
+// submit submits a query with one part, and returns a function that disconnects its client.
 func submit(core *blockedDialCore, name string, answers chan<- coordinator.Answer) (disconnect func()) {
 	return core.Submit(coordinator.Query{
 		Name:      name,
@@ -109,11 +109,11 @@
 	})
 }
 
-// Race: clients disconnect while their queries wait for a connection. Nothing can be canceled at the server then, and
-// none of them is written once the connection opens; a query that is still open is.
+// Race: clients disconnect while their queries wait for a connection, so there is nothing to cancel at the server. Once
+// the connection opens, the canceled queries must not be written, but a query that is still open must be.
 func TestCanceledQueriesAreNotWrittenOnceConnected(t *testing.T) {
 	core, transport, ln := startCore(t)
-	const burst = 5 // as many as are admitted with no latency known
+	const burst = 5 // the number of queries that are admitted while no latency is known
 	answers := make(chan coordinator.Answer, burst+1)
 	var disconnects []func()
 	for i := range burst {
@@ -125,7 +125,7 @@
 	}
 	for range burst {
 		if a := <-answers; a.Status != coordinator.Failed {
-			t.Errorf("%+v", a)
+			t.Errorf("answer to a canceled query = %+v, want status %v", a, coordinator.Failed)
 		}
 	}
 	submit(core, "stays", answers)
@@ -135,12 +135,12 @@
 	wantQuery(t, r, "s")
 	reply(netConn, "stays.0 200 1 -\nv")
 	if a := <-answers; a.Status != coordinator.Answered {
-		t.Errorf("%+v", a)
+		t.Errorf("answer to the open query = %+v, want status %v", a, coordinator.Answered)
 	}
 	if n := core.OpenCount(); n != 0 {
-		t.Errorf("%d queries and parts are open", n)
+		t.Errorf("open queries and parts = %d, want 0", n)
 	}
 	if outcome.NotSent.RoutingCode() != routing.NotSent {
-		t.Error("the router counts what was not sent as run")
+		t.Errorf("routing code of NotSent = %v, want %v", outcome.NotSent.RoutingCode(), routing.NotSent)
 	}
 }
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -15,12 +15,12 @@
 	client, s := startClient(t, srv.addr())
 	client.Send(attempt("a", 3, 0))
 	if got := <-srv.frames; got != "Da.3 3 d=3600000 1\nx" {
-		t.Fatalf("wrote %q", got)
+		t.Fatalf("request frame = %q, want %q", got, "Da.3 3 d=3600000 1\nx")
 	}
 	netConn := <-srv.conns
 	reply(netConn, "a.3 200 17 active=4\nvalue")
 	if r := s.wantEnded(t, outcome.Success); string(r.Value) != "value" || r.Score != 17 || r.LoadReport[0] != 4 {
-		t.Errorf("%+v", r)
+		t.Errorf("result of the attempt = %+v, want value \"value\", score 17 and load report [4]", r)
 	}
 	for code, want := range map[string]outcome.Outcome{"500": outcome.ServerError, "503": outcome.Rejected} {
 		client.Send(attempt("a", 3, 1))
@@ -30,21 +30,22 @@
 	}
 	client.CheckHealth(1)
 	if got := <-srv.frames; got != "U" {
-		t.Fatalf("health check written as %q", got)
+		t.Fatalf("health check frame = %q, want %q", got, "U")
 	}
 	_, _ = netConn.Write(frame.Append(nil, frame.LetterLoadCheck, []byte("active=2")))
 	if r := <-s.checked; r.Outcome != outcome.Success || r.LoadReport[0] != 2 {
-		t.Errorf("%+v", r)
+		t.Errorf("result of the health check = %+v, want %s and load report [2]", r, outcome.Success)
 	}
 	client.Send(attempt("c", 1, 2))
 	<-srv.frames
 	client.Cancel(coordinator.AttemptID{Part: 1, No: 2})
 	if got := <-srv.frames; got != "Kc.1" {
-		t.Errorf("canceled by %q", got)
+		t.Errorf("cancel frame = %q, want %q", got, "Kc.1")
 	}
 }
 
-// Between the routing decision and the write a query may end, its deadline pass, its server begin to drain.
+// Guards against writing an attempt that must no longer be written. Between the routing decision and the write, the
+// query may end, its deadline may pass, and the server may begin to drain.
 func TestSendWritesNoEndedAttempt(t *testing.T) {
 	srv := startServer(t)
 	client, s := startClient(t, srv.addr())
@@ -58,14 +59,15 @@
 	client.SetAcceptsWork(true)
 	client.Send(attempt("same", 3, 2))
 	<-srv.frames
-	client.Send(attempt("same", 3, 3)) // the replies to the two could not be told apart
+	client.Send(attempt("same", 3, 3)) // has the name of a part in flight: the replies would be ambiguous
 	s.wantEnded(t, outcome.NotSent)
 	if len(srv.frames) != 0 {
-		t.Errorf("wrote %q", <-srv.frames)
+		t.Errorf("server received the frame %q, want none", <-srv.frames)
 	}
 }
 
-// What does not fit on a connection opens another, up to the limit; beyond it an attempt is rejected, not queued.
+// Attempts that do not fit on a connection open another one, up to the limit. Beyond the limit an attempt must be
+// rejected, not queued.
 func TestSendRejectsBeyondConnLimit(t *testing.T) {
 	srv := startServer(t)
 	client, s := startClient(t, srv.addr())
@@ -75,16 +77,17 @@
 	}
 	for range capacity {
 		if got := <-srv.frames; !strings.HasPrefix(got, "Dq") {
-			t.Fatalf("%q", got)
+			t.Fatalf("frame = %q, want a request with the prefix %q", got, "Dq")
 		}
 	}
 	client.Send(attempt("over", 3, capacity))
 	if r := s.wantEnded(t, outcome.QueueFull); r.id.No != capacity {
-		t.Errorf("%+v", r)
+		t.Errorf("rejected attempt = %+v, want number %d", r, capacity)
 	}
 }
 
-// A silent connection to a process that is no more never ends by itself.
+// Guards against attempts that stay in flight on a connection to a process that has gone: if no reset arrives, such a
+// connection never ends by itself.
 func TestServerRestartedDropsOlderConnections(t *testing.T) {
 	srv := startServer(t)
 	client, s := startClient(t, srv.addr())
@@ -104,6 +107,6 @@
 	s.wantEnded(t, outcome.Success)
 	client.Wait()
 	if client.Send(attempt("b", 3, 0)) {
-		t.Error("accepted work after its end")
+		t.Error("Send after the client was drained = true, want false")
 	}
 }
--- a/internal/upstream/conn_limiter_test.go
+++ b/internal/upstream/conn_limiter_test.go
@@ -12,7 +12,7 @@
 	"linkpass/internal/upstream"
 )
 
-// startLimited starts a client with that many streams on a connection, whose connections the limiter limits.
+// startLimited starts a client with the given limiter and maximum number of streams on a connection.
 func startLimited(s *sink, addr string, limiter *upstream.ConnLimiter, maxStreams int) *upstream.Client {
 	config := newConfig(s)
 	config.ConnectTimeout = time.Second
@@ -22,14 +22,14 @@
 	return client
 }
 
-// Guards against sockets and slots that leak where a dial ends while its client stops.
+// Guards against leaked sockets and limiter slots if a dial ends while its client stops.
 func TestConnLimiterSlotsAreReleased(t *testing.T) {
 	srv := startServer(t)
 	limiter, s := upstream.NewConnLimiter(1), newSink()
 	first := startLimited(s, srv.addr(), limiter, 1)
 	first.Send(attempt("a", 3, 0))
 	<-srv.frames
-	first.Send(attempt("b", 3, 1)) // there is no slot for a second connection
+	first.Send(attempt("b", 3, 1)) // the limiter has no slot for a second connection
 	s.wantEnded(t, outcome.QueueFull)
 	first.Close()
 	s.wantEnded(t, outcome.ConnClosed)
@@ -47,7 +47,8 @@
 	}
 }
 
-// Where more connections are open than the lowered limit, one is closed as it becomes idle, not before.
+// If the limit is lowered below the number of open connections, a connection must be closed when it becomes idle, and
+// not before.
 func TestLoweredConnLimitClosesIdleConnections(t *testing.T) {
 	srv := startServer(t)
 	limiter, s := upstream.NewConnLimiter(2), newSink()
@@ -64,7 +65,7 @@
 	reply(netConn, "b.3 200 1 -\nv")
 	s.wantEnded(t, outcome.Success)
 	if _, err := netConn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("an idle connection past the limit stayed: %v", err)
+		t.Errorf("read from an idle connection over the limit: error = %v, want io.EOF", err)
 	}
 	client.Send(attempt("c", 3, 2))
 	s.wantEnded(t, outcome.QueueFull)
--- a/internal/upstream/connection_test.go
+++ b/internal/upstream/connection_test.go
@@ -42,7 +42,8 @@
 	s.wantEnded(t, outcome.DialRefused)
 }
 
-// A reply to a name that was never sent is a corrupted one; a second reply, or one to a canceled part, is not.
+// A reply with a name that was never sent is corrupted, so the connection must be dropped. A second reply to a part, or
+// a reply to a canceled part, must not drop it.
 func TestReplyWithUnknownNameDropsConnection(t *testing.T) {
 	srv := startServer(t)
 	client, s := startClient(t, srv.addr())
@@ -59,7 +60,7 @@
 	reply(netConn, "b.3 200 1 -\nv")
 	client.Send(attempt("c", 3, 2))
 	if got := <-srv.frames; !strings.HasPrefix(got, "Dc.3") || len(srv.conns) != 0 {
-		t.Errorf("%q, %d new connections", got, len(srv.conns))
+		t.Errorf("frame = %q with %d new connections, want the prefix %q and none", got, len(srv.conns), "Dc.3")
 	}
 	reply(netConn, "x.3 200 1 -\nv")
 	s.wantEnded(t, outcome.MalformedResponse)
--- a/internal/upstream/exclusive_test.go
+++ b/internal/upstream/exclusive_test.go
@@ -12,10 +12,10 @@
 	"linkpass/internal/upstream"
 )
 
-// searchServer reads HTTP requests and passes their paths, and the connection of each, to the test.
+// searchServer reads HTTP requests, and passes the path and the connection of each to the test.
 type searchServer struct {
 	ln       net.Listener
-	requests chan string // paths, and "end" for the end of a connection
+	requests chan string // path of each request, and "end" at the end of a connection
 	conns    chan net.Conn
 }
 
@@ -50,12 +50,12 @@
 func (s *searchServer) wantRequest(t *testing.T, want string) {
 	t.Helper()
 	if got := <-s.requests; got != want {
-		t.Fatalf("came %q, want %q", got, want)
+		t.Fatalf("request = %q, want %q", got, want)
 	}
 }
 
-// On an exclusive connection, what is canceled or abandoned must not block others, and the reply to a health check
-// is none to a part.
+// Guards against a canceled attempt or an abandoned health check that blocks others on an exclusive connection, and
+// against the reply to a health check that is taken as the reply to a part.
 func TestExclusiveConnectionCarriesOneAtATime(t *testing.T) {
 	srv, s := startSearchServer(t), newSink()
 	config := newConfig(s)
@@ -68,7 +68,7 @@
 	client.AbandonHealthCheck(1)
 	srv.wantRequest(t, "end")
 	if r := <-s.checked; r.Outcome != outcome.Timeout {
-		t.Errorf("health check ended as %s", r.Outcome)
+		t.Errorf("outcome of the abandoned health check = %s, want %s", r.Outcome, outcome.Timeout)
 	}
 	client.Send(attempt("a", 3, 0))
 	srv.wantRequest(t, "/_search")
--- a/internal/upstream/main_test.go
+++ b/internal/upstream/main_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// Guards against a goroutine of a client, a connection or a dial that outlives Client.Wait.
+// Guards against goroutines of a client, a connection or a dial that still run after Client.Wait.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/upstream/races_test.go
+++ b/internal/upstream/races_test.go
@@ -15,7 +15,7 @@
 
 var twoStreams = frame.Codec{MaxStreams: 2}
 
-// Race: a server closes a connection while a request for it waits in the mailbox. Guards against a write to the
+// Race: a server closes a connection while a request waits in the mailbox. Guards against writing the request to the
 // closed connection.
 func TestSendAfterConnectionEndUsesAnother(t *testing.T) {
 	s := &stagedSink{}
@@ -42,8 +42,8 @@
 	s.wantEnded(t, outcome.Success)
 }
 
-// Race: a connection opens after the idempotency window has passed, or after the server began to drain. Nothing is
-// written.
+// Race: a connection opens after the idempotency window has passed, or after the server has begun to drain. The waiting
+// attempt must not be written.
 func TestLateConnectionWritesNothingExpired(t *testing.T) {
 	const window = 100 * time.Millisecond
 	for _, c := range []struct {
@@ -71,7 +71,7 @@
 	}
 }
 
-// Guards against small writes that the kernel delays: a reset would lose them.
+// Guards against small writes that the kernel delays, because a reset would lose them.
 func TestConnectionHasNoDelay(t *testing.T) {
 	s := &stagedSink{}
 	client, ln := startStaged(t, s, twoStreams)
@@ -84,7 +84,7 @@
 		noDelay, _ = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
 	})
 	if noDelay != 1 {
-		t.Error("TCP_NODELAY is off")
+		t.Errorf("TCP_NODELAY = %d, want 1", noDelay)
 	}
 }
 
@@ -97,7 +97,7 @@
 	return raw
 }
 
-// waitReset waits until a reset has come on a connection.
+// waitReset waits until the kernel has received a reset on a connection.
 func waitReset(raw syscall.RawConn) {
 	for reset := false; !reset; time.Sleep(time.Millisecond) {
 		_ = raw.Control(func(fd uintptr) {
@@ -107,7 +107,7 @@
 	}
 }
 
-// lateReadCodec is a codec whose readers read nothing until mayRead is closed.
+// lateReadCodec is a codec whose readers block until mayRead is closed.
 type lateReadCodec struct {
 	frame.Codec
 	mayRead chan struct{}
@@ -124,8 +124,9 @@
 
 func (r lateReader) Wait() error { <-r.mayRead; return r.Reader.Wait() }
 
-// Race: a connection is reset between two writes, and the second begins before the reset is read. What was in flight
-// may have run; what was being written never did, and only that may be retried where nothing is idempotent.
+// Race: a connection is reset between two writes, and the second write begins before the reset is read. The attempt in
+// flight may have run. The attempt being written cannot have run, and only that one may be retried if the work is not
+// idempotent.
 func TestResetBetweenWritesInterruptsOnlyTheSecond(t *testing.T) {
 	s, mayRead := &stagedSink{}, make(chan struct{})
 	client, ln := startStaged(t, s, lateReadCodec{twoStreams, mayRead})
@@ -140,7 +141,9 @@
 	s.wantEnded(t, outcome.WriteInterrupted)
 	if outcome.WriteInterrupted.RoutingCode() != routing.ConnectFailed ||
 		outcome.ConnReset.RoutingCode() != routing.ConnReset {
-		t.Error("the router gets other codes")
+		t.Errorf("routing codes of WriteInterrupted and ConnReset = %v, %v, want %v, %v",
+			outcome.WriteInterrupted.RoutingCode(), outcome.ConnReset.RoutingCode(),
+			routing.ConnectFailed, routing.ConnReset)
 	}
 	close(mayRead)
 }
--- a/internal/upstream/read.go
+++ b/internal/upstream/read.go
@@ -85,7 +85,8 @@
 		// A reply with a name that was never sent is a corrupted reply to one of the parts in flight. Closing the
 		// connection ends them.
 		c.config.Counters.Add("upstream_messages_malformed", 1)
-		c.log.Log(eventlog.MessageMalformed, c.server, outcome.MalformedResponse, "reply does not match any part or health check in flight")
+		c.log.Log(eventlog.MessageMalformed, c.server, outcome.MalformedResponse,
+			"reply does not match any part or health check in flight")
 		c.drop(conn, outcome.MalformedResponse)
 	default:
 		c.config.Counters.Add("upstream_answers_late", 1)
--- a/internal/upstream/server_test.go
+++ b/internal/upstream/server_test.go
@@ -14,10 +14,10 @@
 
 const (
 	connectTimeout = 250 * time.Millisecond
-	waitLimit      = 10 * time.Second // for what must come
+	waitLimit      = 10 * time.Second // for events that the test expects
 )
 
-// server accepts connections and passes the frames that it reads on them to the test.
+// server accepts connections and passes them, and the frames that it reads from them, to the test.
 type server struct {
 	ln     net.Listener
 	conns  chan net.Conn
@@ -83,7 +83,8 @@
 	}
 }
 
-// startClient starts a client with two streams on a connection, eight connections and a keepalive of 30 s.
+// startClient starts a client that is limited to two streams on a connection and eight connections, with a keepalive of
+// 30 s.
 func startClient(t *testing.T, addr string) (*upstream.Client, *sink) {
 	t.Helper()
 	s := newSink()
@@ -95,7 +96,7 @@
 	return client, s
 }
 
-// attempt is a request with one attempt.
+// attempt returns a request with one attempt.
 func attempt(query string, shard, number int) []coordinator.Attempt {
 	return []coordinator.Attempt{{
 		ID:       coordinator.AttemptID{Part: 1, No: number},
--- a/internal/upstream/sink_test.go
+++ b/internal/upstream/sink_test.go
@@ -11,7 +11,7 @@
 	"linkpass/internal/outcome"
 )
 
-// sink is a ResultSink whose time passes only by advance.
+// sink is a ResultSink whose clock moves only when the test moves it. It passes the results to the test.
 type sink struct {
 	now    atomic.Int64
 	mu     sync.Mutex
@@ -50,7 +50,7 @@
 	return func() { s.mu.Lock(); t.fire = nil; s.mu.Unlock() }
 }
 
-// advance moves the time on and fires the timers that are due.
+// advance moves the clock forward by d and fires the timers that are due.
 func (s *sink) advance(d time.Duration) {
 	now := time.Duration(s.now.Add(int64(d)))
 	s.mu.Lock()
@@ -66,8 +66,8 @@
 	}
 }
 
-// waitUntilNoTimerDue waits until advance(d) would fire nothing: a write that the server has read may not have
-// disarmed its timeout yet.
+// waitUntilNoTimerDue waits until advance(d) would fire no timer. It is needed because a write whose bytes the server
+// has already read may not have disarmed its timeout yet.
 func (s *sink) waitUntilNoTimerDue(d time.Duration) {
 	for due := true; due; time.Sleep(time.Millisecond) {
 		s.mu.Lock()
@@ -80,12 +80,12 @@
 func (s *sink) BodySent(id coordinator.AttemptID)                           { s.written <- id }
 func (s *sink) HealthCheckEnded(_ uint64, r coordinator.Result)             { s.checked <- r }
 
-// wantEnded waits for the next result of an attempt.
+// wantEnded waits for the next result of an attempt and checks its outcome.
 func (s *sink) wantEnded(t *testing.T, o outcome.Outcome) ended {
 	t.Helper()
 	got := <-s.ended
 	if got.Outcome != o {
-		t.Fatalf("%v ended as %s, want %s", got.id, got.Outcome, o)
+		t.Fatalf("outcome of attempt %v = %s, want %s", got.id, got.Outcome, o)
 	}
 	return got
 }
--- a/internal/upstream/staged_sink_test.go
+++ b/internal/upstream/staged_sink_test.go
@@ -13,12 +13,13 @@
 	"linkpass/internal/upstream"
 )
 
-// stagedSink is a ResultSink with which a test orders events: it can block the event loop and the first dial.
+// stagedSink is a ResultSink that lets a test control the order of events: it can block the event loop and the first
+// dial.
 type stagedSink struct {
 	now       atomic.Int64
 	ended     chan coordinator.Result // unbuffered: the event loop waits for the test
-	reporting atomic.Int64            // how many calls wait on ended
-	firstDial chan struct{}           // nil: the first dial is not blocked; otherwise it receives once
+	reporting atomic.Int64            // number of AttemptEnded calls that wait on ended
+	firstDial chan struct{}           // nil: the first dial is not blocked; otherwise it waits until it receives
 	dialed    atomic.Bool
 }
 
@@ -37,7 +38,8 @@
 func (*stagedSink) HealthCheckEnded(uint64, coordinator.Result) {}
 func (*stagedSink) BodySent(coordinator.AttemptID)              {}
 
-// waitReporting waits until the event loop waits for the test to receive a result, or no longer does.
+// waitReporting waits until the event loop is blocked on a result that the test has not received (waits is true), or
+// is not (false).
 func (s *stagedSink) waitReporting(waits bool) {
 	for (s.reporting.Load() > 0) != waits {
 		time.Sleep(time.Millisecond)
@@ -49,14 +51,14 @@
 	select {
 	case r := <-s.ended:
 		if r.Outcome != o {
-			t.Fatalf("ended as %s, want %s", r.Outcome, o)
+			t.Fatalf("outcome = %s, want %s", r.Outcome, o)
 		}
 	case <-time.After(waitLimit):
-		t.Fatalf("never ended; want %s", o)
+		t.Fatalf("no attempt ended within %v, want outcome %s", waitLimit, o)
 	}
 }
 
-// startStaged starts a client of a listener that the test accepts from.
+// startStaged starts a client and returns it with its server's listener, on which the test accepts connections.
 func startStaged(t *testing.T, s *stagedSink, codec upstream.Codec) (*upstream.Client, net.Listener) {
 	t.Helper()
 	ln := listenTCP(t)
@@ -76,7 +78,7 @@
 	return client, ln
 }
 
-// wantQuery reads the next request of a connection, whose query has a name of one letter.
+// wantQuery reads the next request from a connection and checks the first letter of its query's name.
 func wantQuery(t *testing.T, r *bufio.Reader, want string) {
 	t.Helper()
 	_, rest, err := frame.Read(r)
@@ -84,6 +86,6 @@
 		t.Fatal(err)
 	}
 	if got := string(rest[:1]); got != want {
-		t.Errorf("%q came, want %q", got, want)
+		t.Errorf("first letter of the query's name = %q, want %q", got, want)
 	}
 }
