--- a/internal/frame/codec.go
+++ b/internal/frame/codec.go
@@ -25,11 +25,11 @@
 
 // EncodeRequest encodes a request with the given parts as one message.
 func (Codec) EncodeRequest(parts []upstream.Part) []byte {
-	list := make([]Part, len(parts))
+	frameParts := make([]Part, len(parts))
 	for i, p := range parts {
-		list[i] = Part{Name: p.Name, Shard: p.Shard, Timeout: p.Timeout, Payload: p.Payload}
+		frameParts[i] = Part{Name: p.Name, Shard: p.Shard, Timeout: p.Timeout, Payload: p.Payload}
 	}
-	return AppendRequest(nil, list)
+	return AppendRequest(nil, frameParts)
 }
 
 // EncodeHeader encodes a request with one part, without its payload of size bytes, which has to follow.
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -17,12 +17,12 @@
 
 // Read reads one frame. The error is io.EOF if the input ends between two frames and io.ErrUnexpectedEOF if it ends
 // inside a frame. It wraps ErrMalformed if the length is zero or greater than MaxSize.
-func Read(r *bufio.Reader) (letter byte, rest []byte, err error) {
-	var head [4]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+func Read(r *bufio.Reader) (letter byte, content []byte, err error) {
+	var lengthBytes [4]byte
+	if _, err := io.ReadFull(r, lengthBytes[:]); err != nil {
 		return 0, nil, err
 	}
-	size := binary.LittleEndian.Uint32(head[:])
+	size := binary.LittleEndian.Uint32(lengthBytes[:])
 	if size < 1 || size > MaxSize {
 		return 0, nil, fmt.Errorf("%w: frame length is %d, want 1 to %d", ErrMalformed, size, MaxSize)
 	}
@@ -37,13 +37,13 @@
 }
 
 // Append appends a frame to b and returns the extended slice.
-func Append(b []byte, letter byte, rest []byte) []byte {
-	b = appendHead(b, letter, int64(len(rest)))
-	return append(b, rest...)
+func Append(b []byte, letter byte, content []byte) []byte {
+	b = appendHeader(b, letter, int64(len(content)))
+	return append(b, content...)
 }
 
-// appendHead appends the length and the letter of a frame to b. size is the number of bytes that follow the letter.
-func appendHead(b []byte, letter byte, size int64) []byte {
+// appendHeader appends the length and the letter of a frame to b. size is the number of bytes that follow the letter.
+func appendHeader(b []byte, letter byte, size int64) []byte {
 	b = binary.LittleEndian.AppendUint32(b, uint32(1+size))
 	return append(b, letter)
 }
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -56,10 +56,10 @@
 		if err != nil || m.Name != "a.3" || string(m.Value) != "value" || m.Outcome != outcome.Success {
 			t.Fatalf("complete frame: message = %+v, error = %v, want name a.3, value \"value\" and no error", m, err)
 		}
-		_, e, err := r.Next()
+		_, got, err := r.Next()
 		want := map[bool]outcome.Outcome{true: outcome.ConnClosed, false: outcome.ConnReset}[at == 0]
-		if err == nil || e != want {
-			t.Fatalf("truncated at byte %d: outcome = %s, error = %v, want %s and an error", at, e, err, want)
+		if err == nil || got != want {
+			t.Fatalf("truncated at byte %d: outcome = %s, error = %v, want %s and an error", at, got, err, want)
 		}
 
 		garbage := rapid.SliceOf(rapid.Byte()).Draw(t, "garbage")
--- a/internal/frame/message_reader.go
+++ b/internal/frame/message_reader.go
@@ -26,25 +26,25 @@
 // Next reads one message. The error wraps ErrMalformed if the frame cannot be parsed. Otherwise it is the error of the
 // connection, or it quotes a frame with LetterError, in which the server says why it could not use a frame.
 func (r *messageReader) Next() (upstream.Message, outcome.Outcome, error) {
-	letter, rest, err := Read(r.buf)
+	letter, content, err := Read(r.buf)
 	if err != nil {
 		return upstream.Message{}, outcome.FromReadError(err, errors.Is(err, io.EOF)), err
 	}
 	switch letter {
 	case LetterReply:
-		return r.reply(rest)
+		return r.reply(content)
 	case LetterHealthCheck, LetterLoadCheck:
-		return r.checkReply(letter, rest), 0, nil
+		return r.checkReply(letter, content), 0, nil
 	}
 	m := upstream.Message{Outcome: outcome.Success}
 	if letter == LetterError {
-		return m, outcome.BadRequest, fmt.Errorf("frame: the server could not use a frame: %.100q", rest)
+		return m, outcome.BadRequest, fmt.Errorf("frame: the server could not use a frame: %.100q", content)
 	}
 	return m, outcome.MalformedResponse, fmt.Errorf("%w: unknown letter %q", ErrMalformed, letter)
 }
 
-func (r *messageReader) reply(rest []byte) (upstream.Message, outcome.Outcome, error) {
-	reply, err := ParseReply(rest)
+func (r *messageReader) reply(content []byte) (upstream.Message, outcome.Outcome, error) {
+	reply, err := ParseReply(content)
 	if err != nil {
 		return upstream.Message{Outcome: outcome.Success}, outcome.MalformedResponse, err
 	}
@@ -57,12 +57,12 @@
 	}, 0, nil
 }
 
-func (r *messageReader) checkReply(letter byte, rest []byte) upstream.Message {
+func (r *messageReader) checkReply(letter byte, content []byte) upstream.Message {
 	m := upstream.Message{HealthCheck: true, Outcome: outcome.Success}
-	if string(rest) == failedCheck {
+	if string(content) == failedCheck {
 		m.Outcome = outcome.ServerError
 	} else if letter == LetterLoadCheck {
-		m.LoadReport = loadreport.Parse(string(rest), r.reportNames)
+		m.LoadReport = loadreport.Parse(string(content), r.reportNames)
 	}
 	return m
 }
--- a/internal/frame/reply.go
+++ b/internal/frame/reply.go
@@ -20,8 +20,8 @@
 
 // ParseReply parses the content of a frame with LetterReply. An error wraps ErrMalformed. A score that cannot be
 // parsed counts as 0 instead of an error, because only merging by score uses it.
-func ParseReply(rest []byte) (Reply, error) {
-	line, value, ok := bytes.Cut(rest, []byte{'\n'})
+func ParseReply(content []byte) (Reply, error) {
+	line, value, ok := bytes.Cut(content, []byte{'\n'})
 	if !ok {
 		return Reply{}, fmt.Errorf("%w: reply has no newline after its header line", ErrMalformed)
 	}
--- a/internal/frame/request.go
+++ b/internal/frame/request.go
@@ -15,19 +15,19 @@
 
 // AppendRequest appends the frame of a request with the given parts to b and returns the extended slice.
 func AppendRequest(b []byte, parts []Part) []byte {
-	var rest []byte
+	var content []byte
 	for _, p := range parts {
-		rest = p.appendLine(rest, int64(len(p.Payload)))
-		rest = append(rest, p.Payload...)
+		content = p.appendLine(content, int64(len(p.Payload)))
+		content = append(content, p.Payload...)
 	}
-	return Append(b, LetterRequest, rest)
+	return Append(b, LetterRequest, content)
 }
 
 // AppendRequestHeader appends the frame of a request with one part to b, without the payload of size bytes, which has
 // to follow. The frame's length counts that payload; p.Payload is ignored.
 func AppendRequestHeader(b []byte, p Part, size int64) []byte {
 	line := p.appendLine(nil, size)
-	b = appendHead(b, LetterRequest, int64(len(line))+size)
+	b = appendHeader(b, LetterRequest, int64(len(line))+size)
 	return append(b, line...)
 }
 
--- a/internal/frame/wire_golden_test.go
+++ b/internal/frame/wire_golden_test.go
@@ -46,8 +46,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := bufio.NewReader(strings.NewReader(sent[name]))
-			letter, rest, err := Read(r)
-			if got := string(letter) + string(rest); err != nil || got != want {
+			letter, content, err := Read(r)
+			if got := string(letter) + string(content); err != nil || got != want {
 				t.Errorf("frame = %q, error = %v, want %q and no error", got, err, want)
 			}
 			if _, _, err := Read(r); err != io.EOF {
@@ -56,20 +56,20 @@
 		})
 	}
 	t.Run("head of a call of 100000 bytes", func(t *testing.T) {
-		whole := sent["head of a call of 100000 bytes"] + strings.Repeat("x", 100000)
-		letter, rest, err := Read(bufio.NewReader(strings.NewReader(whole)))
-		if err != nil || letter != LetterRequest || string(rest) != "9b1f03aa5c7e2d41.3 3 d=240 100000\n"+strings.Repeat("x", 100000) {
+		stream := sent["head of a call of 100000 bytes"] + strings.Repeat("x", 100000)
+		letter, content, err := Read(bufio.NewReader(strings.NewReader(stream)))
+		if err != nil || letter != LetterRequest || string(content) != "9b1f03aa5c7e2d41.3 3 d=240 100000\n"+strings.Repeat("x", 100000) {
 			t.Errorf("letter = %q, content of %d bytes, error = %v, want %q, the line with 100000 bytes of payload, and no error",
-				letter, len(rest), err, LetterRequest)
+				letter, len(content), err, LetterRequest)
 		}
 	})
 }
 
 // goldenReplies has the message, outcome and error with which each golden frame is read.
 var goldenReplies = map[string]struct {
-	want  upstream.Message
-	end   outcome.Outcome
-	error error // nil: the frame can be read; io.EOF: any error that does not wrap ErrMalformed
+	want        upstream.Message
+	wantOutcome outcome.Outcome
+	wantErr     error // nil: the frame can be read; io.EOF: any error that does not wrap ErrMalformed
 }{
 	"reply": {want: upstream.Message{Name: "9b1f03aa5c7e2d41.3", Outcome: outcome.Success, Score: 1840277719, Value: []byte("5be2")}},
 	"reply with a report": {want: upstream.Message{Name: "9b1f03aa5c7e2d41.3", Outcome: outcome.Success, Score: -0.25,
@@ -78,19 +78,19 @@
 	"reply of a failed part":        {want: upstream.Message{Name: "a.0", Outcome: outcome.ServerError, Value: []byte("disk")}},
 	"reply of a rejected part": {want: upstream.Message{Name: "a.0", Outcome: outcome.Rejected,
 		LoadReport: []float64{8, 3, 1, 40}, Value: []byte{}}},
-	"reply with an unknown code":     {want: upstream.Message{Outcome: outcome.Success}, end: outcome.MalformedResponse, error: ErrMalformed},
-	"reply without a line":           {want: upstream.Message{Outcome: outcome.Success}, end: outcome.MalformedResponse, error: ErrMalformed},
+	"reply with an unknown code":     {want: upstream.Message{Outcome: outcome.Success}, wantOutcome: outcome.MalformedResponse, wantErr: ErrMalformed},
+	"reply without a line":           {want: upstream.Message{Outcome: outcome.Success}, wantOutcome: outcome.MalformedResponse, wantErr: ErrMalformed},
 	"answer to a probe":              {want: upstream.Message{HealthCheck: true, Outcome: outcome.Success}},
 	"answer to a probe, failed":      {want: upstream.Message{HealthCheck: true, Outcome: outcome.ServerError}},
 	"answer to a probe for load":     {want: upstream.Message{HealthCheck: true, Outcome: outcome.Success, LoadReport: []float64{7, 2, 0.61, 12.5}}},
 	"answer to a probe, load failed": {want: upstream.Message{HealthCheck: true, Outcome: outcome.ServerError}},
-	"complaint":                      {want: upstream.Message{Outcome: outcome.Success}, end: outcome.BadRequest, error: io.EOF},
-	"unknown letter":                 {want: upstream.Message{Outcome: outcome.Success}, end: outcome.MalformedResponse, error: ErrMalformed},
-	"length of zero":                 {end: outcome.MalformedResponse, error: ErrMalformed},
-	"length over the limit":          {end: outcome.MalformedResponse, error: ErrMalformed},
-	"cut in the length":              {end: outcome.ConnReset, error: io.EOF},
-	"cut in the body":                {end: outcome.ConnReset, error: io.EOF},
-	"closed between frames":          {end: outcome.ConnClosed, error: io.EOF},
+	"complaint":                      {want: upstream.Message{Outcome: outcome.Success}, wantOutcome: outcome.BadRequest, wantErr: io.EOF},
+	"unknown letter":                 {want: upstream.Message{Outcome: outcome.Success}, wantOutcome: outcome.MalformedResponse, wantErr: ErrMalformed},
+	"length of zero":                 {wantOutcome: outcome.MalformedResponse, wantErr: ErrMalformed},
+	"length over the limit":          {wantOutcome: outcome.MalformedResponse, wantErr: ErrMalformed},
+	"cut in the length":              {wantOutcome: outcome.ConnReset, wantErr: io.EOF},
+	"cut in the body":                {wantOutcome: outcome.ConnReset, wantErr: io.EOF},
+	"closed between frames":          {wantOutcome: outcome.ConnClosed, wantErr: io.EOF},
 }
 
 func TestReplyFrameGolden(t *testing.T) {
@@ -104,23 +104,23 @@
 			if !ok {
 				t.Fatal("golden file has no frame of this name")
 			}
-			got, e, err := Codec{ReportNames: goldenReportNames}.NewReader(strings.NewReader(stream)).Next()
-			if !reflect.DeepEqual(got, c.want) || e != c.end {
-				t.Errorf("message = %+v, outcome = %v, want %+v, %v", got, e, c.want, c.end)
+			got, gotOutcome, err := Codec{ReportNames: goldenReportNames}.NewReader(strings.NewReader(stream)).Next()
+			if !reflect.DeepEqual(got, c.want) || gotOutcome != c.wantOutcome {
+				t.Errorf("message = %+v, outcome = %v, want %+v, %v", got, gotOutcome, c.want, c.wantOutcome)
 			}
-			if (err != nil) != (c.error != nil) || errors.Is(err, ErrMalformed) != errors.Is(c.error, ErrMalformed) {
-				t.Errorf("error = %v, want %v", err, c.error)
+			if (err != nil) != (c.wantErr != nil) || errors.Is(err, ErrMalformed) != errors.Is(c.wantErr, ErrMalformed) {
+				t.Errorf("error = %v, want %v", err, c.wantErr)
 			}
 		})
 	}
 }
 
-func TestReplyLineGolden(t *testing.T) {
-	_, rest, err := Read(bufio.NewReader(strings.NewReader(goldentest.ReadEntries(t, "frames_received.txt")["reply with a report"])))
+func TestParseReplyGolden(t *testing.T) {
+	_, content, err := Read(bufio.NewReader(strings.NewReader(goldentest.ReadEntries(t, "frames_received.txt")["reply with a report"])))
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := ParseReply(rest)
+	got, err := ParseReply(content)
 	want := Reply{Name: "9b1f03aa5c7e2d41.3", Code: 200, Score: -0.25, LoadReport: "active=7,waiting=2,cpu=0.61,avg_ms=12.5",
 		Value: []byte("line one\nline \x00\xff two")}
 	if err != nil || !reflect.DeepEqual(got, want) {
--- a/internal/upstream/body_write.go
+++ b/internal/upstream/body_write.go
@@ -35,11 +35,11 @@
 // during this write. Before the last chunk is written, the server cannot have run the part that the body belongs to.
 // The other parts in flight may have run, whatever ended the write.
 func (b *bodyWrite) outcomeOf(id coordinator.AttemptID, o outcome.Outcome) outcome.Outcome {
-	ofBody := o == outcome.Canceled || o == outcome.BodyEvicted || o == outcome.NotSent
+	describesBody := o == outcome.Canceled || o == outcome.BodyEvicted || o == outcome.NotSent
 	switch {
-	case b.attempt.ID != id && ofBody:
+	case b.attempt.ID != id && describesBody:
 		return outcome.ConnClosed
-	case b.attempt.ID != id, b.lastChunk.Load(), ofBody:
+	case b.attempt.ID != id, b.lastChunk.Load(), describesBody:
 		return o
 	}
 	return outcome.WriteInterrupted
@@ -65,27 +65,27 @@
 // copyBody writes header and body in chunks. A slow server does not fail the write as long as each chunk is written
 // within ConnectTimeout.
 func (c *Client) copyBody(conn *connection, b *bodyWrite, header []byte, body io.Reader) error {
-	left := b.attempt.Body.Size()
+	remaining := b.attempt.Body.Size()
 	buf := append(make([]byte, 0, len(header)+bodyChunkSize), header...)
 	for {
-		size := min(left, bodyChunkSize)
+		size := min(remaining, bodyChunkSize)
 		start := len(buf)
 		buf = append(buf, make([]byte, size)...)
 		if _, err := io.ReadFull(body, buf[start:]); err != nil {
 			return fmt.Errorf("%w: part %s: %w", errBodyUnreadable, b.name, err)
 		}
-		left -= size
+		remaining -= size
 		now := c.config.Sink.Now()
 		if err := c.checkBodyWrite(b, now); err != nil {
 			return fmt.Errorf("write part %s: %w", b.name, err)
 		}
-		if left == 0 {
+		if remaining == 0 {
 			b.lastChunk.Store(true)
 		}
 		if err := c.writeWithTimeout(conn.netConn, now, buf); err != nil {
 			return fmt.Errorf("write part %s: %w", b.name, err)
 		}
-		if left == 0 {
+		if remaining == 0 {
 			return nil
 		}
 		buf = buf[:0]
@@ -104,8 +104,9 @@
 	return nil
 }
 
-// bodyWritten handles the end of a body write. After an error the message is truncated, so the connection is dropped.
-func (c *Client) bodyWritten(conn *connection, b *bodyWrite, err error) {
+// handleBodyWritten handles the end of a body write. After an error the message is truncated, so the connection is
+// dropped.
+func (c *Client) handleBodyWritten(conn *connection, b *bodyWrite, err error) {
 	if conn.closed {
 		return
 	}
--- a/internal/upstream/body_write_test.go
+++ b/internal/upstream/body_write_test.go
@@ -63,7 +63,7 @@
 	client.Send(attemptWithBody("a", 0, &storedBody{data: data}))
 	client.Send(attemptWithBody("b", 1, &storedBody{data: data}))
 	client.Send(attempt("c", 3, 2))
-	heads := map[string]bool{
+	wantLines := map[string]bool{
 		"Da.3 3 d=3600000 200000\n": true,
 		"Db.3 3 d=3600000 200000\n": true,
 		"Dc.3 3 d=3600000 1\n":      true,
@@ -71,13 +71,13 @@
 	for range 3 {
 		got := <-srv.frames
 		line, text, _ := strings.Cut(got, "\n")
-		if !heads[line+"\n"] || text != "x" && text != string(data) {
-			t.Fatalf("request line = %.60q with %d bytes of payload, want one of %v with its whole payload", line, len(text), heads)
+		if !wantLines[line+"\n"] || text != "x" && text != string(data) {
+			t.Fatalf("request line = %.60q with %d bytes of payload, want one of %v with its whole payload", line, len(text), wantLines)
 		}
-		delete(heads, line+"\n")
+		delete(wantLines, line+"\n")
 	}
-	<-s.written
-	<-s.written
+	<-s.bodiesSent
+	<-s.bodiesSent
 }
 
 // Guards against a truncated message that is completed by the next one: a body that cannot be opened, or fails in the
@@ -121,7 +121,7 @@
 	ln := listenTCP(t)
 	for _, c := range []struct {
 		name string
-		end  func(drain func(bool), s *sink)
+		end  func(setAcceptsWork func(bool), s *sink)
 	}{
 		{"query ended", func(_ func(bool), s *sink) { s.now.Add(int64(2 * time.Hour)) }},
 		{"server draining", func(setAcceptsWork func(bool), _ *sink) { setAcceptsWork(false) }},
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -33,7 +33,7 @@
 		t.Fatalf("health check frame = %q, want %q", got, "U")
 	}
 	_, _ = netConn.Write(frame.Append(nil, frame.LetterLoadCheck, []byte("active=2")))
-	if r := <-s.checked; r.Outcome != outcome.Success || r.LoadReport[0] != 2 {
+	if r := <-s.healthChecks; r.Outcome != outcome.Success || r.LoadReport[0] != 2 {
 		t.Errorf("result of the health check = %+v, want %s and load report [2]", r, outcome.Success)
 	}
 	client.Send(attempt("c", 1, 2))
--- a/internal/upstream/conn_task.go
+++ b/internal/upstream/conn_task.go
@@ -32,9 +32,9 @@
 func (t healthCheckTask) start(c *Client, conn *connection) { c.writeHealthCheck(conn, t.number) }
 func (t healthCheckTask) fail(c *Client, o outcome.Outcome) { c.endHealthCheck(t.number, o) }
 
-// withConnection starts a task on a connection with enough free streams, at once or when the connection has been
-// dialed. If there is no such connection and none can be dialed, the task fails with QueueFull.
-func (c *Client) withConnection(t connTask) {
+// startTask starts a task on a connection with enough free streams, at once or when the connection has been dialed. If
+// there is no such connection and none can be dialed, the task fails with QueueFull.
+func (c *Client) startTask(t connTask) {
 	streams := t.streams(c.limits)
 	conn := c.pickConnection(streams)
 	if conn == nil {
@@ -77,7 +77,7 @@
 		case conn.closed:
 			t.fail(c, conn.closeOutcome)
 		case conn.body != nil: // an earlier task has started to write a body
-			c.withConnection(t)
+			c.startTask(t)
 		default:
 			t.start(c, conn)
 		}
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -33,10 +33,10 @@
 	closed       bool
 	closeOutcome outcome.Outcome // valid only if closed
 
-	cancelDial  func()
-	disarmIdle  func()      // disarms the idle timeout; nil if none was armed
-	closeSocket func()      // closes netConn and releases its slot in the limiter; further calls do nothing
-	keepSocket  func() bool // cancels closing the socket when the client stops
+	cancelDial        func()
+	disarmIdle        func()      // disarms the idle timeout; nil if none was armed
+	closeSocket       func()      // closes netConn and releases its slot in the limiter; further calls do nothing
+	cancelCloseOnStop func() bool // cancels closing the socket when the client stops
 }
 
 // recordEnded removes a part that has ended from inFlight and keeps its name, because its reply may still arrive.
@@ -78,7 +78,7 @@
 	}
 	c.conns = slices.DeleteFunc(c.conns, func(other *connection) bool { return other == conn })
 	if conn.netConn != nil {
-		conn.keepSocket()
+		conn.cancelCloseOnStop()
 		conn.closeSocket()
 	}
 	if len(conn.inFlight)+len(conn.healthChecks) > 0 && o != outcome.Timeout && o != outcome.Canceled {
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -53,18 +53,18 @@
 	})
 	// Closes the socket when the client stops. Otherwise a write could block at that time, and a socket that the event
 	// loop has not received yet would stay open.
-	conn.keepSocket = context.AfterFunc(c.ctx, conn.closeSocket)
+	conn.cancelCloseOnStop = context.AfterFunc(c.ctx, conn.closeSocket)
 	c.postConnEvent(connOpened{conn, netConn})
 	if c.ctx.Err() != nil {
 		conn.closeSocket()
 	}
 }
 
-// connOpened starts to read from an open connection, and starts the tasks that wait for it. A connection that was
+// handleConnOpened starts to read from an open connection, and starts the tasks that wait for it. A connection that was
 // dropped while it was dialed is closed instead.
-func (c *Client) connOpened(conn *connection, netConn net.Conn) {
+func (c *Client) handleConnOpened(conn *connection, netConn net.Conn) {
 	if conn.closed {
-		conn.keepSocket()
+		conn.cancelCloseOnStop()
 		conn.closeSocket()
 		return
 	}
--- a/internal/upstream/events.go
+++ b/internal/upstream/events.go
@@ -46,13 +46,13 @@
 
 func (e sendAttempts) handle(c *Client)       { c.sendAttempts(e.attempts) }
 func (e cancelAttempt) handle(c *Client)      { c.cancelAttempt(e.id) }
-func (e checkHealth) handle(c *Client)        { c.withConnection(healthCheckTask(e)) }
+func (e checkHealth) handle(c *Client)        { c.startTask(healthCheckTask(e)) }
 func (e abandonHealthCheck) handle(c *Client) { c.abandonHealthCheck(e.number) }
 func (e serverRestarted) handle(c *Client)    { c.dropConnsBefore(e.startedAt) }
 func (drain) handle(c *Client)                { c.draining = true }
 func (e idleTimeout) handle(c *Client)        { c.checkIdle(e.conn) }
 
-func (e connOpened) handle(c *Client)  { c.connOpened(e.conn, e.netConn) }
+func (e connOpened) handle(c *Client)  { c.handleConnOpened(e.conn, e.netConn) }
 func (e connEnded) handle(c *Client)   { c.drop(e.conn, e.outcome) }
-func (e messageRead) handle(c *Client) { c.messageRead(e.conn, e.message, e.at) }
-func (e bodyWritten) handle(c *Client) { c.bodyWritten(e.conn, e.body, e.err) }
+func (e messageRead) handle(c *Client) { c.handleMessage(e.conn, e.message, e.at) }
+func (e bodyWritten) handle(c *Client) { c.handleBodyWritten(e.conn, e.body, e.err) }
--- a/internal/upstream/exclusive_test.go
+++ b/internal/upstream/exclusive_test.go
@@ -67,7 +67,7 @@
 	srv.wantRequest(t, "/")
 	client.AbandonHealthCheck(1)
 	srv.wantRequest(t, "end")
-	if r := <-s.checked; r.Outcome != outcome.Timeout {
+	if r := <-s.healthChecks; r.Outcome != outcome.Timeout {
 		t.Errorf("outcome of the abandoned health check = %s, want %s", r.Outcome, outcome.Timeout)
 	}
 	client.Send(attempt("a", 3, 0))
--- a/internal/upstream/health_check.go
+++ b/internal/upstream/health_check.go
@@ -51,12 +51,12 @@
 // sent on it. Such a connection gets no new work until something is read, because it may be stuck inside a message, or
 // its host may be down. If the server was only slow for a moment, this costs one more connection.
 func (c *Client) isUnresponsive(conn *connection) bool {
-	return conn.checkPending && c.config.Sink.Now() >= conn.checkSentAt+c.unresponsiveAfter()
+	return conn.checkPending && c.config.Sink.Now() >= conn.checkSentAt+c.unresponsiveTimeout()
 }
 
-// unresponsiveAfter returns the time without a message after which a connection with a pending health check is
+// unresponsiveTimeout returns the time without a message after which a connection with a pending health check is
 // unresponsive.
-func (c *Client) unresponsiveAfter() time.Duration {
+func (c *Client) unresponsiveTimeout() time.Duration {
 	return c.config.ConnectTimeout / unresponsiveDivisor
 }
 
@@ -69,7 +69,7 @@
 // queue at the server until their deadline.
 func (c *Client) dropUnresponsive(responsive *connection, at time.Duration) {
 	for _, conn := range slices.Clone(c.conns) {
-		if conn != responsive && c.isUnresponsive(conn) && at >= conn.checkSentAt+c.unresponsiveAfter() {
+		if conn != responsive && c.isUnresponsive(conn) && at >= conn.checkSentAt+c.unresponsiveTimeout() {
 			c.drop(conn, outcome.Timeout)
 		}
 	}
--- a/internal/upstream/health_check_test.go
+++ b/internal/upstream/health_check_test.go
@@ -56,7 +56,7 @@
 		t.Errorf("attempt %d timed out, want attempt 0", got.id.No)
 	}
 	s.wantEnded(t, outcome.Success)
-	if r := <-s.checked; r.Outcome != outcome.Timeout {
+	if r := <-s.healthChecks; r.Outcome != outcome.Timeout {
 		t.Errorf("outcome of the health check on the unresponsive connection = %s, want %s", r.Outcome, outcome.Timeout)
 	}
 	client.Send(attempt("c", 3, 2)) // is written on the second connection, which stays open
--- a/internal/upstream/races_test.go
+++ b/internal/upstream/races_test.go
@@ -27,9 +27,9 @@
 	s.wantEnded(t, outcome.Success)
 	late := attempt("l", 0, 1)
 	late[0].Deadline = 0
-	s.waitReporting(false)
+	s.waitUntilReporting(false)
 	client.Send(late)
-	s.waitReporting(true)
+	s.waitUntilReporting(true)
 	client.Send(attempt("b", 0, 2))
 	_ = first.Close()
 	for client.PendingConnEvents() == 0 {
@@ -72,7 +72,7 @@
 }
 
 // Guards against small writes that the kernel delays, because a reset would lose them.
-func TestConnectionHasNoDelay(t *testing.T) {
+func TestConnectionSetsTCPNoDelay(t *testing.T) {
 	s := &stagedSink{}
 	client, ln := startStaged(t, s, twoStreams)
 	client.Send(attempt("a", 0, 0))
@@ -107,29 +107,29 @@
 	}
 }
 
-// lateReadCodec is a codec whose readers block until mayRead is closed.
-type lateReadCodec struct {
+// delayedReadCodec is a codec whose readers block until mayRead is closed.
+type delayedReadCodec struct {
 	frame.Codec
 	mayRead chan struct{}
 }
 
-func (c lateReadCodec) NewReader(r io.Reader) upstream.Reader {
-	return lateReader{c.Codec.NewReader(r), c.mayRead}
+func (c delayedReadCodec) NewReader(r io.Reader) upstream.Reader {
+	return delayedReader{c.Codec.NewReader(r), c.mayRead}
 }
 
-type lateReader struct {
+type delayedReader struct {
 	upstream.Reader
 	mayRead chan struct{}
 }
 
-func (r lateReader) Wait() error { <-r.mayRead; return r.Reader.Wait() }
+func (r delayedReader) Wait() error { <-r.mayRead; return r.Reader.Wait() }
 
 // Race: a connection is reset between two writes, and the second write begins before the reset is read. The attempt in
 // flight may have run. The attempt being written cannot have run, and only that one may be retried if the work is not
 // idempotent.
 func TestResetBetweenWritesInterruptsOnlyTheSecond(t *testing.T) {
 	s, mayRead := &stagedSink{}, make(chan struct{})
-	client, ln := startStaged(t, s, lateReadCodec{twoStreams, mayRead})
+	client, ln := startStaged(t, s, delayedReadCodec{twoStreams, mayRead})
 	client.Send(attempt("a", 0, 0))
 	netConn, r := accept(t, ln)
 	wantQuery(t, r, "a")
--- a/internal/upstream/read.go
+++ b/internal/upstream/read.go
@@ -43,35 +43,35 @@
 	return connEnded{conn, o}, err
 }
 
-// messageRead handles a message: it ends the attempt or the health check that the message is the reply to.
-func (c *Client) messageRead(conn *connection, m Message, at time.Duration) {
+// handleMessage handles a message: it ends the attempt or the health check that the message is the reply to.
+func (c *Client) handleMessage(conn *connection, m Message, at time.Duration) {
 	if conn.closed {
 		return
 	}
 	conn.checkPending = false
 	c.dropUnresponsive(conn, at)
 	if c.limits.Exclusive {
-		m.answerInFlight(conn)
+		m.identifyReply(conn)
 	}
-	c.endAnswered(conn, &m, at)
-	unneeded := c.config.ConnLimiter.exceeded() && len(conn.inFlight)+len(conn.healthChecks)+conn.reserved == 0
-	if m.ConnCloses || unneeded {
+	c.handleReply(conn, &m, at)
+	idleOverLimit := c.config.ConnLimiter.exceeded() && len(conn.inFlight)+len(conn.healthChecks)+conn.reserved == 0
+	if m.ConnCloses || idleOverLimit {
 		c.drop(conn, outcome.ConnClosed)
 	}
 }
 
-// answerInFlight fills in which attempt or health check the message is the reply to. On an exclusive connection this is
-// the only one in flight, because the message carries no name.
-func (m *Message) answerInFlight(conn *connection) {
+// identifyReply marks the message as the reply to the part or health check in flight. It is for exclusive connections:
+// their messages carry no name, and only one part or health check is in flight.
+func (m *Message) identifyReply(conn *connection) {
 	m.HealthCheck = m.HealthCheck || len(conn.healthChecks) > 0
 	for name := range conn.inFlight {
 		m.Name = name
 	}
 }
 
-// endAnswered reports the result of the health check or attempt that a message is the reply to. It counts a late reply,
+// handleReply reports the result of the health check or attempt that a message is the reply to. It counts a late reply,
 // and closes the connection if the message is not a reply to anything that was sent.
-func (c *Client) endAnswered(conn *connection, m *Message, at time.Duration) {
+func (c *Client) handleReply(conn *connection, m *Message, at time.Duration) {
 	id, inFlight := conn.inFlight[m.Name]
 	switch {
 	case m.HealthCheck && len(conn.healthChecks) > 0:
--- a/internal/upstream/server_test.go
+++ b/internal/upstream/server_test.go
@@ -45,11 +45,11 @@
 func (s *server) readFrames(netConn net.Conn) {
 	r := bufio.NewReader(netConn)
 	for {
-		letter, rest, err := frame.Read(r)
+		letter, content, err := frame.Read(r)
 		if err != nil {
 			return
 		}
-		s.frames <- string(letter) + string(rest)
+		s.frames <- string(letter) + string(content)
 	}
 }
 
--- a/internal/upstream/sink_test.go
+++ b/internal/upstream/sink_test.go
@@ -17,9 +17,9 @@
 	mu     sync.Mutex
 	timers []*timer
 
-	ended   chan ended
-	checked chan coordinator.Result
-	written chan coordinator.AttemptID
+	ended        chan endedAttempt
+	healthChecks chan coordinator.Result
+	bodiesSent   chan coordinator.AttemptID
 }
 
 type timer struct {
@@ -27,16 +27,16 @@
 	fire func() // nil: fired or disarmed
 }
 
-type ended struct {
+type endedAttempt struct {
 	id coordinator.AttemptID
 	coordinator.Result
 }
 
 func newSink() *sink {
 	return &sink{
-		ended:   make(chan ended, 64),
-		checked: make(chan coordinator.Result, 64),
-		written: make(chan coordinator.AttemptID, 64),
+		ended:        make(chan endedAttempt, 64),
+		healthChecks: make(chan coordinator.Result, 64),
+		bodiesSent:   make(chan coordinator.AttemptID, 64),
 	}
 }
 
@@ -76,12 +76,14 @@
 	}
 }
 
-func (s *sink) AttemptEnded(id coordinator.AttemptID, r coordinator.Result) { s.ended <- ended{id, r} }
-func (s *sink) BodySent(id coordinator.AttemptID)                           { s.written <- id }
-func (s *sink) HealthCheckEnded(_ uint64, r coordinator.Result)             { s.checked <- r }
+func (s *sink) AttemptEnded(id coordinator.AttemptID, r coordinator.Result) {
+	s.ended <- endedAttempt{id, r}
+}
+func (s *sink) BodySent(id coordinator.AttemptID)               { s.bodiesSent <- id }
+func (s *sink) HealthCheckEnded(_ uint64, r coordinator.Result) { s.healthChecks <- r }
 
 // wantEnded waits for the next result of an attempt and checks its outcome.
-func (s *sink) wantEnded(t *testing.T, o outcome.Outcome) ended {
+func (s *sink) wantEnded(t *testing.T, o outcome.Outcome) endedAttempt {
 	t.Helper()
 	got := <-s.ended
 	if got.Outcome != o {
--- a/internal/upstream/staged_sink_test.go
+++ b/internal/upstream/staged_sink_test.go
@@ -38,9 +38,9 @@
 func (*stagedSink) HealthCheckEnded(uint64, coordinator.Result) {}
 func (*stagedSink) BodySent(coordinator.AttemptID)              {}
 
-// waitReporting waits until the event loop is blocked on a result that the test has not received (waits is true), or
-// is not (false).
-func (s *stagedSink) waitReporting(waits bool) {
+// waitUntilReporting waits until the event loop is blocked on a result that the test has not received (waits is true),
+// or is not (false).
+func (s *stagedSink) waitUntilReporting(waits bool) {
 	for (s.reporting.Load() > 0) != waits {
 		time.Sleep(time.Millisecond)
 	}
@@ -81,11 +81,11 @@
 // wantQuery reads the next request from a connection and checks the first letter of its query's name.
 func wantQuery(t *testing.T, r *bufio.Reader, want string) {
 	t.Helper()
-	_, rest, err := frame.Read(r)
+	_, content, err := frame.Read(r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := string(rest[:1]); got != want {
+	if got := string(content[:1]); got != want {
 		t.Errorf("first letter of the query's name = %q, want %q", got, want)
 	}
 }
--- a/internal/upstream/stored_body.go
+++ b/internal/upstream/stored_body.go
@@ -16,7 +16,7 @@
 ) ([]Part, []coordinator.Attempt) {
 	kept := 0
 	for i, a := range attempts {
-		if a.Body != nil && !c.loadBody(conn, &parts[i], a) {
+		if a.Body != nil && !c.sendOrLoadBody(conn, &parts[i], a) {
 			continue
 		}
 		parts[kept], attempts[kept] = parts[i], a
@@ -33,9 +33,10 @@
 	return parts[:kept], attempts[:kept]
 }
 
-// loadBody reads the body of a part into its payload. It returns false if the part no longer belongs to this request:
-// its body is streamed, the part is sent on another connection, or its body was evicted.
-func (c *Client) loadBody(conn *connection, part *Part, a coordinator.Attempt) bool {
+// sendOrLoadBody reads the body of a part into its payload and returns true if the protocol cannot stream a body. It
+// returns false if the part no longer belongs to this request: its body is streamed, the part is sent on another
+// connection, or its body was evicted.
+func (c *Client) sendOrLoadBody(conn *connection, part *Part, a coordinator.Attempt) bool {
 	if conn.closed || conn.body != nil {
 		c.sendRequest([]coordinator.Attempt{a})
 		return false
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -20,7 +20,7 @@
 	}
 }
 
-func (c *Client) sendRequest(attempts []coordinator.Attempt) { c.withConnection(requestTask{attempts}) }
+func (c *Client) sendRequest(attempts []coordinator.Attempt) { c.startTask(requestTask{attempts}) }
 
 func (c *Client) endAttempts(attempts []coordinator.Attempt, o outcome.Outcome) {
 	for _, a := range attempts {
