--- a/internal/upstream/body_write_test.go
+++ b/internal/upstream/body_write_test.go
@@ -72,7 +72,8 @@
 		got := <-srv.frames
 		line, text, _ := strings.Cut(got, "\n")
 		if !wantLines[line+"\n"] || text != "x" && text != string(data) {
-			t.Fatalf("request line = %.60q with %d bytes of payload, want one of %v with its whole payload", line, len(text), wantLines)
+			t.Fatalf("request line = %.60q with %d bytes of payload, want one of %v with its whole payload",
+				line, len(text), wantLines)
 		}
 		delete(wantLines, line+"\n")
 	}
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// Close stops the client and closes its connections. It does not wait for them; Wait does.
+// Close stops the client and closes its connections. It does not wait until that is done; Wait does.
 func (c *Client) Close() { c.stop() }
 
 // Stopped reports whether the client has been stopped. Its goroutines may still be running.
--- a/internal/upstream/health_check.go
+++ b/internal/upstream/health_check.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// isUnresponsive reports whether nothing has been read from a connection for unresponsiveAfter since a health check was
-// sent on it. Such a connection gets no new work until something is read, because it may be stuck inside a message, or
-// its host may be down. If the server was only slow for a moment, this costs one more connection.
+// isUnresponsive reports whether nothing has been read from a connection for unresponsiveTimeout since a health check
+// was sent on it. Such a connection gets no new work until something is read, because it may be stuck inside a message,
+// or its host may be down. If the server was only slow for a moment, this costs one more connection.
 func (c *Client) isUnresponsive(conn *connection) bool {
 	return conn.checkPending && c.config.Sink.Now() >= conn.checkSentAt+c.unresponsiveTimeout()
 }
