--- a/internal/daemon/upstream_links.go
+++ b/internal/daemon/upstream_links.go
@@ -41,12 +41,12 @@
 // protocols maps each league server to the protocol that it speaks.
 func (u *upstreamLinks) protocols() transport.Protocols {
 	common := upstream.Config{
-		Sink:           u.core.core,
-		Counters:       u.counters,
-		Totals:         u.totals,
-		ConnLimiter:    u.dials,
-		ConnectTimeout: u.cfg.host.ConnectTimeout,
-		Keepalive:      u.cfg.host.Keepalive,
+		Sink:              u.core.core,
+		Counters:          u.counters,
+		Totals:            u.totals,
+		ConnLimiter:       u.dials,
+		ConnectTimeout:    u.cfg.host.ConnectTimeout,
+		ServerIdleTimeout: u.cfg.host.Keepalive,
 	}
 	factory := func(d upstream.Codec) transport.Constructor {
 		return func(name, addr string) transport.Transport { return upstream.New(common, d, name, addr) }
--- a/internal/upstream/config.go
+++ b/internal/upstream/config.go
@@ -24,10 +24,10 @@
 
 // Config holds the settings and dependencies that the clients of all servers share.
 type Config struct {
-	Sink           ResultSink
-	Counters       *metrics.Counters
-	Totals         *metrics.Totals
-	ConnectTimeout time.Duration // limit for a dial, and for each write
-	Keepalive      time.Duration // time after which servers close an idle connection; 0: they never do
-	ConnLimiter    *ConnLimiter  // nil: the number of connections is not limited
+	Sink              ResultSink
+	Counters          *metrics.Counters
+	Totals            *metrics.Totals
+	ConnectTimeout    time.Duration // limit for a dial, and for each write
+	ServerIdleTimeout time.Duration // time after which servers close an idle connection; 0: they never do
+	ConnLimiter       *ConnLimiter  // nil: the number of connections is not limited
 }
--- a/internal/upstream/idle_timeout.go
+++ b/internal/upstream/idle_timeout.go
@@ -6,13 +6,14 @@
 	"linkpass/internal/outcome"
 )
 
-// idleMarginDivisor sets how much earlier than the server the client closes an idle connection: by Keepalive /
-// idleMarginDivisor. Otherwise a request that is sent while the server closes the connection would be reset.
+// idleMarginDivisor sets how much earlier than the server the client closes an idle connection: by
+// ServerIdleTimeout / idleMarginDivisor. Otherwise a request that is sent while the server closes the connection would
+// be reset.
 const idleMarginDivisor = 4
 
 // idleLimit returns how long a connection may be idle; 0 means without limit.
 func (c *Client) idleLimit() time.Duration {
-	return max(0, c.config.Keepalive-c.config.Keepalive/idleMarginDivisor)
+	return max(0, c.config.ServerIdleTimeout-c.config.ServerIdleTimeout/idleMarginDivisor)
 }
 
 // armIdleTimeout schedules a check of the connection for the time at which it reaches the idle limit, if it is not used
--- a/internal/upstream/idle_timeout_test.go
+++ b/internal/upstream/idle_timeout_test.go
@@ -7,7 +7,7 @@
 	"linkpass/internal/outcome"
 )
 
-func TestIdleConnectionClosesBeforeKeepalive(t *testing.T) {
+func TestIdleConnectionClosesBeforeServerIdleTimeout(t *testing.T) {
 	srv := startServer(t)
 	client, s := startClient(t, srv.addr())
 	client.Send(attempt("a", 3, 0))
--- a/internal/upstream/server_test.go
+++ b/internal/upstream/server_test.go
@@ -83,13 +83,13 @@
 	}
 }
 
-// startClient starts a client that is limited to two streams on a connection and eight connections, with a keepalive of
-// 30 s.
+// startClient starts a client that is limited to two streams on a connection and eight connections, and whose
+// ServerIdleTimeout is 30 s.
 func startClient(t *testing.T, addr string) (*upstream.Client, *sink) {
 	t.Helper()
 	s := newSink()
 	config := newConfig(s)
-	config.Keepalive = 30 * time.Second
+	config.ServerIdleTimeout = 30 * time.Second
 	client := upstream.New(config, frame.Codec{MaxStreams: 2, ReportNames: []string{"active"}}, "s-1", addr)
 	client.SetAcceptsWork(true)
 	t.Cleanup(func() { client.Close(); client.Wait() })
