--- a/internal/upstream/events.go
+++ b/internal/upstream/events.go
@@ -8,10 +8,10 @@
 	"linkpass/internal/outcome"
 )
 
-// event is what the event loop handles, by calling handle: a command or what happened on a connection.
+// event is a command or a connection event. The event loop calls its handle method.
 type event interface{ handle(*Client) }
 
-// The commands of the mailbox.
+// The commands, which are posted to the mailbox.
 type (
 	sendAttempts       struct{ attempts []coordinator.Attempt }
 	cancelAttempt      struct{ id coordinator.AttemptID }
@@ -22,7 +22,7 @@
 	idleTimeout        struct{ conn *connection }
 )
 
-// The events of connections.
+// The connection events.
 type (
 	connOpened struct {
 		conn    *connection
@@ -35,7 +35,7 @@
 	messageRead struct {
 		conn    *connection
 		message Message
-		at      time.Duration // when its first byte was there
+		at      time.Duration // when its first byte could be read
 	}
 	bodyWritten struct {
 		conn *connection
@@ -46,13 +46,13 @@
 
 func (e sendAttempts) handle(c *Client)       { c.sendAttempts(e.attempts) }
 func (e cancelAttempt) handle(c *Client)      { c.cancelAttempt(e.id) }
-func (e checkHealth) handle(c *Client)        { c.withConnection(healthCheckTask(e)) }
+func (e checkHealth) handle(c *Client)        { c.startTask(healthCheckTask(e)) }
 func (e abandonHealthCheck) handle(c *Client) { c.abandonHealthCheck(e.number) }
 func (e serverRestarted) handle(c *Client)    { c.dropConnsBefore(e.startedAt) }
 func (drain) handle(c *Client)                { c.draining = true }
 func (e idleTimeout) handle(c *Client)        { c.checkIdle(e.conn) }
 
-func (e connOpened) handle(c *Client)  { c.connOpened(e.conn, e.netConn) }
+func (e connOpened) handle(c *Client)  { c.handleConnOpened(e.conn, e.netConn) }
 func (e connEnded) handle(c *Client)   { c.drop(e.conn, e.outcome) }
-func (e messageRead) handle(c *Client) { c.messageRead(e.conn, e.message, e.at) }
-func (e bodyWritten) handle(c *Client) { c.bodyWritten(e.conn, e.body, e.err) }
+func (e messageRead) handle(c *Client) { c.handleMessage(e.conn, e.message, e.at) }
+func (e bodyWritten) handle(c *Client) { c.handleBodyWritten(e.conn, e.body, e.err) }
--- a/internal/upstream/server_test.go
+++ b/internal/upstream/server_test.go
@@ -14,10 +14,10 @@
 
 const (
 	connectTimeout = 250 * time.Millisecond
-	waitLimit      = 10 * time.Second // for what must come
+	waitLimit      = 10 * time.Second // for events that the test expects
 )
 
-// server accepts connections and passes the frames that it reads on them to the test.
+// server accepts connections and passes them, and the frames that it reads from them, to the test.
 type server struct {
 	ln     net.Listener
 	conns  chan net.Conn
@@ -45,11 +45,11 @@
 func (s *server) readFrames(netConn net.Conn) {
 	r := bufio.NewReader(netConn)
 	for {
-		letter, rest, err := frame.Read(r)
+		letter, content, err := frame.Read(r)
 		if err != nil {
 			return
 		}
-		s.frames <- string(letter) + string(rest)
+		s.frames <- string(letter) + string(content)
 	}
 }
 
@@ -83,19 +83,20 @@
 	}
 }
 
-// startClient starts a client with two streams on a connection, eight connections and a keepalive of 30 s.
+// startClient starts a client that is limited to two streams on a connection and eight connections, and whose
+// ServerIdleTimeout is 30 s.
 func startClient(t *testing.T, addr string) (*upstream.Client, *sink) {
 	t.Helper()
 	s := newSink()
 	config := newConfig(s)
-	config.Keepalive = 30 * time.Second
+	config.ServerIdleTimeout = 30 * time.Second
 	client := upstream.New(config, frame.Codec{MaxStreams: 2, ReportNames: []string{"active"}}, "s-1", addr)
 	client.SetAcceptsWork(true)
 	t.Cleanup(func() { client.Close(); client.Wait() })
 	return client, s
 }
 
-// attempt is a request with one attempt.
+// attempt returns a request with one attempt.
 func attempt(query string, shard, number int) []coordinator.Attempt {
 	return []coordinator.Attempt{{
 		ID:       coordinator.AttemptID{Part: 1, No: number},
--- a/internal/upstream/sink_test.go
+++ b/internal/upstream/sink_test.go
@@ -11,15 +11,15 @@
 	"linkpass/internal/outcome"
 )
 
-// sink is a ResultSink whose time passes only by advance.
+// sink is a ResultSink whose clock moves only when the test moves it. It passes the results to the test.
 type sink struct {
 	now    atomic.Int64
 	mu     sync.Mutex
 	timers []*timer
 
-	ended   chan ended
-	checked chan coordinator.Result
-	written chan coordinator.AttemptID
+	ended        chan endedAttempt
+	healthChecks chan coordinator.Result
+	bodiesSent   chan coordinator.AttemptID
 }
 
 type timer struct {
@@ -27,16 +27,16 @@
 	fire func() // nil: fired or disarmed
 }
 
-type ended struct {
+type endedAttempt struct {
 	id coordinator.AttemptID
 	coordinator.Result
 }
 
 func newSink() *sink {
 	return &sink{
-		ended:   make(chan ended, 64),
-		checked: make(chan coordinator.Result, 64),
-		written: make(chan coordinator.AttemptID, 64),
+		ended:        make(chan endedAttempt, 64),
+		healthChecks: make(chan coordinator.Result, 64),
+		bodiesSent:   make(chan coordinator.AttemptID, 64),
 	}
 }
 
@@ -50,7 +50,7 @@
 	return func() { s.mu.Lock(); t.fire = nil; s.mu.Unlock() }
 }
 
-// advance moves the time on and fires the timers that are due.
+// advance moves the clock forward by d and fires the timers that are due.
 func (s *sink) advance(d time.Duration) {
 	now := time.Duration(s.now.Add(int64(d)))
 	s.mu.Lock()
@@ -66,8 +66,8 @@
 	}
 }
 
-// waitUntilNoTimerDue waits until advance(d) would fire nothing: a write that the server has read may not have
-// disarmed its timeout yet.
+// waitUntilNoTimerDue waits until advance(d) would fire no timer. It is needed because a write whose bytes the server
+// has already read may not have disarmed its timeout yet.
 func (s *sink) waitUntilNoTimerDue(d time.Duration) {
 	for due := true; due; time.Sleep(time.Millisecond) {
 		s.mu.Lock()
@@ -76,16 +76,18 @@
 	}
 }
 
-func (s *sink) AttemptEnded(id coordinator.AttemptID, r coordinator.Result) { s.ended <- ended{id, r} }
-func (s *sink) BodySent(id coordinator.AttemptID)                           { s.written <- id }
-func (s *sink) HealthCheckEnded(_ uint64, r coordinator.Result)             { s.checked <- r }
+func (s *sink) AttemptEnded(id coordinator.AttemptID, r coordinator.Result) {
+	s.ended <- endedAttempt{id, r}
+}
+func (s *sink) BodySent(id coordinator.AttemptID)               { s.bodiesSent <- id }
+func (s *sink) HealthCheckEnded(_ uint64, r coordinator.Result) { s.healthChecks <- r }
 
-// wantEnded waits for the next result of an attempt.
-func (s *sink) wantEnded(t *testing.T, o outcome.Outcome) ended {
+// wantEnded waits for the next result of an attempt and checks its outcome.
+func (s *sink) wantEnded(t *testing.T, o outcome.Outcome) endedAttempt {
 	t.Helper()
 	got := <-s.ended
 	if got.Outcome != o {
-		t.Fatalf("%v ended as %s, want %s", got.id, got.Outcome, o)
+		t.Fatalf("outcome of attempt %v = %s, want %s", got.id, got.Outcome, o)
 	}
 	return got
 }
