--- a/internal/coordinator/attempts.go
+++ b/internal/coordinator/attempts.go
@@ -7,12 +7,12 @@
 	"linkpass/internal/routing"
 )
 
-// AttemptEnded says how an attempt ended. Only the first end of an attempt counts.
+// AttemptEnded reports how an attempt ended. A second report for the same attempt is ignored.
 func (c *Core) AttemptEnded(id AttemptID, result Result) {
 	c.post(attemptEnded{id, result})
 }
 
-// openAttempt opens an attempt at a part and adds it to the turn's batches.
+// openAttempt opens an attempt at a part and adds it to the batches of this turn.
 func (c *Core) openAttempt(now time.Duration, send routing.Send) {
 	p := c.parts[send.ID]
 	if p == nil {
@@ -32,7 +32,8 @@
 	c.addToBatch(a, send.WriteBefore)
 }
 
-// armTimeout ends the attempt at the query's deadline, and not later than limit from now; a limit of 0 is none.
+// armTimeout arms a timer that ends the attempt at the query's deadline, or after limit if that is earlier. A limit
+// of 0 means none.
 func (c *Core) armTimeout(now time.Duration, a *attempt, limit time.Duration) {
 	wait := a.part.query.deadline - now
 	if limit > 0 {
@@ -44,7 +45,7 @@
 	})
 }
 
-// addToBatch adds the attempt to a batch to its server that is not yet full, or to a new one.
+// addToBatch adds the attempt to a batch for its server that has room, or to a new batch.
 func (c *Core) addToBatch(a *attempt, writeBefore time.Duration) {
 	p, q := a.part, a.part.query
 	out := Attempt{
@@ -82,7 +83,7 @@
 	c.endAttempt(id, Result{Outcome: outcome.Canceled, At: now})
 }
 
-// removeFromBatch takes an attempt that was opened in this turn out of its batch.
+// removeFromBatch removes an attempt that was opened in this turn from its batch.
 func (c *Core) removeFromBatch(a *attempt) {
 	for i := range c.batches {
 		list := c.batches[i].attempts
@@ -95,7 +96,7 @@
 	}
 }
 
-// endAttempt ends an attempt and reports its outcome to the router. It ignores an attempt that has ended already.
+// endAttempt ends an attempt and reports its outcome to the router. It ignores attempts that have already ended.
 func (c *Core) endAttempt(id AttemptID, result Result) {
 	a := c.attempts[id]
 	if a == nil {
@@ -107,7 +108,7 @@
 	c.deadlines.Disarm(a.timeout)
 	p := a.part
 	p.inFlight--
-	var replacements []routing.Event // of the part, for the router to see after the result
+	var replacements []routing.Event // replacement of the part; the router must see the attempt's result first
 	if p.Request != nil && p.isPending() {
 		result.Outcome, replacements = c.reviewShardResult(p, result)
 	}
@@ -132,7 +133,7 @@
 		p.value = Value{Shard: p.Shard, Request: p.Request, Data: result.Value, Score: result.Score, Hits: result.Hits}
 	}
 	if p.isPending() && p.inFlight == 0 && c.queries[p.query.id] != nil {
-		c.setUnsent(p, true) // the router may retry it
+		c.setUnsent(p, true) // the router may retry the part
 		c.markFailed(p, result.At)
 	}
 }
--- a/internal/coordinator/bench_test.go
+++ b/internal/coordinator/bench_test.go
@@ -12,7 +12,7 @@
 	"linkpass/internal/shardmap"
 )
 
-// instantTransports answers every attempt and health check at once.
+// instantTransports answers every attempt and health check immediately.
 type instantTransports struct{ core *Core }
 
 func (*instantTransports) UpdateEndpoints(EndpointUpdate) {}
@@ -37,7 +37,8 @@
 
 func (*instantTransports) AbandonHealthCheck(routing.ServerID, uint64) {}
 
-// A query of eight parts on the fixed shard map, and on one of n shards that can change and does not.
+// BenchmarkQuery measures a query of eight parts on the fixed shard map, and on a collection of n shards whose shard
+// map does not change during the run.
 func BenchmarkQuery(b *testing.B) {
 	for _, n := range []int{0, 10, 1000, 100_000} {
 		name := "fixed"
@@ -50,15 +51,16 @@
 	}
 }
 
-// A query of eight parts on the fixed shard map, with the servers of 3, 80 and 300 coordinators: in sets of three
-// replicas that hold two shards each, as in the benchmark of package routing.
+// BenchmarkQueryFleet measures a query of eight parts on the fixed shard map, for the server counts of sites with 3,
+// 80 and 300 coordinators. Servers form sets of three replicas that hold two shards each, as in the benchmark of
+// package routing.
 func BenchmarkQueryFleet(b *testing.B) {
 	for _, f := range []benchmarkFleet{{3, 15, 5, 10}, {80, 54, 18, 36}, {300, 201, 67, 134}} {
 		b.Run(fmt.Sprintf("coordinators=%d/servers=%d", f.coordinators, f.servers), func(b *testing.B) { benchmarkQueries(b, 0, f) })
 	}
 }
 
-// benchmarkFleet is the size of a site.
+// benchmarkFleet is the number of coordinators, servers, cells and shards at a site.
 type benchmarkFleet struct{ coordinators, servers, cells, shards int }
 
 func (f benchmarkFleet) settings() routing.Settings {
@@ -76,8 +78,8 @@
 	return endpoints
 }
 
-// benchmarkQuery returns the query of eight parts; n: the shards of its collection, which the core gets; 0: the fixed
-// shard map.
+// benchmarkQuery returns a query of eight parts. If n is 0, the query is on the fixed shard map; otherwise it is on a
+// collection of n shards, which is published to the core.
 func benchmarkQuery(b *testing.B, core *Core, n int) Query {
 	b.Helper()
 	q := Query{Name: "q", Timeout: 2 * time.Second, Payload: []byte("x")}
@@ -119,7 +121,7 @@
 		q.StartedAt = core.Now()
 		core.Submit(q)
 		if a := <-answers; !a.Complete {
-			b.Fatalf("%+v", a)
+			b.Fatalf("answer %+v, want a complete one", a)
 		}
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/8, "ns/part")
--- a/internal/coordinator/body_retention.go
+++ b/internal/coordinator/body_retention.go
@@ -6,7 +6,7 @@
 	"linkpass/internal/routing"
 )
 
-// BodySent says that an attempt with a Body was written completely.
+// BodySent reports that an attempt with a Body was written completely.
 func (c *Core) BodySent(id AttemptID) {
 	c.post(bodySent{id})
 }
@@ -17,8 +17,9 @@
 	}
 }
 
-// setUnsent records whether a part is yet to be written. The body's store is notified when the query's first part comes
-// to be unsent and when its last one no longer is: a body that nobody is to write may be evicted.
+// setUnsent records whether a part is yet to be written. It calls Body.MarkPending when the query's first part
+// becomes unsent and Body.MarkSent when no part is unsent any more: the store may evict a body that is not to be
+// written.
 func (*Core) setUnsent(p *part, unsent bool) {
 	q := p.query
 	if q.Body == nil || p.unsent == unsent || unsent && !p.isPending() {
@@ -36,7 +37,7 @@
 	}
 }
 
-// evictBody tells the router that no part of the query can be sent any more.
+// evictBody handles the eviction of a query's body: it tells the router that no part can be sent any more.
 func (c *Core) evictBody(q *query) {
 	if c.queries[q.id] == nil {
 		return
@@ -52,7 +53,7 @@
 		}
 		c.addEvent(routing.BodyEvicted{ID: p.id})
 		switch {
-		case p.inFlight == 0 && p.failed: // it waited for its retry
+		case p.inFlight == 0 && p.failed: // the part was waiting for a retry
 			c.countClass("retries_forgone", q.Class)
 			q.unanswerableAt = max(q.unanswerableAt, c.Now())
 		case p.inFlight == 0:
@@ -63,8 +64,8 @@
 	}
 }
 
-// markFailed records that a part has no attempt in flight that could answer it. It needs a retry, which cannot be sent
-// if the query's body is evicted.
+// markFailed records that a part has no attempt in flight that could answer it. The part needs a retry, which cannot
+// be sent if the query's body was evicted.
 func (c *Core) markFailed(p *part, at time.Duration) {
 	q := p.query
 	if q.bodyEvicted {
--- a/internal/coordinator/body_retention_test.go
+++ b/internal/coordinator/body_retention_test.go
@@ -10,7 +10,7 @@
 	"linkpass/internal/outcome"
 )
 
-// fakeBody records the calls that its store receives.
+// fakeBody records the calls of its methods.
 type fakeBody struct {
 	onEvicted func()
 	released  int
@@ -32,7 +32,8 @@
 func (b *fakeBody) OnEvicted(f func())         { b.onEvicted = f }
 func (b *fakeBody) Release()                   { b.released++ }
 
-// Once the body is evicted, the query ends with the attempt in flight: rejected if that did not run, failed otherwise.
+// After its body is evicted, a query ends when its attempt in flight ends: rejected if the attempt did not run,
+// failed otherwise.
 func TestEvictedBodyEndsQueryWithAttemptInFlight(t *testing.T) {
 	for how, want := range map[outcome.Outcome]Status{outcome.Rejected: Rejected, outcome.ServerError: Failed} {
 		t.Run(how.String(), func(t *testing.T) {
@@ -43,11 +44,11 @@
 				first := f.sent()
 				f.core.BodySent(first[0].ID)
 				wait(10 * time.Millisecond)
-				f.endAll(first, how) // is retried, as the body is stored
+				f.endAll(first, how) // retried, because the body is still stored
 				wait(500 * time.Millisecond)
 				retries := f.sent()[1:]
 				if len(retries) != 1 || body.marks != "pending sent pending " {
-					t.Fatalf("%d retries, marked %q", len(retries), body.marks)
+					t.Fatalf("%d retries and body calls %q, want 1 and \"pending sent pending \"", len(retries), body.marks)
 				}
 				f.core.BodySent(retries[0].ID)
 				wait(10 * time.Millisecond)
@@ -58,7 +59,8 @@
 				wait(20 * time.Millisecond)
 				a := onlyAnswer(t, answers, want)
 				if len(f.sent()) != 2 || !a.Missing[0].BodyEvicted || body.released != 1 || f.core.Now()-before > 50*time.Millisecond {
-					t.Errorf("%d attempts, %+v, released %d times", len(f.sent()), a, body.released)
+					t.Errorf("%d attempts, answer %+v after %v, body released %d times; want 2, an evicted body within 50 ms and 1",
+						len(f.sent()), a, f.core.Now()-before, body.released)
 				}
 			})
 		})
--- a/internal/coordinator/config.go
+++ b/internal/coordinator/config.go
@@ -10,26 +10,26 @@
 	"linkpass/internal/routing"
 )
 
-// minMailbox is the least number of messages that the mailbox holds.
+// minMailbox is the minimum capacity of the mailbox, in messages.
 const minMailbox = 64
 
-// ErrUnsupportedClass says that a query class has a fetch step or a stream, which a Core does not run.
+// ErrUnsupportedClass is returned by New for a query class with a fetch step or a stream, which a Core cannot run.
 var ErrUnsupportedClass = errors.New("class with a fetch step or a stream is not supported")
 
-// Config sets up a Core.
+// Config configures a Core.
 type Config struct {
 	Settings           routing.Settings
-	Seed               uint64 // of the router's random draws
-	HealthCheckTimeout time.Duration
+	Seed               uint64        // of the router's random numbers
+	HealthCheckTimeout time.Duration // after which a health check without a reply ends
 	Counters           *metrics.Counters
-	Totals             *metrics.Totals // made for the classes of Settings
-	MailboxSize        int             // messages that wait at most; less than 64: 64
-	// DisableReplan leaves the parts whose shard has moved as they are; they fail.
+	Totals             *metrics.Totals // created for the classes of Settings
+	MailboxSize        int             // capacity in messages; a value below 64 is raised to 64
+	// DisableReplan turns off the replacement of parts whose shard has moved; such parts fail.
 	DisableReplan bool
 }
 
-// New returns a core. SetTransports and Run follow. It fails on settings that routing refuses, and with
-// ErrUnsupportedClass.
+// New returns a core. The caller then calls SetTransports and Run. New fails on settings that routing.New rejects,
+// and with ErrUnsupportedClass.
 func New(config Config) (*Core, error) {
 	router, err := routing.New(config.Settings, config.Seed)
 	if err != nil {
--- a/internal/coordinator/core.go
+++ b/internal/coordinator/core.go
@@ -10,13 +10,14 @@
 	"linkpass/internal/routing"
 )
 
-// clockAtStart is what Core.Now returns at start: a server that started before that counts as started long ago.
+// clockAtStart is the value of Core.Now when the core is created. Core.Clock returns 0, meaning long ago, for servers
+// that started more than this before the core.
 const clockAtStart = time.Hour
 
-// maxSleep is how long the event loop sleeps with no deadline armed.
+// maxSleep is how long the event loop sleeps if no deadline is armed.
 const maxSleep = time.Hour
 
-// Core is the event loop round the router.
+// Core is the event loop that drives the router.
 type Core struct {
 	settings           routing.Settings
 	router             *routing.Router
@@ -25,36 +26,37 @@
 	totals             *metrics.Totals
 	healthCheckTimeout time.Duration
 	disableReplan      bool
-	epoch              time.Time
+	epoch              time.Time // when Now was 0
 
-	mailbox  chan message  // read by Run alone
+	mailbox  chan message  // received from by Run only
 	stopped  chan struct{} // closed by Run when it ends
 	deferred deferredQueue
 
 	// Owned by the goroutine of Run.
 	deadlines       deadline.Queue
 	events          []routing.Event // for the next turn
-	lastTurn        time.Duration
+	lastTurn        time.Duration   // on the clock of Now
 	lastRequestID   routing.RequestID
-	lastNumber      uint64 // of queries and health checks
+	lastNumber      uint64 // latest number given to a query or health check; they share one sequence
 	queries         map[routing.RequestID]*query
 	parts           map[routing.RequestID]*part
 	attempts        map[AttemptID]*attempt
 	healthChecks    map[uint64]*healthCheck
 	batches         []batch // of this turn
-	warmedUp        func()  // called when no health check is in flight; nil: nobody waits for that
+	warmedUp        func()  // called once no health check is in flight; nil if there is no callback
 	collections     map[string]*collection
-	collectionCount int // collections known so far, those that were removed included
+	collectionCount int // collections seen so far, including those that were removed
 }
 
-// SetTransports sets the transports. It is called once, before Run.
+// SetTransports sets the transports. It must be called once, before Run.
 func (c *Core) SetTransports(transports Transports) { c.transports = transports }
 
-// Now is the core's clock. It is safe for concurrent use.
+// Now returns the time on the core's clock, which has clockAtStart when the core is created. It is safe for
+// concurrent use.
 func (c *Core) Now() time.Duration { return time.Since(c.epoch) }
 
-// Clock converts a time in Unix milliseconds into the core's clock. A time of 0 or before the clock's origin is 0,
-// which is long ago.
+// Clock converts a time in Unix milliseconds to the core's clock. It returns 0, meaning long ago, for a time of 0 or
+// less and for one before the clock's origin.
 func (c *Core) Clock(unixMS int64) time.Duration {
 	if unixMS <= 0 {
 		return 0
@@ -62,7 +64,7 @@
 	return max(0, time.Duration(unixMS)*time.Millisecond-time.Duration(c.epoch.UnixNano()))
 }
 
-// Run takes turns until the context ends. The queries that are open then fail.
+// Run runs the event loop until the context is canceled. The queries that are then open fail.
 func (c *Core) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -87,7 +89,7 @@
 	}
 }
 
-// stop fails the open queries. Nobody waits for the event loop from then on.
+// stop fails the open queries and unblocks the callers that wait for the event loop.
 func (c *Core) stop() {
 	close(c.stopped)
 	for _, q := range c.queries {
@@ -95,8 +97,8 @@
 	}
 }
 
-// sleep is how long the event loop may sleep: until the next deadline or, with events for the router, the next turn;
-// not less than the gap between turns.
+// sleep returns how long the event loop may sleep: until the next deadline, or until the next turn if events are
+// queued for the router. Turns are at least Settings.Tick apart.
 func (c *Core) sleep(now time.Duration) time.Duration {
 	next, armed := c.deadlines.Next()
 	if len(c.events) > 0 {
@@ -108,7 +110,7 @@
 	return max(next, c.lastTurn+c.settings.Tick) - now
 }
 
-// turn fires the deadlines, lets the router decide and carries out its actions.
+// turn fires the deadlines that are due, passes the queued events to the router and executes its actions.
 func (c *Core) turn(now time.Duration) {
 	c.lastTurn = now
 	c.deadlines.Sweep(now)
@@ -131,7 +133,7 @@
 // addEvent queues an event for the router's next turn.
 func (c *Core) addEvent(event routing.Event) { c.events = append(c.events, event) }
 
-// carryOut carries out one action of the router.
+// carryOut executes one action of the router.
 func (c *Core) carryOut(now time.Duration, action routing.Action) {
 	switch a := action.(type) {
 	case routing.Send:
@@ -151,7 +153,7 @@
 	}
 }
 
-// sendBatches gives the turn's attempts to the transports. What they do not accept ends at once.
+// sendBatches passes the turn's attempts to the transports. Attempts that are not accepted end at once.
 func (c *Core) sendBatches(now time.Duration) {
 	for _, b := range c.batches {
 		if len(b.attempts) == 0 || c.transports.Send(b.server, b.attempts) {
--- a/internal/coordinator/core_test.go
+++ b/internal/coordinator/core_test.go
@@ -19,28 +19,28 @@
 			settings := testSettings()
 			change(&settings.Classes[0])
 			if _, err := New(Config{Settings: settings}); !errors.Is(err, ErrUnsupportedClass) {
-				t.Errorf("New returned %v", err)
+				t.Errorf("New returned %v, want %v", err, ErrUnsupportedClass)
 			}
 		})
 	}
 }
 
-// Guards against a warming server that passes for an old one as it started before this coordinator.
+// Guards against treating a server that is still warming up as an old one because it started before this coordinator.
 func TestClockConvertsUnixMillis(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core := newTestCore(t, routing.Settings{Coordinators: 1, Shards: 1, Cells: 1, ReplicasPerShard: 1,
 			Classes: []routing.Class{{LatencyObjective: 1, Deadline: 1, RequiredWeight: 1}}})
 		now := time.Now()
 		if got := core.Clock(now.Add(-5 * time.Second).UnixMilli()); got != core.Now()-5*time.Second {
-			t.Errorf("five seconds ago is %v at %v", got, core.Now())
+			t.Errorf("Clock(5 s ago) = %v, want %v", got, core.Now()-5*time.Second)
 		}
 		if core.Clock(0) != 0 || core.Clock(now.Add(-100*time.Hour).UnixMilli()) != 0 {
-			t.Error("long ago is not 0")
+			t.Errorf("Clock(0) = %v and Clock(100 h ago) = %v, want 0", core.Clock(0), core.Clock(now.Add(-100*time.Hour).UnixMilli()))
 		}
 	})
 }
 
-// Guards against a caller that waits for an event loop that has stopped with a full mailbox.
+// Guards against callers that block forever because the event loop has stopped with a full mailbox.
 func TestStoppedCoreDoesNotBlockCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, stop := startTestCore(t, testSettings())
@@ -48,27 +48,27 @@
 		wait(50 * time.Millisecond)
 		stop()
 		if a := onlyAnswer(t, open, Failed); len(a.Missing) != 2 {
-			t.Errorf("the open query is answered %+v", a)
+			t.Errorf("open query: answer %+v, want 2 missing parts", a)
 		}
 		for range cap(f.core.mailbox) {
 			f.core.mailbox <- openCountRequested{make(chan int, 1)}
 		}
 		late, disconnect := f.submit(time.Second, twoParts...)
 		if a := onlyAnswer(t, late, Failed); len(a.Missing) != 2 {
-			t.Errorf("the late query is answered %+v", a)
+			t.Errorf("query submitted after the stop: answer %+v, want 2 missing parts", a)
 		}
 		disconnect()
-		f.core.Arm(f.core.Now(), func() { t.Error("a deadline fired") })()
+		f.core.Arm(f.core.Now(), func() { t.Error("a deadline fired after the stop") })()
 		if n := f.core.OpenCount(); n != 0 {
-			t.Errorf("%d open", n)
+			t.Errorf("OpenCount() = %d after the stop, want 0", n)
 		}
 		if _, ok := f.core.Snapshot(time.Second); ok {
-			t.Error("a snapshot of a stopped core")
+			t.Error("Snapshot succeeded on a stopped core")
 		}
 	})
 }
 
-// Guards against a caller that waits for the event loop: Arm is called with a full mailbox, too.
+// Guards against Arm, or the function that it returns, blocking on the event loop when the mailbox is full.
 func TestArmWithFullMailbox(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core := newTestCore(t, testSettings())
@@ -86,7 +86,7 @@
 		cancel()
 		<-done
 		if fired != 1 {
-			t.Errorf("fired %d times", fired)
+			t.Errorf("deadline fired %d times, want 1", fired)
 		}
 	})
 }
--- a/internal/coordinator/coverage.go
+++ b/internal/coordinator/coverage.go
@@ -10,9 +10,9 @@
 	"linkpass/internal/shardmap/replan"
 )
 
-// reviewShardResult reviews the end of an attempt at a part on a shard map that can change: which keys an answer
-// covers, and whether the part is planned again. It returns the outcome to record and the events that the router is to
-// see after the attempt's result.
+// reviewShardResult handles the end of an attempt at a part on a shard map that can change. It records which keys an
+// answer covers and replaces the part if its shard has moved. It returns the outcome to record, and the events that
+// the router must see after the attempt's result.
 func (c *Core) reviewShardResult(p *part, result Result) (outcome.Outcome, []routing.Event) {
 	switch result.Outcome {
 	case outcome.Success:
@@ -24,7 +24,7 @@
 	if p.inFlight > 0 || current == nil {
 		return result.Outcome, nil
 	}
-	if _, exists := current.Resolve(p.Request.Shard); !exists { // a retry there could only fail
+	if _, exists := current.Resolve(p.Request.Shard); !exists { // the shard is gone, so a retry could only fail
 		if replaced, reason := c.replan(p, nil); reason == replan.Replanned {
 			return result.Outcome, []routing.Event{replaced}
 		}
@@ -32,8 +32,8 @@
 	return result.Outcome, nil
 }
 
-// reviewMoved plans a part again whose server says that the shard has moved. Where no newer map bears that out, the
-// outcome is UnknownShardMap, and the router tries another server.
+// reviewMoved replaces a part whose server says that the shard has moved. If no newer shard map confirms the move,
+// the outcome is UnknownShardMap, and the router tries another server.
 func (c *Core) reviewMoved(p *part) (outcome.Outcome, []routing.Event) {
 	replaced, reason := c.replan(p, nil)
 	if reason == replan.Replanned {
@@ -43,9 +43,9 @@
 	return outcome.UnknownShardMap, nil
 }
 
-// recordCoverage records which keys an answer covers. An answer for a subrange of what the part requests is kept, and
-// the rest is requested by new parts. One that does not say what it covers counts for the part's range, but never for a
-// subrange of a shard.
+// recordCoverage records which keys an answer covers. If an answer covers only a subrange of the part's range, its
+// value is kept and new parts request the other keys. An answer that does not say what it covers is taken to cover
+// the part's range, but is refused if that range is only a subrange of the shard.
 func (c *Core) recordCoverage(p *part, result Result) (outcome.Outcome, []routing.Event) {
 	covers := p.Request.Range
 	switch {
@@ -63,13 +63,14 @@
 	return outcome.PartialCoverage, []routing.Event{c.splitPart(p, covers, result)}
 }
 
-// splitPart keeps the answer for a subrange of what a part requests and replaces the part by parts for the rest. Where
-// that cannot be planned, the rest is lost, and the router learns that the part is replaced by none.
+// splitPart keeps an answer for a subrange of a part's range and replaces the part by new parts for the remaining
+// keys. If these cannot be planned, the remaining keys stay missing, and the event tells the router that no part
+// replaces the old one.
 func (c *Core) splitPart(p *part, covers shardmap.Range, result Result) routing.PartsReplaced {
 	request := *p.Request
 	request.Range, request.Subrange = covers, true
 	received := p.Weight * covers.Size() / p.Request.Range.Size()
-	p.Weight -= received // the rest is shared among the new parts
+	p.Weight -= received // the new parts share the remaining weight
 	p.query.subValues = append(p.query.subValues,
 		Value{Shard: p.Shard, Request: &request, Data: result.Value, Score: result.Score, Hits: result.Hits})
 	remaining := coverage.NewRangeSet(p.Request.Range).Subtract(coverage.NewRangeSet(covers)).Ranges()
@@ -84,8 +85,8 @@
 	return replaced
 }
 
-// finishCoverage completes the answer of a query on a shard map that can change. It guards against an answer marked as
-// complete that lacks a key: only the record of what was answered decides that.
+// finishCoverage completes the answer of a query on a shard map that can change. It clears Complete if a requested
+// key was not answered: the query's coverage tracker decides this, not the router.
 func (c *Core) finishCoverage(q *query, answer *Answer) {
 	answer.ShardMapVersion = q.planned.Version()
 	if answer.Status == Answered {
@@ -104,7 +105,7 @@
 	}
 }
 
-// addUnrequested adds the missing keys that no part requests any more to the missing parts.
+// addUnrequested adds the keys that are missing and not requested by any part any more to the missing parts.
 func (q *query) addUnrequested(missing []MissingPart) []MissingPart {
 	listed := coverage.RangeSet{}
 	for _, m := range missing {
--- a/internal/coordinator/coverage_test.go
+++ b/internal/coordinator/coverage_test.go
@@ -7,7 +7,8 @@
 	"linkpass/internal/shardmap"
 )
 
-// A server answers a subrange; then one does not say what it covers, and one covers more than was requested.
+// The first answer covers only a subrange. Of the answers to the remaining keys, the first does not say what it
+// covers and the second covers more than was requested; both are refused and retried.
 func TestPartialUnknownAndDuplicateCoverage(t *testing.T) {
 	testResharding(t, 1, func(t *testing.T, r *reshardingCore) {
 		answers := r.search(shardmap.FullRange)
@@ -16,16 +17,16 @@
 		r.end(r.newAttempts()[0], Result{Outcome: outcome.Success, Covers: &first, Value: []byte("v")})
 		rest := r.newAttempts()
 		if len(rest) != 1 || rest[0].Request.Range != quarters[3] || !rest[0].Request.Subrange {
-			t.Fatalf("the rest: %+v", rest)
+			t.Fatalf("attempts for the remaining keys: %+v, want one for the subrange %s", rest, quarters[3])
 		}
 		r.end(rest[0], Result{Outcome: outcome.Success, Value: []byte("v")})
 		if n := r.core.counters.Get("attempts_unknown_coverage"); n != 1 {
-			t.Errorf("%d of unknown coverage", n)
+			t.Errorf("%d attempts of unknown coverage, want 1", n)
 		}
 		retries := r.newAttempts()
 		r.end(retries[0], Result{Outcome: outcome.Success, Covers: &shardmap.FullRange, Value: []byte("v")})
 		if n := r.core.counters.Get("attempts_duplicate_coverage"); n != 1 {
-			t.Errorf("%d of duplicate coverage", n)
+			t.Errorf("%d attempts of duplicate coverage, want 1", n)
 		}
 		retries = r.newAttempts()
 		r.end(retries[0], Result{Outcome: outcome.Success, Covers: &quarters[3], Value: []byte("v")})
@@ -33,7 +34,8 @@
 	})
 }
 
-// Coverage beyond the request counts for nothing, even of keys that are not yet answered; a single key is waited for.
+// An answer that covers more than was requested is refused, even if the additional keys are not answered yet. The
+// query stays open until a part with a single key is answered, too.
 func TestCoverageBeyondRequestAndSingleKey(t *testing.T) {
 	testResharding(t, 2, func(t *testing.T, r *reshardingCore) {
 		half, key := shardmap.FullRange.Split(2)[0], shardmap.Range{First: shardmap.FullRange.Last, Last: shardmap.FullRange.Last}
@@ -41,11 +43,11 @@
 		attempts := r.newAttempts()
 		r.end(attempts[0], Result{Outcome: outcome.Success, Covers: &shardmap.FullRange, Value: []byte("v")})
 		if n := r.core.counters.Get("attempts_duplicate_coverage"); n != 1 {
-			t.Errorf("%d of duplicate coverage", n)
+			t.Errorf("%d attempts of duplicate coverage, want 1", n)
 		}
 		r.answer(r.newAttempts()...)
 		if r.core.OpenCount() == 0 {
-			t.Fatal("answered without the single key")
+			t.Fatal("the query was answered without the single key")
 		}
 		r.answer(attempts[1])
 		checkCoverage(t, onlyAnswer(t, answers, Answered), half, key)
--- a/internal/coordinator/deadlines.go
+++ b/internal/coordinator/deadlines.go
@@ -7,16 +7,16 @@
 	"linkpass/internal/deadline"
 )
 
-// externalDeadline is a deadline in the core's queue that another owner has set.
+// externalDeadline is a deadline in the core's queue that was set by another component.
 type externalDeadline struct {
-	at    time.Duration
+	at    time.Duration // on the clock of Core.Now
 	fire  func()
 	entry *deadline.Entry // nil until the event loop has armed it
 }
 
-// Arm sets a deadline in the core's queue on behalf of another owner. fire runs on the core's goroutine and must not
-// block. The returned function removes the deadline; it may be called more than once. Neither waits, even with a full
-// mailbox.
+// Arm sets a deadline in the core's queue for another component, at a time on the clock of Core.Now. fire runs on the
+// core's goroutine and must not block. The returned function removes the deadline and may be called more than once.
+// Neither Arm nor that function blocks, even if the mailbox is full.
 func (c *Core) Arm(at time.Duration, fire func()) (disarm func()) {
 	d := &externalDeadline{at: at, fire: fire}
 	c.deferred.add(deadlineArmed{d})
--- a/internal/coordinator/endpoints.go
+++ b/internal/coordinator/endpoints.go
@@ -6,7 +6,7 @@
 	"linkpass/internal/routing"
 )
 
-// endpointCountsInterval is how often the totals of servers are refreshed.
+// endpointCountsInterval is the interval at which the totals of servers are refreshed.
 const endpointCountsInterval = 100 * time.Millisecond
 
 // Endpoint is one server of the endpoint list.
@@ -36,7 +36,7 @@
 	c.addEvent(routing.EndpointUpdate{Mode: update.Mode, Endpoints: endpoints})
 }
 
-// refreshEndpointCounts refreshes the totals of servers from the router, now and at each interval from now on.
+// refreshEndpointCounts refreshes the totals of servers from the router, now and at every later interval.
 func (c *Core) refreshEndpointCounts() {
 	known, excluded := c.router.EndpointCounts(c.Now())
 	c.totals.ServersKnown.Store(int64(known))
@@ -44,7 +44,7 @@
 	c.deadlines.Arm(c.Now()+endpointCountsInterval, c.refreshEndpointCounts)
 }
 
-// Snapshot returns what the router knows of each server. It returns false if the core has stopped or does not answer
+// Snapshot returns the router's state of each server. It returns false if the core has stopped or does not answer
 // within the limit.
 func (c *Core) Snapshot(limit time.Duration) (servers []routing.ServerSnapshot, ok bool) {
 	reply := make(chan []routing.ServerSnapshot, 1)
--- a/internal/coordinator/finish.go
+++ b/internal/coordinator/finish.go
@@ -6,19 +6,19 @@
 	"linkpass/internal/routing"
 )
 
-// timedOutTicks is how many ticks before its deadline a query counts as timed out: the router ends it that early, by its
-// deadlineMarginTicks.
+// timedOutTicks is how many ticks before its deadline a query counts as timed out. The router ends a query this
+// early; the value is that of deadlineMarginTicks in package routing.
 const timedOutTicks = 2
 
-// finishOpen finishes the query of that ID, if it is open.
+// finishOpen finishes the query with this ID if it is open.
 func (c *Core) finishOpen(id routing.RequestID, answer Answer) {
 	if q := c.queries[id]; q != nil {
 		c.finish(q, answer)
 	}
 }
 
-// finish answers an open query and forgets it. Its attempts in flight stay until they end; those that are not yet
-// written never will be.
+// finish answers an open query and removes it. Its attempts in flight stay until they end; those that are not yet
+// written are marked as ended, so that transports do not write them.
 func (c *Core) finish(q *query, answer Answer) {
 	if c.queries[q.id] == nil {
 		return
@@ -42,7 +42,7 @@
 	c.deliver(&q.Query, answer)
 }
 
-// closePart forgets a part and adds its value, or what is known of its failure, to the answer.
+// closePart removes a part and adds its value or, if it was not answered, a MissingPart to the answer.
 func (c *Core) closePart(p *part, answer *Answer) {
 	delete(c.parts, p.id)
 	for number := range p.attempts {
@@ -65,7 +65,7 @@
 	})
 }
 
-// deliver counts a query's final answer and hands it to the front.
+// deliver counts a query's final answer and passes it to the front.
 func (c *Core) deliver(q *Query, answer Answer) {
 	switch answer.Status {
 	case Answered:
@@ -84,8 +84,8 @@
 	c.totals.InFlight.Add(-1)
 }
 
-// rejectionCounter names the counter of a rejected query: by whether a part had used all its attempts, some part had
-// been attempted, or none.
+// rejectionCounter returns the name of the counter for a rejected query. It depends on whether a part had used all
+// its attempts, at least one part had been attempted, or no part had.
 func (c *Core) rejectionCounter(q *query) string {
 	attempted := false
 	for _, p := range q.parts {
--- a/internal/coordinator/finish_test.go
+++ b/internal/coordinator/finish_test.go
@@ -15,13 +15,13 @@
 		wait(50 * time.Millisecond)
 		attempts := f.sent()
 		if len(attempts) != 2 {
-			t.Fatalf("attempts %+v", attempts)
+			t.Fatalf("attempts %+v, want 2", attempts)
 		}
 		f.endAll(attempts, outcome.Success)
 		f.endAll(attempts, outcome.Success) // the second end of an attempt is ignored
 		wait(50 * time.Millisecond)
 		if a := onlyAnswer(t, answers, Answered); !a.Complete || len(a.Values) != 2 || len(a.Missing) != 0 {
-			t.Errorf("%+v", a)
+			t.Errorf("answer %+v, want a complete one with 2 values", a)
 		}
 		disconnect()
 		wait(3 * time.Second)
@@ -37,7 +37,7 @@
 				answers, _ := f.submit(400*time.Millisecond, twoParts...)
 				wait(401 * time.Millisecond)
 				if a := onlyAnswer(t, answers, Failed); !a.TimedOut || len(a.Missing) != 2 {
-					t.Errorf("%+v", a)
+					t.Errorf("answer %+v, want a timeout with 2 missing parts", a)
 				}
 				wait(3 * time.Second)
 				onlyAnswer(t, answers, Failed)
@@ -46,24 +46,24 @@
 	}
 }
 
-// Guards against a rejected query that is kept until its client's timeout has nearly passed.
+// Guards against a rejected query that is answered only shortly before its client's timeout.
 func TestRejectedQueryIsAnsweredWithRetryAfterInSameTurn(t *testing.T) {
 	testCore(t, func(t *testing.T, f *fakeTransports) {
-		f.queueFull = true // each attempt ends as one that did not run
+		f.queueFull = true // so that each attempt ends without having run
 		answers, _ := f.submit(2*time.Second, twoParts...)
 		wait(1100 * time.Millisecond)
 		if a := onlyAnswer(t, answers, Rejected); a.RetryAfter <= 0 || a.TimedOut {
-			t.Errorf("%+v", a)
+			t.Errorf("answer %+v, want one with RetryAfter before the timeout", a)
 		}
 		ids := map[AttemptID]bool{}
 		for _, a := range f.sent() {
 			ids[a.ID] = true
 			if a.ID.No >= 3 {
-				t.Errorf("attempt %d of a part", a.ID.No+1)
+				t.Errorf("attempt %d of a part, want 3 at most", a.ID.No+1)
 			}
 		}
 		if len(ids) != len(f.sent()) {
-			t.Error("an attempt was sent twice")
+			t.Errorf("%d attempts sent, with %d different IDs", len(f.sent()), len(ids))
 		}
 	})
 }
@@ -77,15 +77,16 @@
 		onlyAnswer(t, answers, Failed)
 		attempts := f.sent()
 		if len(f.canceled) != len(attempts) || !attempts[0].Canceled() {
-			t.Errorf("%d attempts in flight, %d canceled", len(attempts), len(f.canceled))
+			t.Errorf("%d attempts in flight, %d canceled at the transport, want all; first attempt canceled: %t", len(attempts),
+				len(f.canceled), attempts[0].Canceled())
 		}
-		f.endAll(attempts, outcome.Success) // too late
+		f.endAll(attempts, outcome.Success) // ignored, as the query has ended
 		wait(50 * time.Millisecond)
 		onlyAnswer(t, answers, Failed)
 	})
 }
 
-// Guards against an attempt that is written after its client has disconnected, where attempts cannot be canceled.
+// Guards against writing an attempt after its client has disconnected, when Settings.Cancel is off.
 func TestDisconnectEndsUnwrittenAttemptsWithoutCancel(t *testing.T) {
 	settings := testSettings()
 	settings.Cancel = false
@@ -97,17 +98,17 @@
 		onlyAnswer(t, answers, Failed)
 		attempts := f.sent()
 		if len(attempts) != 2 || len(f.canceled) != 0 {
-			t.Fatalf("%d attempts in flight, %d canceled", len(attempts), len(f.canceled))
+			t.Fatalf("%d attempts in flight, %d canceled; want 2 and 0", len(attempts), len(f.canceled))
 		}
 		for _, a := range attempts {
 			if !a.Canceled() {
-				t.Errorf("%v may still be written", a.ID)
+				t.Errorf("attempt %v is not marked as canceled, so it may still be written", a.ID)
 			}
 		}
 		f.endAll(attempts, outcome.NotSent)
 		wait(50 * time.Millisecond)
 		if n := len(f.sent()); n != 2 {
-			t.Errorf("%d attempts", n)
+			t.Errorf("%d attempts sent, want 2", n)
 		}
 	})
 }
--- a/internal/coordinator/harness_test.go
+++ b/internal/coordinator/harness_test.go
@@ -12,13 +12,14 @@
 	"linkpass/internal/routing"
 )
 
-// fakeTransports records attempts and leaves their end to the test; health checks succeed at once.
+// fakeTransports records attempts, which the test ends itself. Health checks succeed immediately, unless
+// ignoresHealthChecks is set.
 type fakeTransports struct {
 	core *Core
 
 	mu                  sync.Mutex
 	calls               [][]Attempt
-	servers             []routing.ServerID // of the calls
+	servers             []routing.ServerID // servers[i] is the server of calls[i]
 	canceled            []AttemptID
 	queueFull           bool
 	ignoresHealthChecks bool
@@ -64,7 +65,7 @@
 	}
 }
 
-// submit submits a query of these parts. The answers are those given so far.
+// submit submits a query of the given parts. answers receives the query's answers as they arrive.
 func (f *fakeTransports) submit(timeout time.Duration, parts ...Part) (answers *[]Answer, disconnect func()) {
 	return f.submitQuery(Query{Timeout: timeout, Parts: parts})
 }
@@ -94,7 +95,7 @@
 	return core
 }
 
-// testCore runs a test on a core with four servers, on a fake clock.
+// testCore runs a test on a core with four servers and a fake clock.
 func testCore(t *testing.T, test func(*testing.T, *fakeTransports)) {
 	t.Helper()
 	testCoreWith(t, testSettings(), test)
@@ -109,7 +110,7 @@
 	})
 }
 
-// startTestCore runs a core with four servers. stop ends it and waits for it.
+// startTestCore starts a core with four servers. stop ends the core and waits until it has ended.
 func startTestCore(t *testing.T, settings routing.Settings) (f *fakeTransports, stop func()) {
 	t.Helper()
 	core := newTestCore(t, settings)
@@ -126,16 +127,16 @@
 	return f, func() { cancel(); <-done }
 }
 
-// wait advances the fake clock and lets every goroutine come to rest.
+// wait advances the fake clock and waits until every other goroutine is blocked.
 func wait(d time.Duration) { time.Sleep(d); synctest.Wait() }
 
 var twoParts = []Part{{Shard: 0, Weight: 0.5, Payload: []byte("x")}, {Shard: 1, Weight: 0.5, Payload: []byte("x")}}
 
-// onlyAnswer returns the one answer, which has to be of that status.
+// onlyAnswer checks that there is exactly one answer, with the wanted status, and returns it.
 func onlyAnswer(t *testing.T, answers *[]Answer, want Status) Answer {
 	t.Helper()
 	if len(*answers) != 1 || (*answers)[0].Status != want {
-		t.Fatalf("answers %+v, want one of status %d", *answers, want)
+		t.Fatalf("answers %+v, want one with status %d", *answers, want)
 	}
 	return (*answers)[0]
 }
--- a/internal/coordinator/health_checks.go
+++ b/internal/coordinator/health_checks.go
@@ -7,13 +7,13 @@
 	"linkpass/internal/routing"
 )
 
-// HealthCheckEnded says how a health check ended. Only the first end of a health check counts.
+// HealthCheckEnded reports how a health check ended. A second report for the same health check is ignored.
 func (c *Core) HealthCheckEnded(number uint64, result Result) {
 	c.post(healthCheckEnded{number, result})
 }
 
-// WarmUp has the router send health checks to all servers. done is called on the core's goroutine, once all have
-// replied or timed out, and must not block.
+// WarmUp makes the router send health checks to all servers. done is called once, when all of them have replied or
+// timed out. It runs on the core's goroutine and must not block.
 func (c *Core) WarmUp(done func()) {
 	c.post(warmUpRequested{done})
 }
@@ -23,7 +23,7 @@
 	c.warmedUp = done
 }
 
-// openHealthCheck sends a health check, which ends at its timeout if no reply has come.
+// openHealthCheck sends a health check. It ends at its timeout if no reply has arrived.
 func (c *Core) openHealthCheck(now time.Duration, server routing.ServerID) {
 	c.counters.Add("health_checks_sent", 1)
 	c.lastNumber++
@@ -39,7 +39,8 @@
 	}
 }
 
-// endHealthCheck ends a health check and reports its outcome to the router. It ignores one that has ended already.
+// endHealthCheck ends a health check and reports its outcome to the router. It ignores health checks that have
+// already ended.
 func (c *Core) endHealthCheck(number uint64, result Result) {
 	check := c.healthChecks[number]
 	if check == nil {
--- a/internal/coordinator/mailbox.go
+++ b/internal/coordinator/mailbox.go
@@ -7,11 +7,11 @@
 	"linkpass/internal/shardmap"
 )
 
-// message is what others send to the event loop. The loop handles messages one at a time: those of the mailbox in the
-// order in which they were posted, deferred ones in the order in which they were queued.
+// message is a request to the event loop. The loop handles messages one at a time: those in the mailbox in the order
+// in which they were posted, and those in the deferred queue in the order in which they were added.
 type message interface{ isMessage() }
 
-// The messages of the mailbox.
+// The messages that are posted to the mailbox.
 type (
 	querySubmitted     struct{ query *query }
 	clientDisconnected struct{ query *query }
@@ -37,7 +37,7 @@
 	}
 )
 
-// The deferred messages.
+// The messages that are added to the deferred queue.
 type (
 	deadlineArmed    struct{ deadline *externalDeadline }
 	deadlineDisarmed struct{ deadline *externalDeadline }
@@ -59,7 +59,7 @@
 func (deadlineDisarmed) isMessage()   {}
 func (bodyEvicted) isMessage()        {}
 
-// handle carries out one message.
+// handle processes one message.
 func (c *Core) handle(m message) {
 	switch m := m.(type) {
 	case querySubmitted:
@@ -93,8 +93,8 @@
 	}
 }
 
-// post puts a message into the mailbox and waits while that is full; the event loop itself never blocks. It returns
-// false if the loop has stopped.
+// post puts a message into the mailbox and blocks while the mailbox is full. The event loop itself never blocks, so
+// that it keeps emptying the mailbox. post returns false if the loop has stopped.
 func (c *Core) post(m message) bool {
 	select {
 	case c.mailbox <- m:
@@ -104,7 +104,7 @@
 	}
 }
 
-// drainMailbox takes the messages that already wait, up to a full mailbox of them.
+// drainMailbox handles the messages that are already in the mailbox, at most as many as it can hold.
 func (c *Core) drainMailbox() {
 	for range cap(c.mailbox) {
 		select {
@@ -116,26 +116,27 @@
 	}
 }
 
-// deferredQueue is an unbounded queue of messages to the event loop, for callers that must not wait for the mailbox.
+// deferredQueue is an unbounded queue of messages to the event loop, for callers that must not block on a full
+// mailbox.
 type deferredQueue struct {
-	waiting chan struct{} // of capacity 1: holds a token while the loop is to look at the queue
+	waiting chan struct{} // wakes the loop; has capacity 1 and holds a token while the queue may have messages
 
 	mu       sync.Mutex
 	messages []message
 }
 
-// add queues a message and wakes the event loop. It never waits for the loop.
+// add queues a message and wakes the event loop. It never blocks on the loop.
 func (d *deferredQueue) add(m message) {
 	d.mu.Lock()
 	d.messages = append(d.messages, m)
 	d.mu.Unlock()
 	select {
 	case d.waiting <- struct{}{}:
-	default: // the loop has yet to look at the queue
+	default: // the loop has not read the previous token yet
 	}
 }
 
-// takeAll empties the queue, oldest message first.
+// takeAll removes and returns all messages, oldest first.
 func (d *deferredQueue) takeAll() []message {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/coordinator/main_test.go
+++ b/internal/coordinator/main_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// Guards against a goroutine that waits for an event loop that has ended.
+// TestMain guards against goroutines that still wait for an event loop that has ended.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/coordinator/metrics.go
+++ b/internal/coordinator/metrics.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// answerDelayBuckets are the upper bounds, in milliseconds, of the histogram of countAnswerDelay.
+// answerDelayBuckets are the upper bounds, in milliseconds, of the histogram that countAnswerDelay fills.
 var answerDelayBuckets = []int{5, 10, 20, 50, 100, 500}
 
-// countClass counts under a name and the name of a class.
+// countClass increments the counter of one query class: name, an underscore and the class's name.
 func (c *Core) countClass(name string, class int) {
 	c.counters.Add(name+"_"+c.totals.Classes[class], 1)
 }
 
-// countAnswerDelay counts how long a query whose body was evicted stayed open after it could no longer be answered.
+// countAnswerDelay records how long a query stayed open after it could no longer be answered because its body was
+// evicted.
 func (c *Core) countAnswerDelay(q *query) {
 	if q.unanswerableAt == 0 {
 		return
--- a/internal/coordinator/query.go
+++ b/internal/coordinator/query.go
@@ -7,58 +7,59 @@
 	"linkpass/internal/shardmap"
 )
 
-// Part is one part of a query, as its client named it.
+// Part is one part of a query, as the client requested it.
 type Part struct {
 	Shard        int
-	Weight       float64       // its share of the answer, 0 to 1
-	ExpectedWork time.Duration // service time at a server; 0: unknown
-	Key          uint64        // idempotency key; 0: none
+	Weight       float64       // the part's share of the complete answer, 0 to 1
+	ExpectedWork time.Duration // expected service time at a server; 0 if unknown
+	Key          uint64        // idempotency key; 0 if there is none
 	Payload      []byte        // passed on to the server unchanged
-	Request      *ShardRequest // nil: the shard map is fixed
+	Request      *ShardRequest // nil if the shard map is fixed
 }
 
-// ShardRequest is what a part requests where the shard map can change.
+// ShardRequest says which keys a part requests if the shard map can change.
 type ShardRequest struct {
 	Shard      shardmap.ShardID
 	MapVersion uint64 // of the shard map that the part was planned on
 	Range      shardmap.Range
-	Subrange   bool // Range is less than the shard's range
-	round      int  // how often the part's keys were planned again
+	Subrange   bool // Range does not cover the shard's whole range
+	round      int  // how many times the part's keys have been replanned
 }
 
-// Query is what a front submits.
+// Query is a query that a front submits.
 type Query struct {
-	Name  string // the client's name for it
+	Name  string // given by the client
 	Class int
-	// Tenant is the number of the tenant whose query it is, from 1 on; 0: of no tenant.
+	// Tenant is the number of the query's tenant, starting at 1; 0 means no tenant.
 	Tenant int
-	// Collection is what the query searches; empty where its client does not say.
+	// Collection is the collection that the query searches; empty if the client does not name one.
 	Collection string
-	StartedAt  time.Duration // by Core.Now: from here on the client waits
+	StartedAt  time.Duration // when the client began to wait, on the clock of Core.Now
 	Timeout    time.Duration // how long the client waits
-	IsRetry    bool          // the client's own retry
+	IsRetry    bool          // the client itself retries an earlier query
 	Parts      []Part
-	// KeyRanges are the keys that a query on a shard map that can change requests, in place of Parts. They are cut
-	// into parts along the shards when the query is opened.
+	// KeyRanges are the requested keys. They replace Parts in a query on a shard map that can change. They are split
+	// into parts at the shard boundaries when the query is opened.
 	KeyRanges []shardmap.Range
 	Payload   []byte // of each part that is planned from KeyRanges
-	// Body takes the place of every part's Payload where the body is stored elsewhere; nil: none. The core releases it
-	// when the query is answered.
+	// Body replaces the Payload of every part if the body is kept in a store; nil if there is none. The core releases
+	// it when the query is answered.
 	Body Body
-	// Reply receives the final answer, exactly once. It is called on the core's goroutine and must not block, unless
-	// the core has stopped: Submit calls it then.
+	// Reply receives the final answer. It is called exactly once, on the core's goroutine, and must not block. If the
+	// core has already stopped, Submit calls it on its caller's goroutine.
 	Reply func(Answer)
 }
 
-// Body is the body of a query's parts in a store that may evict it. No method blocks.
+// Body is a query's request body in a store that may evict it. All parts of the query send the same body. No method
+// blocks.
 type Body interface {
-	// Size is in bytes.
+	// Size returns the size in bytes.
 	Size() int64
 	// Open returns a reader of the complete body. An error means that the body can no longer be read.
 	Open() (io.ReadCloser, error)
-	// MarkSent says that no part is yet to be written, so that the body may be evicted.
+	// MarkSent says that no part is waiting to be written, so that the body may be evicted.
 	MarkSent()
-	// MarkPending says that a part is to be written, for the first time or again.
+	// MarkPending says that at least one part is to be written, for the first time or again.
 	MarkPending()
 	// OnEvicted registers a function that is called once, when the body can no longer be read.
 	OnEvicted(func())
--- a/internal/coordinator/replan.go
+++ b/internal/coordinator/replan.go
@@ -10,12 +10,12 @@
 	"linkpass/internal/shardmap/replan"
 )
 
-// minReplanTicks is the least time until the query's deadline, in ticks, with which parts are planned again: an attempt
-// with less could not be answered in time.
+// minReplanTicks is the minimum time until the query's deadline, in ticks, for parts to be replanned. An attempt with
+// less time could not be answered by the deadline.
 const minReplanTicks = 2
 
-// plan cuts what a query requests along the shards of the current map. A query on the fixed shard map has its parts
-// already. One on a collection that does not exist has none; the router rejects it.
+// plan splits the key ranges of a query into parts at the shard boundaries of the current map. A query on the fixed
+// shard map already has its parts. A query on a collection that does not exist gets none, and the router rejects it.
 func (c *Core) plan(q *query) []Part {
 	if len(q.KeyRanges) == 0 {
 		return q.Parts
@@ -29,8 +29,8 @@
 	return q.newParts(replan.Plan(col.current, q.coverage.Requested()), 1)
 }
 
-// newParts returns the query's parts for planned ones on the current map. Their weights follow the sizes of their
-// ranges and add up to totalWeight.
+// newParts converts planned parts to parts of the query on the current map. Their weights are proportional to the
+// sizes of their ranges and add up to totalWeight.
 func (q *query) newParts(planned []replan.Part, totalWeight float64) []Part {
 	current := q.collection.current
 	parts := make([]Part, len(planned))
@@ -50,8 +50,9 @@
 	return parts
 }
 
-// replan replaces a part whose shard has moved by parts on the current map. remaining are the keys that they request;
-// nil: all of the part's. The event tells the router; it is valid only with the reason replan.Replanned.
+// replan replaces a part by new parts on the current map. remaining lists the keys that the new parts request; nil
+// means all keys of the part. The returned event tells the router, and is valid only if the reason is
+// replan.Replanned.
 func (c *Core) replan(p *part, remaining []shardmap.Range) (replaced routing.PartsReplaced, reason replan.Reason) {
 	q := p.query
 	if c.queries[q.id] == nil {
@@ -69,7 +70,7 @@
 	return c.replaceParts(q, change, left), reason
 }
 
-// planChange returns which of the query's parts are replaced together with p, and by which.
+// planChange determines which parts of the query are replaced together with p, and the parts that replace them.
 func (c *Core) planChange(p *part, remaining []shardmap.Range, left time.Duration) (replan.Change, replan.Reason) {
 	current, required := p.query.collection.current, minReplanTicks*c.settings.Tick
 	parts, index := planState(p)
@@ -79,7 +80,7 @@
 	return replan.Remaining(current, parts, index, remaining, left, required)
 }
 
-// planState returns the parts of p's query as package replan takes them, and the index of p.
+// planState converts the parts of p's query to the types of package replan. index is the position of p.
 func planState(p *part) (parts []replan.Part, index int) {
 	parts = make([]replan.Part, len(p.query.parts))
 	for i, other := range p.query.parts {
@@ -96,7 +97,7 @@
 	return parts, index
 }
 
-// replaceParts carries out a change of the query's parts. The new parts share the weight of those that they replace.
+// replaceParts applies a change to the query's parts. The new parts share the weight of those that they replace.
 func (c *Core) replaceParts(q *query, change replan.Change, left time.Duration) (replaced routing.PartsReplaced) {
 	weight := 0.0
 	for _, i := range change.Drop {
@@ -112,7 +113,8 @@
 	return replaced
 }
 
-// forgetReplaced marks a part as replaced and forgets it; its attempts in flight stay until they end.
+// forgetReplaced marks a part as replaced and removes it from the open parts. Its attempts in flight stay until they
+// end.
 func (c *Core) forgetReplaced(p *part) {
 	p.replaced = true
 	c.setUnsent(p, false)
--- a/internal/coordinator/resharding_random_test.go
+++ b/internal/coordinator/resharding_random_test.go
@@ -11,8 +11,8 @@
 	"linkpass/internal/shardmap"
 )
 
-// Whatever is resharded and however servers fail or answer in part: one answer in time, complete only if every
-// requested key was answered once, with every missing key listed.
+// For random reshardings, failures and partial answers, each query gets exactly one answer, in time. It is complete
+// only if every requested key was answered once, and it lists every missing key.
 func TestRandomReshardingAnswersOnceWithExactCoverage(t *testing.T) {
 	seen := map[string]int{}
 	for seed := range uint64(60) {
@@ -21,13 +21,13 @@
 			fifths := shardmap.FullRange.Split(5)
 			requested := fifths[:1+rng.IntN(5)]
 			answers := r.search(requested...)
-			for r.core.OpenCount() > 0 { // asked of the core, so that reading the answer is ordered after it
+			for r.core.OpenCount() > 0 { // the core's reply orders the reading of the answer after its delivery
 				r.endRandomly(rng)
 			}
 			wait(3 * time.Second)
 			a := (*answers)[0]
 			if len(*answers) != 1 {
-				t.Fatalf("seed %d: %d answers", seed, len(*answers))
+				t.Fatalf("seed %d: %d answers, want 1", seed, len(*answers))
 			}
 			if a.Status == Answered {
 				checkCoverage(t, a, requested...)
@@ -35,12 +35,12 @@
 			seen[fmt.Sprint(a.Status, a.Complete)]++
 			seen["replans"] += int(r.core.counters.Get("replans"))
 			if n := len(r.core.parts) + len(r.core.queries) + len(r.core.attempts); n != 0 {
-				t.Errorf("seed %d: %d parts, queries and attempts after the end", seed, n)
+				t.Errorf("seed %d: %d parts, queries and attempts after the answer, want 0", seed, n)
 			}
 		})
 	}
 	if seen["0 true"] < 20 || seen["replans"] < 40 {
-		t.Errorf("too few complete answers or replans: %v", seen)
+		t.Errorf("counts %v, want at least 20 complete answers (\"0 true\") and 40 replans", seen)
 	}
 }
 
@@ -86,7 +86,7 @@
 		request = shardmap.PlanRequest{Kind: shardmap.Move, Shards: []shardmap.ShardID{shards[i].ID}, ReplicaSets: [][]string{sets[rng.IntN(3)]}}
 	}
 	if slices.ContainsFunc(r.current.Plans(), func(shardmap.Plan) bool { return true }) {
-		return // one that has only switched may touch the same keys
+		return // a plan that has only switched is still open and may change the same keys
 	}
 	r.reshard(request, []shardmap.PlanStep{shardmap.Switched, shardmap.Retired, shardmap.Retired}[rng.IntN(3)])
 }
--- a/internal/coordinator/shard_maps.go
+++ b/internal/coordinator/shard_maps.go
@@ -8,22 +8,24 @@
 	"linkpass/internal/shardmap/replan"
 )
 
-// collection is one collection's shard map, as the router knows it. The router's shard numbers of one collection differ
-// from those of the fixed shard map and of every other collection.
+// collection is the shard map of one collection, as known to the router. The router's shard numbers for a collection
+// differ from those of the fixed shard map and of every other collection.
 type collection struct {
-	number  int
-	current *shardmap.Map // nil: the collection was removed
-	open    int           // open queries that were planned on it
-	// removals take the collection's shards from the router; they wait until no query is open on a removed collection.
+	number  int           // starts at 1; see routerShard
+	current *shardmap.Map // nil if the collection was removed
+	open    int           // number of open queries that were planned on the collection
+	// removals are the events that remove the collection's shards from the router. They are held back while a query
+	// is open on the removed collection.
 	removals []routing.ShardPlacement
 }
 
-// routerShard is the router's number of a shard. A collection that was removed and comes back is a new one, so that no
-// number is used twice.
+// routerShard returns the router's number for a shard. A collection that is removed and created again gets a new
+// number, so that no shard number is reused.
 func (col *collection) routerShard(id shardmap.ShardID) int { return col.number<<32 + int(id) }
 
-// UpdateShardMaps applies changes of shard maps, which the caller has computed off the core's goroutine. serverID maps
-// a replica's name to the router's ID of it; it runs on the core's goroutine and must not block.
+// UpdateShardMaps applies changes to shard maps. The caller computes them, which keeps that work off the core's
+// goroutine. serverID maps a replica's name to its server ID in the router; it runs on the core's goroutine and must
+// not block.
 func (c *Core) UpdateShardMaps(changes []shardmap.Change, serverID func(string) routing.ServerID) {
 	c.post(shardMapsUpdated{changes, serverID})
 }
@@ -59,7 +61,8 @@
 	c.addRemovals(removals)
 }
 
-// knownCollection returns the collection of a change, which a change with a map creates; nil: it does not exist.
+// knownCollection returns the collection that a change is for. If it does not exist, a change with a map creates it,
+// and for a change without one the result is nil.
 func (c *Core) knownCollection(change shardmap.Change) *collection {
 	col := c.collections[change.Collection]
 	if col == nil && change.Map != nil {
@@ -81,7 +84,8 @@
 	}
 }
 
-// removeCollection forgets a collection. Queries that are open on it end on the version that they were planned on.
+// removeCollection removes a collection. Its open queries continue on the shard map version that they were planned
+// on.
 func (c *Core) removeCollection(name string, col *collection, removals []routing.ShardPlacement) {
 	delete(c.collections, name)
 	col.removals = removals
@@ -90,7 +94,7 @@
 	}
 }
 
-// removeShards takes a removed collection's shards from the router.
+// removeShards removes the shards of a removed collection from the router.
 func (c *Core) removeShards(col *collection) {
 	c.addRemovals(col.removals)
 	col.removals = nil
@@ -102,7 +106,8 @@
 	}
 }
 
-// markMovedAttempts marks the attempts at removed shards, so that those that are not yet written never will be.
+// markMovedAttempts marks the attempts at removed shards, so that transports do not write those that are still
+// unwritten.
 func (c *Core) markMovedAttempts(col *collection, removed map[shardmap.ShardID]bool) {
 	for _, a := range c.attempts {
 		if a.part.query.collection == col && removed[a.part.Request.Shard] {
@@ -115,7 +120,7 @@
 func (c *Core) replanIdleParts(col *collection, removed map[shardmap.ShardID]bool) {
 	for _, id := range c.idleParts(col, removed) {
 		p := c.parts[id]
-		if p == nil || p.replaced { // merged into another part meanwhile
+		if p == nil || p.replaced { // an earlier iteration replaced it together with another part
 			continue
 		}
 		if replacement, reason := c.replan(p, nil); reason == replan.Replanned {
--- a/internal/coordinator/shard_maps_harness_test.go
+++ b/internal/coordinator/shard_maps_harness_test.go
@@ -10,19 +10,20 @@
 	"linkpass/internal/shardmap/coverage"
 )
 
-// reshardingCore is a core with a collection whose shard map the test changes and whose servers it plays.
+// reshardingCore is a core with a collection. The test changes the collection's shard map and answers for its
+// servers.
 type reshardingCore struct {
 	*fakeTransports
 	t       *testing.T
 	current *shardmap.Map
-	seen    int // attempts that newAttempts has returned
+	seen    int // number of attempts that newAttempts has returned
 }
 
 var serverIDs = map[string]routing.ServerID{"a": 0, "b": 1, "c": 2, "d": 3}
 
 func serverID(name string) routing.ServerID { return serverIDs[name] }
 
-// testResharding runs a test on a collection of n shards, held by a and b, and by c and d, in turn.
+// testResharding runs a test on a collection of n shards, held alternately by servers a and b and by servers c and d.
 func testResharding(t *testing.T, n int, test func(*testing.T, *reshardingCore)) {
 	t.Helper()
 	testCore(t, func(t *testing.T, f *fakeTransports) {
@@ -36,7 +37,7 @@
 	})
 }
 
-// publish gives the core a version of the shard map; nil removes the collection.
+// publish publishes a version of the shard map to the core; nil removes the collection.
 func (r *reshardingCore) publish(m *shardmap.Map) {
 	r.t.Helper()
 	if change, changed := shardmap.Diff("i", r.current, m); changed {
@@ -46,7 +47,8 @@
 	wait(10 * time.Millisecond)
 }
 
-// reshard takes a plan through its steps up to the given one, with every new replica in place.
+// reshard advances a plan through its steps up to the given one, with every new replica in place, and publishes the
+// result.
 func (r *reshardingCore) reshard(request shardmap.PlanRequest, until shardmap.PlanStep) {
 	r.t.Helper()
 	m, err := r.current.Apply(shardmap.Command{Request: &request})
@@ -101,11 +103,11 @@
 	}
 }
 
-// lastServer is the server of the latest attempt.
+// lastServer returns the server of the latest attempt.
 func (r *reshardingCore) lastServer() routing.ServerID { return r.servers[len(r.servers)-1] }
 
-// checkCoverage checks that an answer holds each key at most once, is marked as complete only if it holds all, and
-// lists those that are missing.
+// checkCoverage checks that an answer covers each key at most once, is marked as complete exactly if it covers all,
+// and lists the missing keys.
 func checkCoverage(t *testing.T, a Answer, requested ...shardmap.Range) {
 	t.Helper()
 	tracker := coverage.NewTracker(requested...)
@@ -115,13 +117,13 @@
 		}
 	}
 	if a.Complete != tracker.Complete() {
-		t.Fatalf("marked as complete: %v; missing %v", a.Complete, tracker.Missing())
+		t.Fatalf("Complete = %v, want %v; missing keys %v", a.Complete, tracker.Complete(), tracker.Missing())
 	}
 	listed := coverage.RangeSet{}
 	for _, m := range a.Missing {
 		listed.Add(m.Request.Range)
 	}
 	if a.Status == Answered && len(coverage.NewRangeSet(tracker.Missing()...).Subtract(listed).Ranges()) > 0 {
-		t.Fatalf("missing %v, listed %v", tracker.Missing(), listed.Ranges())
+		t.Fatalf("missing keys %v, listed as missing %v", tracker.Missing(), listed.Ranges())
 	}
 }
--- a/internal/coordinator/state.go
+++ b/internal/coordinator/state.go
@@ -15,23 +15,23 @@
 type query struct {
 	Query
 	id          routing.RequestID
-	deadline    time.Duration // by Core.Now: the client's timeout has passed
+	deadline    time.Duration // end of the client's timeout on the clock of Core.Now
 	parts       []*part
-	overdue     *deadline.Entry
-	number      uint64 // by which the router knows that parts are of one query
-	unsentParts int    // parts that are yet to be written
-	bodyEvicted bool
-	// unanswerableAt is when the latest part that cannot be answered without the evicted body lost its last attempt;
-	// 0: no part has.
+	overdue     *deadline.Entry // fails the query if the router has not ended it
+	number      uint64          // QueryNumber of the router's events, which groups the parts of a query
+	unsentParts int             // parts that are yet to be written
+	bodyEvicted bool            // Body can no longer be read, so no part can be sent
+	// unanswerableAt is the latest time at which a part of the query became unanswerable: its body was evicted and it
+	// had no attempt in flight. 0 if no part is unanswerable.
 	unanswerableAt time.Duration
 
-	collection *collection       // nil: the shard map is fixed
-	planned    *shardmap.Map     // the version that the query was planned on
-	coverage   *coverage.Tracker // of the keys that the query requests
-	subValues  []Value           // answers to a subrange of a part that was replaced afterwards
+	collection *collection       // nil if the shard map is fixed
+	planned    *shardmap.Map     // the version on which the query was first planned
+	coverage   *coverage.Tracker // records which of the requested keys were answered
+	subValues  []Value           // answers that covered a subrange of a part, which was then replaced
 }
 
-// part is a part of an open query, or of one that was answered while the part's attempts are in flight.
+// part is a part of an open query. It outlives the query, or its own replacement, while its attempts are in flight.
 type part struct {
 	Part
 	id          routing.RequestID
@@ -39,25 +39,25 @@
 	attempts    int // sent so far
 	inFlight    int // attempts that have not ended
 	answered    bool
-	replaced    bool // by other parts, or by none
-	unsent      bool // it is to be written, or again
-	failed      bool // it had no attempt in flight that could answer it, at least once
-	value       Value
-	lastOutcome outcome.Outcome
+	replaced    bool            // by other parts, or dropped without a replacement
+	unsent      bool            // waiting to be written, for the first time or again; counted in query.unsentParts
+	failed      bool            // at least once, it had no attempt in flight that could answer it
+	value       Value           // valid if answered
+	lastOutcome outcome.Outcome // of the latest attempt that ended before the part was answered
 }
 
-// isPending tells whether the part still needs an answer.
+// isPending reports whether the part still needs an answer.
 func (p *part) isPending() bool { return !p.answered && !p.replaced }
 
-// attempt is an attempt that has not ended. Transports read its two flags.
+// attempt is an attempt that has not ended. Transports read its two flags from their own goroutines.
 type attempt struct {
 	id         AttemptID
 	part       *part
 	server     routing.ServerID
 	sentAt     time.Duration
 	timeout    *deadline.Entry
-	ended      atomic.Bool // it or its query has ended
-	shardMoved atomic.Bool // its shard has left the server
+	ended      atomic.Bool // the attempt or its query has ended
+	shardMoved atomic.Bool // the part's shard has moved away from the server
 }
 
 // healthCheck is a health check that has not ended.
@@ -67,7 +67,7 @@
 	timeout *deadline.Entry
 }
 
-// batch is the attempts of one turn that go to a server in one request.
+// batch holds the attempts of one turn that are sent to a server in one request.
 type batch struct {
 	server   routing.ServerID
 	attempts []Attempt
--- a/internal/coordinator/submit.go
+++ b/internal/coordinator/submit.go
@@ -7,9 +7,9 @@
 	"linkpass/internal/routing"
 )
 
-// Submit hands a query to the core. The returned function says that the query's client has disconnected; it may be
-// called at any time and does nothing after the answer. If the core has stopped, the query fails at once, on the
-// caller's goroutine.
+// Submit passes a query to the core. The returned function reports that the query's client has disconnected; it may
+// be called at any time and does nothing once the query is answered. If the core has stopped, the query fails at
+// once, and Query.Reply is called on the caller's goroutine.
 func (c *Core) Submit(q Query) (disconnect func()) {
 	opened := &query{Query: q}
 	c.totals.InFlight.Add(1)
@@ -23,12 +23,12 @@
 	return func() { c.post(clientDisconnected{opened}) }
 }
 
-// SetMaxOpen sets how many queries and parts may be open from now on.
+// SetMaxOpen changes the maximum number of open queries and parts.
 func (c *Core) SetMaxOpen(maxOpen int) {
 	c.post(maxOpenChanged{maxOpen})
 }
 
-// OpenCount returns how many queries and parts are open; 0 if the core has stopped.
+// OpenCount returns the number of open queries plus the number of open parts. It returns 0 if the core has stopped.
 func (c *Core) OpenCount() int {
 	reply := make(chan int, 1)
 	if !c.post(openCountRequested{reply}) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// open opens a query: it and its parts go to the router in one turn.
+// open opens a query. The router gets the arrivals of the query and of its parts in the same turn.
 func (c *Core) open(q *query) {
 	now := c.Now()
 	c.counters.Add("queries_received", 1)
@@ -63,7 +63,7 @@
 	c.armOverdue(q)
 }
 
-// armOverdue guards against a query that the router never ends: it fails when its time is over.
+// armOverdue arms a timer that fails the query AnswerSlack after its deadline, in case the router never ends it.
 func (c *Core) armOverdue(q *query) {
 	q.overdue = c.deadlines.Arm(q.deadline+c.settings.AnswerSlack, func() {
 		eventlog.QueryOverdue.Log(q.Name, q.Class)
@@ -73,7 +73,8 @@
 	})
 }
 
-// tenantIndex is the router's index of the query's tenant; a query of no tenant has the index after the last.
+// tenantIndex returns the router's index of the query's tenant. A query without a tenant has the index after the
+// last.
 func (c *Core) tenantIndex(q *query) int {
 	if q.Tenant == 0 {
 		return len(c.settings.Tenants)
@@ -81,15 +82,15 @@
 	return q.Tenant - 1
 }
 
-// addPart adds a part to an open query and returns its arrival, for the router. left is the time until the query's
-// deadline.
+// addPart adds a part to an open query and returns its arrival event for the router. left is the time until the
+// query's deadline.
 func (c *Core) addPart(q *query, planned Part, left time.Duration) routing.Arrival {
 	c.lastRequestID++
 	p := &part{Part: planned, id: c.lastRequestID, query: q}
 	q.parts = append(q.parts, p)
 	c.parts[p.id] = p
 	c.setUnsent(p, true)
-	if q.bodyEvicted { // deferred: the router has to see the arrival first
+	if q.bodyEvicted { // deferred because the router must see the arrival first
 		c.deferred.add(bodyEvicted{q})
 	}
 	return routing.Arrival{ID: p.id, Shard: p.Shard, Timeout: left, Class: q.Class, Tenant: c.tenantIndex(q),
--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -1,5 +1,6 @@
-// Package deadline keeps the timers of the program in one queue: deadlines of attempts and queries, the router's timer,
-// idle timeouts, dials. It has no clock and no goroutine: its owner fires what is due.
+// Package deadline implements a queue of timers: for the deadlines of attempts and queries, the router's timer, idle
+// timeouts and dials. It has no clock and no goroutine; the queue's owner calls Sweep to fire the timers that are
+// due.
 package deadline
 
 import (
@@ -7,25 +8,25 @@
 	"time"
 )
 
-// Entry is one timer. Its zero value is not armed.
+// Entry is one timer of a Queue. Its zero value is not armed.
 type Entry struct {
-	at    time.Duration // since the program's start
-	seq   uint64        // in the order of arming
+	at    time.Duration // on the clock of the queue's owner
+	seq   uint64        // increases with each Arm of the queue
 	fire  func()
 	armed bool
 }
 
-// Armed tells whether the timer will fire: it has not fired and was not disarmed. A nil entry is not armed.
+// Armed reports whether the timer is still to fire: it has neither fired nor been disarmed. A nil entry is not armed.
 func (e *Entry) Armed() bool { return e != nil && e.armed }
 
-// Queue holds timers in the order of their times, and those of one time in the order of arming. It belongs to one
-// goroutine. Its zero value is empty.
+// Queue holds timers ordered by time, and timers with the same time in the order in which they were armed. It is not
+// safe for concurrent use. Its zero value is empty.
 type Queue struct {
-	entries []*Entry // latest first, so that the earliest is removed without moving the others
-	seq     uint64
+	entries []*Entry // latest first, so that removing the earliest does not move the others
+	seq     uint64   // of the latest entry
 }
 
-// compareLatestFirst orders entries as Queue.entries has them.
+// compareLatestFirst is the order of Queue.entries.
 func compareLatestFirst(a, b *Entry) int {
 	switch {
 	case a.at != b.at && a.at > b.at, a.at == b.at && a.seq > b.seq:
@@ -36,7 +37,7 @@
 	return 1
 }
 
-// Arm adds a timer. The first Sweep at or after that time calls fire.
+// Arm adds a timer. The first Sweep at or after the given time calls fire.
 func (q *Queue) Arm(at time.Duration, fire func()) *Entry {
 	q.seq++
 	e := &Entry{at: at, seq: q.seq, fire: fire, armed: true}
@@ -45,7 +46,7 @@
 	return e
 }
 
-// Disarm removes a timer. It does nothing where the timer is not armed.
+// Disarm removes a timer. It does nothing if the timer is not armed.
 func (q *Queue) Disarm(e *Entry) {
 	if !e.Armed() {
 		return
@@ -56,8 +57,8 @@
 	}
 }
 
-// Sweep fires the timers that are due, earliest first, also those that are armed meanwhile. It returns how many it
-// fired.
+// Sweep fires the timers that are due at now, earliest first. This includes timers that the fired functions arm. It
+// returns the number of timers fired.
 func (q *Queue) Sweep(now time.Duration) int {
 	fired := 0
 	for len(q.entries) > 0 {
@@ -75,7 +76,7 @@
 	return fired
 }
 
-// Next is the time of the earliest timer; false: none is armed.
+// Next returns the time of the earliest timer. ok is false if no timer is armed.
 func (q *Queue) Next() (at time.Duration, ok bool) {
 	if len(q.entries) == 0 {
 		return 0, false
@@ -83,5 +84,5 @@
 	return q.entries[len(q.entries)-1].at, true
 }
 
-// Len is the number of armed timers.
+// Len returns the number of armed timers.
 func (q *Queue) Len() int { return len(q.entries) }
--- a/internal/deadline/deadline_test.go
+++ b/internal/deadline/deadline_test.go
@@ -10,7 +10,7 @@
 	_ "linkpass/internal/testrand"
 )
 
-// Whatever is armed and disarmed, a sweep fires what is due and nothing else, in the order of time.
+// After any sequence of Arm and Disarm, a sweep fires exactly the timers that are due, in the order of their times.
 func TestSweepFiresDueTimersInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue
@@ -41,25 +41,25 @@
 				slices.Sort(want)
 				fired = nil
 				if n := q.Sweep(now); n != len(want) || !slices.Equal(fired, want) {
-					t.Fatalf("at %d fired %v, want %v", now, fired, want)
+					t.Fatalf("Sweep(%d) = %d, fired %v; want %v", now, n, fired, want)
 				}
 			}
 			if q.Len() != len(open) {
-				t.Fatalf("%d armed, want %d", q.Len(), len(open))
+				t.Fatalf("Len() = %d, want %d", q.Len(), len(open))
 			}
 		}
 	})
 }
 
-// Guards against a timer that is due when a sweep arms it, and waits for the next sweep.
+// Guards against a timer that is armed by a fired function, is already due, and yet waits for the next sweep.
 func TestSweepFiresTimersArmedMeanwhile(t *testing.T) {
 	var q Queue
 	n := 0
 	q.Arm(1, func() { q.Arm(1, func() { n++ }) })
 	if q.Sweep(1); n != 1 {
-		t.Errorf("fired %d", n)
+		t.Errorf("fired %d timers armed in the sweep, want 1", n)
 	}
 	if _, ok := q.Next(); ok {
-		t.Error("something is left")
+		t.Error("a timer is still armed after the sweep")
 	}
 }
--- a/internal/outcome/doc.go
+++ b/internal/outcome/doc.go
@@ -1,3 +1,3 @@
-// Package outcome names every way in which an attempt, a health check or its connection can end, and maps each to the
-// code by which the router knows it.
+// Package outcome lists the ways in which an attempt, a health check or its connection can end, and maps each to the
+// code that the router uses.
 package outcome
--- a/internal/outcome/from_error.go
+++ b/internal/outcome/from_error.go
@@ -8,7 +8,7 @@
 	"syscall"
 )
 
-// FromDialError is the outcome of a dial that returned the error.
+// FromDialError returns the outcome of a dial that failed with err.
 func FromDialError(err error) Outcome {
 	var timeout net.Error
 	switch {
@@ -20,12 +20,12 @@
 	return DialFailed
 }
 
-// FromReadError is the outcome of what is in flight on a connection whose next message could not be read because of the
-// error; clean says that the stream ended between two messages.
+// FromReadError returns the outcome of the work in flight on a connection whose next message could not be read
+// because of err. clean says that the stream ended between two messages.
 func FromReadError(err error, clean bool) Outcome {
 	var op *net.OpError
 	switch {
-	case clean, errors.Is(err, net.ErrClosed): // the latter: closed by this process
+	case clean, errors.Is(err, net.ErrClosed): // net.ErrClosed: closed by this process
 		return ConnClosed
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE), errors.As(err, &op),
 		errors.Is(err, io.ErrUnexpectedEOF): // ended inside a message
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -2,31 +2,31 @@
 
 import "fmt"
 
-// Outcome is one way to end.
+// Outcome is a way in which an attempt or a health check can end.
 type Outcome uint8
 
-// The outcomes. Those from DialRefused to DialFailed are of the dial, before anything was written.
+// The outcomes. DialRefused, DialTimeout and DialFailed are outcomes of the dial, so that nothing was written.
 const (
 	Success           Outcome = iota // the server sent a complete reply
-	ServerError                      // the server replied that it failed
+	ServerError                      // the server replied with an error
 	Rejected                         // the server rejected the work because of overload; nothing ran
 	DialRefused                      // the server refused the connection
-	DialTimeout                      // the connection was not open in time
-	DialFailed                       // the connection could not be opened for another reason
+	DialTimeout                      // the connection was not established in time
+	DialFailed                       // the connection could not be established for another reason
 	WriteInterrupted                 // the connection failed before the last byte was written
 	ConnReset                        // the connection was reset with work in flight
-	ConnClosed                       // the connection was closed in good order with work in flight
-	MalformedResponse                // a message could not be read, so that the connection was closed
-	BadRequest                       // the server could not use what it was sent
+	ConnClosed                       // the connection was closed without an error with work in flight
+	MalformedResponse                // a message could not be read, so the connection was closed
+	BadRequest                       // the server could not use the request
 	Timeout                          // no reply came in time
 	Canceled                         // the router canceled the attempt
 	NotSent                          // not written: the query had ended, or the server accepted no more work
-	QueueFull                        // not written: no mailbox slot, connection or stream was free for it
-	ShardMoved                       // the server does not have the shard any more; nothing ran
-	UnknownShardMap                  // as ShardMoved, and the shard maps known here give no other place for its keys
+	QueueFull                        // not written: no mailbox slot, connection or stream was free
+	ShardMoved                       // the server no longer holds the shard; nothing ran
+	UnknownShardMap                  // like ShardMoved, but no known shard map has another place for the part's keys
 	UnknownCoverage                  // the server does not say which keys its reply covers
-	DuplicateCoverage                // the reply covers keys that were covered already, or were not requested
-	PartialCoverage                  // the reply covers only some of the keys requested; new parts request the others
+	DuplicateCoverage                // the reply covers keys that were already covered or were not requested
+	PartialCoverage                  // the reply covers only some of the requested keys; new parts request the others
 	BodyEvicted                      // not written completely: the body was evicted from the body store
 )
 
@@ -42,7 +42,7 @@
 	UnknownCoverage: "unknown_coverage", DuplicateCoverage: "duplicate_coverage", PartialCoverage: "partial_coverage", BodyEvicted: "body_evicted",
 }
 
-// String is the outcome's name in log lines and counters.
+// String returns the outcome's name in log lines and counters.
 func (o Outcome) String() string {
 	if int(o) < len(names) {
 		return names[o]
--- a/internal/outcome/routing_code.go
+++ b/internal/outcome/routing_code.go
@@ -2,10 +2,10 @@
 
 import "linkpass/internal/routing"
 
-// RoutingCode is the code by which the router knows the outcome. Overloaded, ConnectFailed, ShardMoved and NotSent say
-// that nothing ran, so that the router may retry what is not idempotent: no outcome may have one of them that is
-// possible after the last byte was written, unless the server says so. PartialCoverage is ShardMoved to the router: the
-// new parts are for keys that did not run.
+// RoutingCode returns the router's code for the outcome. Overloaded, ConnectFailed, ShardMoved and NotSent tell the
+// router that nothing ran, so that it may retry even a request that is not idempotent. Therefore an outcome that is
+// possible after the last byte was written must not map to one of them, unless the server has said that nothing ran.
+// PartialCoverage maps to ShardMoved because the new parts request only keys for which nothing ran.
 func (o Outcome) RoutingCode() routing.Code {
 	switch o {
 	case Success:
@@ -13,7 +13,7 @@
 	case ServerError, UnknownCoverage, DuplicateCoverage:
 		return routing.ServerError
 	case Rejected, UnknownShardMap:
-		return routing.Overloaded // a server with a shard map of its own gets no work for a while
+		return routing.Overloaded // UnknownShardMap: the server has another shard map, so it gets no work for a while
 	case ShardMoved, PartialCoverage:
 		return routing.ShardMoved
 	case DialRefused, DialTimeout, DialFailed, WriteInterrupted, QueueFull:
--- a/internal/transport/set.go
+++ b/internal/transport/set.go
@@ -8,27 +8,27 @@
 	"linkpass/internal/routing"
 )
 
-// Set is the transports of all listed servers. Its methods are called from the core's goroutine, and Close after
-// that has ended.
+// Set holds the transports of all listed servers. Its methods must be called on the core's goroutine, except Close,
+// which is called after that goroutine has ended.
 type Set struct {
 	protocols Protocols
 	members   map[routing.ServerID]*member
-	draining  []Transport // replaced or removed, and not seen stopped; attempts may still be in flight on them
+	draining  []Transport // replaced or removed, and not known to have stopped; attempts may be in flight on them
 }
 
 // member is one listed server.
 type member struct {
 	coordinator.Endpoint
-	protocol  string    // of transport
-	transport Transport // nil only during a method of Set
+	protocol  string    // that transport speaks
+	transport Transport // nil only while a method of Set runs
 }
 
-// NewSet makes an empty set.
+// NewSet returns an empty set.
 func NewSet(p Protocols) *Set {
 	return &Set{protocols: p, members: map[routing.ServerID]*member{}}
 }
 
-// UpdateEndpoints follows an update of the endpoint list.
+// UpdateEndpoints applies an update of the endpoint list.
 func (s *Set) UpdateEndpoints(update coordinator.EndpointUpdate) {
 	listed := map[routing.ServerID]bool{}
 	for _, e := range update.Endpoints {
@@ -74,7 +74,7 @@
 }
 
 // selectProtocol makes sure that the member's transport speaks the server's current protocol. After a change, new
-// attempts are sent by the new protocol, and those in flight end by the old one.
+// attempts use the new protocol, and those in flight end on the old one.
 func (s *Set) selectProtocol(m *member) {
 	protocol := s.protocols.ForServer(m.Name)
 	if m.transport != nil && m.protocol != protocol {
@@ -88,7 +88,7 @@
 	}
 }
 
-// drain drains the member's transport and forgets those that have stopped.
+// drain drains the member's transport and removes stopped transports from s.draining.
 func (s *Set) drain(m *member) {
 	m.transport.Drain()
 	s.draining = slices.DeleteFunc(s.draining, Transport.Stopped)
@@ -96,8 +96,8 @@
 	m.transport = nil
 }
 
-// Send sends the attempts of one request to a server. It returns false where the server is not listed or its
-// transport does not accept them.
+// Send sends the attempts of one request to a server. It returns false if the server is not listed or its transport
+// does not accept them.
 func (s *Set) Send(id routing.ServerID, attempts []coordinator.Attempt) bool {
 	m := s.members[id]
 	if m == nil {
@@ -107,7 +107,7 @@
 	return m.transport.Send(attempts)
 }
 
-// Cancel cancels an attempt, whichever transport has it.
+// Cancel cancels an attempt on the server's transport and on those that are draining.
 func (s *Set) Cancel(id routing.ServerID, attempt coordinator.AttemptID) {
 	if m := s.members[id]; m != nil {
 		m.transport.Cancel(attempt)
@@ -117,8 +117,8 @@
 	}
 }
 
-// CheckHealth sends a health check to a server. It returns false where the server is not listed or its transport
-// does not accept it.
+// CheckHealth sends a health check to a server. It returns false if the server is not listed or its transport does
+// not accept it.
 func (s *Set) CheckHealth(id routing.ServerID, number uint64) bool {
 	m := s.members[id]
 	if m == nil {
@@ -135,7 +135,7 @@
 	}
 }
 
-// Close stops all transports and waits for them.
+// Close stops all transports, including those that are draining, and waits for them.
 func (s *Set) Close() {
 	all := s.draining
 	for _, m := range s.members {
--- a/internal/transport/set_test.go
+++ b/internal/transport/set_test.go
@@ -10,7 +10,7 @@
 	"linkpass/internal/routing"
 )
 
-// fakeTransport records its calls.
+// fakeTransport records the calls of its methods.
 type fakeTransport struct {
 	name    string
 	calls   *[]string
@@ -34,10 +34,10 @@
 func (f *fakeTransport) Stopped() bool                       { return f.stopped }
 func (*fakeTransport) Wait()                                 {}
 
-// setFixture is a set whose transports record their calls, as "protocol@address call".
+// setFixture is a Set whose transports record their calls as "protocol@address call".
 type setFixture struct {
 	*Set
-	protocol string // that the server speaks
+	protocol string // the protocol that the server speaks
 	calls    []string
 }
 
@@ -55,7 +55,7 @@
 	return f
 }
 
-// list updates the only endpoint.
+// list updates the endpoint of the only server.
 func (f *setFixture) list(mode routing.UpdateMode, addr string, state routing.EndpointState, startedAt time.Duration) {
 	f.UpdateEndpoints(coordinator.EndpointUpdate{Mode: mode, Endpoints: []coordinator.Endpoint{{
 		Name:     "s",
@@ -64,11 +64,11 @@
 	}}})
 }
 
-// wantCalls checks the calls since the last check.
+// wantCalls checks the calls recorded since the previous check.
 func (f *setFixture) wantCalls(t *testing.T, step string, want ...string) {
 	t.Helper()
 	if !slices.Equal(f.calls, want) {
-		t.Errorf("%s: %q, want %q", step, f.calls, want)
+		t.Errorf("%s: calls %q, want %q", step, f.calls, want)
 	}
 	f.calls = nil
 }
@@ -78,7 +78,7 @@
 	request := []coordinator.Attempt{{}}
 
 	if f.Send(1, request) || f.CheckHealth(1, 5) {
-		t.Error("work for a server that was never listed was accepted")
+		t.Error("Send or CheckHealth accepted work for a server that was never listed")
 	}
 	f.list(routing.UpdateFull, "a", routing.Ready, 0)
 	f.calls = nil
@@ -95,13 +95,13 @@
 	f.wantCalls(t, "restarted", "plain@a restarted 7", "plain@a accepts true")
 	f.list(routing.UpdateDelta, "b", routing.Ready, 7)
 	if !slices.Contains(f.calls, "plain@a drain") || f.calls[len(f.calls)-1] != "plain@b accepts true" {
-		t.Errorf("address changed: %q", f.calls)
+		t.Errorf("address changed: calls %q, want \"plain@a drain\" and, last, \"plain@b accepts true\"", f.calls)
 	}
 	f.calls = nil
 	f.UpdateEndpoints(coordinator.EndpointUpdate{Mode: routing.UpdateFull})
 	f.wantCalls(t, "full list without it", "plain@b drain")
 	if f.Send(1, request) {
-		t.Error("work for a server that was removed was accepted")
+		t.Error("Send accepted work for a server that was removed")
 	}
 	f.Close()
 }
