--- a/internal/coordinator/attempts.go
+++ b/internal/coordinator/attempts.go
@@ -109,8 +109,8 @@
 	p := a.part
 	p.inFlight--
 	var replacements []routing.Event // replacement of the part; the router must see the attempt's result first
-	if p.Request != nil && p.isPending() {
-		result.Outcome, replacements = c.reviewShardResult(p, result)
+	if p.Request != nil && p.needsAnswer() {
+		result.Outcome, replacements = c.handleShardResult(p, result)
 	}
 	c.counters.Add("attempts_"+result.Outcome.String(), 1)
 	c.recordResult(p, result)
@@ -124,7 +124,7 @@
 	if !p.answered {
 		p.lastOutcome = result.Outcome
 	}
-	if result.Outcome == outcome.Success && p.isPending() {
+	if result.Outcome == outcome.Success && p.needsAnswer() {
 		c.setUnsent(p, false)
 		if p.failed {
 			c.countClass("retries_won", p.query.Class)
@@ -132,7 +132,7 @@
 		p.answered = true
 		p.value = Value{Shard: p.Shard, Request: p.Request, Data: result.Value, Score: result.Score, Hits: result.Hits}
 	}
-	if p.isPending() && p.inFlight == 0 && c.queries[p.query.id] != nil {
+	if p.needsAnswer() && p.inFlight == 0 && c.queries[p.query.id] != nil {
 		c.setUnsent(p, true) // the router may retry the part
 		c.markFailed(p, result.At)
 	}
--- a/internal/coordinator/body_retention.go
+++ b/internal/coordinator/body_retention.go
@@ -11,7 +11,7 @@
 	c.post(bodySent{id})
 }
 
-func (c *Core) markSent(id AttemptID) {
+func (c *Core) handleBodySent(id AttemptID) {
 	if a := c.attempts[id]; a != nil {
 		c.setUnsent(a.part, false)
 	}
@@ -22,7 +22,7 @@
 // written.
 func (*Core) setUnsent(p *part, unsent bool) {
 	q := p.query
-	if q.Body == nil || p.unsent == unsent || unsent && !p.isPending() {
+	if q.Body == nil || p.unsent == unsent || unsent && !p.needsAnswer() {
 		return
 	}
 	p.unsent = unsent
@@ -37,8 +37,8 @@
 	}
 }
 
-// evictBody handles the eviction of a query's body: it tells the router that no part can be sent any more.
-func (c *Core) evictBody(q *query) {
+// handleBodyEvicted handles the eviction of a query's body: it tells the router that no part can be sent any more.
+func (c *Core) handleBodyEvicted(q *query) {
 	if c.queries[q.id] == nil {
 		return
 	}
--- a/internal/coordinator/core.go
+++ b/internal/coordinator/core.go
@@ -43,7 +43,7 @@
 	attempts        map[AttemptID]*attempt
 	healthChecks    map[uint64]*healthCheck
 	batches         []batch // of this turn
-	warmedUp        func()  // called once no health check is in flight; nil if there is no callback
+	onWarmedUp      func()  // called once no health check is in flight; nil if there is no callback
 	collections     map[string]*collection
 	collectionCount int // collections seen so far, including those that were removed
 }
@@ -74,7 +74,7 @@
 		case m := <-c.mailbox:
 			c.handle(m)
 			c.drainMailbox()
-		case <-c.deferred.waiting:
+		case <-c.deferred.wake:
 			c.handleDeferred()
 		case <-timer.C:
 		case <-ctx.Done():
@@ -121,31 +121,31 @@
 	c.events = nil
 	c.batches = c.batches[:0]
 	for _, action := range c.router.Turn(now, events) {
-		c.carryOut(now, action)
+		c.executeAction(now, action)
 	}
 	c.sendBatches(now)
-	if c.warmedUp != nil && len(c.healthChecks) == 0 {
-		c.warmedUp()
-		c.warmedUp = nil
+	if c.onWarmedUp != nil && len(c.healthChecks) == 0 {
+		c.onWarmedUp()
+		c.onWarmedUp = nil
 	}
 }
 
 // addEvent queues an event for the router's next turn.
 func (c *Core) addEvent(event routing.Event) { c.events = append(c.events, event) }
 
-// carryOut executes one action of the router.
-func (c *Core) carryOut(now time.Duration, action routing.Action) {
+// executeAction executes one action of the router.
+func (c *Core) executeAction(now time.Duration, action routing.Action) {
 	switch a := action.(type) {
 	case routing.Send:
 		c.openAttempt(now, a)
 	case routing.Cancel:
 		c.cancelAttempt(now, AttemptID{a.ID, a.Attempt})
 	case routing.Reject:
-		c.finishOpen(a.ID, Answer{Status: Rejected, RetryAfter: a.RetryAfter})
+		c.finishByID(a.ID, Answer{Status: Rejected, RetryAfter: a.RetryAfter})
 	case routing.Fail:
-		c.finishOpen(a.ID, Answer{Status: Failed})
+		c.finishByID(a.ID, Answer{Status: Failed})
 	case routing.Answer:
-		c.finishOpen(a.ID, Answer{Status: Answered, Complete: a.Complete})
+		c.finishByID(a.ID, Answer{Status: Answered, Complete: a.Complete})
 	case routing.SetTimer:
 		c.deadlines.Arm(now+a.After, func() { c.addEvent(routing.TimerFired{Token: a.Token}) })
 	case routing.HealthCheck:
--- a/internal/coordinator/core_test.go
+++ b/internal/coordinator/core_test.go
@@ -69,7 +69,7 @@
 }
 
 // Guards against Arm, or the function that it returns, blocking on the event loop when the mailbox is full.
-func TestArmWithFullMailbox(t *testing.T) {
+func TestArmDoesNotBlockOnFullMailbox(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core := newTestCore(t, testSettings())
 		core.SetTransports(&fakeTransports{core: core})
--- a/internal/coordinator/coverage.go
+++ b/internal/coordinator/coverage.go
@@ -10,15 +10,15 @@
 	"linkpass/internal/shardmap/replan"
 )
 
-// reviewShardResult handles the end of an attempt at a part on a shard map that can change. It records which keys an
+// handleShardResult handles the end of an attempt at a part on a shard map that can change. It records which keys an
 // answer covers and replaces the part if its shard has moved. It returns the outcome to record, and the events that
 // the router must see after the attempt's result.
-func (c *Core) reviewShardResult(p *part, result Result) (outcome.Outcome, []routing.Event) {
+func (c *Core) handleShardResult(p *part, result Result) (outcome.Outcome, []routing.Event) {
 	switch result.Outcome {
 	case outcome.Success:
 		return c.recordCoverage(p, result)
 	case outcome.ShardMoved:
-		return c.reviewMoved(p)
+		return c.handleShardMoved(p)
 	}
 	current := p.query.collection.current
 	if p.inFlight > 0 || current == nil {
@@ -32,9 +32,9 @@
 	return result.Outcome, nil
 }
 
-// reviewMoved replaces a part whose server says that the shard has moved. If no newer shard map confirms the move,
-// the outcome is UnknownShardMap, and the router tries another server.
-func (c *Core) reviewMoved(p *part) (outcome.Outcome, []routing.Event) {
+// handleShardMoved replaces a part whose server says that the shard has moved. If no newer shard map confirms the
+// move, the outcome is UnknownShardMap, and the router tries another server.
+func (c *Core) handleShardMoved(p *part) (outcome.Outcome, []routing.Event) {
 	replaced, reason := c.replan(p, nil)
 	if reason == replan.Replanned {
 		return outcome.ShardMoved, []routing.Event{replaced}
@@ -69,9 +69,9 @@
 func (c *Core) splitPart(p *part, covers shardmap.Range, result Result) routing.PartsReplaced {
 	request := *p.Request
 	request.Range, request.Subrange = covers, true
-	received := p.Weight * covers.Size() / p.Request.Range.Size()
-	p.Weight -= received // the new parts share the remaining weight
-	p.query.subValues = append(p.query.subValues,
+	receivedWeight := p.Weight * covers.Size() / p.Request.Range.Size()
+	p.Weight -= receivedWeight // the new parts share the remaining weight
+	p.query.subrangeValues = append(p.query.subrangeValues,
 		Value{Shard: p.Shard, Request: &request, Data: result.Value, Score: result.Score, Hits: result.Hits})
 	remaining := coverage.NewRangeSet(p.Request.Range).Subtract(coverage.NewRangeSet(covers)).Ranges()
 	replaced, reason := c.replan(p, remaining)
@@ -81,7 +81,7 @@
 		p.query.parts = slices.DeleteFunc(p.query.parts, func(other *part) bool { return other == p })
 		replaced = routing.PartsReplaced{IDs: []routing.RequestID{p.id}}
 	}
-	replaced.ReceivedWeight = received
+	replaced.ReceivedWeight = receivedWeight
 	return replaced
 }
 
@@ -90,7 +90,7 @@
 func (c *Core) finishCoverage(q *query, answer *Answer) {
 	answer.ShardMapVersion = q.planned.Version()
 	if answer.Status == Answered {
-		answer.Values = append(answer.Values, q.subValues...)
+		answer.Values = append(answer.Values, q.subrangeValues...)
 		if answer.Complete && !q.coverage.Complete() {
 			c.counters.Add("answers_incomplete", 1)
 			answer.Complete = false
--- a/internal/coordinator/coverage_test.go
+++ b/internal/coordinator/coverage_test.go
@@ -9,7 +9,7 @@
 
 // The first answer covers only a subrange. Of the answers to the remaining keys, the first does not say what it
 // covers and the second covers more than was requested; both are refused and retried.
-func TestPartialUnknownAndDuplicateCoverage(t *testing.T) {
+func TestPartialCoverageRequestsRestAndRetriesUnknownOrDuplicate(t *testing.T) {
 	testResharding(t, 1, func(t *testing.T, r *reshardingCore) {
 		answers := r.search(shardmap.FullRange)
 		quarters := shardmap.FullRange.Split(4)
@@ -36,7 +36,7 @@
 
 // An answer that covers more than was requested is refused, even if the additional keys are not answered yet. The
 // query stays open until a part with a single key is answered, too.
-func TestCoverageBeyondRequestAndSingleKey(t *testing.T) {
+func TestCoverageBeyondRequestIsRefusedAndSingleKeyAwaited(t *testing.T) {
 	testResharding(t, 2, func(t *testing.T, r *reshardingCore) {
 		half, key := shardmap.FullRange.Split(2)[0], shardmap.Range{First: shardmap.FullRange.Last, Last: shardmap.FullRange.Last}
 		answers := r.search(half, key)
--- a/internal/coordinator/finish.go
+++ b/internal/coordinator/finish.go
@@ -6,12 +6,12 @@
 	"linkpass/internal/routing"
 )
 
-// timedOutTicks is how many ticks before its deadline a query counts as timed out. The router ends a query this
+// timedOutMarginTicks is how many ticks before its deadline a query counts as timed out. The router ends a query this
 // early; the value is that of deadlineMarginTicks in package routing.
-const timedOutTicks = 2
+const timedOutMarginTicks = 2
 
-// finishOpen finishes the query with this ID if it is open.
-func (c *Core) finishOpen(id routing.RequestID, answer Answer) {
+// finishByID finishes the query with this ID if it is open.
+func (c *Core) finishByID(id routing.RequestID, answer Answer) {
 	if q := c.queries[id]; q != nil {
 		c.finish(q, answer)
 	}
@@ -24,8 +24,8 @@
 		return
 	}
 	delete(c.queries, q.id)
-	c.deadlines.Disarm(q.overdue)
-	answer.TimedOut = answer.TimedOut || c.Now() >= q.deadline-timedOutTicks*c.settings.Tick
+	c.deadlines.Disarm(q.overdueTimer)
+	answer.TimedOut = answer.TimedOut || c.Now() >= q.deadline-timedOutMarginTicks*c.settings.Tick
 	for _, p := range q.parts {
 		c.closePart(p, &answer)
 	}
--- a/internal/coordinator/harness_test.go
+++ b/internal/coordinator/harness_test.go
@@ -59,9 +59,9 @@
 	return attempts
 }
 
-func (f *fakeTransports) endAll(attempts []Attempt, how outcome.Outcome) {
+func (f *fakeTransports) endAll(attempts []Attempt, attemptOutcome outcome.Outcome) {
 	for _, a := range attempts {
-		f.core.AttemptEnded(a.ID, Result{Outcome: how, At: f.core.Now(), Value: []byte("v")})
+		f.core.AttemptEnded(a.ID, Result{Outcome: attemptOutcome, At: f.core.Now(), Value: []byte("v")})
 	}
 }
 
--- a/internal/coordinator/health_checks.go
+++ b/internal/coordinator/health_checks.go
@@ -20,7 +20,7 @@
 
 func (c *Core) warmUp(done func()) {
 	c.addEvent(routing.WarmUp{})
-	c.warmedUp = done
+	c.onWarmedUp = done
 }
 
 // openHealthCheck sends a health check. It ends at its timeout if no reply has arrived.
--- a/internal/coordinator/mailbox.go
+++ b/internal/coordinator/mailbox.go
@@ -69,7 +69,7 @@
 	case attemptEnded:
 		c.endAttempt(m.id, m.result)
 	case bodySent:
-		c.markSent(m.attempt)
+		c.handleBodySent(m.attempt)
 	case healthCheckEnded:
 		c.endHealthCheck(m.number, m.result)
 	case warmUpRequested:
@@ -89,7 +89,7 @@
 	case deadlineDisarmed:
 		c.disarmExternal(m.deadline)
 	case bodyEvicted:
-		c.evictBody(m.query)
+		c.handleBodyEvicted(m.query)
 	}
 }
 
@@ -119,7 +119,7 @@
 // deferredQueue is an unbounded queue of messages to the event loop, for callers that must not block on a full
 // mailbox.
 type deferredQueue struct {
-	waiting chan struct{} // wakes the loop; has capacity 1 and holds a token while the queue may have messages
+	wake chan struct{} // wakes the loop; has capacity 1 and holds a token while the queue may have messages
 
 	mu       sync.Mutex
 	messages []message
@@ -131,7 +131,7 @@
 	d.messages = append(d.messages, m)
 	d.mu.Unlock()
 	select {
-	case d.waiting <- struct{}{}:
+	case d.wake <- struct{}{}:
 	default: // the loop has not read the previous token yet
 	}
 }
--- a/internal/coordinator/replan.go
+++ b/internal/coordinator/replan.go
@@ -61,27 +61,27 @@
 	if c.disableReplan {
 		return replaced, replan.NoNewerMap
 	}
-	left := q.deadline - c.Now()
-	change, reason := c.planChange(p, remaining, left)
+	timeLeft := q.deadline - c.Now()
+	change, reason := c.planChange(p, remaining, timeLeft)
 	if reason != replan.Replanned {
 		return replaced, reason
 	}
 	c.counters.Add("replans", 1)
-	return c.replaceParts(q, change, left), reason
+	return c.replaceParts(q, change, timeLeft), reason
 }
 
 // planChange determines which parts of the query are replaced together with p, and the parts that replace them.
-func (c *Core) planChange(p *part, remaining []shardmap.Range, left time.Duration) (replan.Change, replan.Reason) {
-	current, required := p.query.collection.current, minReplanTicks*c.settings.Tick
-	parts, index := planState(p)
+func (c *Core) planChange(p *part, remaining []shardmap.Range, timeLeft time.Duration) (replan.Change, replan.Reason) {
+	current, minTimeLeft := p.query.collection.current, minReplanTicks*c.settings.Tick
+	parts, index := partsForReplan(p)
 	if remaining == nil {
-		return replan.Replan(current, parts, index, left, required)
+		return replan.Replan(current, parts, index, timeLeft, minTimeLeft)
 	}
-	return replan.Remaining(current, parts, index, remaining, left, required)
+	return replan.Remaining(current, parts, index, remaining, timeLeft, minTimeLeft)
 }
 
-// planState converts the parts of p's query to the types of package replan. index is the position of p.
-func planState(p *part) (parts []replan.Part, index int) {
+// partsForReplan converts the parts of p's query to the types of package replan. index is the position of p.
+func partsForReplan(p *part) (parts []replan.Part, index int) {
 	parts = make([]replan.Part, len(p.query.parts))
 	for i, other := range p.query.parts {
 		parts[i] = replan.Part{Shard: other.Request.Shard, Range: other.Request.Range, Round: other.Request.round}
@@ -98,7 +98,7 @@
 }
 
 // replaceParts applies a change to the query's parts. The new parts share the weight of those that they replace.
-func (c *Core) replaceParts(q *query, change replan.Change, left time.Duration) (replaced routing.PartsReplaced) {
+func (c *Core) replaceParts(q *query, change replan.Change, timeLeft time.Duration) (replaced routing.PartsReplaced) {
 	weight := 0.0
 	for _, i := range change.Drop {
 		p := q.parts[i]
@@ -108,7 +108,7 @@
 	}
 	q.parts = slices.DeleteFunc(q.parts, func(p *part) bool { return p.replaced })
 	for _, planned := range q.newParts(change.Add, weight) {
-		replaced.Parts = append(replaced.Parts, c.addPart(q, planned, max(0, left)))
+		replaced.Parts = append(replaced.Parts, c.addPart(q, planned, max(0, timeLeft)))
 	}
 	return replaced
 }
--- a/internal/coordinator/shard_maps.go
+++ b/internal/coordinator/shard_maps.go
@@ -132,7 +132,7 @@
 // idleParts returns the parts of removed shards that have no attempt in flight, oldest first.
 func (c *Core) idleParts(col *collection, removed map[shardmap.ShardID]bool) (ids []routing.RequestID) {
 	for id, p := range c.parts {
-		if p.query.collection == col && p.isPending() && p.inFlight == 0 && removed[p.Request.Shard] {
+		if p.query.collection == col && p.needsAnswer() && p.inFlight == 0 && removed[p.Request.Shard] {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/coordinator/state.go
+++ b/internal/coordinator/state.go
@@ -14,21 +14,21 @@
 // query is an open query.
 type query struct {
 	Query
-	id          routing.RequestID
-	deadline    time.Duration // end of the client's timeout on the clock of Core.Now
-	parts       []*part
-	overdue     *deadline.Entry // fails the query if the router has not ended it
-	number      uint64          // QueryNumber of the router's events, which groups the parts of a query
-	unsentParts int             // parts that are yet to be written
-	bodyEvicted bool            // Body can no longer be read, so no part can be sent
+	id           routing.RequestID
+	deadline     time.Duration // end of the client's timeout on the clock of Core.Now
+	parts        []*part
+	overdueTimer *deadline.Entry // fails the query if the router has not ended it
+	number       uint64          // QueryNumber of the router's events, which groups the parts of a query
+	unsentParts  int             // parts that are yet to be written
+	bodyEvicted  bool            // Body can no longer be read, so no part can be sent
 	// unanswerableAt is the latest time at which a part of the query became unanswerable: its body was evicted and it
 	// had no attempt in flight. 0 if no part is unanswerable.
 	unanswerableAt time.Duration
 
-	collection *collection       // nil if the shard map is fixed
-	planned    *shardmap.Map     // the version on which the query was first planned
-	coverage   *coverage.Tracker // records which of the requested keys were answered
-	subValues  []Value           // answers that covered a subrange of a part, which was then replaced
+	collection     *collection       // nil if the shard map is fixed
+	planned        *shardmap.Map     // the version on which the query was first planned
+	coverage       *coverage.Tracker // records which of the requested keys were answered
+	subrangeValues []Value           // answers that covered a subrange of a part, which was then replaced
 }
 
 // part is a part of an open query. It outlives the query, or its own replacement, while its attempts are in flight.
@@ -46,8 +46,8 @@
 	lastOutcome outcome.Outcome // of the latest attempt that ended before the part was answered
 }
 
-// isPending reports whether the part still needs an answer.
-func (p *part) isPending() bool { return !p.answered && !p.replaced }
+// needsAnswer reports whether the part still needs an answer.
+func (p *part) needsAnswer() bool { return !p.answered && !p.replaced }
 
 // attempt is an attempt that has not ended. Transports read its two flags from their own goroutines.
 type attempt struct {
--- a/internal/coordinator/submit.go
+++ b/internal/coordinator/submit.go
@@ -11,16 +11,16 @@
 // be called at any time and does nothing once the query is answered. If the core has stopped, the query fails at
 // once, and Query.Reply is called on the caller's goroutine.
 func (c *Core) Submit(q Query) (disconnect func()) {
-	opened := &query{Query: q}
+	submitted := &query{Query: q}
 	c.totals.InFlight.Add(1)
-	if !c.post(querySubmitted{opened}) {
+	if !c.post(querySubmitted{submitted}) {
 		if q.Body != nil {
 			q.Body.Release()
 		}
-		c.deliver(&opened.Query, Answer{Status: Failed, Missing: missingAll(q)})
+		c.deliver(&submitted.Query, Answer{Status: Failed, Missing: missingAll(q)})
 		return func() {}
 	}
-	return func() { c.post(clientDisconnected{opened}) }
+	return func() { c.post(clientDisconnected{submitted}) }
 }
 
 // SetMaxOpen changes the maximum number of open queries and parts.
@@ -51,11 +51,11 @@
 	q.id, q.number, q.deadline = c.lastRequestID, c.lastNumber, q.StartedAt+q.Timeout
 	parts := c.plan(q)
 	c.queries[q.id] = q
-	left := max(0, q.deadline-now)
-	c.addEvent(routing.Arrival{ID: q.id, Shard: -1, Timeout: left, Class: q.Class, Tenant: c.tenantIndex(q),
+	timeLeft := max(0, q.deadline-now)
+	c.addEvent(routing.Arrival{ID: q.id, Shard: -1, Timeout: timeLeft, Class: q.Class, Tenant: c.tenantIndex(q),
 		IsRetry: q.IsRetry, Weight: float64(len(parts)), QueryNumber: q.number})
 	for _, p := range parts {
-		c.addEvent(c.addPart(q, p, left))
+		c.addEvent(c.addPart(q, p, timeLeft))
 	}
 	if q.Body != nil {
 		q.Body.OnEvicted(func() { c.deferred.add(bodyEvicted{q}) })
@@ -65,7 +65,7 @@
 
 // armOverdue arms a timer that fails the query AnswerSlack after its deadline, in case the router never ends it.
 func (c *Core) armOverdue(q *query) {
-	q.overdue = c.deadlines.Arm(q.deadline+c.settings.AnswerSlack, func() {
+	q.overdueTimer = c.deadlines.Arm(q.deadline+c.settings.AnswerSlack, func() {
 		eventlog.QueryOverdue.Log(q.Name, q.Class)
 		c.counters.Add("queries_overdue", 1)
 		c.addEvent(routing.ClientDisconnected{ID: q.id})
@@ -82,9 +82,9 @@
 	return q.Tenant - 1
 }
 
-// addPart adds a part to an open query and returns its arrival event for the router. left is the time until the
+// addPart adds a part to an open query and returns its arrival event for the router. timeLeft is the time until the
 // query's deadline.
-func (c *Core) addPart(q *query, planned Part, left time.Duration) routing.Arrival {
+func (c *Core) addPart(q *query, planned Part, timeLeft time.Duration) routing.Arrival {
 	c.lastRequestID++
 	p := &part{Part: planned, id: c.lastRequestID, query: q}
 	q.parts = append(q.parts, p)
@@ -93,7 +93,7 @@
 	if q.bodyEvicted { // deferred because the router must see the arrival first
 		c.deferred.add(bodyEvicted{q})
 	}
-	return routing.Arrival{ID: p.id, Shard: p.Shard, Timeout: left, Class: q.Class, Tenant: c.tenantIndex(q),
+	return routing.Arrival{ID: p.id, Shard: p.Shard, Timeout: timeLeft, Class: q.Class, Tenant: c.tenantIndex(q),
 		IsRetry: q.IsRetry, ExpectedWork: p.ExpectedWork, Key: p.Key, Weight: p.Weight, QueryNumber: q.number}
 }
 
--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -23,7 +23,7 @@
 // safe for concurrent use. Its zero value is empty.
 type Queue struct {
 	entries []*Entry // latest first, so that removing the earliest does not move the others
-	seq     uint64   // of the latest entry
+	lastSeq uint64   // of the latest entry
 }
 
 // compareLatestFirst is the order of Queue.entries.
@@ -39,8 +39,8 @@
 
 // Arm adds a timer. The first Sweep at or after the given time calls fire.
 func (q *Queue) Arm(at time.Duration, fire func()) *Entry {
-	q.seq++
-	e := &Entry{at: at, seq: q.seq, fire: fire, armed: true}
+	q.lastSeq++
+	e := &Entry{at: at, seq: q.lastSeq, fire: fire, armed: true}
 	i, _ := slices.BinarySearchFunc(q.entries, e, compareLatestFirst)
 	q.entries = slices.Insert(q.entries, i, e)
 	return e
--- a/internal/outcome/from_error.go
+++ b/internal/outcome/from_error.go
@@ -21,11 +21,11 @@
 }
 
 // FromReadError returns the outcome of the work in flight on a connection whose next message could not be read
-// because of err. clean says that the stream ended between two messages.
-func FromReadError(err error, clean bool) Outcome {
+// because of err. betweenMessages says that the stream ended between two messages.
+func FromReadError(err error, betweenMessages bool) Outcome {
 	var op *net.OpError
 	switch {
-	case clean, errors.Is(err, net.ErrClosed): // net.ErrClosed: closed by this process
+	case betweenMessages, errors.Is(err, net.ErrClosed): // net.ErrClosed: closed by this process
 		return ConnClosed
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE), errors.As(err, &op),
 		errors.Is(err, io.ErrUnexpectedEOF): // ended inside a message
--- a/internal/outcome/outcome_test.go
+++ b/internal/outcome/outcome_test.go
@@ -37,15 +37,15 @@
 func TestOutcomeFromError(t *testing.T) {
 	op := func(err error) error { return &net.OpError{Op: "read", Err: err} }
 	for _, c := range []struct {
-		err   error
-		clean bool
-		want  Outcome
+		err             error
+		betweenMessages bool
+		want            Outcome
 	}{
 		{io.EOF, true, ConnClosed}, {op(net.ErrClosed), false, ConnClosed}, {io.ErrUnexpectedEOF, false, ConnReset},
 		{op(syscall.ECONNRESET), false, ConnReset}, {errors.New("odd"), false, MalformedResponse},
 	} {
-		if got := FromReadError(c.err, c.clean); got != c.want {
-			t.Errorf("FromReadError(%v, %t) = %s, want %s", c.err, c.clean, got, c.want)
+		if got := FromReadError(c.err, c.betweenMessages); got != c.want {
+			t.Errorf("FromReadError(%v, %t) = %s, want %s", c.err, c.betweenMessages, got, c.want)
 		}
 	}
 	for err, want := range map[error]Outcome{op(syscall.ECONNREFUSED): DialRefused,
--- a/internal/transport/set_test.go
+++ b/internal/transport/set_test.go
@@ -55,8 +55,8 @@
 	return f
 }
 
-// list updates the endpoint of the only server.
-func (f *setFixture) list(mode routing.UpdateMode, addr string, state routing.EndpointState, startedAt time.Duration) {
+// updateServer updates the endpoint of the only server.
+func (f *setFixture) updateServer(mode routing.UpdateMode, addr string, state routing.EndpointState, startedAt time.Duration) {
 	f.UpdateEndpoints(coordinator.EndpointUpdate{Mode: mode, Endpoints: []coordinator.Endpoint{{
 		Name:     "s",
 		Addr:     addr,
@@ -64,8 +64,8 @@
 	}}})
 }
 
-// wantCalls checks the calls recorded since the previous check.
-func (f *setFixture) wantCalls(t *testing.T, step string, want ...string) {
+// checkCalls checks the calls recorded since the previous check.
+func (f *setFixture) checkCalls(t *testing.T, step string, want ...string) {
 	t.Helper()
 	if !slices.Equal(f.calls, want) {
 		t.Errorf("%s: calls %q, want %q", step, f.calls, want)
@@ -80,26 +80,26 @@
 	if f.Send(1, request) || f.CheckHealth(1, 5) {
 		t.Error("Send or CheckHealth accepted work for a server that was never listed")
 	}
-	f.list(routing.UpdateFull, "a", routing.Ready, 0)
+	f.updateServer(routing.UpdateFull, "a", routing.Ready, 0)
 	f.calls = nil
 	f.Send(1, request)
-	f.wantCalls(t, "send", "search@a send 1")
+	f.checkCalls(t, "send", "search@a send 1")
 	f.protocol = "plain"
 	f.Send(1, request)
-	f.wantCalls(t, "protocol changed", "search@a drain", "plain@a accepts true", "plain@a send 1")
+	f.checkCalls(t, "protocol changed", "search@a drain", "plain@a accepts true", "plain@a send 1")
 	f.Cancel(1, coordinator.AttemptID{No: 2})
-	f.wantCalls(t, "cancel on either transport", "plain@a cancel 2", "search@a cancel 2")
-	f.list(routing.UpdateDelta, "a", routing.Draining, 0)
-	f.wantCalls(t, "draining", "plain@a accepts false")
-	f.list(routing.UpdateDelta, "a", routing.Ready, 7)
-	f.wantCalls(t, "restarted", "plain@a restarted 7", "plain@a accepts true")
-	f.list(routing.UpdateDelta, "b", routing.Ready, 7)
+	f.checkCalls(t, "cancel on either transport", "plain@a cancel 2", "search@a cancel 2")
+	f.updateServer(routing.UpdateDelta, "a", routing.Draining, 0)
+	f.checkCalls(t, "draining", "plain@a accepts false")
+	f.updateServer(routing.UpdateDelta, "a", routing.Ready, 7)
+	f.checkCalls(t, "restarted", "plain@a restarted 7", "plain@a accepts true")
+	f.updateServer(routing.UpdateDelta, "b", routing.Ready, 7)
 	if !slices.Contains(f.calls, "plain@a drain") || f.calls[len(f.calls)-1] != "plain@b accepts true" {
 		t.Errorf("address changed: calls %q, want \"plain@a drain\" and, last, \"plain@b accepts true\"", f.calls)
 	}
 	f.calls = nil
 	f.UpdateEndpoints(coordinator.EndpointUpdate{Mode: routing.UpdateFull})
-	f.wantCalls(t, "full list without it", "plain@b drain")
+	f.checkCalls(t, "full list without it", "plain@b drain")
 	if f.Send(1, request) {
 		t.Error("Send accepted work for a server that was removed")
 	}
