--- a/internal/coordinator/core.go
+++ b/internal/coordinator/core.go
@@ -113,7 +113,7 @@
 // turn fires the deadlines that are due, passes the queued events to the router and executes its actions.
 func (c *Core) turn(now time.Duration) {
 	c.lastTurn = now
-	c.deadlines.Sweep(now)
+	c.deadlines.FireDue(now)
 	if len(c.events) == 0 {
 		return
 	}
--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -1,5 +1,5 @@
 // Package deadline implements a queue of timers: for the deadlines of attempts and queries, the router's timer, idle
-// timeouts and dials. It has no clock and no goroutine; the queue's owner calls Sweep to fire the timers that are
+// timeouts and dials. It has no clock and no goroutine; the queue's owner calls FireDue to fire the timers that are
 // due.
 package deadline
 
@@ -37,7 +37,7 @@
 	return 1
 }
 
-// Arm adds a timer. The first Sweep at or after the given time calls fire.
+// Arm adds a timer. The first FireDue at or after the given time calls fire.
 func (q *Queue) Arm(at time.Duration, fire func()) *Entry {
 	q.lastSeq++
 	e := &Entry{at: at, seq: q.lastSeq, fire: fire, armed: true}
@@ -57,9 +57,9 @@
 	}
 }
 
-// Sweep fires the timers that are due at now, earliest first. This includes timers that the fired functions arm. It
+// FireDue fires the timers that are due at now, earliest first. This includes timers that the fired functions arm. It
 // returns the number of timers fired.
-func (q *Queue) Sweep(now time.Duration) int {
+func (q *Queue) FireDue(now time.Duration) int {
 	fired := 0
 	for len(q.entries) > 0 {
 		last := len(q.entries) - 1
--- a/internal/deadline/deadline_test.go
+++ b/internal/deadline/deadline_test.go
@@ -10,8 +10,8 @@
 	_ "linkpass/internal/testrand"
 )
 
-// After any sequence of Arm and Disarm, a sweep fires exactly the timers that are due, in the order of their times.
-func TestSweepFiresDueTimersInOrder(t *testing.T) {
+// After any sequence of Arm and Disarm, FireDue fires exactly the timers that are due, in the order of their times.
+func TestFireDueFiresTimersInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue
 		var fired []time.Duration
@@ -40,8 +40,8 @@
 				}
 				slices.Sort(want)
 				fired = nil
-				if n := q.Sweep(now); n != len(want) || !slices.Equal(fired, want) {
-					t.Fatalf("Sweep(%d) = %d, fired %v; want %v", now, n, fired, want)
+				if n := q.FireDue(now); n != len(want) || !slices.Equal(fired, want) {
+					t.Fatalf("FireDue(%d) = %d, fired %v; want %v", now, n, fired, want)
 				}
 			}
 			if q.Len() != len(open) {
@@ -51,15 +51,16 @@
 	})
 }
 
-// Guards against a timer that is armed by a fired function, is already due, and yet waits for the next sweep.
-func TestSweepFiresTimersArmedMeanwhile(t *testing.T) {
+// Guards against a timer that is armed by a fired function, is already due, and yet waits for the next call of
+// FireDue.
+func TestFireDueFiresTimersArmedMeanwhile(t *testing.T) {
 	var q Queue
 	n := 0
 	q.Arm(1, func() { q.Arm(1, func() { n++ }) })
-	if q.Sweep(1); n != 1 {
-		t.Errorf("fired %d timers armed in the sweep, want 1", n)
+	if q.FireDue(1); n != 1 {
+		t.Errorf("fired %d timers armed by a fired function, want 1", n)
 	}
 	if _, ok := q.Next(); ok {
-		t.Error("a timer is still armed after the sweep")
+		t.Error("a timer is still armed after FireDue")
 	}
 }
