--- a/internal/coordinator/core.go
+++ b/internal/coordinator/core.go
@@ -10,8 +10,8 @@
 	"linkpass/internal/routing"
 )
 
-// clockAtStart is the value of Core.Now when the core is created. Core.Clock returns 0, meaning long ago, for servers
-// that started more than this before the core.
+// clockAtStart is the value of Core.Now when the core is created. Core.FromUnixMilli returns 0, meaning long ago, for
+// servers that started more than this before the core.
 const clockAtStart = time.Hour
 
 // maxSleep is how long the event loop sleeps if no deadline is armed.
@@ -55,9 +55,9 @@
 // concurrent use.
 func (c *Core) Now() time.Duration { return time.Since(c.epoch) }
 
-// Clock converts a time in Unix milliseconds to the core's clock. It returns 0, meaning long ago, for a time of 0 or
-// less and for one before the clock's origin.
-func (c *Core) Clock(unixMS int64) time.Duration {
+// FromUnixMilli converts a time in Unix milliseconds to the core's clock. It returns 0, meaning long ago, for a time
+// of 0 or less and for one before the clock's origin.
+func (c *Core) FromUnixMilli(unixMS int64) time.Duration {
 	if unixMS <= 0 {
 		return 0
 	}
--- a/internal/coordinator/core_test.go
+++ b/internal/coordinator/core_test.go
@@ -26,16 +26,17 @@
 }
 
 // Guards against treating a server that is still warming up as an old one because it started before this coordinator.
-func TestClockConvertsUnixMillis(t *testing.T) {
+func TestFromUnixMilliConvertsToCoreClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core := newTestCore(t, routing.Settings{Coordinators: 1, Shards: 1, Cells: 1, ReplicasPerShard: 1,
 			Classes: []routing.Class{{LatencyObjective: 1, Deadline: 1, RequiredWeight: 1}}})
 		now := time.Now()
-		if got := core.Clock(now.Add(-5 * time.Second).UnixMilli()); got != core.Now()-5*time.Second {
-			t.Errorf("Clock(5 s ago) = %v, want %v", got, core.Now()-5*time.Second)
+		if got := core.FromUnixMilli(now.Add(-5 * time.Second).UnixMilli()); got != core.Now()-5*time.Second {
+			t.Errorf("FromUnixMilli(5 s ago) = %v, want %v", got, core.Now()-5*time.Second)
 		}
-		if core.Clock(0) != 0 || core.Clock(now.Add(-100*time.Hour).UnixMilli()) != 0 {
-			t.Errorf("Clock(0) = %v and Clock(100 h ago) = %v, want 0", core.Clock(0), core.Clock(now.Add(-100*time.Hour).UnixMilli()))
+		if core.FromUnixMilli(0) != 0 || core.FromUnixMilli(now.Add(-100*time.Hour).UnixMilli()) != 0 {
+			t.Errorf("FromUnixMilli(0) = %v and FromUnixMilli(100 h ago) = %v, want 0",
+				core.FromUnixMilli(0), core.FromUnixMilli(now.Add(-100*time.Hour).UnixMilli()))
 		}
 	})
 }
--- a/internal/daemon/discovery_watcher.go
+++ b/internal/daemon/discovery_watcher.go
@@ -47,7 +47,7 @@
 		Zones: p.cfg.host.Zones,
 		Kinds: p.cfg.host.Kinds,
 		Cells: p.cfg.module.Cells,
-		Clock: core.core.Clock,
+		Clock: core.core.FromUnixMilli,
 	}
 }
 
