--- a/internal/coordinator/core.go
+++ b/internal/coordinator/core.go
@@ -28,7 +28,7 @@
 	disableReplan      bool
 	epoch              time.Time // when Now was 0
 
-	mailbox  chan message  // received from by Run only
+	mailbox  chan message  // only Run receives from it
 	stopped  chan struct{} // closed by Run when it ends
 	deferred deferredQueue
 
@@ -51,7 +51,7 @@
 // SetTransports sets the transports. It must be called once, before Run.
 func (c *Core) SetTransports(transports Transports) { c.transports = transports }
 
-// Now returns the time on the core's clock, which has clockAtStart when the core is created. It is safe for
+// Now returns the time on the core's clock, which stands at clockAtStart when the core is created. It is safe for
 // concurrent use.
 func (c *Core) Now() time.Duration { return time.Since(c.epoch) }
 
--- a/internal/coordinator/replan.go
+++ b/internal/coordinator/replan.go
@@ -51,8 +51,8 @@
 }
 
 // replan replaces a part by new parts on the current map. remaining lists the keys that the new parts request; nil
-// means all keys of the part. The returned event tells the router, and is valid only if the reason is
-// replan.Replanned.
+// means all keys of the part. The returned event reports the replacement to the router; it is valid only if the
+// reason is replan.Replanned.
 func (c *Core) replan(p *part, remaining []shardmap.Range) (replaced routing.PartsReplaced, reason replan.Reason) {
 	q := p.query
 	if c.queries[q.id] == nil {
