--- a/internal/routing/admission.go
+++ b/internal/routing/admission.go
@@ -6,30 +6,30 @@
 )
 
 const (
-	// Share of the latency objective that a query's parts may be forecast to take on average.
+	// Highest mean forecast latency of a query's parts, as a share of the latency objective.
 	admittedLatencyShare = 0.5
 
-	// The same while the coordinator sheds load, and where a part may have one attempt in flight only, as
-	// what is late there delays what follows. It is divided by 1 + ln n: the slowest of n parts takes so many
-	// times the mean.
+	// The same limit while the coordinator is overloaded, or when hedging is off: a late attempt without a
+	// hedge delays the work that follows it. It is divided by 1 + ln n: the slowest of n parts takes that
+	// many times the mean.
 	strictLatencyShare = 0.9
 
-	// Share of the latency objective that the slowest part may be forecast to take.
+	// Highest forecast latency of a query's slowest part, as a share of the latency objective.
 	admittedWorstShare = 0.65
 
-	// For so many latency objectives after a rejection for want of capacity the coordinator counts as
-	// overloaded.
+	// Time for which the coordinator counts as overloaded after it rejects a query for lack of capacity, as a
+	// multiple of the latency objective.
 	overloadedObjectives = 0.5
 
-	// Bounds how far the value of a query for its work moves the limit.
+	// Bounds of the factor by which the value of a query per unit of work scales its latency limit.
 	minValueFactor, maxValueFactor = 0.4, 1.3
 
-	// Age of a load report, in median latencies, from which on a rejection that rests on it asks for a new
-	// one.
+	// Age above which a load report that led to a rejection is requested again, as a multiple of the median
+	// latency.
 	staleReportLatencies = 5
 )
 
-// admissionControl decides once on each new query whether it is served or rejected.
+// admissionControl decides once for each new query whether to admit or reject it.
 type admissionControl struct {
 	settings   *Settings
 	queries    *queryIndex
@@ -37,9 +37,9 @@
 	quotas     *tenantQuota
 	forecaster *forecaster
 
-	maxOpen      int            // queries and parts held at a time; 0: no limit
-	values       *slidingWindow // value for work of the queries that arrived
-	overloadedAt time.Duration  // when a query was last rejected for want of capacity
+	maxOpen      int            // open queries plus parts at a time; 0: no limit
+	values       *slidingWindow // value per unit of work of the queries that arrived
+	overloadedAt time.Duration  // when a query was last rejected for lack of capacity
 }
 
 func newAdmissionControl(settings *Settings, queries *queryIndex, forecaster *forecaster) *admissionControl {
@@ -55,14 +55,14 @@
 	}
 }
 
-// rejection says why and how a query is rejected.
+// rejection is the advice for the client of a rejected query, and the load reports that led to the rejection.
 type rejection struct {
 	retryAfter   time.Duration
-	reportMaxAge time.Duration // reports that the decision rests on are asked for anew past this age
-	slowReplicas []*server     // those reports' servers
+	reportMaxAge time.Duration // a report of slowReplicas that is older is requested again
+	slowReplicas []*server     // the servers whose load reports led to the rejection
 }
 
-// decide admits a new query, or returns its rejection.
+// decide admits a new query or returns its rejection.
 func (c *admissionControl) decide(now time.Duration, q *query) (admitted bool, r rejection) {
 	value := c.value(now, q)
 	limit := c.latencyLimit(now, q, value)
@@ -74,7 +74,7 @@
 	if !full && !tooSlow && !worstTooSlow && !unsupported {
 		return true, rejection{}
 	}
-	// One shard that is overloaded or has no replica says nothing about the others.
+	// A single shard that is overloaded or has no replica does not make the coordinator overloaded.
 	meanOfOthers := expected.mean - expected.worst/float64(len(q.parts))
 	oneShard := worstTooSlow && meanOfOthers <= limit
 	if full || tooSlow && !oneShard {
@@ -87,12 +87,12 @@
 	}
 }
 
-// isFull guards the memory of the coordinator: the queries and parts held, this query's included, are over
-// the limit.
+// isFull reports whether the open queries and parts, the new query included, exceed maxOpen. The limit bounds
+// the coordinator's memory.
 func (c *admissionControl) isFull() bool { return c.maxOpen > 0 && c.queries.size() > c.maxOpen }
 
-// latencyLimit is how long the parts of a query may be forecast to take on average, in nanoseconds. A query
-// of more value for its work than others may take longer.
+// latencyLimit returns the highest mean forecast latency, in nanoseconds, at which a query is admitted. The
+// limit is higher for a query with more value per unit of work than the median query.
 func (c *admissionControl) latencyLimit(now time.Duration, q *query, value float64) float64 {
 	limit := float64(min(q.class.LatencyObjective, q.timeout))
 	if c.settings.Hedging && !c.isOverloaded(now, q.class) {
@@ -103,8 +103,9 @@
 	return limit * max(minValueFactor, min(maxValueFactor, value/c.values.median(now, value)))
 }
 
-// value is what a query is worth for its work: its class's priority weight over the work of its parts,
-// relative to the median part. Beyond its tenant's quota it is worth less.
+// value returns the value of a query per unit of work: the priority weight of its class, divided by the work
+// of its parts relative to the median part. A query beyond its tenant's quota is worth less. It counts the
+// query as an arrival, so it has to be called once per query.
 func (c *admissionControl) value(now time.Duration, q *query) float64 {
 	weight := q.class.PriorityWeight
 	if c.quotas.countArrival(now, q.tenant) {
@@ -115,13 +116,13 @@
 	return value
 }
 
-// isOverloaded tells whether queries were rejected for want of capacity a short while ago, by a class's
-// measure.
+// isOverloaded reports whether a query was rejected for lack of capacity within overloadedObjectives latency
+// objectives of the class.
 func (c *admissionControl) isOverloaded(now time.Duration, class *Class) bool {
 	return now < c.overloadedAt+time.Duration(overloadedObjectives*float64(class.LatencyObjective))
 }
 
-// wasOverloaded tells whether queries were rejected for want of capacity within the window of the statistics.
+// wasOverloaded reports whether a query was rejected for lack of capacity within the last statsWindow.
 func (c *admissionControl) wasOverloaded(now time.Duration) bool {
 	return now <= c.overloadedAt+statsWindow
 }
--- a/internal/routing/attempts.go
+++ b/internal/routing/attempts.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// resultRecorder learns from the results of attempts.
+// resultRecorder updates the statistics of latency, load and outliers with the results of attempts.
 type resultRecorder struct {
 	latencies *latencyStats
 	load      *loadEstimator
@@ -18,15 +18,14 @@
 	}
 }
 
-// update follows how often this coordinator gets a result from one of the servers.
+// update adapts the estimates to the interval at which this coordinator gets a result from a server.
 func (r *resultRecorder) update(now time.Duration, servers int) {
 	interval := r.latencies.sampleInterval(now, servers)
 	r.outliers.update(interval)
 	r.load.update(interval)
 }
 
-// record takes the result of an attempt: latency, health and load of its server, and its backoff after an
-// overload.
+// record updates the latency, health, load and overload backoff of a server from the result of an attempt.
 func (r *resultRecorder) record(now time.Duration, a *attempt, result AttemptResult) {
 	s, class := a.server, a.part.query.classIndex
 	r.load.learn(now, s, result.LoadReport)
@@ -43,18 +42,18 @@
 	}
 }
 
-// recordSuccess takes the latency of an attempt that succeeded, in nanoseconds.
+// recordSuccess records the latency of a successful attempt, in nanoseconds.
 func (r *resultRecorder) recordSuccess(now time.Duration, a *attempt, latency float64) {
 	s, class := a.server, a.part.query.classIndex
-	r.outliers.recordSuccess(now, s, class, latency) // against the median without it
+	r.outliers.recordSuccess(now, s, class, latency) // first, so that the median excludes this latency
 	s.latency.add(now, latency)
 	r.latencies.add(now, class, latency, a.load)
 	s.checks.consecutiveFailures = 0
 	s.backoff.reset()
 }
 
-// send opens the next attempt of a part, if it is still allowed: much may have happened while the part
-// waited.
+// send sends the next attempt of a part. It checks again that the attempt is allowed, as the state of the
+// part and of the retry budget may have changed while the part waited for a replica.
 func (r *Router) send(p *part, s *server) {
 	isHedge := len(p.inFlight) > 0
 	p.race = nil
@@ -80,8 +79,8 @@
 	})
 }
 
-// endAttempt takes the result of an attempt. A part that has no other in flight waits for a retry, or has
-// failed.
+// endAttempt processes the result of an attempt. If the attempt did not succeed and the part has no other
+// attempt in flight, the part waits for a retry, or fails if no retry is allowed.
 func (r *Router) endAttempt(result AttemptResult) {
 	a := r.queries.removeAttempt(result.ID, result.Attempt)
 	if a == nil {
--- a/internal/routing/completion.go
+++ b/internal/routing/completion.go
@@ -3,27 +3,28 @@
 import "time"
 
 const (
-	deadlineMarginTicks = 2    // a query ends so many ticks before its client's time is up
-	weightTolerance     = 1e-4 // for the rounding of sums of part weights
+	deadlineMarginTicks = 2    // a query ends this number of ticks before its client's timeout
+	weightTolerance     = 1e-4 // absorbs rounding in sums of part weights
 )
 
-// completion decides when an open query ends, and how.
+// completion decides when and how an open query ends.
 type completion struct {
 	settings  *Settings
 	admission *admissionControl
 }
 
-// progress is what a query's parts have come to. Weights are from 0 to 1.
+// progress is the combined state of a query's parts. Weights are from 0 to 1.
 type progress struct {
-	received    float64 // weight that has been answered
-	possible    float64 // weight that may still be answered
+	received    float64 // weight of the answered parts
+	possible    float64 // weight of the parts that may still be answered
 	waiting     int     // parts for which a replica has to be chosen
 	isPending   bool    // a part may still be answered
-	mayHaveRun  bool    // an attempt of any part may have had its effect
-	bodyEvicted bool    // a part failed, and its body had been evicted
+	mayHaveRun  bool    // an attempt of any part may have been executed
+	bodyEvicted bool    // see progressOf
 }
 
-// progressOf sums up a query's parts.
+// progressOf combines the states of a query's parts. bodyEvicted is set if a part failed whose body had been
+// evicted, or if a part was answered whose body was evicted while it had no attempt in flight.
 func progressOf(q *query) progress {
 	result := progress{received: q.receivedWeight, mayHaveRun: q.receivedWeight > 0}
 	for _, p := range q.parts {
@@ -44,13 +45,13 @@
 	return result
 }
 
-// addPossible counts a part that may still be answered.
+// addPossible adds a part that may still be answered.
 func (p *progress) addPossible(pending *part) {
 	p.possible += pending.weight
 	p.isPending = true
 }
 
-// decision is what becomes of a query now.
+// decision says whether and how a query ends in this turn.
 type decision uint8
 
 const (
@@ -58,11 +59,11 @@
 	answerComplete
 	answerPartial
 	fail
-	reject        // too little weight can still be answered, and asking again does no harm
-	rejectTooLate // its answer would be worth less than its work
+	reject        // MinWeight is out of reach, and a repeat by the client is safe
+	rejectTooLate // the late answer is worth less than the remaining work
 )
 
-// decide looks at an open query whose parts have come to the progress given.
+// decide returns the decision for an open query, given the progress of its parts.
 func (c *completion) decide(now time.Duration, q *query, p progress) decision {
 	isComplete := p.received >= q.class.RequiredWeight-weightTolerance
 	isEnough := p.received >= q.class.MinWeight-weightTolerance && (len(q.parts) > 0 || p.received > 0)
@@ -75,7 +76,7 @@
 		return answerPartial
 	case isTimeUp:
 		return fail
-	// Where a repeat may do harm, the client gets no promise that it does none.
+	// Reject tells the client that a repeat is safe, so a query whose repeat may not be safe fails instead.
 	case isHopeless && (q.class.Idempotency != Idempotent || p.mayHaveRun && p.bodyEvicted):
 		return fail
 	case isHopeless:
@@ -87,9 +88,10 @@
 	}
 }
 
-// isWorthless tells whether a query is past its latency objective with nothing left to earn or, while the
-// coordinator is overloaded, with more work left than it can earn. It is kept where its effect could be
-// doubled by the client, and where canceling its attempts saves nothing.
+// isWorthless reports whether a query is past its latency objective and its late answer has no value or,
+// while the coordinator is overloaded, less value than the remaining work. It is false where a repeat by the
+// client could execute the query twice (NonIdempotent), and where canceling the attempts saves no work (no
+// hedging).
 func (c *completion) isWorthless(now time.Duration, q *query, possible float64) bool {
 	isLate := now >= q.arrivedAt+q.class.LatencyObjective
 	if !isLate || !c.settings.Hedging || q.class.Idempotency == NonIdempotent {
--- a/internal/routing/endpoint_subscription.go
+++ b/internal/routing/endpoint_subscription.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// Bounds of the backoff between calls to discovery that fail.
+// Bounds of the backoff after a failed call to discovery.
 const (
 	initialSubscribeBackoff = 500 * time.Millisecond
 	maxSubscribeBackoff     = 8 * time.Second
 )
 
-// Jitter of that backoff: a share of it, from 0.5 to 1.5. It keeps coordinators that restart together from
-// subscribing in step.
+// Jitter of that backoff: a factor from 0.5 to 1.5. It keeps coordinators that restart together from
+// subscribing at the same time.
 const (
 	minBackoffJitter   = 0.5
 	backoffJitterRange = 1.0
 )
 
-// endpointSubscription decides when to subscribe to the endpoint list. It matters in the simulator; the
-// program's watch of discovery keeps its own subscription.
+// endpointSubscription decides when to subscribe to the endpoint list. It takes effect in the simulator
+// only: the program's discovery watcher manages its own subscription.
 type endpointSubscription struct {
 	random  *rand.Rand
 	enabled bool
-	active  bool // subscribed, or a call is out
-	retryAt time.Duration
-	backoff time.Duration
+	active  bool          // subscribed, or a call is in progress
+	retryAt time.Duration // clock time before which no call is made
+	backoff time.Duration // wait after the next failure, before jitter
 }
 
 func newEndpointSubscription(settings *Settings, random *rand.Rand) endpointSubscription {
@@ -34,7 +34,7 @@
 	}
 }
 
-// failed schedules the next call after one that failed, or after the subscription broke.
+// failed schedules the next call after a failed call or a broken subscription.
 func (e *endpointSubscription) failed(now time.Duration) {
 	e.active = false
 	jitter := minBackoffJitter + backoffJitterRange*e.random.Float64()
@@ -45,7 +45,7 @@
 // succeeded resets the backoff.
 func (e *endpointSubscription) succeeded() { e.backoff = initialSubscribeBackoff }
 
-// start tells whether to subscribe now, and counts that as done.
+// start reports whether to subscribe now. If so, it marks the subscription as active.
 func (e *endpointSubscription) start(now time.Duration) bool {
 	if !e.enabled || e.active || now < e.retryAt {
 		return false
@@ -54,7 +54,7 @@
 	return true
 }
 
-// next is the time of the next call, if one has to be made.
+// next returns the clock time of the next call. pending is false if no call has to be made.
 func (e *endpointSubscription) next() (at time.Duration, pending bool) {
 	return e.retryAt, e.enabled && !e.active
 }
--- a/internal/routing/events.go
+++ b/internal/routing/events.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Event is something that the coordinator learned since the last turn.
+// Event is an input to the router: something that happened at the coordinator since the previous turn.
 type Event interface{ event() }
 
-// ServerID names a server. It carries no meaning beyond identity and order.
+// ServerID identifies a server. It has no meaning beyond identity and order.
 type ServerID uint64
 
-// RequestID names a query or one of its parts.
+// RequestID identifies a query or one of its parts.
 type RequestID uint64
 
 // EndpointState is the state of a listed server.
@@ -21,7 +21,7 @@
 	Removed
 )
 
-// String is the state's name for logs and tests.
+// String returns the state's name for logs and tests.
 func (s EndpointState) String() string {
 	return [...]string{Draining: "draining", Ready: "ready", Removed: "removed"}[s]
 }
@@ -33,18 +33,18 @@
 	Kind      int
 	Cell      int // replica placement group
 	State     EndpointState
-	Weight    float64       // its size in requests at a time, where Settings.WeightsAreCapacities
+	Weight    float64       // concurrent requests it can serve, if Settings.WeightsAreCapacities is set
 	StartedAt time.Duration // clock time of its last start; 0: long ago
 }
 
-// UpdateMode says how an EndpointUpdate is to be read.
+// UpdateMode is the kind of an EndpointUpdate.
 type UpdateMode uint8
 
 // The modes of an EndpointUpdate.
 const (
 	UpdateDelta  UpdateMode = iota // changed endpoints only
 	UpdateFull                     // the complete list
-	UpdateCached                   // the complete list as last held; it may be out of date
+	UpdateCached                   // the complete list as last known; it may be out of date
 	UpdateFailed                   // a call to discovery failed, or the subscription broke
 )
 
@@ -58,14 +58,14 @@
 type Arrival struct {
 	ID           RequestID
 	Shard        int
-	Timeout      time.Duration // after which the client abandons the query
+	Timeout      time.Duration // time after which the client abandons the query
 	Class        int           // index into Settings.Classes
-	IsRetry      bool          // the client repeats a query
+	IsRetry      bool          // the client repeats an earlier query
 	ExpectedWork time.Duration // 0: unknown
 	Key          uint64        // 0: none
 	Weight       float64       // of a part: its share of the answer, 0 to 1; of a query: its number of parts
-	QueryNumber  uint64        // ties parts to their query
-	Tenant       int           // index into Settings.Tenants; beyond them: none
+	QueryNumber  uint64        // the same for a query and its parts
+	Tenant       int           // index into Settings.Tenants; an index beyond them means no tenant
 }
 
 // Code is the result of an attempt or a health check.
@@ -84,7 +84,7 @@
 	ShardMoved         // never ran; a PartsReplaced follows in the same turn
 )
 
-// mayHaveRun tells whether an attempt that ended with the code may have had its effect.
+// mayHaveRun reports whether the server may have executed an attempt that ended with this code.
 func (c Code) mayHaveRun() bool {
 	switch c {
 	case Overloaded, ConnectFailed, NotSent, ShardMoved:
@@ -94,30 +94,32 @@
 	}
 }
 
-// StreamStarted says that the answer of a stream has begun. The router serves no streams and ignores it.
+// StreamStarted reports that the first data of a streamed answer has arrived. The router does not support
+// streams and ignores this event.
 type StreamStarted struct {
 	ID      RequestID
 	Attempt int
 }
 
-// AttemptResult ends an attempt.
+// AttemptResult reports the end of an attempt. Results of unknown attempts are ignored.
 type AttemptResult struct {
 	ID         RequestID // of the part
-	Attempt    int
+	Attempt    int       // number of the attempt, from 0
 	Server     ServerID
 	Code       Code
-	Latency    time.Duration
+	Latency    time.Duration // from the send to the result
 	Final      bool
 	LoadReport []float64 // in the order of Settings.ReportFields; empty: none
 }
 
-// ClientDisconnected says that the client of a query has left.
+// ClientDisconnected reports that the client of a query has disconnected. The router ends the query without
+// a final action.
 type ClientDisconnected struct{ ID RequestID }
 
-// TimerFired says that a timer of SetTimer is due. It only causes a turn.
+// TimerFired reports that a timer set by SetTimer is due. It has no effect but to cause a turn.
 type TimerFired struct{ Token uint64 }
 
-// HealthCheckResult answers a HealthCheck.
+// HealthCheckResult is the result of a HealthCheck.
 type HealthCheckResult struct {
 	Server     ServerID
 	Code       Code
@@ -125,33 +127,34 @@
 	LoadReport []float64 // in the order of Settings.ReportFields; empty: none
 }
 
-// CapacityChange sets how many queries and parts the coordinator may hold from now on, as when another
-// process of it holds the rest.
+// CapacityChange replaces Settings.MaxOpen from now on, for example when another process of the same
+// coordinator holds some of the open queries. 0 means no limit.
 type CapacityChange struct{ MaxOpen int }
 
-// WarmUp asks for a health check of every server, before the first client comes.
+// WarmUp requests health checks of all servers that may get attempts soon, before the first query arrives.
 type WarmUp struct{}
 
-// ShardPlacement names the replicas of a shard in place of those that follow from its cells. No servers: the
-// shard has no placement of its own any more.
+// ShardPlacement sets the replicas of a shard explicitly, in place of those derived from its cells. An empty
+// list of servers removes the explicit placement.
 type ShardPlacement struct {
 	Shard   int
 	Servers []ServerID
 }
 
-// PartsReplaced says that parts of an open query whose shards have moved are replaced by others, which ask
-// for the same data. The new parts are admitted with their query. They start with the most attempts that any
-// of the replaced parts had, less the last one, which the move made void.
+// PartsReplaced replaces parts of an open query whose shards have moved by new parts that request the same
+// data. The new parts are covered by the admission of their query. Their attempt count starts at the highest
+// count of the replaced parts, without the last attempt, which had no effect because of the move.
 type PartsReplaced struct {
-	IDs            []RequestID
-	Parts          []Arrival
-	ReceivedWeight float64 // weight of the replaced parts that has been answered by a subrange
+	IDs            []RequestID // of the replaced parts
+	Parts          []Arrival   // the new parts
+	ReceivedWeight float64     // weight of the replaced parts that has been answered by a subrange
 }
 
-// BodyEvicted says that a part's request body is not stored any more, so that no further attempt can be made.
+// BodyEvicted reports that the request body of a part is no longer stored, so that no further attempt can be
+// made.
 type BodyEvicted struct{ ID RequestID }
 
-// GossipMessage is a message from another coordinator. The router sends none and ignores them.
+// GossipMessage is a message from another coordinator. The router sends none and ignores those it receives.
 type GossipMessage struct {
 	From int
 	Data []byte
--- a/internal/routing/forecast.go
+++ b/internal/routing/forecast.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Age of the attempts in flight at a server over the latency they will have, in steady state.
+// Ratio of the final latency of the attempts in flight at a server to their current age, in steady state.
 const latencyOverAge = 2
 
-// forecaster forecasts how long the parts of a query would take now.
+// forecaster forecasts the latency of the parts of a query if they were sent now.
 type forecaster struct {
 	endpoints   *endpointList
 	latencies   *latencyStats
 	load        *loadEstimator
 	eligibility eligibility
 
-	// Parts waiting to be placed, of the queries looked at so far in this turn: a burst that is not in flight
-	// yet.
+	// Parts that wait for a replica, over the queries processed so far in this turn. They are load that is
+	// not in flight yet, such as a burst of queries within one turn.
 	waitingParts int
 }
 
@@ -26,15 +26,15 @@
 	}
 }
 
-// forecast is the latency of a query's parts as forecast, in nanoseconds.
+// forecast is the forecast latency of a query's parts, in nanoseconds.
 type forecast struct {
 	mean  float64
 	worst float64
-	slow  []*server // replicas of the shards that take longer than the limit given
+	slow  []*server // replicas of the shards whose forecast exceeds slowLimit
 }
 
-// query forecasts the latency of a query's parts. A part whose shard has no replica has an infinite forecast,
-// which does not count in the mean.
+// query forecasts the latency of a query's parts. A part whose shard has no eligible replica has an infinite
+// forecast. Such a part adds nothing to the mean, but the mean still divides by the number of all parts.
 func (f *forecaster) query(now time.Duration, q *query, slowLimit float64) forecast {
 	perUnitLoad := f.latencies.perUnitLoad.median(now, f.latencies.classMedian(now, q.classIndex))
 	waiting := float64(f.waitingParts) / float64(max(1, len(f.endpoints.listed)))
@@ -54,8 +54,8 @@
 	return result
 }
 
-// shard forecasts the latency of a part at a shard: the harmonic mean over its replicas, as they share its
-// parts by how soon each is done.
+// shard forecasts the latency of a part at a shard: the harmonic mean over its replicas, because each replica
+// takes a share of the parts in proportion to its speed.
 func (f *forecaster) shard(now time.Duration, replicas []*server, perUnitLoad, waiting float64) float64 {
 	rate := 0.0
 	for _, s := range replicas {
@@ -65,15 +65,16 @@
 	return float64(len(replicas)) / rate
 }
 
-// server forecasts the latency of a part at a server: its load times what a unit of load took lately, or what
-// the age of the attempts in flight there tells, as reports may be late or wrong.
+// server forecasts the latency of a part at a server, in nanoseconds: the server's load times the recent
+// latency per unit of load. The age of the attempts in flight sets a lower bound, as load reports may be late
+// or wrong.
 func (f *forecaster) server(now time.Duration, s *server, perUnitLoad, waiting float64) float64 {
 	byLoad := perUnitLoad * (f.load.load(now, s) + waiting)
 	return max(byLoad, latencyOverAge*s.inFlight.meanAge(now))
 }
 
-// reachableReplicas lists the replicas of a shard that may take a part soon, without those that answer no
-// health checks if there are others.
+// reachableReplicas returns the replicas of a shard that may get an attempt soon. Replicas that fail their
+// health checks are left out unless all of them do.
 func (f *forecaster) reachableReplicas(now time.Duration, shard int) []*server {
 	eligible := filter(f.endpoints.replicasOf(shard), func(s *server) bool {
 		return f.eligibility.mayGetAttemptSoon(now, s)
--- a/internal/routing/query.go
+++ b/internal/routing/query.go
@@ -8,39 +8,39 @@
 // query is one open query.
 type query struct {
 	id         RequestID
-	number     uint64 // ties its parts to it
+	number     uint64 // Arrival.QueryNumber of the query and its parts
 	classIndex int
 	class      *Class
 	tenant     int
 
 	arrivedAt time.Duration
-	timeout   time.Duration // of its client, from arrivedAt on
+	timeout   time.Duration // of its client, counted from arrivedAt
 	endsAt    time.Duration // arrivedAt + timeout
 
 	parts          []*part
-	receivedWeight float64 // answered by subranges of parts that were replaced
+	receivedWeight float64 // weight answered by subranges of replaced parts
 	isNew          bool    // admission has not decided yet
 	ended          bool
 }
 
-// partState is how far a part has got.
+// partState is the state of a part in its life cycle.
 type partState uint8
 
 const (
-	// partWaiting: it is to be sent, or sent again, to a replica that is not chosen yet. A hedge waits while
-	// earlier attempts are in flight.
+	// partWaiting: the next attempt is to be sent, but its replica is not chosen yet. If the attempt is a
+	// hedge, earlier attempts are in flight at the same time.
 	partWaiting partState = iota
-	// partInFlight: it has at least one attempt in flight, and none is to be added.
+	// partInFlight: at least one attempt is in flight, and no other is to be sent now.
 	partInFlight
 	// partAnswered: an attempt succeeded.
 	partAnswered
-	// partFailed: no attempt is in flight, and none may follow.
+	// partFailed: no attempt is in flight, and no further one is allowed.
 	partFailed
-	// partWithdrawn: its query has ended, or another part took its place.
+	// partWithdrawn: the query has ended, or the part was replaced by others.
 	partWithdrawn
 )
 
-// String is the state's name for logs and tests.
+// String returns the state's name for logs and tests.
 func (s partState) String() string {
 	return [...]string{
 		partWaiting: "waiting", partInFlight: "in flight", partAnswered: "answered", partFailed: "failed",
@@ -56,24 +56,25 @@
 	weight float64
 	state  partState
 
-	servers                 []*server // of its attempts, in order
+	servers                 []*server // of its own attempts, in order
 	inheritedAttempts       int       // attempts of the parts that it replaced
 	inFlight                []*attempt
-	mayHaveRun              bool          // an attempt may have had its effect
-	retryableUntil          time.Duration // for further attempts, once one may have run
-	bodyEvicted             bool          // it can't be sent any more
-	evictedWithNoneInFlight bool          // its body was evicted while no attempt was in flight
+	mayHaveRun              bool          // a server may have executed an attempt
+	retryableUntil          time.Duration // latest time of a further attempt once one may have been executed
+	bodyEvicted             bool          // the body is gone, so no further attempt can be sent
+	evictedWithNoneInFlight bool          // the body was evicted while no attempt was in flight
 	race                    *healthCheckRace
 	raceDeadline            time.Duration // when the race is over for this part; 0: no reply yet
 }
 
-// attemptCount is the number of attempts that count against the part's limit.
+// attemptCount returns the number of attempts that count toward Settings.MaxAttempts.
 func (p *part) attemptCount() int { return p.inheritedAttempts + len(p.servers) }
 
-// wait lets the part wait for a replica to be chosen, by a race that is yet to begin.
+// wait makes the part wait for a replica. The next placeParts begins a health-check race for it.
 func (p *part) wait() { p.state, p.race = partWaiting, nil }
 
-// stopWaiting ends the wait: what is in flight may still answer.
+// stopWaiting ends the wait without a new attempt. Attempts in flight may still answer the part; without any
+// the part has failed.
 func (p *part) stopWaiting() {
 	p.state = partInFlight
 	if len(p.inFlight) == 0 {
@@ -81,7 +82,7 @@
 	}
 }
 
-// evictBody notes that the part can't be sent again: what is in flight is its last chance.
+// evictBody records that the part cannot be sent again: only the attempts in flight may still answer it.
 func (p *part) evictBody() {
 	p.bodyEvicted = true
 	p.evictedWithNoneInFlight = len(p.inFlight) == 0
@@ -90,20 +91,20 @@
 	}
 }
 
-// inherit takes over what the parts that it replaces had come to.
+// inherit copies the attempt history of the parts that this part replaces.
 func (p *part) inherit(from replaced) {
 	p.inheritedAttempts, p.mayHaveRun, p.retryableUntil = from.attempts, from.mayHaveRun, from.retryableUntil
 }
 
-// isAt tells whether an attempt is in flight at a server.
+// isAt reports whether an attempt of the part is in flight at a server.
 func (p *part) isAt(s *server) bool {
 	return slices.ContainsFunc(p.inFlight, func(a *attempt) bool { return a.server == s })
 }
 
-// attempt is one attempt of a part whose result is still to come.
+// attempt is an attempt of a part whose result has not arrived yet.
 type attempt struct {
 	part     *part
-	number   int // of the part's attempts, from 0
+	number   int // among the part's attempts, from 0
 	server   *server
 	sentAt   time.Duration
 	load     float64 // of the server, when the attempt was sent
@@ -116,16 +117,16 @@
 	number int
 }
 
-// queryIndex holds the open queries, their parts and attempts.
+// queryIndex holds the open queries, their parts and their attempts.
 type queryIndex struct {
 	settings *Settings
 	actions  *actionList
 
-	open     []*query // by arrival
+	open     []*query // in order of arrival
 	byID     map[RequestID]*query
 	byNumber map[uint64]*query
 	parts    map[RequestID]*part
-	attempts map[attemptKey]*attempt // those of ended queries too, until their result comes
+	attempts map[attemptKey]*attempt // until their result arrives, also after their query has ended
 }
 
 func newQueryIndex(settings *Settings, actions *actionList) *queryIndex {
@@ -139,10 +140,10 @@
 	}
 }
 
-// size is the number of open queries and their parts.
+// size returns the number of open queries plus that of their parts.
 func (x *queryIndex) size() int { return len(x.byID) + len(x.parts) }
 
-// addQuery takes a query that arrived; its parts follow.
+// addQuery adds a query that arrived. Its parts follow in the same turn.
 func (x *queryIndex) addQuery(now time.Duration, a Arrival) {
 	q := &query{
 		id:         a.ID,
@@ -159,7 +160,7 @@
 	x.byID[a.ID], x.byNumber[a.QueryNumber] = q, q
 }
 
-// addPart takes a part of an open query; nil if there is no such query.
+// addPart adds a part to its open query and returns it, or nil if the query is not open.
 func (x *queryIndex) addPart(a Arrival) *part {
 	q := x.byNumber[a.QueryNumber]
 	if q == nil {
@@ -178,15 +179,15 @@
 	return p
 }
 
-// replaced is what the parts that take the place of others inherit.
+// replaced is the attempt history that new parts inherit from the parts they replace.
 type replaced struct {
-	attempts       int
+	attempts       int // the highest count among the replaced parts
 	mayHaveRun     bool
 	retryableUntil time.Duration
 }
 
-// removeReplaced takes out the parts whose shards have moved. The last attempt of each came to nothing
-// because of the move, and does not count.
+// removeReplaced removes the parts whose shards have moved and returns what their replacements inherit. The
+// last attempt of each part had no effect because of the move, so it does not count.
 func (x *queryIndex) removeReplaced(e PartsReplaced) replaced {
 	inherited := replaced{retryableUntil: unbounded}
 	weight := e.ReceivedWeight
@@ -205,7 +206,7 @@
 	return inherited
 }
 
-// end forgets a query and cancels its attempts. Their results may still come.
+// end removes a query and cancels its attempts. Their results may still arrive.
 func (x *queryIndex) end(q *query) {
 	q.ended = true
 	delete(x.byID, q.id)
@@ -218,14 +219,14 @@
 	q.parts = nil
 }
 
-// withdraw forgets a part and cancels its attempts.
+// withdraw removes a part and cancels its attempts.
 func (x *queryIndex) withdraw(p *part) {
 	p.state = partWithdrawn
 	delete(x.parts, p.id)
 	x.cancelAttempts(p)
 }
 
-// cancelAttempts cancels what a part has in flight, where that is allowed.
+// cancelAttempts cancels a part's attempts in flight, if Settings.Cancel allows it.
 func (x *queryIndex) cancelAttempts(p *part) {
 	for _, a := range p.inFlight {
 		if x.settings.Cancel && !a.canceled {
@@ -235,12 +236,12 @@
 	}
 }
 
-// removeEnded forgets the queries that ended in this turn.
+// removeEnded removes the queries that ended in this turn from the list of open ones.
 func (x *queryIndex) removeEnded() {
 	x.open = slices.DeleteFunc(x.open, func(q *query) bool { return q.ended })
 }
 
-// addAttempt records an attempt that is sent now.
+// addAttempt records an attempt that is sent in this turn.
 func (x *queryIndex) addAttempt(now time.Duration, p *part, s *server, load float64) {
 	a := &attempt{part: p, number: len(p.servers), server: s, sentAt: now, load: load}
 	p.inFlight = append(p.inFlight, a)
@@ -249,7 +250,7 @@
 	x.attempts[attemptKey{p.id, a.number}] = a
 }
 
-// removeAttempt takes out an attempt whose result has come; nil if it is not known.
+// removeAttempt removes an attempt whose result has arrived and returns it, or nil if it is unknown.
 func (x *queryIndex) removeAttempt(id RequestID, number int) *attempt {
 	key := attemptKey{id, number}
 	a := x.attempts[key]
@@ -262,7 +263,7 @@
 	return a
 }
 
-// isOpen tells whether a part still has to be answered.
+// isOpen reports whether a part still has to be answered.
 func (x *queryIndex) isOpen(p *part) bool {
 	return !p.query.ended && x.parts[p.id] == p && p.state != partAnswered
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// Router decides for one coordinator. It keeps the order of a turn's steps; each rule is a type of its own.
+// Router makes the routing decisions of one coordinator. It runs the steps of a turn in order; each rule is
+// a type of its own. Routers are made by New; the zero value is not usable.
 type Router struct {
 	settings *Settings
-	now      time.Duration // of the latest turn
+	now      time.Duration // clock time of the latest turn
 	actions  *actionList   // of the latest turn
 	timer    turnTimer
 
@@ -25,7 +26,8 @@
 	completion   *completion
 }
 
-// New makes a router. The same settings, seed and turns give the same actions. The error is a *SettingsError.
+// New returns a router with no endpoints and no open queries. The same settings, seed and turns give the same
+// actions. The error is a *SettingsError.
 func New(settings Settings, seed uint64) (*Router, error) {
 	if err := settings.check(); err != nil {
 		return nil, err
@@ -57,8 +59,8 @@
 	}, nil
 }
 
-// Turn takes what happened up to now and returns what to do. now may not go back. The actions are valid until
-// the next turn.
+// Turn processes the events that happened since the previous turn and returns the actions to carry out. now
+// is the clock time of the turn and must not decrease. The returned slice is valid until the next call.
 func (r *Router) Turn(now time.Duration, events []Event) []Action {
 	r.now = now
 	r.actions.reset()
@@ -76,7 +78,7 @@
 	return r.actions.list
 }
 
-// apply takes one event.
+// apply updates the router's state with one event.
 func (r *Router) apply(event Event) {
 	switch e := event.(type) {
 	case EndpointUpdate:
@@ -108,8 +110,8 @@
 	}
 }
 
-// updateEndpoints takes a watch event. A server that comes back soon after it left the list keeps what is
-// known of it, unless its process was restarted.
+// updateEndpoints applies a watch event. A server that returns soon after it left the list keeps its
+// statistics, unless its process was restarted.
 func (r *Router) updateEndpoints(u EndpointUpdate) {
 	if u.Mode == UpdateFailed {
 		r.subscription.failed(r.now)
@@ -129,7 +131,7 @@
 	r.endpoints.refresh(r.now)
 }
 
-// addArrival takes a query or one of its parts.
+// addArrival adds a query or one of its parts.
 func (r *Router) addArrival(a Arrival) {
 	r.retries.countArrival(r.now)
 	if a.Shard < 0 {
@@ -139,7 +141,8 @@
 	r.queries.addPart(a)
 }
 
-// replaceParts takes out parts whose shards have moved, and takes in those that ask for the same elsewhere.
+// replaceParts removes parts whose shards have moved and adds the parts that request the same data from the
+// new shards.
 func (r *Router) replaceParts(e PartsReplaced) {
 	inherited := r.queries.removeReplaced(e)
 	for _, a := range e.Parts {
@@ -150,7 +153,7 @@
 	}
 }
 
-// checkEligibleServers sends a health check to every server that may be sent attempts soon.
+// checkEligibleServers sends a health check to every server that may get attempts soon.
 func (r *Router) checkEligibleServers() {
 	eligible := filter(r.endpoints.listed, func(s *server) bool {
 		return r.selector.eligibility.mayGetAttemptSoon(r.now, s)
@@ -158,7 +161,7 @@
 	r.checks.check(r.now, eligible, 0)
 }
 
-// decideQueries admits or rejects the new queries, and ends those that are done, in the order of their
+// decideQueries admits or rejects the new queries and ends those that completion decides to end, in order of
 // arrival.
 func (r *Router) decideQueries() {
 	r.admission.forecaster.waitingParts = 0
@@ -173,7 +176,8 @@
 	r.queries.removeEnded()
 }
 
-// admit decides on a new query.
+// admit admits a new query or rejects it. On a rejection it sends health checks to the slow replicas whose
+// load reports are stale, because rejected queries yield no results with new reports.
 func (r *Router) admit(q *query) {
 	q.isNew = false
 	admitted, rejection := r.admission.decide(r.now, q)
@@ -187,7 +191,7 @@
 	r.reject(q, rejection.retryAfter)
 }
 
-// review ends a query that is done, and looks for attempts of it that are overdue otherwise.
+// review ends an open query if completion decides so. Otherwise it looks for overdue attempts to hedge.
 func (r *Router) review(q *query) {
 	progress := progressOf(q)
 	r.admission.forecaster.waitingParts += progress.waiting
@@ -209,7 +213,8 @@
 	}
 }
 
-// reject ends a query with the advice to come back, where advice may be given.
+// reject ends a query with a Reject action. The advice is limited to MaxRetryAfter, and left out if
+// Settings.RetryAfter is off.
 func (r *Router) reject(q *query, retryAfter time.Duration) {
 	if !r.settings.RetryAfter {
 		retryAfter = 0
@@ -217,14 +222,14 @@
 	r.end(q, Reject{ID: q.id, RetryAfter: max(0, min(retryAfter, r.settings.MaxRetryAfter))})
 }
 
-// end ends a query with its one final action.
+// end ends a query with its final action: Answer, Fail or Reject.
 func (r *Router) end(q *query, final Action) {
 	r.actions.add(final)
 	r.queries.end(q)
 }
 
-// placeParts begins a health-check race for the parts that wait for a replica, and sends those whose race is
-// over.
+// placeParts starts a health-check race for the parts that began to wait for a replica, and sends the parts
+// whose race is over.
 func (r *Router) placeParts() {
 	clear(r.selector.partsSent)
 	race := newHealthCheckRace(r.now)
@@ -244,15 +249,15 @@
 	r.checks.keep(r.now, race)
 }
 
-// joinRace sends a part to one of the candidates whose replies still count. Where there are none, the part
-// waits for the race; a part without candidates waits for the next turn.
+// joinRace sends a part at once if earlier health-check replies of its candidates are still valid. Otherwise
+// the part joins the race of this turn; a part without candidates waits for the next turn.
 func (r *Router) joinRace(race *healthCheckRace, p *part, candidates []*server) {
 	if valid := r.checks.join(r.now, race, p, candidates); len(valid) > 0 {
 		r.send(p, r.selector.choose(r.now, p, candidates, valid))
 	}
 }
 
-// judgeRace sends a part whose race is over. A part that has lost its candidates begins anew.
+// judgeRace sends a part whose race is over. A part that has no candidates left waits for a new race.
 func (r *Router) judgeRace(p *part, candidates []*server) {
 	state, replied := r.checks.judge(r.now, p, candidates)
 	switch {
@@ -265,8 +270,8 @@
 	}
 }
 
-// setTimer asks for the next turn: a tick from now while queries are open, or else when discovery has to be
-// called.
+// setTimer requests the next turn: one tick from now while queries are open, otherwise when the next
+// Subscribe is due.
 func (r *Router) setTimer() {
 	at, pending := r.subscription.next()
 	if len(r.queries.open) > 0 {
--- a/internal/routing/sliding_window.go
+++ b/internal/routing/sliding_window.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// slidingWindow holds the samples of the last span of time and gives their number and median.
+// slidingWindow holds the samples of the last span of time and returns their number and median.
 type slidingWindow struct {
 	span    time.Duration
-	takenAt []time.Duration
-	values  []float64 // in the order taken
-	sorted  []float64 // kept in order as samples come and go, so that a median sorts nothing
+	takenAt []time.Duration // by sample, in order of time
+	values  []float64       // by sample, in order of time
+	sorted  []float64       // the same values in ascending order, updated by each add and trim; see median
 }
 
 func newSlidingWindow(span time.Duration) *slidingWindow { return &slidingWindow{span: span} }
 
-// newSlidingWindows makes n windows of one span.
+// newSlidingWindows returns n windows of the same span.
 func newSlidingWindows(n int, span time.Duration) []*slidingWindow {
 	windows := make([]*slidingWindow, n)
 	for i := range windows {
@@ -32,7 +32,7 @@
 	w.sorted = slices.Insert(w.sorted, i, value)
 }
 
-// trim drops the samples that are as old as the span, or older.
+// trim drops the samples whose age is at least the span.
 func (w *slidingWindow) trim(now time.Duration) {
 	n := 0
 	for n < len(w.takenAt) && w.takenAt[n] <= now-w.span {
@@ -47,13 +47,14 @@
 	w.values = slices.Delete(w.values, 0, n)
 }
 
-// count is the number of samples in the window.
+// count returns the number of samples in the window.
 func (w *slidingWindow) count(now time.Duration) int {
 	w.trim(now)
 	return len(w.takenAt)
 }
 
-// median of the samples in the window; fallback if there are none.
+// median returns the median of the samples in the window, or fallback if there are none. It does not have to
+// sort, as the values are kept sorted.
 func (w *slidingWindow) median(now time.Duration, fallback float64) float64 {
 	w.trim(now)
 	n := len(w.sorted)
--- a/internal/routing/turn_timer.go
+++ b/internal/routing/turn_timer.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// minTimerDelay keeps a timer in the future.
+// minTimerDelay is the shortest delay of a timer: a timer is never set for the present or the past.
 const minTimerDelay = time.Microsecond
 
-// turnTimer asks for the next turn.
+// turnTimer sets the timer that causes the next turn.
 type turnTimer struct {
-	firesAt time.Duration // of the latest timer
-	token   uint64
+	firesAt time.Duration // clock time at which the latest timer fires
+	token   uint64        // of the latest timer
 }
 
-// set asks for a timer at the time given, unless one fires before it.
+// set adds a SetTimer action for the clock time at, unless a pending timer fires by then.
 func (t *turnTimer) set(now, at time.Duration, actions *actionList) {
 	if t.firesAt > now && t.firesAt <= at {
 		return
