--- a/internal/routing/admission_test.go
+++ b/internal/routing/admission_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// Guards against rejecting for good after an overload: reports that no longer arrive have to age.
+// Guards against rejecting all queries forever after an overload: no new load reports arrive while queries
+// are rejected, so the weight of the old reports has to decay with their age.
 func TestAdmissionRejectsOnOverloadUntilReportsAge(t *testing.T) {
 	h := newHarness(t, testSettings())
 	for i := range 3 {
@@ -17,7 +18,7 @@
 	h.advance(5*ms, checkReply(1, 40), checkReply(2, 40), checkReply(3, 40))
 	h.startQuery(300, 0, 0)
 	if got := wantActions[Reject](t, h.actions, 1); got[0].RetryAfter <= 0 {
-		t.Errorf("rejected without advice: %+v", got[0])
+		t.Errorf("RetryAfter = %v, want above 0: %+v", got[0].RetryAfter, got[0])
 	}
 	h.advance(15 * time.Second)
 	h.startQuery(400, 0, 0)
@@ -40,7 +41,7 @@
 	}
 }
 
-// Guards against admitting a burst that no load report shows yet.
+// Guards against admitting a whole burst of queries in one turn because no load report shows it yet.
 func TestAdmissionRejectsBurstWithinOneTurn(t *testing.T) {
 	h := newHarness(t, testSettings())
 	rejected := 0
@@ -52,7 +53,8 @@
 	}
 }
 
-// Guards against ignoring that the slowest of many parts takes longer than their mean.
+// Guards against a limit that ignores the number of parts: the slowest of many parts takes longer than their
+// mean.
 func TestAdmissionRejectsManyPartsAtLowerLoad(t *testing.T) {
 	for partCount, rejected := range map[int]int{1: 0, 60: 1} {
 		t.Run(fmt.Sprintf("parts=%d", partCount), func(t *testing.T) {
@@ -62,7 +64,7 @@
 			h := newHarness(t, settings)
 			h.playQuery(10, 200*ms, 1, 2, 3)
 			h.startQuery(20, 0, 0)
-			// The forecast is then about 0.4 s a part, of a latency objective of 2 s.
+			// With these reports the forecast is about 0.4 s per part. The latency objective is 2 s.
 			h.advance(5*ms, checkReply(1, 1), checkReply(2, 1), checkReply(3, 1))
 			shards := make([]int, partCount)
 			for i := range shards {
@@ -75,7 +77,8 @@
 	}
 }
 
-// Guards against rejecting for good on old reports: while all is rejected no result brings a new one.
+// Guards against rejecting all queries forever on stale load reports: while all queries are rejected, no
+// attempt result brings a new report.
 func TestRejectionChecksServersWithOldReports(t *testing.T) {
 	h := newHarness(t, testSettings())
 	for i := range 3 {
@@ -91,10 +94,11 @@
 	wantActions[HealthCheck](t, h.actions, 3)
 }
 
-// Guards against a rejection that sends health checks to the replicas of all its parts.
+// Guards against a rejection that sends health checks to the replicas of all parts, not only to those whose
+// forecast is slow.
 func TestRejectionChecksOnlySlowReplicas(t *testing.T) {
 	settings := testSettings()
-	settings.ReplicasPerShard = 1 // server i+1 alone holds shard i
+	settings.ReplicasPerShard = 1 // server i+1 is the only replica of shard i
 	h := newHarness(t, settings)
 	h.playQuery(100, 200*ms, 1, 2, 3)
 	h.startQuery(200, 0, 0, 1, 2)
@@ -105,7 +109,7 @@
 	h.startQuery(300, 0, 0, 1, 2)
 	wantActions[Reject](t, h.actions, 1)
 	if check := wantActions[HealthCheck](t, h.actions, 1)[0]; check.Server != 1 {
-		t.Errorf("health check sent to %d, want 1, whose forecast is slow", check.Server)
+		t.Errorf("health check sent to server %d, want server 1, the only slow one", check.Server)
 	}
 }
 
@@ -119,7 +123,7 @@
 	wantActions[Reject](t, h.actions, 1)
 	h.startQuery(300, 0, 1, 2)
 	if h.router.admission.isOverloaded(h.now, h.router.queries.byID[300].class) {
-		t.Error("one overloaded shard makes the coordinator count as overloaded")
+		t.Error("isOverloaded = true after a rejection due to one overloaded shard, want false")
 	}
 }
 
@@ -132,7 +136,7 @@
 	wantActions[Reject](t, h.actions, 1)
 	h.startQuery(20, 0, 0)
 	if h.router.admission.isOverloaded(h.now, h.router.queries.byID[20].class) {
-		t.Error("a shard without a replica makes the coordinator count as overloaded")
+		t.Error("isOverloaded = true after a rejection due to a shard without a replica, want false")
 	}
 }
 
@@ -145,7 +149,7 @@
 	wantActions[Reject](t, h.actions, 0)
 	h.startQuery(30, 0, 0)
 	if rejected := wantActions[Reject](t, h.actions, 1)[0]; rejected.ID != 30 || rejected.RetryAfter <= 0 {
-		t.Errorf("%+v, want query 30 with advice", rejected)
+		t.Errorf("reject = %+v, want ID 30 and RetryAfter above 0", rejected)
 	}
 	h.turn(ClientDisconnected{ID: 10})
 	h.startQuery(40, 0, 0)
@@ -187,7 +191,7 @@
 			q := &query{class: &settings.Classes[0], timeout: c.timeout, parts: make([]*part, c.parts)}
 			got := admission.latencyLimit(time.Minute, q, c.value)
 			if want := c.want * float64(objective); math.Abs(got-want) > 1 {
-				t.Errorf("limit %v, want %v", time.Duration(got), time.Duration(want))
+				t.Errorf("latencyLimit = %v, want %v", time.Duration(got), time.Duration(want))
 			}
 		})
 	}
@@ -243,7 +247,7 @@
 			admission := newTestAdmission(&settings)
 			isOverloaded := admission.isOverloaded(time.Minute, &settings.Classes[0])
 			if isOverloaded || admission.wasOverloaded(time.Minute) {
-				t.Error("overloaded without a rejection")
+				t.Error("isOverloaded or wasOverloaded = true before any rejection, want false")
 			}
 			admission.overloadedAt = time.Minute
 			now := time.Minute + c.elapsed
--- a/internal/routing/bench_test.go
+++ b/internal/routing/bench_test.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// benchSizes are fleets as one coordinator sees them: three servers and two shards a cell.
+// benchSizes are the fleet sizes, as one coordinator sees them: three servers and two shards per cell.
 var benchSizes = []struct{ coordinators, servers int }{{3, 15}, {80, 54}, {300, 201}}
 
-// benchParts is the number of parts of a query, the same at every size.
+// benchParts is the number of parts per query at every fleet size.
 const benchParts = 10
 
-// BenchmarkQuery plays one query after another. An operation is a query of benchParts parts.
+// BenchmarkQuery runs queries one after another. One operation is a query of benchParts parts.
 func BenchmarkQuery(b *testing.B) {
 	for _, size := range benchSizes {
 		b.Run(fmt.Sprintf("coordinators=%d/servers=%d", size.coordinators, size.servers), func(b *testing.B) {
 			h := newBenchHost(b, size.coordinators, size.servers)
-			for range 1000 { // the latency windows fill up
+			for range 1000 { // fills the latency windows
 				h.query()
 			}
 			var before, after runtime.MemStats
@@ -35,7 +35,7 @@
 	}
 }
 
-// benchHost carries out a router's actions: each health check and attempt succeeds by the next turn.
+// benchHost carries out a router's actions: each health check and attempt succeeds in the next turn.
 type benchHost struct {
 	b      *testing.B
 	router *Router
@@ -74,7 +74,7 @@
 	return h
 }
 
-// query plays one query to its answer.
+// query runs one query from its arrival to its answer.
 func (h *benchHost) query() {
 	h.number++
 	id := h.next
@@ -85,7 +85,7 @@
 			return
 		}
 	}
-	h.b.Fatalf("query %d has no answer", h.number)
+	h.b.Fatalf("query %d: no answer after 100 turns", h.number)
 }
 
 // addArrivals adds the events of a query and its parts.
@@ -113,7 +113,7 @@
 	h.timers = waiting
 }
 
-// turn plays one turn and tells whether it answered the query.
+// turn runs one turn and reports whether it answered the query.
 func (h *benchHost) turn(query RequestID) (answered bool) {
 	h.now += 5 * ms
 	h.fireTimers()
@@ -129,11 +129,11 @@
 			h.timers = append(h.timers, benchTimer{h.now + a.After, a.Token})
 		case Answer:
 			if a.ID != query || !a.Complete {
-				h.b.Fatalf("%+v in place of query %d's complete answer", a, query)
+				h.b.Fatalf("answer = %+v, want a complete answer to query %d", a, query)
 			}
 			answered = true
 		case Reject, Fail:
-			h.b.Fatalf("query %d: %T%+v", h.number, a, a)
+			h.b.Fatalf("query %d: got %T%+v, want an answer", h.number, a, a)
 		}
 	}
 	return answered
--- a/internal/routing/completion_test.go
+++ b/internal/routing/completion_test.go
@@ -16,7 +16,7 @@
 	second := attemptResult(sends[1].ID, 0, sends[1].Server, OK, 55*ms)
 	answers := wantActions[Answer](t, h.advance(5*ms, second), 1)
 	if answers[0] != (Answer{ID: 10, Complete: true}) {
-		t.Errorf("answer = %+v", answers[0])
+		t.Errorf("answer = %+v, want ID 10 and Complete true", answers[0])
 	}
 }
 
@@ -28,7 +28,7 @@
 	h.advance(85 * ms)
 	wantActions[Fail](t, h.actions, 1)
 	if cancels := actionsOf[Cancel](h.actions); len(cancels) == 0 || cancels[0].ID != 11 {
-		t.Errorf("the attempt at %d was not canceled: %v", server, h.actions)
+		t.Errorf("attempt at server %d was not canceled, actions = %v", server, h.actions)
 	}
 	wantActions[Send](t, h.advance(time.Second), 0)
 }
@@ -42,11 +42,12 @@
 	wantActions[Answer](t, h.actions, 0)
 	answers := wantActions[Answer](t, h.advance(4935*ms), 1)
 	if answers[0].Complete {
-		t.Error("an answer of half of the weight is marked complete")
+		t.Error("Complete = true for an answer of half of the weight, want false")
 	}
 }
 
-// Guards against a query that waits for its deadline though its body was evicted and no attempt may follow.
+// Guards against a query that stays open until its deadline after its body was evicted: no further attempt is
+// possible, so the query has to end with the result of the attempt in flight.
 func TestEvictedBodyEndsQueryAfterItsAttempt(t *testing.T) {
 	for name, c := range map[string]struct {
 		code           Code
@@ -64,7 +65,7 @@
 			wantActions[Reject](t, h.actions, 0)
 			actions := h.advance(5*ms, attemptResult(11, 0, server, c.code, time.Second))
 			if len(actionsOf[Fail](actions)) != c.fails || len(actionsOf[Reject](actions)) != c.rejects {
-				t.Errorf("%v, want %d Fail and %d Reject", actions, c.fails, c.rejects)
+				t.Errorf("actions = %v, want %d Fail and %d Reject", actions, c.fails, c.rejects)
 			}
 		})
 	}
@@ -84,15 +85,15 @@
 	h.advance(20*ms, attemptResult(sends[0].ID, 0, sends[0].Server, OK, 20*ms))
 	h.advance(5*ms, attemptResult(sends[1].ID, 0, sends[1].Server, ServerError, 25*ms))
 	if answers := wantActions[Answer](t, h.actions, 1); answers[0].Complete {
-		t.Error("an answer without the part whose body was evicted is marked complete")
+		t.Error("Complete = true for an answer without the part whose body was evicted, want false")
 	}
 }
 
-// decideCase is a query that arrived at decideArrival, and what completion decides on it.
+// decideCase is a query that arrived at decideArrival, and the expected decision.
 type decideCase struct {
-	elapsed    time.Duration
+	elapsed    time.Duration // since decideArrival
 	progress   progress
-	change     func(*Class) // of the class of partialSettings; nil: none
+	change     func(*Class) // changes the class of partialSettings; nil: no change
 	noHedging  bool
 	overloaded bool
 	want       decision
@@ -118,7 +119,7 @@
 	return rule.decide(now, q, c.progress)
 }
 
-// The class requires a weight of 0.9 and answers from 0.5 on.
+// The class has a RequiredWeight of 0.9 and a MinWeight of 0.5.
 func TestCompletionDecideByWeight(t *testing.T) {
 	hopeless := progress{received: 0.2, possible: 0.2, isPending: true}
 	evicted := hopeless
@@ -167,7 +168,7 @@
 	allPending  = progress{possible: 1, isPending: true}
 	halfPending = progress{received: 0.5, possible: 0.5, isPending: true}
 
-	// What is possible is worth its work though it is late.
+	// The possible weight is not above LateValue, so the remaining work is worthwhile even when late.
 	littlePending = progress{received: 0.3, possible: 0.3, isPending: true}
 )
 
@@ -229,7 +230,7 @@
 		"in flight, may have run": {0, []*part{{weight: 1, state: partInFlight, mayHaveRun: true}},
 			progress{possible: 1, isPending: true, mayHaveRun: true}},
 		"answered": {0, []*part{{weight: 1, state: partAnswered}}, progress{received: 1, mayHaveRun: true}},
-		"answered, body evicted at rest": {0, []*part{{weight: 1, state: partAnswered, evictedWithNoneInFlight: true}},
+		"answered, body evicted, none in flight": {0, []*part{{weight: 1, state: partAnswered, evictedWithNoneInFlight: true}},
 			progress{received: 1, mayHaveRun: true, bodyEvicted: true}},
 		"answered, body evicted in flight": {0, []*part{{weight: 1, state: partAnswered, bodyEvicted: true}},
 			progress{received: 1, mayHaveRun: true}},
--- a/internal/routing/endpoint_subscription_test.go
+++ b/internal/routing/endpoint_subscription_test.go
@@ -33,7 +33,7 @@
 			shortest := time.Duration(minBackoffJitter * float64(backoff))
 			longest := time.Duration((minBackoffJitter + backoffJitterRange) * float64(backoff))
 			if wait := subscription.retryAt - now; wait < shortest || wait > longest {
-				t.Errorf("failure %d: next call after %v, want %v to %v", i, wait, shortest, longest)
+				t.Errorf("failure %d: wait before next call = %v, want %v to %v", i, wait, shortest, longest)
 			}
 			backoff = min(2*backoff, maxSubscribeBackoff)
 		}
@@ -48,7 +48,7 @@
 		times[subscription.retryAt] = true
 	}
 	if len(times) < 2 {
-		t.Error("coordinators of different seeds call at the same time")
+		t.Error("all coordinators call at the same time, want times that differ by seed")
 	}
 }
 
@@ -61,7 +61,7 @@
 	subscription.failed(time.Minute)
 	longest := time.Duration((minBackoffJitter + backoffJitterRange) * float64(initialSubscribeBackoff))
 	if wait := subscription.retryAt - time.Minute; wait > longest {
-		t.Errorf("next call after %v, want at most %v", wait, longest)
+		t.Errorf("wait before next call = %v, want at most %v", wait, longest)
 	}
 }
 
@@ -86,7 +86,7 @@
 				t.Errorf("start = %v, want %v", got, c.start)
 			}
 			if subscription.start(now) {
-				t.Error("start is true twice")
+				t.Error("second start = true, want false")
 			}
 		})
 	}
--- a/internal/routing/example_test.go
+++ b/internal/routing/example_test.go
@@ -7,7 +7,7 @@
 	"linkpass/internal/routing"
 )
 
-// A coordinator hands its router the events of a turn and carries out the actions.
+// A coordinator passes the events of each turn to its router and carries out the actions that it returns.
 func Example() {
 	router, err := routing.New(routing.Settings{
 		Tick: 5 * time.Millisecond, Coordinators: 1, HealthChecks: true,
--- a/internal/routing/forecast_test.go
+++ b/internal/routing/forecast_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Guards against a forecast by the last reports of replicas that answer no health checks any more.
+// Guards against a forecast based on the last load reports of replicas that no longer answer health checks.
 func TestForecastSkipsUnreachableReplicas(t *testing.T) {
 	h := newHarness(t, testSettings())
 	for _, id := range []ServerID{1, 2} {
@@ -15,11 +15,11 @@
 	}
 	forecaster := h.router.admission.forecaster
 	if got := forecaster.reachableReplicas(h.now, 0); len(got) != 1 || got[0].id != 3 {
-		t.Errorf("%d reachable replicas, want server 3 alone", len(got))
+		t.Errorf("reachable replicas = %v, want server 3 only", serverIDs(got))
 	}
 	h.server(3).checks.consecutiveFailures = maxConsecutiveCheckFailures
 	if got := forecaster.reachableReplicas(h.now, 0); len(got) != 3 {
-		t.Errorf("%d reachable replicas where none answers, want all 3", len(got))
+		t.Errorf("%d reachable replicas when all fail their health checks, want all 3", len(got))
 	}
 }
 
@@ -37,7 +37,7 @@
 	for name, c := range map[string]struct {
 		reported float64
 		waiting  float64
-		sentAgo  []time.Duration // of the attempts in flight
+		sentAgo  []time.Duration // ages of the attempts in flight
 		want     time.Duration
 	}{
 		"idle":               {0, 0, nil, 10 * ms},
@@ -59,16 +59,16 @@
 			forecaster := &forecaster{load: newLoadEstimator(&settings, newLatencyStats(&settings))}
 			got := forecaster.server(time.Minute, s, perUnitLoad, c.waiting)
 			if math.Abs(got-float64(c.want)) > 1 {
-				t.Errorf("forecast %v, want %v", time.Duration(got), c.want)
+				t.Errorf("forecast = %v, want %v", time.Duration(got), c.want)
 			}
 		})
 	}
 }
 
-// The forecasts of the replicas are 10 ms and 30 ms: 2/(1/10 + 1/30) = 15.
+// The forecasts of the two replicas are 10 ms and 30 ms, so their harmonic mean is 2/(1/10 + 1/30) = 15 ms.
 func TestForecastOfShardIsHarmonicMean(t *testing.T) {
 	for name, c := range map[string]struct {
-		backoff time.Duration // of the replica of 30 ms
+		backoff time.Duration // of the replica with a forecast of 30 ms
 		want    time.Duration
 	}{
 		"no backoff":   {0, 15 * ms},
@@ -83,7 +83,7 @@
 			forecaster := &forecaster{load: newLoadEstimator(&settings, newLatencyStats(&settings))}
 			got := forecaster.shard(time.Minute, []*server{fast, slow}, float64(10*ms), 0)
 			if math.Abs(got-float64(c.want)) > 1 {
-				t.Errorf("forecast %v, want %v", time.Duration(got), c.want)
+				t.Errorf("forecast = %v, want %v", time.Duration(got), c.want)
 			}
 		})
 	}
@@ -113,10 +113,10 @@
 			}
 			got := h.router.admission.forecaster.query(h.now, q, float64(c.limit))
 			if math.Abs(got.mean-c.mean) > 1 || got.worst != c.worst && math.Abs(got.worst-c.worst) > 1 {
-				t.Errorf("mean %v, worst %v; want %v, %v", got.mean, got.worst, c.mean, c.worst)
+				t.Errorf("mean, worst = %v, %v; want %v, %v", got.mean, got.worst, c.mean, c.worst)
 			}
 			if slow := serverIDs(got.slow); !slices.Equal(slow, c.slow) {
-				t.Errorf("slow replicas %v, want %v", slow, c.slow)
+				t.Errorf("slow replicas = %v, want %v", slow, c.slow)
 			}
 		})
 	}
--- a/internal/routing/harness_test.go
+++ b/internal/routing/harness_test.go
@@ -11,7 +11,7 @@
 // clientTimeout is the Arrival.Timeout of the harness's queries.
 const clientTimeout = 5 * time.Second
 
-// harness drives one router turn by turn and holds the actions of the latest turn.
+// harness runs one router turn by turn and keeps the actions of the latest turn.
 type harness struct {
 	t           *testing.T
 	router      *Router
@@ -19,10 +19,11 @@
 	actions     []Action // of the latest turn
 	queryNumber uint64   // of the latest query
 
-	keepsReplies bool // health check replies count in later races; otherwise each turn starts anew
+	keepsReplies bool // health check replies stay valid in later turns; false: each turn clears them
 }
 
-// testSettings are three shards in three cells of one class, with all features but slow start and quotas.
+// testSettings returns settings with three shards, three cells and one class. All features are on except slow
+// start and quotas.
 func testSettings() Settings {
 	return Settings{
 		Tick: 5 * ms, Coordinators: 1, Shards: 3, Cells: 3, ReplicasPerShard: 3, MaxAttempts: 4,
@@ -35,7 +36,7 @@
 	}
 }
 
-// partialSettings allow answers of at least half of the weight.
+// partialSettings returns settings that allow partial answers of at least half of the weight.
 func partialSettings() Settings {
 	settings := testSettings()
 	settings.Classes[0].RequiredWeight = 0.9
@@ -43,7 +44,7 @@
 	return settings
 }
 
-// slowStartSettings have a slow start of 15 s.
+// slowStartSettings returns settings with a slow start of 15 s.
 func slowStartSettings(initialShare, overloadFactor float64) Settings {
 	settings := testSettings()
 	settings.WarmupInitialShare = initialShare
@@ -52,14 +53,14 @@
 	return settings
 }
 
-// serviceTimeSettings have load reports of requests in flight and service time.
+// serviceTimeSettings returns settings whose load reports hold requests in flight and service time.
 func serviceTimeSettings() Settings {
 	settings := testSettings()
 	settings.ReportFields = []ReportField{FieldInFlight, FieldServiceTime}
 	return settings
 }
 
-// keyedSettings have an idempotency window of 500 ms and no hedges.
+// keyedSettings returns settings with an idempotency window of 500 ms and no hedging.
 func keyedSettings() Settings {
 	settings := testSettings()
 	settings.Hedging = false
@@ -68,12 +69,12 @@
 	return settings
 }
 
-// readyEndpoint is a ready server that started long ago.
+// readyEndpoint returns the endpoint of a ready server that started long ago.
 func readyEndpoint(server ServerID, cell int) Endpoint {
 	return Endpoint{Server: server, Cell: cell, State: Ready}
 }
 
-// readyEndpoints are ready servers from 1 on, one a cell.
+// readyEndpoints returns ready servers with IDs from 1, one per cell.
 func readyEndpoints(count int) []Endpoint {
 	endpoints := make([]Endpoint, count)
 	for i := range endpoints {
@@ -82,7 +83,7 @@
 	return endpoints
 }
 
-// newHarness has the servers 1 to 3 in the cells 0 to 2.
+// newHarness returns a harness with the servers 1 to 3 in the cells 0 to 2.
 func newHarness(t *testing.T, settings Settings) *harness {
 	t.Helper()
 	router, err := New(settings, 7)
@@ -94,7 +95,7 @@
 	return h
 }
 
-// turn plays a turn at the time of the one before.
+// turn runs a turn at the same clock time as the previous one.
 func (h *harness) turn(events ...Event) []Action {
 	for _, s := range h.router.endpoints.listed {
 		if !h.keepsReplies {
@@ -105,7 +106,7 @@
 	return h.actions
 }
 
-// advance plays a turn after some time.
+// advance moves the clock forward and runs a turn.
 func (h *harness) advance(elapsed time.Duration, events ...Event) []Action {
 	h.now += elapsed
 	return h.turn(events...)
@@ -115,12 +116,13 @@
 	return h.turn(EndpointUpdate{Mode: mode, Endpoints: endpoints})
 }
 
-// startQuery plays the arrival of a query with a part for each shard; the parts' ids follow the query's.
+// startQuery runs a turn in which a query arrives with one part per shard. The IDs of the parts follow that
+// of the query.
 func (h *harness) startQuery(id RequestID, class int, shards ...int) []Action {
 	return h.turn(h.queryArrivals(id, class, shards...)...)
 }
 
-// queryArrivals are the events of such a query.
+// queryArrivals returns the arrivals of such a query and its parts.
 func (h *harness) queryArrivals(id RequestID, class int, shards ...int) []Event {
 	h.queryNumber++
 	arrival := Arrival{ID: id, Shard: -1, Timeout: clientTimeout, Class: class, QueryNumber: h.queryNumber}
@@ -135,14 +137,15 @@
 	return events
 }
 
-// replacementPart is a part that takes the place of one of the latest query.
+// replacementPart returns the arrival of a part that replaces a part of the latest query.
 func (h *harness) replacementPart(id RequestID, shard int, weight float64) Arrival {
 	return Arrival{
 		ID: id, Shard: shard, Timeout: 4 * time.Second, QueryNumber: h.queryNumber, Weight: weight,
 	}
 }
 
-// playQuery plays a query of one part that one of the servers answers with the latency.
+// playQuery runs a query of one part from its arrival to its answer by one of the servers. The attempt takes
+// the given latency.
 func (h *harness) playQuery(id RequestID, latency time.Duration, servers ...ServerID) {
 	h.t.Helper()
 	h.startQuery(id, 0, 0)
@@ -150,7 +153,8 @@
 	h.advance(latency, attemptResult(id+1, 0, server, OK, latency))
 }
 
-// sendAfterChecks plays a race in which all of the servers reply, and returns the one that gets the attempt.
+// sendAfterChecks runs a race in which all of the given servers reply, and returns the server that gets the
+// attempt.
 func (h *harness) sendAfterChecks(servers ...ServerID) ServerID {
 	h.t.Helper()
 	var events []Event
@@ -163,32 +167,32 @@
 		sends = actionsOf[Send](h.advance(5 * ms))
 	}
 	if len(sends) != 1 {
-		h.t.Fatalf("%d sends: %v", len(sends), h.actions)
+		h.t.Fatalf("%d Send actions, want 1: %v", len(sends), h.actions)
 	}
 	return sends[0].Server
 }
 
-// server is what the router knows of a server.
+// server returns the router's state of a server.
 func (h *harness) server(id ServerID) *server { return h.router.endpoints.servers[id] }
 
-// setHealth sets a server's health for the only class.
+// setHealth sets a server's health for the single class.
 func (h *harness) setHealth(s *server, health float64) {
 	s.health = healthScores{byClass: []float64{health}, at: h.now}
 }
 
-// checkReply is a health check's reply with half of the CPU in use.
+// checkReply returns a successful health check result with a utilization of 0.5 and a latency of 2 ms.
 func checkReply(server ServerID, inFlight float64) HealthCheckResult {
 	result := reportReply(server, 0.5, inFlight)
 	result.Latency = 2 * ms
 	return result
 }
 
-// reportReply is a health check's reply with a load report and no latency.
+// reportReply returns a successful health check result with a load report and a latency of 0.
 func reportReply(server ServerID, report ...float64) HealthCheckResult {
 	return HealthCheckResult{Server: server, Code: OK, LoadReport: report}
 }
 
-// attemptResult is the result of a part's attempt.
+// attemptResult returns the result of an attempt of a part, without a load report.
 func attemptResult(
 	id RequestID, attempt int, server ServerID, code Code, latency time.Duration,
 ) AttemptResult {
@@ -206,7 +210,7 @@
 	return matching
 }
 
-// wantActions fails the test unless there are so many actions of one type, and returns them.
+// wantActions returns the actions of one type. It fails the test if their number is not count.
 func wantActions[A Action](t *testing.T, actions []Action, count int) []A {
 	t.Helper()
 	matching := actionsOf[A](actions)
@@ -216,7 +220,7 @@
 	return matching
 }
 
-// newServer is a listed and ready server of its own, without a router.
+// newServer returns a listed and ready server that belongs to no router.
 func newServer(id ServerID) *server {
 	s := &server{id: id, listed: true}
 	s.resetForRestart(readyEndpoint(id, int(id)-1), 1)
--- a/internal/routing/query_test.go
+++ b/internal/routing/query_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Guards against more attempts than allowed, or fewer, where parts replace one whose shard has moved.
+// Guards against too many or too few attempts for the parts that replace a part whose shard has moved: they
+// inherit its attempt count, without the attempt that ended with ShardMoved.
 func TestReplacementPartsInheritAttempts(t *testing.T) {
 	settings := testSettings()
 	settings.MaxAttempts = 2
@@ -26,11 +27,11 @@
 	wantActions[Reject](t, h.actions, 0)
 	h.advance(20*ms, attemptResult(13, 0, 3, ServerError, 20*ms))
 	if len(actionsOf[Reject](h.actions)) != 1 {
-		t.Errorf("%v: a replacement part had more attempts than were left", h.actions)
+		t.Errorf("actions = %v, want 1 Reject: the replacement part has no attempt left", h.actions)
 	}
 	outliers := h.router.results.outliers
 	if outliers.health(h.now, h.server(second), 0) < outliers.health(h.now, h.server(first), 0) {
-		t.Error("ShardMoved counted against the server's health")
+		t.Error("health of the server after ShardMoved is below that after ServerError, want it unaffected")
 	}
 }
 
@@ -47,13 +48,13 @@
 	h.sendAfterChecks(3)
 	h.advance(50*ms, attemptResult(12, 0, 3, OK, 50*ms))
 	if answers := wantActions[Answer](t, h.actions, 1); !answers[0].Complete {
-		t.Error("an answer of the full weight is not marked complete")
+		t.Error("Complete = false for an answer of the full weight, want true")
 	}
 	h.startQuery(20, 0, 100)
 	h.sendAfterChecks(1)
 	h.advance(50*ms, attemptResult(21, 0, 1, ShardMoved, 50*ms),
 		PartsReplaced{IDs: []RequestID{21}, ReceivedWeight: 0.75})
-	wantActions[Reject](t, h.actions, 1) // no part asks for the rest, and all of the weight is required
+	wantActions[Reject](t, h.actions, 1) // no part is left for the missing weight, and MinWeight is 1
 }
 
 func TestPartStates(t *testing.T) {
@@ -74,7 +75,7 @@
 			p := c.part
 			c.change(&p)
 			if p.state != c.want {
-				t.Errorf("part is %v, want %v", p.state, c.want)
+				t.Errorf("state = %v, want %v", p.state, c.want)
 			}
 		})
 	}
@@ -92,7 +93,8 @@
 			p := part{inFlight: c.inFlight}
 			p.evictBody()
 			if !p.bodyEvicted || p.evictedWithNoneInFlight != c.want {
-				t.Errorf("evicted %v, at rest %v; want true, %v", p.bodyEvicted, p.evictedWithNoneInFlight, c.want)
+				t.Errorf("evicted %v, none in flight %v; want true, %v",
+					p.bodyEvicted, p.evictedWithNoneInFlight, c.want)
 			}
 		})
 	}
@@ -126,10 +128,10 @@
 				event.IDs = append(event.IDs, p.id)
 			}
 			if got := index.removeReplaced(event); got != c.want {
-				t.Errorf("inherited %+v, want %+v", got, c.want)
+				t.Errorf("inherited = %+v, want %+v", got, c.want)
 			}
 			if q.receivedWeight != c.received {
-				t.Errorf("received weight %v, want %v", q.receivedWeight, c.received)
+				t.Errorf("receivedWeight = %v, want %v", q.receivedWeight, c.received)
 			}
 		})
 	}
@@ -141,7 +143,7 @@
 		Overloaded: false, ConnectFailed: false, NotSent: false, ShardMoved: false,
 	} {
 		if got := code.mayHaveRun(); got != want {
-			t.Errorf("code %d: may have run %v, want %v", code, got, want)
+			t.Errorf("mayHaveRun of code %d = %v, want %v", code, got, want)
 		}
 	}
 }
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -28,7 +28,7 @@
 		return log
 	}
 	if first, second := play(), play(); first != second {
-		t.Error("two routers with one seed differ")
+		t.Error("two routers with the same seed and events returned different actions")
 	}
 }
 
@@ -42,15 +42,15 @@
 	wantActions[Reject](t, h.startQuery(20, 0, 0, 1), 0)
 }
 
-// fleet carries out the actions for a fleet in which every third server never answers an attempt.
+// fleet simulates a fleet in which every third server answers health checks but never an attempt.
 type fleet struct {
 	*harness
 	open     []sentAttempt
 	attempts map[RequestID]int // by part
 	checks   []HealthCheck     // of the latest turn
 
-	started, answered int    // queries
-	unresponsive      [2]int // attempts sent to unresponsive servers in each half of the turns
+	started, answered int    // numbers of queries
+	unresponsive      [2]int // attempts sent to unresponsive servers, by half of the turns
 }
 
 type sentAttempt struct {
@@ -62,7 +62,7 @@
 
 const (
 	fleetServers = 160
-	fleetTurns   = 4000 // of 5 ms: 20 s
+	fleetTurns   = 4000 // 5 ms each, 20 s in all
 )
 
 func newFleet(t *testing.T) *fleet {
@@ -78,7 +78,7 @@
 
 func isUnresponsive(server ServerID) bool { return server%3 == 0 }
 
-// results are the events of the health checks of the turn before and of the attempts that are due.
+// results returns the results of the previous turn's health checks and of the attempts that are due.
 func (f *fleet) results() []Event {
 	var events []Event
 	for _, check := range f.checks {
@@ -96,7 +96,7 @@
 	return events
 }
 
-// nextQuery are the arrivals of a query of twelve parts.
+// nextQuery returns the arrivals of a query of twelve parts.
 func (f *fleet) nextQuery() []Event {
 	f.started++
 	shards := make([]int, 12)
@@ -106,7 +106,7 @@
 	return f.queryArrivals(RequestID(1000*f.started), 0, shards...)
 }
 
-// takeActions follows the actions of a turn, whose number is from 0.
+// takeActions records the actions of a turn. Turns are numbered from 0.
 func (f *fleet) takeActions(turn int) {
 	f.checks = actionsOf[HealthCheck](f.actions)
 	f.answered += len(actionsOf[Answer](f.actions))
@@ -119,7 +119,8 @@
 	}
 }
 
-// Guards against parts without a hedge past an unresponsive server, and against choosing it again and again.
+// Guards against parts that wait for an unresponsive server without a hedge, and against a selection that
+// keeps choosing unresponsive servers.
 func TestRouterAvoidsUnresponsiveThirdOfFleet(t *testing.T) {
 	f := newFleet(t)
 	for turn := range fleetTurns {
@@ -135,7 +136,7 @@
 		t.Errorf("%d of %d queries answered, want at least nine in ten", f.answered, f.started)
 	}
 	if f.unresponsive[0] == 0 || f.unresponsive[1] > f.unresponsive[0]/2 {
-		t.Errorf("attempts sent to unresponsive servers in each 10 s: %v, want a half or less later",
+		t.Errorf("attempts to unresponsive servers in each 10 s = %v, want above 0, then at most half",
 			f.unresponsive)
 	}
 }
--- a/internal/routing/settings_test.go
+++ b/internal/routing/settings_test.go
@@ -16,7 +16,7 @@
 		settings := testSettings()
 		change(&settings)
 		if router, err := New(settings, 1); err == nil || router != nil {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("%s: New returned error %v, want an error and no router", name, err)
 		}
 	}
 }
@@ -52,13 +52,13 @@
 			err := settings.check()
 			if c.setting == "" {
 				if err != nil {
-					t.Errorf("error %v, want none", err)
+					t.Errorf("check = %v, want no error", err)
 				}
 				return
 			}
 			var settingsError *SettingsError
 			if !errors.As(err, &settingsError) || settingsError.Setting != c.setting {
-				t.Errorf("error %v, want a *SettingsError of %s", err, c.setting)
+				t.Errorf("check = %v, want a *SettingsError with Setting %s", err, c.setting)
 			}
 		})
 	}
@@ -77,7 +77,7 @@
 			settings := Settings{RetryBudgetWindow: c.window, MaxWriteDelay: c.delay}
 			arrivals, attempts := settings.retryBudgetSpans()
 			if arrivals != c.arrivals || attempts != c.attempts {
-				t.Errorf("spans %v and %v, want %v and %v", arrivals, attempts, c.arrivals, c.attempts)
+				t.Errorf("spans = %v, %v; want %v, %v", arrivals, attempts, c.arrivals, c.attempts)
 			}
 		})
 	}
@@ -95,7 +95,7 @@
 		t.Run(name, func(t *testing.T) {
 			class := Class{Idempotency: c.idempotency, IdempotencyWindow: 500 * ms}
 			if got := class.retryableUntil(time.Minute); got != c.want {
-				t.Errorf("retryable until %v, want %v", got, c.want)
+				t.Errorf("retryableUntil = %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/internal/routing/sliding_window_test.go
+++ b/internal/routing/sliding_window_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// Guards against a median or a count that differs from one computed anew from the samples within the span.
+// Guards against a median or count that drifts from the samples in the window, as the sorted list is updated
+// incrementally. The test compares both with values computed from scratch after every sample.
 func TestSlidingWindowMatchesItsSamples(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	w := newSlidingWindow(time.Second)
@@ -25,12 +26,12 @@
 		want := slices.Sorted(slices.Values(values))
 		middle := (want[(len(want)-1)/2] + want[len(want)/2]) / 2
 		if w.median(now, -1) != middle || w.count(now) != len(want) || !slices.Equal(w.sorted, want) {
-			t.Fatalf("%v: median %v of %d, want %v of %d",
+			t.Fatalf("at %v: median, count = %v, %d; want %v, %d",
 				now, w.median(now, -1), w.count(now), middle, len(want))
 		}
 	}
 	if w.median(now+2*time.Second, -1) != -1 || w.count(now+2*time.Second) != 0 || len(w.sorted) != 0 {
-		t.Error("old samples stay")
+		t.Error("window still holds samples older than its span")
 	}
 }
 
@@ -43,9 +44,9 @@
 		t.Errorf("median = %v, want 4", median)
 	}
 	if median, count := w.median(11*time.Second, 0), w.count(11*time.Second); median != 51.5 || count != 2 {
-		t.Errorf("after the first samples: median %v of %d, want 51.5 of 2", median, count)
+		t.Errorf("after two samples expired: median, count = %v, %d; want 51.5, 2", median, count)
 	}
 	if median := w.median(time.Minute, 7); median != 7 {
-		t.Errorf("empty: median %v, want the fallback 7", median)
+		t.Errorf("median of an empty window = %v, want the fallback 7", median)
 	}
 }
--- a/internal/routing/tenant_quota_test.go
+++ b/internal/routing/tenant_quota_test.go
@@ -11,7 +11,7 @@
 	limit := int(quotaTolerance * perSecond / coordinators * quotaWindow.Seconds())
 	for name, c := range map[string]struct {
 		tenant   int
-		arrivals int // before the one asked about
+		arrivals int // before the arrival under test
 		elapsed  time.Duration
 		want     bool
 	}{
@@ -46,9 +46,9 @@
 		quotas.countArrival(time.Minute, 1)
 	}
 	if quotas.countArrival(time.Minute, 0) {
-		t.Error("arrivals of one tenant count against the quota of another")
+		t.Error("exceeded = true for tenant 0 after arrivals of tenant 1 only, want false")
 	}
 	if !quotas.countArrival(time.Minute, 1) {
-		t.Error("arrivals of the second tenant do not count against its own quota")
+		t.Error("exceeded = false for tenant 1 after 100 arrivals, want true")
 	}
 }
--- a/internal/routing/turn_timer_test.go
+++ b/internal/routing/turn_timer_test.go
@@ -8,9 +8,9 @@
 func TestTurnTimerSet(t *testing.T) {
 	const now = time.Minute
 	for name, c := range map[string]struct {
-		pending time.Duration // when the timer set before fires; 0: none
+		pending time.Duration // clock time at which the previous timer fires; 0: no previous timer
 		at      time.Duration
-		after   time.Duration // of the SetTimer action; 0: none
+		after   time.Duration // SetTimer.After; 0: no action wanted
 	}{
 		"no timer":                 {0, now + 5*ms, 5 * ms},
 		"timer has fired":          {now, now + 5*ms, 5 * ms},
@@ -30,7 +30,7 @@
 			}
 			got := wantActions[SetTimer](t, actions.list, 1)[0]
 			if want := (SetTimer{After: c.after, Token: 8}); got != want {
-				t.Errorf("%+v, want %+v", got, want)
+				t.Errorf("action = %+v, want %+v", got, want)
 			}
 		})
 	}
