--- a/internal/routing/admission.go
+++ b/internal/routing/admission.go
@@ -15,11 +15,11 @@
 	strictLatencyShare = 0.9
 
 	// Highest forecast latency of a query's slowest part, as a share of the latency objective.
-	admittedWorstShare = 0.65
+	admittedWorstLatencyShare = 0.65
 
 	// Time for which the coordinator counts as overloaded after it rejects a query for lack of capacity, as a
 	// multiple of the latency objective.
-	overloadedObjectives = 0.5
+	overloadedPeriodObjectives = 0.5
 
 	// Bounds of the factor by which the value of a query per unit of work scales its latency limit.
 	minValueFactor, maxValueFactor = 0.4, 1.3
@@ -37,21 +37,21 @@
 	quotas     *tenantQuota
 	forecaster *forecaster
 
-	maxOpen      int            // open queries plus parts at a time; 0: no limit
-	values       *slidingWindow // value per unit of work of the queries that arrived
-	overloadedAt time.Duration  // when a query was last rejected for lack of capacity
+	maxOpen       int            // open queries plus parts at a time; 0: no limit
+	valuesPerWork *slidingWindow // value per unit of work of the queries that arrived
+	overloadedAt  time.Duration  // when a query was last rejected for lack of capacity
 }
 
 func newAdmissionControl(settings *Settings, queries *queryIndex, forecaster *forecaster) *admissionControl {
 	return &admissionControl{
-		settings:     settings,
-		queries:      queries,
-		latencies:    forecaster.latencies,
-		quotas:       newTenantQuota(settings),
-		forecaster:   forecaster,
-		maxOpen:      settings.MaxOpen,
-		values:       newSlidingWindow(statsWindow),
-		overloadedAt: math.MinInt64 / 2,
+		settings:      settings,
+		queries:       queries,
+		latencies:     forecaster.latencies,
+		quotas:        newTenantQuota(settings),
+		forecaster:    forecaster,
+		maxOpen:       settings.MaxOpen,
+		valuesPerWork: newSlidingWindow(statsWindow),
+		overloadedAt:  math.MinInt64 / 2,
 	}
 }
 
@@ -64,20 +64,20 @@
 
 // decide admits a new query or returns its rejection.
 func (c *admissionControl) decide(now time.Duration, q *query) (admitted bool, r rejection) {
-	value := c.value(now, q)
+	value := c.valuePerWork(now, q)
 	limit := c.latencyLimit(now, q, value)
 	expected := c.forecaster.query(now, q, limit/2)
 	full := c.isFull()
 	tooSlow := expected.mean > limit
-	worstTooSlow := expected.worst > admittedWorstShare*float64(q.class.LatencyObjective)
+	worstTooSlow := expected.worst > admittedWorstLatencyShare*float64(q.class.LatencyObjective)
 	unsupported := len(q.parts) == 0 || q.class.FetchParts > 0 || q.class.Stream
 	if !full && !tooSlow && !worstTooSlow && !unsupported {
 		return true, rejection{}
 	}
 	// A single shard that is overloaded or has no replica does not make the coordinator overloaded.
 	meanOfOthers := expected.mean - expected.worst/float64(len(q.parts))
-	oneShard := worstTooSlow && meanOfOthers <= limit
-	if full || tooSlow && !oneShard {
+	onlyWorstTooSlow := worstTooSlow && meanOfOthers <= limit
+	if full || tooSlow && !onlyWorstTooSlow {
 		c.overloadedAt = now
 	}
 	return false, rejection{
@@ -100,29 +100,30 @@
 	} else {
 		limit *= strictLatencyShare / (1 + math.Log(float64(max(1, len(q.parts)))))
 	}
-	return limit * max(minValueFactor, min(maxValueFactor, value/c.values.median(now, value)))
+	return limit * max(minValueFactor, min(maxValueFactor, value/c.valuesPerWork.median(now, value)))
 }
 
-// value returns the value of a query per unit of work: the priority weight of its class, divided by the work
-// of its parts relative to the median part. A query beyond its tenant's quota is worth less. It counts the
-// query as an arrival, so it has to be called once per query.
-func (c *admissionControl) value(now time.Duration, q *query) float64 {
+// valuePerWork returns the value of a query per unit of work: the priority weight of its class, divided by
+// the work of its parts relative to the median part. A query beyond its tenant's quota is worth less. The
+// call counts the query as an arrival, so it has to be made once per query.
+func (c *admissionControl) valuePerWork(now time.Duration, q *query) float64 {
 	weight := q.class.PriorityWeight
 	if c.quotas.countArrival(now, q.tenant) {
 		weight *= c.settings.OverQuotaFactor
 	}
 	value := weight / (c.latencies.relativeWork(now, q.classIndex) * float64(max(1, len(q.parts))))
-	c.values.add(now, value)
+	c.valuesPerWork.add(now, value)
 	return value
 }
 
-// isOverloaded reports whether a query was rejected for lack of capacity within overloadedObjectives latency
-// objectives of the class.
+// isOverloaded reports whether a query was rejected for lack of capacity within the last
+// overloadedPeriodObjectives latency objectives of the class.
 func (c *admissionControl) isOverloaded(now time.Duration, class *Class) bool {
-	return now < c.overloadedAt+time.Duration(overloadedObjectives*float64(class.LatencyObjective))
+	return now < c.overloadedAt+time.Duration(overloadedPeriodObjectives*float64(class.LatencyObjective))
 }
 
-// wasOverloaded reports whether a query was rejected for lack of capacity within the last statsWindow.
-func (c *admissionControl) wasOverloaded(now time.Duration) bool {
+// wasRecentlyOverloaded reports whether a query was rejected for lack of capacity within the last
+// statsWindow.
+func (c *admissionControl) wasRecentlyOverloaded(now time.Duration) bool {
 	return now <= c.overloadedAt+statsWindow
 }
--- a/internal/routing/admission_test.go
+++ b/internal/routing/admission_test.go
@@ -184,7 +184,7 @@
 			settings := testSettings()
 			settings.Hedging = !c.noHedging
 			admission := newTestAdmission(&settings)
-			admission.values.add(time.Minute, 1)
+			admission.valuesPerWork.add(time.Minute, 1)
 			if c.overloaded {
 				admission.overloadedAt = time.Minute
 			}
@@ -197,7 +197,7 @@
 	}
 }
 
-func TestAdmissionValue(t *testing.T) {
+func TestAdmissionValuePerWork(t *testing.T) {
 	const overQuotaFactor = 0.25
 	for name, c := range map[string]struct {
 		parts     int
@@ -221,20 +221,20 @@
 				}
 			}
 			q := &query{class: &settings.Classes[0], parts: make([]*part, c.parts)}
-			if got := admission.value(time.Minute, q); math.Abs(got-c.want) > 1e-9 {
+			if got := admission.valuePerWork(time.Minute, q); math.Abs(got-c.want) > 1e-9 {
 				t.Errorf("value = %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-func TestAdmissionOverloadedTimes(t *testing.T) {
+func TestAdmissionOverloadedPeriods(t *testing.T) {
 	const objective = 2 * time.Second
-	short := time.Duration(overloadedObjectives * float64(objective))
+	short := time.Duration(overloadedPeriodObjectives * float64(objective))
 	for name, c := range map[string]struct {
-		elapsed      time.Duration
-		isOverloaded bool
-		was          bool
+		elapsed       time.Duration
+		isOverloaded  bool
+		wasOverloaded bool
 	}{
 		"at the rejection":  {0, true, true},
 		"before the end":    {short - 1, true, true},
@@ -246,16 +246,16 @@
 			settings := testSettings()
 			admission := newTestAdmission(&settings)
 			isOverloaded := admission.isOverloaded(time.Minute, &settings.Classes[0])
-			if isOverloaded || admission.wasOverloaded(time.Minute) {
-				t.Error("isOverloaded or wasOverloaded = true before any rejection, want false")
+			if isOverloaded || admission.wasRecentlyOverloaded(time.Minute) {
+				t.Error("isOverloaded or wasRecentlyOverloaded = true before any rejection, want false")
 			}
 			admission.overloadedAt = time.Minute
 			now := time.Minute + c.elapsed
 			if got := admission.isOverloaded(now, &settings.Classes[0]); got != c.isOverloaded {
 				t.Errorf("isOverloaded = %v, want %v", got, c.isOverloaded)
 			}
-			if got := admission.wasOverloaded(now); got != c.was {
-				t.Errorf("wasOverloaded = %v, want %v", got, c.was)
+			if got := admission.wasRecentlyOverloaded(now); got != c.wasOverloaded {
+				t.Errorf("wasRecentlyOverloaded = %v, want %v", got, c.wasOverloaded)
 			}
 		})
 	}
--- a/internal/routing/completion.go
+++ b/internal/routing/completion.go
@@ -7,8 +7,8 @@
 	weightTolerance     = 1e-4 // absorbs rounding in sums of part weights
 )
 
-// completion decides when and how an open query ends.
-type completion struct {
+// completionPolicy decides when and how an open query ends.
+type completionPolicy struct {
 	settings  *Settings
 	admission *admissionControl
 }
@@ -64,35 +64,35 @@
 )
 
 // decide returns the decision for an open query, given the progress of its parts.
-func (c *completion) decide(now time.Duration, q *query, p progress) decision {
+func (c *completionPolicy) decide(now time.Duration, q *query, p progress) decision {
 	isComplete := p.received >= q.class.RequiredWeight-weightTolerance
 	isEnough := p.received >= q.class.MinWeight-weightTolerance && (len(q.parts) > 0 || p.received > 0)
-	isTimeUp := now >= q.endsAt-deadlineMarginTicks*c.settings.Tick
-	isHopeless := p.received+p.possible < q.class.MinWeight-weightTolerance
+	isExpired := now >= q.endsAt-deadlineMarginTicks*c.settings.Tick
+	isMinWeightOutOfReach := p.received+p.possible < q.class.MinWeight-weightTolerance
 	switch {
 	case isComplete:
 		return answerComplete
-	case isEnough && (isTimeUp || !p.isPending):
+	case isEnough && (isExpired || !p.isPending):
 		return answerPartial
-	case isTimeUp:
+	case isExpired:
 		return fail
 	// Reject tells the client that a repeat is safe, so a query whose repeat may not be safe fails instead.
-	case isHopeless && (q.class.Idempotency != Idempotent || p.mayHaveRun && p.bodyEvicted):
+	case isMinWeightOutOfReach && (q.class.Idempotency != Idempotent || p.mayHaveRun && p.bodyEvicted):
 		return fail
-	case isHopeless:
+	case isMinWeightOutOfReach:
 		return reject
-	case !isEnough && c.isWorthless(now, q, p.possible):
+	case !isEnough && c.isTooLate(now, q, p.possible):
 		return rejectTooLate
 	default:
 		return keepOpen
 	}
 }
 
-// isWorthless reports whether a query is past its latency objective and its late answer has no value or,
+// isTooLate reports whether a query is past its latency objective and its late answer has no value or,
 // while the coordinator is overloaded, less value than the remaining work. It is false where a repeat by the
 // client could execute the query twice (NonIdempotent), and where canceling the attempts saves no work (no
 // hedging).
-func (c *completion) isWorthless(now time.Duration, q *query, possible float64) bool {
+func (c *completionPolicy) isTooLate(now time.Duration, q *query, possible float64) bool {
 	isLate := now >= q.arrivedAt+q.class.LatencyObjective
 	if !isLate || !c.settings.Hedging || q.class.Idempotency == NonIdempotent {
 		return false
--- a/internal/routing/completion_test.go
+++ b/internal/routing/completion_test.go
@@ -115,16 +115,16 @@
 	}
 	q := &query{class: class, arrivedAt: decideArrival, endsAt: decideArrival + clientTimeout}
 	q.parts = []*part{{query: q}}
-	rule := &completion{settings: &settings, admission: admission}
-	return rule.decide(now, q, c.progress)
+	policy := &completionPolicy{settings: &settings, admission: admission}
+	return policy.decide(now, q, c.progress)
 }
 
 // The class has a RequiredWeight of 0.9 and a MinWeight of 0.5.
 func TestCompletionDecideByWeight(t *testing.T) {
-	hopeless := progress{received: 0.2, possible: 0.2, isPending: true}
-	evicted := hopeless
+	outOfReach := progress{received: 0.2, possible: 0.2, isPending: true}
+	evicted := outOfReach
 	evicted.bodyEvicted = true
-	ran := hopeless
+	ran := outOfReach
 	ran.mayHaveRun = true
 	ranEvicted := evicted
 	ranEvicted.mayHaveRun = true
@@ -144,12 +144,12 @@
 		"enough, one pending": {
 			progress: progress{received: 0.5, possible: 0.5, isPending: true}, want: keepOpen,
 		},
-		"hopeless":                             {progress: hopeless, want: reject},
-		"hopeless, may have run":               {progress: ran, want: reject},
-		"hopeless, body evicted":               {progress: evicted, want: reject},
-		"hopeless, may have run, body evicted": {progress: ranEvicted, want: fail},
-		"hopeless, non-idempotent":             {progress: hopeless, change: nonIdempotent, want: fail},
-		"hopeless, with key":                   {progress: hopeless, change: withKey, want: fail},
+		"out of reach":                             {progress: outOfReach, want: reject},
+		"out of reach, may have run":               {progress: ran, want: reject},
+		"out of reach, body evicted":               {progress: evicted, want: reject},
+		"out of reach, may have run, body evicted": {progress: ranEvicted, want: fail},
+		"out of reach, non-idempotent":             {progress: outOfReach, change: nonIdempotent, want: fail},
+		"out of reach, with key":                   {progress: outOfReach, change: withKey, want: fail},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := c.decide(); got != c.want {
--- a/internal/routing/forecast.go
+++ b/internal/routing/forecast.go
@@ -6,7 +6,7 @@
 )
 
 // Ratio of the final latency of the attempts in flight at a server to their current age, in steady state.
-const latencyOverAge = 2
+const latencyToAgeRatio = 2
 
 // forecaster forecasts the latency of the parts of a query if they were sent now.
 type forecaster struct {
@@ -70,7 +70,7 @@
 // or wrong.
 func (f *forecaster) server(now time.Duration, s *server, perUnitLoad, waiting float64) float64 {
 	byLoad := perUnitLoad * (f.load.load(now, s) + waiting)
-	return max(byLoad, latencyOverAge*s.inFlight.meanAge(now))
+	return max(byLoad, latencyToAgeRatio*s.inFlight.meanAge(now))
 }
 
 // reachableReplicas returns the replicas of a shard that may get an attempt soon. Replicas that fail their
--- a/internal/routing/forecast_test.go
+++ b/internal/routing/forecast_test.go
@@ -44,7 +44,7 @@
 		"by load":            {4, 0, nil, 50 * ms},
 		"with waiting parts": {4, 1.5, nil, 65 * ms},
 		"by the age of attempts": {
-			0, 0, []time.Duration{100 * ms, 140 * ms}, latencyOverAge * 80 * ms,
+			0, 0, []time.Duration{100 * ms, 140 * ms}, latencyToAgeRatio * 80 * ms,
 		},
 		"by load, the attempts are new": {4, 0, []time.Duration{0}, 60 * ms},
 	} {
--- a/internal/routing/query.go
+++ b/internal/routing/query.go
@@ -70,7 +70,7 @@
 // attemptCount returns the number of attempts that count toward Settings.MaxAttempts.
 func (p *part) attemptCount() int { return p.inheritedAttempts + len(p.servers) }
 
-// wait makes the part wait for a replica. The next placeParts begins a health-check race for it.
+// wait makes the part wait for a replica. The next dispatchParts starts a health-check race for it.
 func (p *part) wait() { p.state, p.race = partWaiting, nil }
 
 // stopWaiting ends the wait without a new attempt. Attempts in flight may still answer the part; without any
@@ -92,12 +92,12 @@
 }
 
 // inherit copies the attempt history of the parts that this part replaces.
-func (p *part) inherit(from replaced) {
+func (p *part) inherit(from inheritedState) {
 	p.inheritedAttempts, p.mayHaveRun, p.retryableUntil = from.attempts, from.mayHaveRun, from.retryableUntil
 }
 
-// isAt reports whether an attempt of the part is in flight at a server.
-func (p *part) isAt(s *server) bool {
+// isInFlightAt reports whether an attempt of the part is in flight at a server.
+func (p *part) isInFlightAt(s *server) bool {
 	return slices.ContainsFunc(p.inFlight, func(a *attempt) bool { return a.server == s })
 }
 
@@ -179,8 +179,8 @@
 	return p
 }
 
-// replaced is the attempt history that new parts inherit from the parts they replace.
-type replaced struct {
+// inheritedState is the attempt history that new parts inherit from the parts they replace.
+type inheritedState struct {
 	attempts       int // the highest count among the replaced parts
 	mayHaveRun     bool
 	retryableUntil time.Duration
@@ -188,8 +188,8 @@
 
 // removeReplaced removes the parts whose shards have moved and returns what their replacements inherit. The
 // last attempt of each part had no effect because of the move, so it does not count.
-func (x *queryIndex) removeReplaced(e PartsReplaced) replaced {
-	inherited := replaced{retryableUntil: unbounded}
+func (x *queryIndex) removeReplaced(e PartsReplaced) inheritedState {
+	inherited := inheritedState{retryableUntil: unbounded}
 	weight := e.ReceivedWeight
 	for _, id := range e.IDs {
 		p := x.parts[id]
--- a/internal/routing/query_test.go
+++ b/internal/routing/query_test.go
@@ -57,7 +57,7 @@
 	wantActions[Reject](t, h.actions, 1) // no part is left for the missing weight, and MinWeight is 1
 }
 
-func TestPartStates(t *testing.T) {
+func TestPartStateTransitions(t *testing.T) {
 	inFlight := []*attempt{{}}
 	for name, c := range map[string]struct {
 		part   part
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestPartEvictBodyAtRest(t *testing.T) {
+func TestPartEvictBodyRecordsAttemptsInFlight(t *testing.T) {
 	for name, c := range map[string]struct {
 		inFlight []*attempt
 		want     bool
@@ -104,18 +104,18 @@
 	until := time.Minute
 	for name, c := range map[string]struct {
 		parts    []*part
-		want     replaced
+		want     inheritedState
 		received float64
 	}{
-		"no part": {nil, replaced{retryableUntil: unbounded}, 0},
+		"no part": {nil, inheritedState{retryableUntil: unbounded}, 0},
 		"answered before": {[]*part{{state: partAnswered, mayHaveRun: true, servers: make([]*server, 3)}},
-			replaced{retryableUntil: unbounded}, 0},
+			inheritedState{retryableUntil: unbounded}, 0},
 		"last attempt does not count": {[]*part{{servers: make([]*server, 3), retryableUntil: unbounded}},
-			replaced{attempts: 2, retryableUntil: unbounded}, 0.5},
+			inheritedState{attempts: 2, retryableUntil: unbounded}, 0.5},
 		"most attempts, least time": {[]*part{
 			{servers: make([]*server, 1), retryableUntil: until},
 			{servers: make([]*server, 2), inheritedAttempts: 1, mayHaveRun: true, retryableUntil: unbounded},
-		}, replaced{attempts: 2, mayHaveRun: true, retryableUntil: until}, 0.5},
+		}, inheritedState{attempts: 2, mayHaveRun: true, retryableUntil: until}, 0.5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			settings := testSettings()
@@ -128,7 +128,7 @@
 				event.IDs = append(event.IDs, p.id)
 			}
 			if got := index.removeReplaced(event); got != c.want {
-				t.Errorf("inherited = %+v, want %+v", got, c.want)
+				t.Errorf("inheritedState = %+v, want %+v", got, c.want)
 			}
 			if q.receivedWeight != c.received {
 				t.Errorf("receivedWeight = %v, want %v", q.receivedWeight, c.received)
--- a/internal/routing/replica_selection.go
+++ b/internal/routing/replica_selection.go
@@ -54,7 +54,7 @@
 // its attempts, if there are any.
 func (r *replicaSelector) candidates(now time.Duration, p *part) []*server {
 	eligible := filter(r.endpoints.replicasOf(p.shard), func(s *server) bool {
-		return r.eligibility.mayGetAttempt(now, s) && !p.isAt(s)
+		return r.eligibility.mayGetAttempt(now, s) && !p.isInFlightAt(s)
 	})
 	healthy := r.outliers.eject(now, eligible, p.query.classIndex)
 	return prefer(healthy, func(s *server) bool { return !slices.Contains(p.servers, s) })
@@ -86,7 +86,7 @@
 		cost -= sharedRequestBonus
 	}
 	cost /= math.Pow(r.outliers.health(now, s, p.query.classIndex), healthExponent)
-	if s.endpoint.Zone != r.settings.Zone && !r.admission.wasOverloaded(now) {
+	if s.endpoint.Zone != r.settings.Zone && !r.admission.wasRecentlyOverloaded(now) {
 		cost += sameZoneBonus * r.settings.CrossZoneCost
 	}
 	return cost
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -23,7 +23,7 @@
 	retries      *retryPolicy
 	hedger       *hedger
 	admission    *admissionControl
-	completion   *completion
+	completion   *completionPolicy
 }
 
 // New returns a router with no endpoints and no open queries. The same settings, seed and turns give the same
@@ -55,7 +55,7 @@
 		retries:      retries,
 		hedger:       newHedger(set, results, retries),
 		admission:    admission,
-		completion:   &completion{settings: set, admission: admission},
+		completion:   &completionPolicy{settings: set, admission: admission},
 	}, nil
 }
 
@@ -73,7 +73,7 @@
 	}
 	r.results.update(now, len(r.endpoints.listed))
 	r.decideQueries()
-	r.placeParts()
+	r.dispatchParts()
 	r.setTimer()
 	return r.actions.list
 }
@@ -161,8 +161,8 @@
 	r.checks.check(r.now, eligible, 0)
 }
 
-// decideQueries admits or rejects the new queries and ends those that completion decides to end, in order of
-// arrival.
+// decideQueries admits or rejects the new queries and ends those that completionPolicy decides to end, in
+// order of arrival.
 func (r *Router) decideQueries() {
 	r.admission.forecaster.waitingParts = 0
 	for _, q := range r.queries.open {
@@ -191,7 +191,7 @@
 	r.reject(q, rejection.retryAfter)
 }
 
-// review ends an open query if completion decides so. Otherwise it looks for overdue attempts to hedge.
+// review ends an open query if completionPolicy decides so. Otherwise it looks for overdue attempts to hedge.
 func (r *Router) review(q *query) {
 	progress := progressOf(q)
 	r.admission.forecaster.waitingParts += progress.waiting
@@ -228,9 +228,9 @@
 	r.queries.end(q)
 }
 
-// placeParts starts a health-check race for the parts that began to wait for a replica, and sends the parts
-// whose race is over.
-func (r *Router) placeParts() {
+// dispatchParts starts a health-check race for the parts that began to wait for a replica, and sends the
+// parts whose race is over.
+func (r *Router) dispatchParts() {
 	clear(r.selector.partsSent)
 	race := newHealthCheckRace(r.now)
 	for _, q := range r.queries.open {
--- a/internal/routing/settings_test.go
+++ b/internal/routing/settings_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-const layoutSettings = "Shards, Cells, ReplicasPerShard"
+const placementSettings = "Shards, Cells, ReplicasPerShard"
 
 var checkCases = map[string]struct {
 	change  func(*Settings)
@@ -29,11 +29,11 @@
 }{
 	"usable":                    {func(*Settings) {}, ""},
 	"as many replicas as cells": {func(s *Settings) { s.ReplicasPerShard = s.Cells }, ""},
-	"no shards":                 {func(s *Settings) { s.Shards = 0 }, layoutSettings},
-	"no cells":                  {func(s *Settings) { s.Cells = 0 }, layoutSettings},
-	"no replicas":               {func(s *Settings) { s.ReplicasPerShard = 0 }, layoutSettings},
+	"no shards":                 {func(s *Settings) { s.Shards = 0 }, placementSettings},
+	"no cells":                  {func(s *Settings) { s.Cells = 0 }, placementSettings},
+	"no replicas":               {func(s *Settings) { s.ReplicasPerShard = 0 }, placementSettings},
 	"more replicas than cells": {
-		func(s *Settings) { s.ReplicasPerShard = s.Cells + 1 }, layoutSettings,
+		func(s *Settings) { s.ReplicasPerShard = s.Cells + 1 }, placementSettings,
 	},
 	"no classes":                     {func(s *Settings) { s.Classes = nil }, "Classes"},
 	"no coordinators":                {func(s *Settings) { s.Coordinators = 0 }, "Coordinators"},
