--- a/internal/routing/events.go
+++ b/internal/routing/events.go
@@ -30,7 +30,7 @@
 type Endpoint struct {
 	Server    ServerID
 	Zone      int
-	Kind      int
+	Kind      int // not used by the rules
 	Cell      int // replica placement group
 	State     EndpointState
 	Weight    float64       // concurrent requests it can serve, if Settings.WeightsAreCapacities is set
@@ -60,9 +60,9 @@
 	Shard        int
 	Timeout      time.Duration // time after which the client abandons the query
 	Class        int           // index into Settings.Classes
-	IsRetry      bool          // the client repeats an earlier query
-	ExpectedWork time.Duration // 0: unknown
-	Key          uint64        // 0: none
+	IsRetry      bool          // the client repeats an earlier query; not used by the rules
+	ExpectedWork time.Duration // 0: unknown; not used by the rules
+	Key          uint64        // 0: none; not used by the rules
 	Weight       float64       // of a part: its share of the answer, 0 to 1; of a query: its number of parts
 	QueryNumber  uint64        // the same for a query and its parts
 	Tenant       int           // index into Settings.Tenants; an index beyond them means no tenant
@@ -108,8 +108,8 @@
 	Server     ServerID
 	Code       Code
 	Latency    time.Duration // from the send to the result
-	Final      bool
-	LoadReport []float64 // in the order of Settings.ReportFields; empty: none
+	Final      bool          // the part has been answered; not used by the rules
+	LoadReport []float64     // in the order of Settings.ReportFields; empty: none
 }
 
 // ClientDisconnected reports that the client of a query has disconnected. The router ends the query without
--- a/internal/routing/query.go
+++ b/internal/routing/query.go
@@ -56,7 +56,7 @@
 	weight float64
 	state  partState
 
-	servers                 []*server // of its own attempts, in order
+	servers                 []*server // of the part's own attempts, in order
 	inheritedAttempts       int       // attempts of the parts that it replaced
 	inFlight                []*attempt
 	mayHaveRun              bool          // a server may have executed an attempt
--- a/internal/routing/settings.go
+++ b/internal/routing/settings.go
@@ -60,7 +60,7 @@
 // Tenant describes the quota of a tenant.
 type Tenant struct {
 	QuotaPerSecond float64 // queries per second over all coordinators; 0: no quota
-	Share          float64 // share of the fleet's capacity, 0 to 1
+	Share          float64 // share of the fleet's capacity, 0 to 1; not used by the rules
 }
 
 // Settings configure a Router. They are fixed at start.
@@ -81,7 +81,7 @@
 	ReplicasPerShard int           // number of cells that hold a shard
 	PartsPerRequest  int           // number of parts that may share a request to a server
 	RequestCost      time.Duration // overhead of a request in addition to the work of its parts; 0: none
-	CachesKeys       bool          // a server needs less work for a recently served key
+	CachesKeys       bool          // recently served keys cost a server less; not used by the rules
 
 	ReportFields []ReportField // values of a load report, in order; empty: servers send none
 
@@ -93,6 +93,7 @@
 	Hedging       bool          // a part may have several attempts in flight
 	RetryAfter    bool          // the router may set Reject.RetryAfter
 
+	// The rules of this package do not use the next three.
 	AnswerSlack time.Duration // time after a query's timeout within which its final answer is due
 	PollWithin  time.Duration // longest time between two polls of discovery
 	DrainGrace  time.Duration // time after the notice of a drain in which attempts may still be sent
