--- a/internal/routing/eligibility.go
+++ b/internal/routing/eligibility.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// eligibility tells which servers may be sent attempts.
+// eligibility decides which servers may be sent attempts.
 type eligibility struct {
 	slowStart *slowStart
 }
 
-// mayGetAttempt tells whether a server may be sent an attempt now.
+// mayGetAttempt reports whether a server may be sent an attempt now.
 func (e eligibility) mayGetAttempt(now time.Duration, s *server) bool {
 	return e.mayGetAttemptSoon(now, s) && s.backoff.isOver(now)
 }
 
-// mayGetAttemptSoon is the same, but also true for a server that is only overloaded: a query can wait until
-// it is not.
+// mayGetAttemptSoon is like mayGetAttempt, but ignores a backoff after an overload: a query can wait until
+// that backoff is over. It does not ignore a backoff after a failed connect.
 func (e eligibility) mayGetAttemptSoon(now time.Duration, s *server) bool {
 	isReady := s.listed && s.endpoint.State == Ready
 	return isReady && !s.backoff.isUnreachable(now) && e.slowStart.allows(now, s)
--- a/internal/routing/eligibility_test.go
+++ b/internal/routing/eligibility_test.go
@@ -20,8 +20,8 @@
 
 var eligibilityCases = map[string]struct {
 	change func(*server)
-	now    bool // it may get an attempt now
-	soon   bool
+	now    bool // want mayGetAttempt
+	soon   bool // want mayGetAttemptSoon
 }{
 	"ready":      {func(*server) {}, true, true},
 	"draining":   {func(s *server) { s.endpoint.State = Draining }, false, false},
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// unlistedRetention is how long after its last attempt a server that left the list is remembered, so that one
-// which comes back soon is not taken for a new one.
+// unlistedRetention is how long the state of a server that left the endpoint list is kept after its last
+// attempt, so that a server that is soon listed again is not treated as new.
 const unlistedRetention = maxHealthHalfLife
 
-// endpointList is the endpoint list as last notified, and which of its servers hold a shard.
+// endpointList is the latest endpoint list, with the replicas of each shard.
 type endpointList struct {
 	settings   *Settings
-	servers    map[ServerID]*server // listed now, or a short while ago
+	servers    map[ServerID]*server // listed servers, and unlisted ones not dropped yet
 	listed     []*server            // by id
-	placements map[int][]ServerID   // by shard: the replicas that a ShardPlacement named
-	replicas   map[int][]*server    // by shard: replicasOf's results since the last change
+	placements map[int][]ServerID   // by shard: the replicas set by a ShardPlacement
+	replicas   map[int][]*server    // by shard: cached results of replicasOf; cleared by changes
 }
 
 func newEndpointList(settings *Settings) *endpointList {
@@ -29,15 +29,16 @@
 	}
 }
 
-// unlistAll prepares for a complete list: a server that it does not name is gone.
+// unlistAll marks all servers as not listed. It is called before a full update is applied, so that servers
+// which the update does not contain end up removed.
 func (l *endpointList) unlistAll() {
 	for _, s := range l.listed {
 		s.listed = false
 	}
 }
 
-// learn takes one endpoint of an update. restarted tells that the server is new, or is a new incarnation:
-// what was learned of the one before is forgotten.
+// learn applies one endpoint of an update. restarted is true if the server is new, or if the endpoint is a
+// later incarnation of a known server; the state of the previous incarnation is then reset.
 func (l *endpointList) learn(e Endpoint) (s *server, restarted bool) {
 	s = l.servers[e.Server]
 	if s == nil {
@@ -52,8 +53,8 @@
 	return s, restarted
 }
 
-// refresh follows the changes of an update. Guards the memory: servers that left the list are dropped in
-// time.
+// refresh brings the sorted list and the replica cache up to date after an update. It also bounds memory use:
+// it drops servers that left the list, have no attempt in flight and are past unlistedRetention.
 func (l *endpointList) refresh(now time.Duration) {
 	maps.DeleteFunc(l.servers, func(_ ServerID, s *server) bool {
 		return !s.listed && s.inFlight.count == 0 && now > s.inFlight.lastSentAt+unlistedRetention
@@ -63,7 +64,8 @@
 	clear(l.replicas)
 }
 
-// place sets the replicas of a shard in place of those that follow from its cells.
+// place overrides the replicas that a shard has by its cells. A placement without servers removes the
+// override.
 func (l *endpointList) place(p ShardPlacement) {
 	delete(l.replicas, p.Shard)
 	if len(p.Servers) == 0 {
@@ -73,7 +75,8 @@
 	l.placements[p.Shard] = p.Servers
 }
 
-// replicasOf lists the servers that hold a shard, by id: those of its placement, or else those of its cells.
+// replicasOf returns the listed replicas of a shard, sorted by id: those of its placement if it has one,
+// otherwise those of its cells.
 func (l *endpointList) replicasOf(shard int) []*server {
 	list, cached := l.replicas[shard]
 	if !cached {
@@ -87,8 +90,8 @@
 	return list
 }
 
-// cellHolds tells whether the servers of a cell hold a shard: shard s lies in the cells s to
-// s+ReplicasPerShard-1.
+// cellHolds reports whether the servers of a cell hold a shard. Shard s is held by the cells s to
+// s+ReplicasPerShard-1, modulo the number of cells.
 func (l *endpointList) cellHolds(cell, shard int) bool {
 	cells := l.settings.Cells
 	distance := ((cell-shard)%cells + cells) % cells
--- a/internal/routing/endpoints_test.go
+++ b/internal/routing/endpoints_test.go
@@ -15,7 +15,7 @@
 	}
 }
 
-// Guards against a leak of servers that left the list, and against forgetting one with an attempt in flight.
+// Guards against keeping servers that left the list for ever, and against dropping one with an attempt in flight.
 func TestEndpointListForgetsServersThatLeft(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.updateEndpoints(UpdateFull, readyEndpoint(1, 0))
@@ -27,13 +27,13 @@
 			Endpoint{Server: id - 1, State: Removed}, Endpoint{Server: 1, State: Removed})
 		h.server(id).inFlight.lastSentAt = h.now
 		if listed := len(h.router.endpoints.listed); listed != 1 || h.server(1) == nil {
-			t.Fatalf("%d servers listed, want 1; the one with an attempt in flight is known: %v",
+			t.Fatalf("%d servers listed, want 1; the server with an attempt in flight is known: %v, want true",
 				listed, h.server(1) != nil)
 		}
 	}
 	most := int(unlistedRetention/time.Second) + 4
 	if known := len(h.router.endpoints.servers); known > most {
-		t.Errorf("%d servers are known, want at most %d", known, most)
+		t.Errorf("%d servers known, want at most %d", known, most)
 	}
 }
 
@@ -47,7 +47,7 @@
 	h.startQuery(20, 0, shard)
 	wantActions[Reject](t, h.actions, 1)
 	if len(h.router.endpoints.placements) != 0 {
-		t.Error("a placement that was removed is still held")
+		t.Error("a removed placement is still stored")
 	}
 }
 
@@ -67,7 +67,7 @@
 		"more shards than cells": {7, []int{2, 3, 4}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for cell := range 2 * settings.Cells { // a cell over the last holds nothing
+			for cell := range 2 * settings.Cells { // cells beyond the last one hold nothing
 				want := slices.Contains(c.cells, cell)
 				if got := endpoints.cellHolds(cell, c.shard); got != want {
 					t.Errorf("cell %d holds shard %d: %v, want %v", cell, c.shard, got, want)
@@ -102,7 +102,7 @@
 				endpoints.learn(e)
 			}
 			endpoints.refresh(time.Minute)
-			endpoints.replicasOf(c.shard) // before the changes: what is cached must not stay
+			endpoints.replicasOf(c.shard) // fills the cache: the changes below must clear it
 			endpoints.place(ShardPlacement{Shard: c.shard, Servers: c.placement})
 			endpoints.replicasOf(c.shard)
 			for _, id := range c.removed {
@@ -131,7 +131,7 @@
 			first := Endpoint{Server: 1, State: Ready, StartedAt: 10 * time.Second}
 			s, restarted := endpoints.learn(first)
 			if !restarted {
-				t.Error("a new server does not count as restarted")
+				t.Error("restarted = false for a new server, want true")
 			}
 			s.health.byClass[0] = 0.5
 			second := Endpoint{Server: 1, State: Ready, StartedAt: c.startedAt}
@@ -139,7 +139,7 @@
 				t.Errorf("restarted = %v, want %v", restarted, c.restarted)
 			}
 			if forgotten := s.health.byClass[0] == 1; forgotten != c.restarted {
-				t.Errorf("health is forgotten: %v, want %v", forgotten, c.restarted)
+				t.Errorf("health is reset: %v, want %v", forgotten, c.restarted)
 			}
 		})
 	}
--- a/internal/routing/health_check_race.go
+++ b/internal/routing/health_check_race.go
@@ -6,45 +6,47 @@
 )
 
 const (
-	raceDurationFactor = 1.5 // a race stays open until this multiple of the first reply's time
+	raceDurationFactor = 1.5 // a race ends at this multiple of the time to its first reply
 
-	// The wait for a first reply: in median reply times, and at least this share of the part's median
-	// latency, as a check that waits in a server's queue tells how soon the server is free.
+	// A race waits for its first reply for this many median reply times, and at least for this share of the
+	// median latency of the part's class: a health check that waits in a server's queue shows how soon the
+	// server is free.
 	firstReplyTimeoutReplies      = 2
 	firstReplyTimeoutLatencyShare = 0.5
 
-	// How long a reply counts in later races, for each coordinator: the whole fleet together then sends a
-	// server about one check in 25 ms.
+	// How long a reply is valid in later races, per coordinator: all coordinators together then send a server
+	// about one health check every 25 ms.
 	replyValidityPerCoordinator = 25 * time.Millisecond
 
-	minFirstReplyTicks = 2 // least wait for a first reply
+	minFirstReplyTicks = 2 // lower bound of the wait for a first reply
 
-	// So many tell that the server, or the path to it, is down. Only the forecast leaves such a server out;
-	// it still gets health checks and attempts.
+	// After this many consecutive failures the server, or the path to it, is considered down. Only the
+	// forecast leaves such a server out; it still gets health checks and attempts.
 	maxConsecutiveCheckFailures = 2
 )
 
-// healthCheckState is what is known of a server's health checks.
+// healthCheckState is the state of the health checks of one server.
 type healthCheckState struct {
-	sentAt              []time.Duration // of those without a result yet
+	sentAt              []time.Duration // of the checks without a result yet, oldest first
 	consecutiveFailures int
-	validUntil          time.Duration // until then the latest reply counts in later races
+	validUntil          time.Duration // until then later races accept the latest reply
 }
 
-// isReachable tells whether the server, and the path to it, has passed one of the latest checks.
+// isReachable reports whether the server, and the path to it, is considered up: fewer than
+// maxConsecutiveCheckFailures checks have failed since the latest success.
 func (c *healthCheckState) isReachable() bool {
 	return c.consecutiveFailures < maxConsecutiveCheckFailures
 }
 
-// healthCheckRace is the health checks that were sent in one turn, and their results so far. The replicas of
-// every part that began to wait in that turn take part.
+// healthCheckRace holds the health checks that were sent in one turn, and their results so far. All parts
+// that began to wait in that turn share the race; their replicas take part in it.
 type healthCheckRace struct {
 	startedAt time.Duration
-	joined    bool             // a part waits for it
+	joined    bool             // at least one part waits for the race
 	results   map[*server]bool // true: the server replied
 }
 
-// healthChecks sends health checks and says when a race is over.
+// healthChecks sends health checks and decides when a race is over.
 type healthChecks struct {
 	settings  *Settings
 	actions   *actionList
@@ -53,7 +55,7 @@
 	outliers  *outlierDetector
 
 	races      []*healthCheckRace
-	replyTimes *slidingWindow // of the servers that replied, in nanoseconds
+	replyTimes *slidingWindow // of successful health checks, in nanoseconds
 }
 
 func newHealthChecks(settings *Settings, actions *actionList, results *resultRecorder) *healthChecks {
@@ -67,7 +69,8 @@
 	}
 }
 
-// check sends health checks to the servers that were not checked within the interval, or in this turn.
+// check sends a health check to each of the servers, except those that were sent one within the interval or
+// in this turn.
 func (h *healthChecks) check(now time.Duration, servers []*server, interval time.Duration) {
 	if !h.settings.HealthChecks {
 		return
@@ -81,7 +84,8 @@
 	}
 }
 
-// receive takes a result. It belongs to the latest check that is as old as the result says, or to the oldest.
+// receive records a result. It is matched to the latest pending check that is at least as old as the latency
+// of the result, or to the oldest pending check if there is none.
 func (h *healthChecks) receive(now time.Duration, s *server, result HealthCheckResult) {
 	h.load.learn(now, s, result.LoadReport)
 	if len(s.checks.sentAt) == 0 {
@@ -108,12 +112,13 @@
 	}
 }
 
-// replyValidity is how long a reply counts in later races.
+// replyValidity is how long later races accept a reply.
 func (h *healthChecks) replyValidity() time.Duration {
 	return replyValidityPerCoordinator * time.Duration(h.settings.Coordinators)
 }
 
-// withValidReply returns the servers whose latest reply still counts; all, where no checks are sent.
+// withValidReply returns the servers whose latest reply is still valid. It returns all servers if health
+// checks are off.
 func (h *healthChecks) withValidReply(now time.Duration, servers []*server) []*server {
 	return filter(servers, func(s *server) bool {
 		return !h.settings.HealthChecks || now < s.checks.validUntil
@@ -124,8 +129,8 @@
 	return &healthCheckRace{startedAt: now, results: map[*server]bool{}}
 }
 
-// join checks a part's candidates, and lets the part wait for the race where none of them has a valid reply.
-// It returns those that have one: among them the choice can be made at once.
+// join sends health checks to a part's candidates. If none of them has a valid reply, the part waits for the
+// race. It returns the candidates that have a valid reply: the router can choose among them at once.
 func (h *healthChecks) join(now time.Duration, race *healthCheckRace, p *part,
 	candidates []*server) (valid []*server) {
 	valid = h.withValidReply(now, candidates)
@@ -140,7 +145,8 @@
 	return valid
 }
 
-// keep holds the race of this turn, if a part waits for it, and drops the old ones.
+// keep stores the race of this turn if a part waits for it, and drops races that started more than
+// statsWindow ago.
 func (h *healthChecks) keep(now time.Duration, race *healthCheckRace) {
 	h.races = append(h.races, race)
 	oldest := now - statsWindow
@@ -149,17 +155,18 @@
 	})
 }
 
-// raceState is how a part's race stands.
+// raceState is the state of a race as seen by one part.
 type raceState uint8
 
 const (
 	raceOpen raceState = iota
-	raceWon            // it is over, and candidates have replied
-	raceLost           // no candidate has replied, and none is waited for any more
+	raceWon            // over; at least one candidate replied
+	raceLost           // over; no candidate replied
 )
 
-// judge looks at a part's race: it is over when every candidate has a result, at a multiple of the first
-// reply's time, or when no reply has come for too long. It returns the candidates that replied.
+// judge returns the state of a part's race and the candidates that replied. The race is over when every
+// candidate has a result, at raceDurationFactor times the age at which its first reply was seen, or when no
+// reply came within firstReplyTimeout.
 func (h *healthChecks) judge(now time.Duration, p *part, candidates []*server) (raceState, []*server) {
 	results := p.race.results
 	replied := filter(candidates, func(s *server) bool { return results[s] })
--- a/internal/routing/health_check_race_test.go
+++ b/internal/routing/health_check_race_test.go
@@ -11,7 +11,7 @@
 	h := newHarness(t, testSettings())
 	h.startQuery(10, 0, 0, 1, 2)
 	if checks := wantActions[HealthCheck](t, h.actions, 3); checks[0].Server == checks[1].Server {
-		t.Errorf("health checks = %v, want one a server", checks)
+		t.Errorf("health checks = %v, want one per server", checks)
 	}
 }
 
@@ -34,7 +34,7 @@
 	}
 }
 
-// Guards against health checks at a server that grow in number with the coordinators.
+// Guards against a number of health checks per server that grows with the number of coordinators.
 func TestReplyValidityScalesWithCoordinators(t *testing.T) {
 	for _, coordinators := range []int{1, 40} {
 		t.Run(fmt.Sprintf("coordinators=%d", coordinators), func(t *testing.T) {
@@ -52,7 +52,7 @@
 			if sends := wantActions[Send](t, h.actions, 1); sends[0].Server != 2 {
 				t.Errorf("sent to %d, want 2", sends[0].Server)
 			}
-			wantActions[HealthCheck](t, h.actions, 0) // server 3 was checked within that time
+			wantActions[HealthCheck](t, h.actions, 0) // server 3 was sent a check within the validity
 			h.advance(ms)
 			h.startQuery(30, 0, 0)
 			wantActions[Send](t, h.actions, 0)
@@ -121,7 +121,7 @@
 			}
 			state, servers := checks.judge(time.Minute+c.age, p, candidates)
 			if replied := serverIDs(servers); state != c.state || !slices.Equal(replied, c.replied) {
-				t.Errorf("state %d, replied %v; want %d, %v", state, replied, c.state, c.replied)
+				t.Errorf("state = %d, replied = %v; want %d, %v", state, replied, c.state, c.replied)
 			}
 		})
 	}
@@ -171,12 +171,12 @@
 	}
 }
 
-// Guards against a result that is taken for that of a later health check.
+// Guards against matching a result to a later health check of the same server.
 func TestHealthChecksReceiveMatchesCheckByLatency(t *testing.T) {
 	const now = time.Minute
 	for name, c := range map[string]struct {
 		latency time.Duration
-		open    []time.Duration // ages of the checks that stay open, of 30 ms and 10 ms
+		open    []time.Duration // ages of the checks still pending, of those sent 30 ms and 10 ms ago
 	}{
 		"latest check":  {10 * ms, []time.Duration{30 * ms}},
 		"earlier check": {11 * ms, []time.Duration{10 * ms}},
@@ -191,7 +191,7 @@
 				open = append(open, now-sentAt)
 			}
 			if !slices.Equal(open, c.open) {
-				t.Errorf("open checks of age %v, want %v", open, c.open)
+				t.Errorf("ages of pending checks = %v, want %v", open, c.open)
 			}
 		})
 	}
--- a/internal/routing/hedging.go
+++ b/internal/routing/hedging.go
@@ -3,21 +3,22 @@
 import "time"
 
 const (
-	hedgeBudgetShare = 0.6 // of the retry budget is open to hedges; the rest is kept for retries
+	hedgeBudgetShare = 0.6 // share of the retry budget that hedges may use; the rest is for retries
 
-	// Hedges are sent while the further attempts counted, retries included, are at most this many and this
-	// share of the arrivals: hedges add load where servers are slow because of load.
+	// A hedge is sent only if the further attempts counted, retries included, are at most hedgeAllowance plus
+	// hedgeRatio times the arrivals: where servers are slow because of load, hedges add to that load.
 	hedgeAllowance = 10
 	hedgeRatio     = 0.1
 )
 
-// mayHedge tells whether a hedge may be sent, given the further attempts counted, this one included, and the
-// arrivals. Where servers report no load, a hedge could make an overload worse unseen.
+// mayHedge reports whether a hedge may be sent, given the number of further attempts counted, including this
+// one, and the number of arrivals. It returns false if servers report no load, as a hedge could then worsen
+// an overload that the router cannot see.
 func (r *retryPolicy) mayHedge(further, arrived float64) bool {
 	return len(r.settings.ReportFields) > 0 && further <= hedgeAllowance+hedgeRatio*arrived
 }
 
-// hedger looks after the parts that are in flight.
+// hedger detects overdue attempts and makes their parts wait for a hedge.
 type hedger struct {
 	settings  *Settings
 	latencies *latencyStats
@@ -34,8 +35,8 @@
 	}
 }
 
-// review records a part's latest attempt as failed once it is overdue, and lets the part wait for a hedge
-// then, where it may have several attempts in flight. A hedge that is overdue can be followed by another.
+// review records a part's latest attempt as failed once it is overdue. If hedging is on and the retry policy
+// allows it, the part then waits for a hedge. An overdue hedge can be followed by another one.
 func (h *hedger) review(now time.Duration, p *part) {
 	if p.state != partInFlight || len(p.inFlight) == 0 {
 		return
--- a/internal/routing/hedging_test.go
+++ b/internal/routing/hedging_test.go
@@ -11,14 +11,15 @@
 		settings := testSettings()
 		settings.MaxWriteDelay = delay
 		h := newHarness(t, settings)
-		for i := range 40 { // nothing replies: the hedges of earlier parts count for the later ones
+		for i := range 40 { // nothing replies: hedges of earlier parts still count when later ones are decided
 			h.startQuery(RequestID(10+2*i), 0, 0)
 			h.advance(200 * ms)
 		}
 		h.advance(2 * time.Second)
 		retries := h.router.retries
 		if n := retries.furtherAttempts.count(h.now); n == 0 || n > hedgeAllowance+int(hedgeRatio*80) {
-			t.Errorf("write delay %v: %d hedges of 40 parts within %v", delay, n, statsWindow)
+			t.Errorf("write delay %v: %d hedges of 40 parts within %v, want 1 to %d",
+				delay, n, statsWindow, hedgeAllowance+int(hedgeRatio*80))
 		}
 		if retries.furtherAttempts.span != statsWindow || retries.arrivals.span != statsWindow {
 			t.Errorf("write delay %v: counted over %v and %v, want %v",
@@ -27,7 +28,7 @@
 	}
 }
 
-// Guards against hedges that add to an overload which no load report shows.
+// Guards against hedges that worsen an overload which no load report shows.
 func TestHedgeNeedsLoadReports(t *testing.T) {
 	for _, hasReports := range []bool{true, false} {
 		settings := testSettings()
@@ -39,14 +40,14 @@
 		first := h.sendAfterChecks(1, 2, 3)
 		h.advance(1500 * ms)
 		if hedged := len(actionsOf[HealthCheck](h.actions)) > 0; hedged != hasReports {
-			t.Errorf("load reports %v: health checks for a hedge: %v", hasReports, hedged)
+			t.Errorf("load reports %v: health checks for a hedge: %v, want %v", hasReports, hedged, hasReports)
 		}
 		if hasReports {
 			continue
 		}
 		h.advance(5*ms, attemptResult(11, 0, first, ServerError, 5*ms))
 		if len(actionsOf[HealthCheck](h.actions)) == 0 {
-			t.Error("without load reports: no retry after a failure")
+			t.Error("without load reports: no health checks for a retry after a failure, want some")
 		}
 	}
 }
@@ -61,13 +62,13 @@
 			h.sendAfterChecks(1, 2, 3)
 			h.advance(1500 * ms)
 			if hedged := len(actionsOf[HealthCheck](h.actions)) > 0; hedged != hedging {
-				t.Errorf("hedging %v: health checks for a hedge: %v", hedging, hedged)
+				t.Errorf("hedging %v: health checks for a hedge: %v, want %v", hedging, hedged, hedging)
 			}
 		})
 	}
 }
 
-// Guards against a part that is lost where its first attempt and its first hedge get no answer.
+// Guards against a part that gets no further attempt after its first attempt and first hedge went unanswered.
 func TestSecondHedgeFollowsOverdueHedge(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.startQuery(10, 0, 0)
@@ -77,11 +78,11 @@
 		servers[h.sendAfterChecks(1, 2, 3)] = true
 	}
 	if len(servers) != 3 {
-		t.Errorf("attempts were sent to %v, want all three replicas", servers)
+		t.Errorf("attempts sent to %v, want all three replicas", servers)
 	}
 }
 
-// Guards against hedges that add to the load which makes all attempts overdue.
+// Guards against hedges that add to the very load that makes all attempts overdue.
 func TestHedgesAreLimitedWhereAllAttemptsAreOverdue(t *testing.T) {
 	for queries, most := range map[int]int{1: 3, 120: 40} {
 		t.Run(fmt.Sprintf("queries=%d", queries), func(t *testing.T) {
@@ -148,7 +149,7 @@
 			p.inFlight = []*attempt{{part: p, server: s, sentAt: time.Minute}}
 			newHedger(&settings, results, newRetryPolicy(&settings)).review(time.Minute+c.age, p)
 			if p.state != c.want || p.inFlight[0].overdue != c.overdue {
-				t.Errorf("part is %v, overdue %v; want %v, %v",
+				t.Errorf("part state = %v, overdue = %v; want %v, %v",
 					p.state, p.inFlight[0].overdue, c.want, c.overdue)
 			}
 			if failed := s.health.byClass[0] < 1; failed != c.overdue {
--- a/internal/routing/latency_stats.go
+++ b/internal/routing/latency_stats.go
@@ -3,23 +3,23 @@
 import "time"
 
 const (
-	statsWindow = 10 * time.Second // span of all latency statistics
+	statsWindow = 10 * time.Second // time span of all latency statistics
 
 	overdueLatencyFactor = 4 // an attempt is overdue at this multiple of its class's median latency
-	// Stands in for that limit before latencies are known, as a share of the class's latency objective.
+	// Replaces that limit until latencies are known, as a share of the class's latency objective.
 	overdueObjectiveShare = 0.4
 
-	// Stands in for the median latency of all classes before latencies are known.
+	// Replaces the median latency of all classes until latencies are known.
 	defaultLatency = 100 * time.Millisecond
 )
 
-// latencyStats are the latencies of this coordinator's attempts that succeeded lately. Medians are in
-// nanoseconds.
+// latencyStats holds the latencies of this coordinator's attempts that succeeded within statsWindow. Medians
+// are in nanoseconds.
 type latencyStats struct {
 	classes     []Class
 	byClass     []*slidingWindow
 	all         *slidingWindow
-	perUnitLoad *slidingWindow // latency over the server's load when the attempt was sent
+	perUnitLoad *slidingWindow // latency divided by the server's load at the time of the send
 }
 
 func newLatencyStats(settings *Settings) *latencyStats {
@@ -31,42 +31,45 @@
 	}
 }
 
-// add records the latency of an attempt at a server whose load was as given when it was sent.
+// add records the latency of an attempt, and the load that the server had when the attempt was sent.
 func (l *latencyStats) add(now time.Duration, class int, latency, load float64) {
 	l.byClass[class].add(now, latency)
 	l.all.add(now, latency)
 	l.perUnitLoad.add(now, latency/load)
 }
 
-// classMedian is the median latency of a class, or a guess from its latency objective.
+// classMedian returns the median latency of a class. Without samples it returns an estimate from the latency
+// objective of the class.
 func (l *latencyStats) classMedian(now time.Duration, class int) float64 {
 	objective := float64(l.classes[class].LatencyObjective)
 	return l.byClass[class].median(now, overdueObjectiveShare/overdueLatencyFactor*objective)
 }
 
-// overallMedian is the median latency of all classes, or the default.
+// overallMedian returns the median latency of all classes, or defaultLatency without samples.
 func (l *latencyStats) overallMedian(now time.Duration) float64 {
 	return l.all.median(now, float64(defaultLatency))
 }
 
-// relativeWork is the work of one part of a class, relative to the median of all parts.
+// relativeWork returns the work of one part of a class relative to the median of all parts, estimated from
+// latencies; 1 without samples.
 func (l *latencyStats) relativeWork(now time.Duration, class int) float64 {
 	all := l.all.median(now, 1)
 	return l.byClass[class].median(now, all) / all
 }
 
-// isOverdue tells whether an attempt has been out for much longer than its class takes.
+// isOverdue reports whether an attempt has been in flight for more than overdueLatencyFactor times the median
+// latency of its class.
 func (l *latencyStats) isOverdue(now time.Duration, a *attempt) bool {
 	return float64(now-a.sentAt) > overdueLatencyFactor*l.classMedian(now, a.part.query.classIndex)
 }
 
-// sampleInterval is the mean time between two of this coordinator's answers from one server, in nanoseconds.
+// sampleInterval returns the mean time between two latency samples of one server, in nanoseconds.
 func (l *latencyStats) sampleInterval(now time.Duration, servers int) float64 {
 	return float64(statsWindow) * float64(servers) / float64(max(1, l.all.count(now)))
 }
 
-// meanMedianLatency is the mean of the servers' median latencies, over those that have samples; 0 if none
-// has.
+// meanMedianLatency returns the mean of the servers' median latencies, in nanoseconds. Servers without
+// samples are left out; it returns 0 if no server has samples.
 func meanMedianLatency(now time.Duration, servers []*server) float64 {
 	known, sum := 0, 0.0
 	for _, s := range servers {
--- a/internal/routing/load_estimate.go
+++ b/internal/routing/load_estimate.go
@@ -7,31 +7,31 @@
 )
 
 const (
-	// Age of a load report at which the load of other coordinators in it counts half, in median latencies.
+	// Age of a load report at which its load from other coordinators counts half, in median latencies.
 	reportHalfLifeLatencies = 15
 
-	// About the age of a load report that has just come.
+	// Approximate age of a load report when it is received.
 	typicalReportDelay = time.Second
 
-	// Bounds how far a low utilization raises the estimate of what a warm server could take.
+	// Lower bound of a utilization: limits how far a low one raises the estimate of a warm server's capacity.
 	minUtilization = 0.4
 )
 
-// loadReport is the latest load report of a server.
+// loadReport is the latest load report of a server. Its values are nil before the first report.
 type loadReport struct {
-	values   []float64 // in the order of Settings.ReportFields
-	at       time.Duration
-	inFlight int // this coordinator's attempts in flight when the values changed
+	values   []float64     // in the order of Settings.ReportFields
+	at       time.Duration // when the latest report was received, changed or not
+	inFlight int           // this coordinator's attempts in flight when the values changed
 }
 
-// loadEstimator estimates the load of servers from their reports and this coordinator's own attempts.
+// loadEstimator estimates the load of servers from their load reports and this coordinator's own attempts.
 type loadEstimator struct {
 	settings     *Settings
 	latencies    *latencyStats
 	serviceTimes *slidingWindow // as reported by all servers, in milliseconds
 
-	// Weight of a reported service time, from 0 to 1: the less, the more often this coordinator's own
-	// attempts show how fast a server is.
+	// Weight of a reported service time, from 0 to 1. It falls as this coordinator gets more samples of its
+	// own, which show how fast a server is.
 	serviceTimeWeight float64
 }
 
@@ -43,13 +43,14 @@
 	}
 }
 
-// update takes the mean time between two own samples of a server, in nanoseconds. The error of either source
-// grows with its age, so they are weighted by the square of it.
+// update sets the weight of reported service times, given the mean time between two own samples of a server,
+// in nanoseconds. The error of a report and of an own sample grows with its age, so each is weighted by the
+// inverse square of its age.
 func (l *loadEstimator) update(sampleInterval float64) {
 	l.serviceTimeWeight = 1 / (1 + math.Pow(float64(typicalReportDelay)/sampleInterval, 2))
 }
 
-// learn takes a server's report; an empty one says nothing.
+// learn records a server's load report. An empty report is ignored.
 func (l *loadEstimator) learn(now time.Duration, s *server, report []float64) {
 	if len(report) == 0 {
 		return
@@ -65,7 +66,7 @@
 	}
 }
 
-// field is a value of a server's latest report, in the field's unit.
+// field returns a value of a server's latest report, in the field's unit. ok is false if the report lacks it.
 func (l *loadEstimator) field(s *server, f ReportField) (value float64, ok bool) {
 	i := slices.Index(l.settings.ReportFields, f)
 	if i < 0 || i >= len(s.report.values) || math.IsNaN(s.report.values[i]) {
@@ -74,8 +75,9 @@
 	return s.report.values[i], true
 }
 
-// load is a server's load in requests of usual work, the next one included: what its report says, less what
-// has probably ended since, and this coordinator's own attempts, set against the server's size.
+// load estimates a server's load in requests of usual work, including the next one: the reported requests of
+// other coordinators, less those that have probably ended since the report, plus this coordinator's attempts
+// in flight, relative to the server's capacity if it is known.
 func (l *loadEstimator) load(now time.Duration, s *server) float64 {
 	reported := l.reportedRequests(s)
 	serviceTime := l.relativeServiceTime(now, s)
@@ -88,7 +90,7 @@
 	return (requests + 1) * serviceTime
 }
 
-// reportedRequests is the number of requests in flight at a server by its report.
+// reportedRequests returns the number of requests in flight at a server, according to its report.
 func (l *loadEstimator) reportedRequests(s *server) float64 {
 	if inFlight, ok := l.field(s, FieldInFlight); ok {
 		return inFlight
@@ -98,21 +100,22 @@
 	rate, _ := l.field(s, FieldRate)
 	serviceTime, hasServiceTime := l.field(s, FieldServiceTime)
 	if !hasQueue && hasServiceTime {
-		return rate * serviceTime / 1000 // Little's law, with milliseconds and a rate a second
+		return rate * serviceTime / 1000 // Little's law; service time in ms, rate per second
 	}
 	return queue + utilization
 }
 
-// relativeServiceTime is how much longer than elsewhere a request takes at a server, by its report; at least
-// 1, as a lower figure is chance.
+// relativeServiceTime returns a server's reported service time relative to the median of all servers,
+// discounted by serviceTimeWeight. It is at least 1: a lower value is chance.
 func (l *loadEstimator) relativeServiceTime(now time.Duration, s *server) float64 {
 	serviceTime, _ := l.field(s, FieldServiceTime)
 	median := l.serviceTimes.median(now, max(1, serviceTime))
 	return math.Pow(max(1, serviceTime/median), l.serviceTimeWeight)
 }
 
-// utilization is the share of a server's capacity that is in use, by its report: what it works on of its size
-// where the report says no more. A server that has reported nothing lately counts as fully used.
+// utilization returns the share of a server's capacity that is in use, from minUtilization to 1. If the
+// report lacks it, it is the requests being executed divided by the server's weight, where weights are
+// capacities. A server without a report within statsWindow counts as fully used.
 func (l *loadEstimator) utilization(now time.Duration, s *server) float64 {
 	share, ok := l.field(s, FieldUtilization)
 	inFlight, hasInFlight := l.field(s, FieldInFlight)
--- a/internal/routing/load_estimate_test.go
+++ b/internal/routing/load_estimate_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// Guards against counting requests where service times differ: the load is in requests of usual work.
+// Guards against a load that ignores different service times: it is in requests of usual work.
 func TestLoadFollowsReportedServiceTime(t *testing.T) {
 	h := newHarness(t, serviceTimeSettings())
 	for id, serviceTime := range map[ServerID]float64{1: 200, 2: 20, 3: 20} {
@@ -30,7 +30,8 @@
 	load := h.router.results.load
 	slow, usual := h.server(1), h.server(2)
 	if ratio := load.load(h.now, slow) / load.load(h.now, usual); ratio < 9 || ratio > 10.1 {
-		t.Errorf("ten times the service time is %.1f times the load without own samples", ratio)
+		t.Errorf("load at ten times the service time is %.1f times the load without own samples, want 9 to 10.1",
+			ratio)
 	}
 	h.advance(3 * time.Second) // two half-lives of the usual report, a fifth of one of the slow report
 	if left := load.load(h.now, usual); left > 3.1 {
@@ -42,11 +43,11 @@
 	h.startQuery(100, 0, 0)
 	h.advance(5*ms, reportReply(1, 1, 200), reportReply(2, 4, 20), reportReply(3, 6, 20))
 	if server := wantActions[Send](t, h.actions, 1)[0].Server; server != 2 {
-		t.Errorf("sent to %d, want 2, which is done first", server)
+		t.Errorf("sent to %d, want 2, which completes first", server)
 	}
 }
 
-// Guards against a report, which is late and noisy, outweighing this coordinator's own samples.
+// Guards against load reports, which are late and noisy, outweighing this coordinator's own samples.
 func TestServiceTimeReportIsDiscountedByOwnSamples(t *testing.T) {
 	h := newHarness(t, serviceTimeSettings())
 	for i := range 300 { // 30 a second at three servers
@@ -56,7 +57,8 @@
 		h.turn(reportReply(id, 8, serviceTime))
 	}
 	if got := h.router.results.load.relativeServiceTime(h.now, h.server(1)); got > 1.5 {
-		t.Errorf("a reported service time of 10 times the median counts %.1f after 300 own samples", got)
+		t.Errorf("relative service time = %.1f by a report of 10 times the median with 300 own samples, want at most 1.5",
+			got)
 	}
 }
 
@@ -68,7 +70,7 @@
 		}
 		h.turn()
 		if weight := h.router.results.load.serviceTimeWeight; weight < bounds[0] || weight > bounds[1] {
-			t.Errorf("%d samples in 10 s at 3 servers: weight %.3f, not in %v", samples, weight, bounds)
+			t.Errorf("%d samples in 10 s at 3 servers: weight = %.3f, want it within %v", samples, weight, bounds)
 		}
 	}
 }
@@ -149,7 +151,7 @@
 	}
 }
 
-// The load counts the next request too.
+// The expected loads include the next request.
 func TestLoadEstimatorLoad(t *testing.T) {
 	halfLife := reportHalfLifeLatencies * defaultLatency
 	for name, c := range map[string]struct {
--- a/internal/routing/outlier_detection_test.go
+++ b/internal/routing/outlier_detection_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Guards against preferring a server that fails fast: it looks idle and would win every race.
+// Guards against preferring a server that fails fast: it looks idle, so it would be chosen after every race.
 func TestEjectRemovesServerThatFailsFast(t *testing.T) {
 	h := newHarness(t, testSettings())
 	failed := 0
@@ -38,7 +38,7 @@
 	h.setHealth(h.server(1), 0)
 	h.startQuery(10, 0, 0)
 	if h.sendAfterChecks(1) != 1 {
-		t.Error("the last replica was ejected")
+		t.Error("the only replica was ejected")
 	}
 }
 
@@ -51,7 +51,7 @@
 	wantActions[HealthCheck](t, h.actions, 3)
 }
 
-// Guards against ejecting a server for all classes where it fails one, and against ejecting it for good.
+// Guards against ejecting a server for all classes when it fails only one, and against ejecting it for ever.
 func TestHealthIsPerClassAndDecays(t *testing.T) {
 	settings := testSettings()
 	settings.Classes = append(settings.Classes, settings.Classes[0])
@@ -177,7 +177,8 @@
 	once := s.health.byClass[0]
 	detector.recordOverdue(time.Minute, a)
 	if !a.overdue || once >= 1 || s.health.byClass[0] != once {
-		t.Errorf("overdue %v, health %v, then %v", a.overdue, once, s.health.byClass[0])
+		t.Errorf("overdue = %v, health = %v, then %v; want true, less than 1, then the same",
+			a.overdue, once, s.health.byClass[0])
 	}
 }
 
@@ -196,7 +197,7 @@
 			s.health = healthScores{byClass: []float64{0}, at: time.Minute}
 			detector.update(c.sampleInterval)
 			if got := detector.health(time.Minute+c.want, s, 0); math.Abs(got-0.5) > 1e-9 {
-				t.Errorf("health %v after %v, want 0.5", got, c.want)
+				t.Errorf("health = %v after %v, want 0.5", got, c.want)
 			}
 		})
 	}
--- a/internal/routing/overload_backoff.go
+++ b/internal/routing/overload_backoff.go
@@ -6,19 +6,20 @@
 )
 
 const (
-	initialBackoffLatencies = 0.5 // the first pause, in median latencies of the class of its part
-	maxBackoffDoublings     = 4   // the pause doubles so often while the server serves nothing
+	initialBackoffLatencies = 0.5 // the first pause, in median latencies of the part's class
+	maxBackoffDoublings     = 4   // the pause doubles at most this often while no attempt succeeds
 )
 
-// overloadBackoff is the pause in which a server gets no attempts, after it was overloaded or could not be
-// connected to.
+// overloadBackoff is the pause during which a server gets no attempts, after an overload or a failed connect.
+// The zero value is no pause.
 type overloadBackoff struct {
 	until       time.Duration
-	count       int  // pauses in a row with nothing served between them
-	unreachable bool // the latest pause is for an attempt that could not be delivered
+	count       int  // consecutive pauses without a successful attempt in between
+	unreachable bool // the latest failure was a failed connect
 }
 
-// start begins a pause. Many attempts may fail at once: within a pause none is added.
+// start begins a pause, unless one is in force: many attempts may fail at once, and they must not lengthen
+// it. classMedian is in nanoseconds.
 func (b *overloadBackoff) start(now time.Duration, classMedian float64, connectFailed bool) {
 	if now >= b.until {
 		pause := initialBackoffLatencies * classMedian * math.Exp2(float64(min(b.count, maxBackoffDoublings)))
@@ -28,17 +29,17 @@
 	b.unreachable = connectFailed
 }
 
-// reset says that the server has served an attempt.
+// reset ends the growth of the pauses; it is called when an attempt succeeds.
 func (b *overloadBackoff) reset() { b.count = 0 }
 
-// isOver tells whether the server may be sent attempts again.
+// isOver reports whether the server may be sent attempts again.
 func (b *overloadBackoff) isOver(now time.Duration) bool { return now >= b.until }
 
-// isUnreachable tells whether the server is in a pause after a failed connect. A query can wait for a server
-// that is only overloaded, but not for one that is down.
+// isUnreachable reports whether the server is in a pause after a failed connect. A query can wait for a
+// server that is only overloaded, but not for one that is down.
 func (b *overloadBackoff) isUnreachable(now time.Duration) bool {
 	return b.unreachable && !b.isOver(now)
 }
 
-// remaining is how much of the pause is left.
+// remaining returns the time until the pause is over; 0 if there is none.
 func (b *overloadBackoff) remaining(now time.Duration) time.Duration { return max(0, b.until-now) }
--- a/internal/routing/overload_backoff_test.go
+++ b/internal/routing/overload_backoff_test.go
@@ -14,12 +14,12 @@
 	h.startQuery(20, 0, 0)
 	for _, check := range actionsOf[HealthCheck](h.actions) {
 		if check.Server == first {
-			t.Error("a health check was sent to the overloaded server at once")
+			t.Error("a health check was sent to the overloaded server during its backoff")
 		}
 	}
 }
 
-// Guards against spending all attempts of a part within moments at a server that serves nothing.
+// Guards against using up all attempts of a part within a short time at a server that rejects everything.
 func TestBackoffGrowsWhileServerIsOverloaded(t *testing.T) {
 	settings := testSettings()
 	settings.ReplicasPerShard = 1
@@ -32,7 +32,7 @@
 		h.advance(ms, attemptResult(11, i, 1, Overloaded, ms))
 		pause := h.advanceToHealthCheck()
 		if pause <= last {
-			t.Errorf("pause %d lasts %v after %v", i, pause, last)
+			t.Errorf("pause %d lasts %v, want more than the %v of the previous one", i, pause, last)
 		}
 		last = pause
 	}
@@ -45,11 +45,11 @@
 	}
 	h.advance(20*ms, attemptResult(21, 0, 1, OK, 20*ms))
 	if h.server(1).backoff.count != 0 {
-		t.Error("an attempt that succeeded did not reset the backoff")
+		t.Error("a successful attempt did not reset the backoff")
 	}
 }
 
-// advanceToHealthCheck plays turns until a health check is sent, and returns the time until then.
+// advanceToHealthCheck plays turns until a health check is sent, and returns the time that took.
 func (h *harness) advanceToHealthCheck() (waited time.Duration) {
 	for len(actionsOf[HealthCheck](h.actions)) == 0 {
 		h.advance(ms)
@@ -92,9 +92,9 @@
 	}
 }
 
-const backoffPause = 50 * ms // the first one
+const backoffPause = 50 * ms // length of the first pause
 
-// backoffFailure is an attempt that failed at a time after the first.
+// backoffFailure is a failed attempt, at a time relative to the first.
 type backoffFailure struct {
 	after         time.Duration
 	connectFailed bool
--- a/internal/routing/replica_selection.go
+++ b/internal/routing/replica_selection.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// A replica may have so many more of this coordinator's attempts in flight than the shard's least before
-	// it is chosen last, whatever its load.
+	// A replica that exceeds the fewest in-flight attempts of the candidates by more than this is chosen
+	// last, whatever its load. Only this coordinator's attempts count.
 	maxInFlightLead = 2
 
-	// What it is worth, in requests of load, to share a request to a server where requests cost.
+	// Subtracted from a replica's cost, in requests of load, if requests cost and the part can share one.
 	sharedRequestBonus = 1.1
 
-	// The load of a server counts over this power of its health: a failing server looks idle.
+	// The load of a server is divided by this power of its health: a failing server looks idle.
 	healthExponent = 2
 
-	// What it is worth, in requests of load, to stay in the zone, for each unit of Settings.CrossZoneCost.
+	// Added to the cost of a replica in another zone, in requests of load per unit of Settings.CrossZoneCost.
 	sameZoneBonus = 50
 )
 
@@ -33,7 +33,7 @@
 	eligibility eligibility
 	admission   *admissionControl
 
-	partsSent map[*server]int // in this turn: they can share a request
+	partsSent map[*server]int // in this turn, by server; such parts can share a request
 }
 
 func newReplicaSelector(settings *Settings, random *rand.Rand, endpoints *endpointList,
@@ -50,8 +50,8 @@
 	}
 }
 
-// candidates lists the replicas that a part may be sent to now, without outliers; those that got none of
-// its attempts, if there are any.
+// candidates returns the replicas that a part may be sent to now, without outliers. If some of them got none
+// of the part's attempts, it returns only those.
 func (r *replicaSelector) candidates(now time.Duration, p *part) []*server {
 	eligible := filter(r.endpoints.replicasOf(p.shard), func(s *server) bool {
 		return r.eligibility.mayGetAttempt(now, s) && !p.isInFlightAt(s)
@@ -60,8 +60,9 @@
 	return prefer(healthy, func(s *server) bool { return !slices.Contains(p.servers, s) })
 }
 
-// choose picks a replica among those that replied: none that leads in attempts in flight, the least cost, the
-// fewest attempts in flight, in this order. Ties are broken at random.
+// choose picks one of the replicas that replied. It compares, in this order, by how much the in-flight
+// attempts exceed maxInFlightLead over the fewest of the candidates, the cost, and the number of in-flight
+// attempts; the least wins. Ties are broken at random.
 func (r *replicaSelector) choose(now time.Duration, p *part, candidates, replied []*server) *server {
 	least := candidates[0].inFlight.count
 	for _, s := range candidates {
@@ -78,8 +79,8 @@
 	})
 }
 
-// cost of a part at a server, in requests of load. A failing server looks idle, so its load is set against
-// its health.
+// cost returns the cost of sending a part to a server, in requests of load. A failing server looks idle, so
+// the load is divided by a power of its health. The cost of another zone is left out during an overload.
 func (r *replicaSelector) cost(now time.Duration, p *part, s *server) float64 {
 	cost := r.load.load(now, s)
 	if r.settings.RequestCost > 0 && r.partsSent[s]%max(1, r.settings.PartsPerRequest) > 0 {
@@ -92,9 +93,9 @@
 	return cost
 }
 
-// chooseByLatency picks a replica where none replied: the fewest failed health checks, the lowest median
-// latency, the fewest attempts in flight, in this order. A server without a latency counts as average. The
-// list may not be empty.
+// chooseByLatency picks a replica if no candidate replied. It compares, in this order, the consecutive failed
+// health checks, the median latency, and the number of in-flight attempts; the least wins. A server without
+// latency samples counts as average. candidates must not be empty.
 func (r *replicaSelector) chooseByLatency(now time.Duration, p *part, candidates []*server) *server {
 	average := meanMedianLatency(now, r.endpoints.replicasOf(p.shard))
 	return slices.MinFunc(candidates, func(a, b *server) int {
--- a/internal/routing/replica_selection_test.go
+++ b/internal/routing/replica_selection_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Guards against sending all parts to one server on wrong load reports.
+// Guards against sending all parts to one server because of wrong load reports.
 func TestChooseLimitsLeadInAttemptsInFlight(t *testing.T) {
 	settings := testSettings()
 	settings.Hedging = false
@@ -46,7 +46,7 @@
 	candidates := []*server{h.server(1), h.server(2)}
 	chosen := h.router.selector.chooseByLatency(h.now, p, candidates)
 	if chosen.id != 2 {
-		t.Errorf("chose %d, want 2 without a latency (60 ms on average) before 1 (90 ms)", chosen.id)
+		t.Errorf("chose %d, want 2: without samples it counts as average (60 ms), 1 has 90 ms", chosen.id)
 	}
 }
 
@@ -70,7 +70,7 @@
 	}
 }
 
-// Guards against keeping to the zone while capacity is short.
+// Guards against preferring the own zone while capacity is short.
 func TestChoosePrefersZoneUnlessOverloaded(t *testing.T) {
 	for name, c := range map[string]struct {
 		cost       float64
@@ -99,7 +99,7 @@
 	}
 }
 
-// newTestSelector has the servers 1 to 3, reports of requests in flight and a request cost.
+// newTestSelector returns a selector with the servers 1 to 3, load reports of requests in flight and a request cost.
 func newTestSelector(t *testing.T, crossZoneCost float64) (*replicaSelector, []*server) {
 	t.Helper()
 	settings := testSettings()
@@ -200,7 +200,7 @@
 				p.inFlight = append(p.inFlight, &attempt{part: p, server: servers[i]})
 			}
 			if got := serverIDs(selector.candidates(time.Minute, p)); !slices.Equal(got, c.want) {
-				t.Errorf("candidates %v, want %v", got, c.want)
+				t.Errorf("candidates = %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/internal/routing/retry.go
+++ b/internal/routing/retry.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// retryPolicy says whether a part may have a further attempt: by its idempotency, its attempts, and the
-// budget of retries and hedges.
+// retryPolicy decides whether a part may have a further attempt, from its idempotency, the number of its
+// attempts, and the budget of retries and hedges.
 type retryPolicy struct {
 	settings        *Settings
-	arrivals        *slidingWindow // queries and parts
+	arrivals        *slidingWindow // arrivals of queries and of parts
 	furtherAttempts *slidingWindow // attempts beyond a part's first
 }
 
@@ -31,8 +31,8 @@
 // countFurtherAttempt counts an attempt beyond a part's first.
 func (r *retryPolicy) countFurtherAttempt(now time.Duration) { r.furtherAttempts.add(now, 1) }
 
-// allows tells whether a part may have its next attempt now. isHedge: others are in flight. The first attempt
-// is always allowed, but for a body that has been evicted.
+// allows reports whether a part may have its next attempt now. isHedge is true if other attempts of the part
+// are in flight. The first attempt is always allowed, unless the part's body has been evicted.
 func (r *retryPolicy) allows(now time.Duration, p *part, isHedge bool) bool {
 	if p.bodyEvicted {
 		return false
@@ -46,8 +46,8 @@
 	return r.isRepeatable(now, p) && r.withinBudget(now, isHedge)
 }
 
-// isRepeatable tells whether running a part once more does no harm. One tick is left for the next turn to
-// send it.
+// isRepeatable reports whether a part can safely run once more. It leaves one tick for the next turn to send
+// it.
 func (r *retryPolicy) isRepeatable(now time.Duration, p *part) bool {
 	if !p.mayHaveRun && len(p.inFlight) == 0 {
 		return true
@@ -55,7 +55,8 @@
 	return p.query.class.Idempotency != NonIdempotent && now <= p.retryableUntil-r.settings.Tick
 }
 
-// withinBudget tells whether a further attempt keeps within the retry budget, if there is one.
+// withinBudget reports whether a further attempt is within the retry budget and, for a hedge, within the
+// limit of hedges. A RetryBudgetWindow of 0 means that there is no retry budget.
 func (r *retryPolicy) withinBudget(now time.Duration, isHedge bool) bool {
 	arrived := float64(r.arrivals.count(now))
 	further := float64(r.furtherAttempts.count(now) + 1)
--- a/internal/routing/retry_test.go
+++ b/internal/routing/retry_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// Guards against a retry that is decided within the idempotency window and written after it.
+// Guards against a retry that is decided within the idempotency window but written after it.
 func TestSendWriteBeforeEndsWithIdempotencyWindow(t *testing.T) {
 	h := newHarness(t, keyedSettings())
 	h.startQuery(10, 0, 0)
@@ -62,7 +62,7 @@
 	}
 }
 
-// Guards against retries that keep within the budget when decided and exceed it when written.
+// Guards against retries that are within the budget when decided but exceed it when written.
 func TestRetryBudgetHoldsAtWrite(t *testing.T) {
 	for delay, want := range map[time.Duration]int{0: 1, 300 * ms: 0} {
 		t.Run(fmt.Sprintf("delay=%v", delay), func(t *testing.T) {
@@ -75,7 +75,7 @@
 			first := h.sendAfterChecks(1, 2, 3)
 			h.advance(1800*ms, attemptResult(11, 0, first, ServerError, 1800*ms))
 			if checks := len(actionsOf[HealthCheck](h.actions)); checks > 0 != (want > 0) {
-				t.Errorf("write delay %v: %d health checks for a retry", delay, checks)
+				t.Errorf("write delay %v: %d health checks for a retry, want any: %v", delay, checks, want > 0)
 			}
 		})
 	}
@@ -96,7 +96,7 @@
 	wantActions[Reject](t, h.actions, 1)
 }
 
-// allowsCase is a part with attempts, and whether it may have a further one at allowsNow.
+// allowsCase describes a part and whether it may have a further attempt at allowsNow.
 type allowsCase struct {
 	idempotency    Idempotency
 	attempts       int
@@ -179,7 +179,7 @@
 	settings.MaxAttempts = 0
 	p := &part{query: &query{class: &settings.Classes[0]}, servers: make([]*server, 100)}
 	if !newRetryPolicy(&settings).allows(time.Minute, p, false) {
-		t.Error("a retry is rejected though there is no limit of attempts")
+		t.Error("allows = false without a limit of attempts, want true")
 	}
 }
 
--- a/internal/routing/server.go
+++ b/internal/routing/server.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// server is what is known of one server. Each rule has a field of its own.
+// server holds the router's state for one server. Each of its rules (latency, health, backoff, ...) has a
+// field of its own.
 type server struct {
 	id       ServerID
 	endpoint Endpoint
 	listed   bool
 
 	inFlight  inFlightAttempts
-	latency   *slidingWindow // of this coordinator's parts, in nanoseconds
+	latency   *slidingWindow // of this coordinator's successful attempts, in nanoseconds
 	report    loadReport
 	health    healthScores
 	checks    healthCheckState
@@ -20,7 +21,7 @@
 	slowStart slowStartState
 }
 
-// resetForRestart forgets what was learned of the server's incarnation before, but for a backoff in force.
+// resetForRestart clears the state of the server's previous incarnation, except a backoff in force.
 func (s *server) resetForRestart(e Endpoint, classes int) {
 	s.endpoint = e
 	s.health.byClass = slices.Repeat([]float64{1}, classes)
@@ -29,37 +30,39 @@
 	s.latency = newSlidingWindow(statsWindow)
 }
 
-// inFlightAttempts counts this coordinator's attempts at a server; canceled ones count until their result
-// comes.
+// inFlightAttempts counts this coordinator's attempts in flight at a server. A canceled attempt counts until
+// its result is received.
 type inFlightAttempts struct {
 	count      int
-	sumSentAt  time.Duration // sum of the times at which they were sent
+	sumSentAt  time.Duration // sum of the send times of the attempts in flight
 	lastSentAt time.Duration
 }
 
+// sent counts an attempt that is sent now.
 func (f *inFlightAttempts) sent(now time.Duration) {
 	f.count++
 	f.sumSentAt += now
 	f.lastSentAt = now
 }
 
+// ended removes an attempt from the count; sentAt is when it was sent.
 func (f *inFlightAttempts) ended(sentAt time.Duration) {
 	f.count--
 	f.sumSentAt -= sentAt
 }
 
-// meanAge is the mean age of the attempts in flight, in nanoseconds. One attempt more, of age 0, counts with
-// them: the age of a few says little.
+// meanAge returns the mean age of the attempts in flight, in nanoseconds. One additional attempt of age 0 is
+// included, because the mean of a few attempts says little.
 func (f *inFlightAttempts) meanAge(now time.Duration) float64 {
 	return float64(time.Duration(f.count)*now-f.sumSentAt) / float64(f.count+1)
 }
 
-// filter returns the servers for which keep is true, in a list of its own.
+// filter returns a new list of the servers for which keep is true.
 func filter(list []*server, keep func(*server) bool) []*server {
 	return slices.DeleteFunc(slices.Clone(list), func(s *server) bool { return !keep(s) })
 }
 
-// prefer returns the servers for which better is true, or the whole list if there is none.
+// prefer returns the servers for which better is true, or the whole list if there are none.
 func prefer(list []*server, better func(*server) bool) []*server {
 	if preferred := filter(list, better); len(preferred) > 0 {
 		return preferred
--- a/internal/routing/slow_start.go
+++ b/internal/routing/slow_start.go
@@ -6,36 +6,36 @@
 )
 
 const (
-	// Share of Settings.WarmupOverloadFactor that the coordinators together may use of a server that warms
-	// up.
+	// Share of Settings.WarmupOverloadFactor up to which all coordinators together may load a server that is
+	// warming up.
 	warmupLoadShare = 0.7
 
-	// Share of Settings.WarmupDuration after which a server's report of its own speed is believed in part: by
-	// then it has had time to measure it.
+	// Share of Settings.WarmupDuration after which a server's reported service time is taken into account, at
+	// half weight: by then the server has had time to measure it.
 	trustedWarmupShare = 1.0 / 3
 )
 
-// slowStartState is how far a server that warms up has been used.
+// slowStartState is the slow-start state of one server.
 type slowStartState struct {
 	gapStartedAt time.Duration // when the gap to the next attempt began
 }
 
-// slowStart spaces the attempts at servers that have just started: when every coordinator keeps the gap, all
-// together stay under the load at which such a server fails.
+// slowStart keeps a minimum gap between attempts at a server that has just started. If every coordinator
+// keeps the gap, all of them together stay below the load at which such a server fails.
 type slowStart struct {
 	settings  *Settings
 	random    *rand.Rand
 	load      *loadEstimator
 	latencies *latencyStats
-	warmRate  float64 // parts a nanosecond that a warm server could take of this coordinator
+	warmRate  float64 // parts per nanosecond that a warm server could take from this coordinator
 }
 
 func newSlowStart(settings *Settings, random *rand.Rand, results *resultRecorder) *slowStart {
 	return &slowStart{settings: settings, random: random, load: results.load, latencies: results.latencies}
 }
 
-// update estimates the warm rate: what the mean server answered lately, set against its utilization, and at
-// least one part at a time, shared among the coordinators.
+// update estimates the warm rate: the recent rate of answers, divided by the sum of the ready servers'
+// utilizations (at least 1). It is at least one part at a time, shared among the coordinators.
 func (r *slowStart) update(now time.Duration, servers []*server) {
 	utilization := 0.0
 	for _, s := range servers {
@@ -48,8 +48,8 @@
 	r.warmRate = max(onePartAtATime, answered/max(1, utilization))
 }
 
-// begin starts a new incarnation of a server at a random point of its first gap, which keeps the coordinators
-// from sending in step.
+// begin starts the slow start of a new incarnation of a server, at a random point of the first gap. The
+// random point prevents the coordinators from sending at the same times.
 func (r *slowStart) begin(now time.Duration, s *server) {
 	elapsed := r.random.Float64()
 	if r.isWarmingUp(now, s) {
@@ -57,14 +57,15 @@
 	}
 }
 
-// isWarmingUp tells whether a server may still have less than its full capacity. One that started long ago
-// has a StartedAt of 0.
+// isWarmingUp reports whether a server may still have less than its full capacity. A server that started long
+// ago has a StartedAt of 0.
 func (r *slowStart) isWarmingUp(now time.Duration, s *server) bool {
 	return s.endpoint.StartedAt > 0 && now < s.endpoint.StartedAt+r.settings.WarmupDuration
 }
 
-// gap is the time, in nanoseconds, between two parts of this coordinator at a server that warms up, for a
-// part of the given work relative to the median part. It follows the server's capacity, which rises evenly.
+// gap returns the time, in nanoseconds, that this coordinator waits after sending a part to a server that is
+// warming up. relativeWork is the work of that part relative to the median part. The gap is inversely
+// proportional to the server's capacity, which is assumed to rise linearly with its age.
 func (r *slowStart) gap(now time.Duration, s *server, relativeWork float64) float64 {
 	age := float64(now-s.endpoint.StartedAt) / float64(r.settings.WarmupDuration)
 	initial := r.settings.WarmupInitialShare
@@ -75,7 +76,7 @@
 	return relativeWork / (warmupLoadShare * capacity * r.settings.WarmupOverloadFactor * r.warmRate)
 }
 
-// allows tells whether a server may be sent a part now: it is warm, or the gap is over.
+// allows reports whether a server may be sent a part now: it is warm, or the current gap is over.
 func (r *slowStart) allows(now time.Duration, s *server) bool {
 	if !r.isWarmingUp(now, s) {
 		return true
@@ -83,8 +84,8 @@
 	return now >= s.slowStart.gapStartedAt+time.Duration(r.gap(now, s, 1))
 }
 
-// sent begins the next gap after a part of a class. A part that went out late shortens it, by one gap at
-// most.
+// sent starts the next gap after a part of a class was sent. If the part was sent later than its gap allowed,
+// the next gap is shortened by the delay, by one gap at most.
 func (r *slowStart) sent(now time.Duration, s *server, class int) {
 	if !r.isWarmingUp(now, s) {
 		return
--- a/internal/routing/slow_start_test.go
+++ b/internal/routing/slow_start_test.go
@@ -19,12 +19,12 @@
 		}
 		h.advance(15*ms, attemptResult(RequestID(11+10*i), 0, server, OK, 15*ms))
 	}
-	if sent == 0 || sent > 4 { // at most 0.7 * 3 * 0.25 of the eight or so that a warm server answers
+	if sent == 0 || sent > 4 { // at most 0.7 * 3 * 0.25 of the about eight parts that a warm server answers
 		t.Errorf("%d of 20 parts within half a second went to the server in slow start, want 1 to 4", sent)
 	}
 }
 
-// Guards against a fleet of coordinators that together send more than the server can take.
+// Guards against coordinators that together send a server more than it can take.
 func TestSlowStartGapGrowsWithCoordinators(t *testing.T) {
 	gaps := map[int]float64{}
 	for _, coordinators := range []int{1, 40} {
@@ -35,11 +35,11 @@
 		gaps[coordinators] = h.router.slowStart.gap(h.now, s, 1)
 	}
 	if gaps[40] < 30*gaps[1] {
-		t.Errorf("gaps = %v, want one of 40 coordinators at least 30 times as long", gaps)
+		t.Errorf("gaps = %v, want the gap with 40 coordinators at least 30 times as long as with 1", gaps)
 	}
 }
 
-// reportedGap is the gap at a server of the given age and service time; inFlight is reported by the others.
+// reportedGap returns the gap at a server of the given age and service time; the other servers report inFlight.
 func reportedGap(t *testing.T, inFlight, serviceTime float64, age time.Duration) float64 {
 	t.Helper()
 	settings := slowStartSettings(0.2, 2)
@@ -55,29 +55,31 @@
 	h.playQuery(100, 20*ms, 2, 3, 2, 3, 2, 3, 2, 3, 2, 3, 2, 3)
 	h.turn(reportReply(1, 0, serviceTime, 0),
 		reportReply(2, inFlight, 20, 0), reportReply(3, inFlight, 20, 0))
-	for range 2 { // a high median latency: the least rate of one part at a time does not decide
+	for range 2 { // a high median latency, so that the lower bound of one part at a time does not apply
 		h.router.results.latencies.all.add(h.now, float64(10*time.Second))
 	}
 	h.advance(0)
 	return h.router.slowStart.gap(h.now, h.server(1), 1)
 }
 
-// Guards against a server left idle in slow start because a single coordinator has few samples of it.
+// Guards against a server that stays idle in slow start because each coordinator has few samples of it.
 func TestSlowStartGapFollowsLoadReports(t *testing.T) {
 	if idle, busy := reportedGap(t, 0.8, 20, 0), reportedGap(t, 2, 20, 0); idle > 0.8*busy {
-		t.Errorf("gap %.3g where the warm servers are at 40 %%, %.3g where at 100 %%", idle, busy)
+		t.Errorf("gap = %.3g with the warm servers at 40 %%, %.3g with them at 100 %%; want at most 0.8 of it",
+			idle, busy)
 	}
 	fast, slow := reportedGap(t, 2, 25, 6*time.Second), reportedGap(t, 2, 80, 6*time.Second)
 	if fast > 0.9*slow {
-		t.Errorf("gap %.3g with a service time near the median, %.3g with four times that", fast, slow)
+		t.Errorf("gap = %.3g with a service time near the median, %.3g with four times it; want at most 0.9 of it",
+			fast, slow)
 	}
 	young, silent := reportedGap(t, 2, 25, time.Second), reportedGap(t, 2, 0, time.Second)
 	if young != silent {
-		t.Errorf("gap %.3g by a report too early to count, %.3g without", young, silent)
+		t.Errorf("gap = %.3g with a report too early to count, %.3g without; want equal gaps", young, silent)
 	}
 }
 
-// Guards against a gap fixed at the start of the slow start, which would outlast it.
+// Guards against a gap that is computed once at the start: it would outlast the slow start.
 func TestSlowStartGapShrinksWithAge(t *testing.T) {
 	settings := slowStartSettings(0.1, 2)
 	settings.Coordinators = 40
@@ -89,11 +91,11 @@
 	h.advance(14 * time.Second)
 	now := time.Duration(h.router.slowStart.gap(h.now, s, 1))
 	if first < 15*time.Second || !h.router.selector.eligibility.mayGetAttemptSoon(h.now, s) {
-		t.Errorf("gap %v at the start, %v after 14 s: no attempt is allowed yet", first, now)
+		t.Errorf("gap = %v at the start, want at least 15s; %v after 14 s, want an attempt allowed", first, now)
 	}
 }
 
-// Guards against a placement on a server in slow start that brings it all of a shard's parts.
+// Guards against a placement that sends all of a shard's parts to a server in slow start.
 func TestSlowStartLimitsAttemptsOfMovedShard(t *testing.T) {
 	h := newHarness(t, slowStartSettings(0.2, 3))
 	started := Endpoint{Server: 9, Cell: 2, State: Ready, StartedAt: h.now}
@@ -114,7 +116,8 @@
 	}
 }
 
-// newTestSlowStart has an initial share of 0.2 and an overload factor of 2, and no samples.
+// newTestSlowStart returns a slow start with an initial share of 0.2, an overload factor of 2 and no samples, and a
+// server that started at the given time.
 func newTestSlowStart(startedAt time.Duration) (*slowStart, *server) {
 	settings := slowStartSettings(0.2, 2)
 	rule := newSlowStart(&settings, rand.New(rand.NewPCG(1, 2)), newResultRecorder(&settings))
@@ -192,13 +195,13 @@
 			s.slowStart.gapStartedAt = now - c.gapAge
 			rule.sent(now, s, 0)
 			if got := now - s.slowStart.gapStartedAt; got != c.wantAge {
-				t.Errorf("the next gap began %v ago, want %v", got, c.wantAge)
+				t.Errorf("next gap began %v ago, want %v", got, c.wantAge)
 			}
 		})
 	}
 }
 
-// Guards against coordinators that all send at the start of a server, or all at the end of its first gap.
+// Guards against coordinators that all send when a server starts, or all at the end of its first gap.
 func TestSlowStartBeginsWithinFirstGap(t *testing.T) {
 	now := time.Minute
 	rule, s := newTestSlowStart(now)
@@ -208,11 +211,11 @@
 		rule.begin(now, s)
 		age := now - s.slowStart.gapStartedAt
 		if age < 0 || age > gap {
-			t.Fatalf("the first gap of %v began %v ago", gap, age)
+			t.Fatalf("first gap of %v began %v ago, want 0 to %v", gap, age, gap)
 		}
 		ages[age] = true
 	}
 	if len(ages) < 2 {
-		t.Error("all first gaps begin at the same time")
+		t.Error("all first gaps begin at the same time, want them spread")
 	}
 }
--- a/internal/routing/snapshot.go
+++ b/internal/routing/snapshot.go
@@ -2,25 +2,27 @@
 
 import "time"
 
-// idleBeforeExclusion is how long an unhealthy server has to be without a part before it is shown as
-// excluded: one on probation gets a part now and then.
+// idleBeforeExclusion is how long an unhealthy server must get no part before it is reported as excluded: a
+// server on probation gets a part now and then.
 const idleBeforeExclusion = time.Second
 
-// ServerSnapshot is what the router knows of one listed server, to be shown. Nothing is decided by it.
+// ServerSnapshot is a copy of the router's state of one listed server, for display only: no decision depends
+// on it.
 type ServerSnapshot struct {
 	Server             ServerID
 	State              EndpointState
 	InFlight           int           // this coordinator's attempts in flight
-	MedianLatency      time.Duration // of this coordinator's parts lately; 0: none
+	MedianLatency      time.Duration // of this coordinator's recent successful attempts; 0: none
 	Health             []float64     // by class; 1 is healthy, 0 failing
-	FailedHealthChecks int           // in a row
+	FailedHealthChecks int           // consecutive
 	WarmingUp          bool
-	Unreachable        bool          // in backoff after an attempt that could not be delivered
-	Backoff            time.Duration // remaining time without attempts, after an overload or a failed connect
-	SinceLastSend      time.Duration
+	Unreachable        bool          // in backoff after a failed connect
+	Backoff            time.Duration // remaining backoff after an overload or a failed connect; 0: none
+	SinceLastSend      time.Duration // time since the last attempt was sent; since time 0 if none was
 }
 
-// Snapshot lists what is known of the listed servers, by id.
+// Snapshot returns a snapshot of each listed server, sorted by id. It moves the router's clock forward to
+// now, never back.
 func (r *Router) Snapshot(now time.Duration) (snapshots []ServerSnapshot) {
 	r.now = max(r.now, now)
 	for _, s := range r.endpoints.listed {
@@ -43,8 +45,9 @@
 	return snapshots
 }
 
-// EndpointCounts counts the listed servers and those of them that are excluded: draining, unreachable, or
-// ejected for every class. A server that is only overloaded for the moment is not excluded.
+// EndpointCounts returns the number of listed servers, and how many of them are excluded: draining,
+// unreachable, or ejected for every class. A server that is in backoff after an overload is not excluded. It
+// moves the router's clock forward to now, never back.
 func (r *Router) EndpointCounts(now time.Duration) (known, excluded int) {
 	r.now = max(r.now, now)
 	return len(r.endpoints.listed), len(filter(r.endpoints.listed, func(s *server) bool {
@@ -52,7 +55,8 @@
 	}))
 }
 
-// isEjected tells whether a server is an outlier for every class and has had no part lately.
+// isEjected reports whether a server is an outlier for every class, has no attempt in flight and was sent
+// none within idleBeforeExclusion.
 func (r *Router) isEjected(s *server) bool {
 	if s.inFlight.count > 0 || r.now < s.inFlight.lastSentAt+idleBeforeExclusion {
 		return false
--- a/internal/routing/snapshot_test.go
+++ b/internal/routing/snapshot_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// wantCounts checks the numbers of known and excluded servers.
+// wantCounts checks the numbers of listed and excluded servers.
 func (h *harness) wantCounts(known, excluded int) {
 	h.t.Helper()
 	if k, e := h.router.EndpointCounts(h.now); k != known || e != excluded {
-		h.t.Errorf("%d known, %d excluded; want %d and %d", k, e, known, excluded)
+		h.t.Errorf("known = %d, excluded = %d; want %d, %d", k, e, known, excluded)
 	}
 }
 
-// failAttempt plays a query whose first attempt, at the server, ends with the code; then its client leaves.
+// failAttempt plays a query whose first attempt, at the server, ends with the code; then its client disconnects.
 func (h *harness) failAttempt(id RequestID, server ServerID, code Code) {
 	h.t.Helper()
 	h.startQuery(id, 0, 0)
@@ -32,7 +32,7 @@
 	h.updateEndpoints(UpdateDelta, Endpoint{Server: 2, Cell: 1, State: Removed})
 	h.wantCounts(2, 0)
 	h.failAttempt(20, 1, Overloaded)
-	h.wantCounts(2, 0) // overloaded for the moment is not excluded
+	h.wantCounts(2, 0) // an overloaded server is not excluded
 	h.now += time.Second
 	h.failAttempt(30, 1, ConnectFailed)
 	h.wantCounts(2, 1)
@@ -64,6 +64,6 @@
 		Server: 5, State: Ready, Health: []float64{1}, WarmingUp: true, SinceLastSend: h.now,
 	}}
 	if got := h.router.Snapshot(h.now); !reflect.DeepEqual(got, want) {
-		t.Errorf("snapshot %+v, want %+v", got, want)
+		t.Errorf("snapshot = %+v, want %+v", got, want)
 	}
 }
--- a/internal/routing/trace_api_test.go
+++ b/internal/routing/trace_api_test.go
@@ -7,8 +7,8 @@
 	"linkpass/internal/routing"
 )
 
-// Of the trace's files only this one names the package's events and actions. The words here are those of the golden
-// files: they stay as they are when the interface is renamed.
+// This is the only file of the golden trace that refers to the package's events and actions. The strings here are part
+// of the hashed traces in the golden files, so they stay as they are when the package's interface is renamed.
 
 type (
 	event          = routing.Event
@@ -16,7 +16,7 @@
 	reportField    = routing.ReportField
 )
 
-// outcomeCodes are the words for how an attempt or a probe ended.
+// outcomeCodes maps the trace's words for the outcome of an attempt or a health check to the package's codes.
 var outcomeCodes = map[string]routing.Code{
 	"ok":             routing.OK,
 	"errored":        routing.ServerError,
@@ -29,7 +29,7 @@
 	"stale":          routing.ShardMoved,
 }
 
-// listModes are the words for how news of the server list is to be read.
+// listModes maps the trace's words for the kind of an endpoint update to its mode.
 var listModes = map[string]routing.UpdateMode{
 	"delta":  routing.UpdateDelta,
 	"full":   routing.UpdateFull,
@@ -37,14 +37,14 @@
 	"failed": routing.UpdateFailed,
 }
 
-// serverStates are the words for what the list says of a server.
+// serverStates maps the trace's words for the state of a server to the state in an endpoint update.
 var serverStates = map[string]routing.EndpointState{
 	"draining": routing.Draining,
 	"ready":    routing.Ready,
 	"gone":     routing.Removed,
 }
 
-// eventWord names the kind of an event for the counters.
+// eventWord returns the word under which events of this type are counted.
 func eventWord(e event) string {
 	switch e.(type) {
 	case routing.EndpointUpdate:
@@ -174,7 +174,7 @@
 
 func gossipMessageEvent() event { return routing.GossipMessage{From: 1, Data: []byte("load")} }
 
-// router is what the trace needs of the decision module.
+// router wraps the router under test with what the trace needs.
 type router struct{ *routing.Router }
 
 func newRouter(set routerSettings, seed uint64) (router, error) {
@@ -182,7 +182,7 @@
 	return router{r}, err
 }
 
-// play gives the router one turn and carries out its actions, each of which is written to the trace.
+// play runs one turn of the router. It writes each action to the trace and carries it out in the simulation.
 func (r router) play(w *world, events []event) {
 	for _, action := range r.Turn(w.now, events) {
 		switch a := action.(type) {
@@ -216,7 +216,7 @@
 	}
 }
 
-// show writes what the router tells of its servers.
+// show writes the router's snapshot of its servers to the trace.
 func (r router) show(w *world) {
 	for _, b := range r.Snapshot(w.now) {
 		w.write("belief", "server=%d state=%s out=%d median=%d lost=%d cold=%t down=%t pause=%d quiet=%d health=%x",
--- a/internal/routing/trace_attempt_test.go
+++ b/internal/routing/trace_attempt_test.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// sendPart takes an attempt to its server and plans its outcome.
+// sendPart sends an attempt to its server and schedules its outcome.
 func (w *world) sendPart(id, server uint64, timeout, until time.Duration) {
 	p := w.parts[id]
 	a := &simAttempt{part: p, number: len(p.attempts), server: w.servers[server-1], sent: w.now}
@@ -29,7 +29,7 @@
 	}
 }
 
-// fate is when and how an attempt ends at its server.
+// fate determines when an attempt ends at its server, and with which outcome.
 func (w *world) fate(a *simAttempt, written time.Duration) (due time.Duration, code string) {
 	s := a.server
 	never := w.now + time.Hour
@@ -54,7 +54,7 @@
 	return end + w.between(200*time.Microsecond, 2*time.Millisecond), "ok"
 }
 
-// end plans the outcome of an attempt, unless it is closed before that.
+// end schedules the outcome of an attempt. An attempt that is closed earlier has no further outcome.
 func (w *world) end(a *simAttempt, due time.Duration, code string) {
 	w.at(due, func() []event {
 		if a.closed {
@@ -64,7 +64,7 @@
 	})
 }
 
-// outcome closes an attempt. What a server itself answered may bring its load report.
+// outcome closes an attempt and returns its result event. A response of the server may carry its load report.
 func (w *world) outcome(a *simAttempt, code string) event {
 	a.closed = true
 	a.part.answered = a.part.answered || code == "ok"
@@ -77,7 +77,8 @@
 	return attemptResultEvent(a, code, w.now-a.sent, report)
 }
 
-// cancelAttempt calls an attempt back; an answer on its way may come before that.
+// cancelAttempt schedules the cancellation of an attempt; a response may arrive before it. One cancel in five has no
+// effect.
 func (w *world) cancelAttempt(part uint64, number int) {
 	a := w.attempt(part, number)
 	if a == nil || a.closed || w.chance(5) {
@@ -86,7 +87,7 @@
 	w.end(a, w.now+w.between(500*time.Microsecond, 3*time.Millisecond), "cancelled")
 }
 
-// attempt finds an attempt by its part, which may belong to a query that has ended.
+// attempt returns an attempt of a part, also of a part whose query has ended; nil if it does not exist.
 func (w *world) attempt(part uint64, number int) *simAttempt {
 	p := w.parts[part]
 	if p == nil {
@@ -98,7 +99,8 @@
 	return p.attempts[number]
 }
 
-// stale is the outcome of an attempt whose shard has moved, with the parts that take the place of its own.
+// stale returns the events of an attempt whose shard has moved: its outcome and, if its part is still open, the
+// replacement of the part.
 func (w *world) stale(a *simAttempt, next int) []event {
 	if a.closed {
 		return nil
@@ -117,7 +119,8 @@
 	return append(out, w.replace(yielding, next)...)
 }
 
-// replace puts two parts at another shard in the place of some of a query, of which a piece may have been answered.
+// replace replaces some parts of a query by two parts of another shard. A quarter of the weight may have been received
+// already.
 func (w *world) replace(yielding []*simPart, next int) []event {
 	weight := 0.0
 	for _, p := range yielding {
@@ -141,13 +144,13 @@
 	return []event{partsReplacedEvent(yielding, in, heirs)}
 }
 
-// retire keeps a part that is no longer open for what its attempts may still bring.
+// retire moves a part that is no longer open to the ended parts: its attempts may still have results.
 func (w *world) retire(p *simPart) {
 	delete(w.parts, p.id)
 	w.ended[p.id] = p
 }
 
-// checkHealth takes a probe to its server and plans its reply.
+// checkHealth sends a health check to its server and schedules the result.
 func (w *world) checkHealth(server uint64) {
 	s := w.servers[server-1]
 	sent := w.now
--- a/internal/routing/trace_client_test.go
+++ b/internal/routing/trace_client_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// pickClass draws the class of a query by the shares.
+// pickClass draws the class of a query, weighted by the classes' shares.
 func (w *world) pickClass() int {
 	sum := 0.0
 	for _, c := range w.site.Class {
@@ -21,7 +21,7 @@
 	return 0
 }
 
-// newQuery is the arrival of a query and of its parts.
+// newQuery creates a query and returns its arrival and those of its parts. again is the number of earlier tries.
 func (w *world) newQuery(again int) []event {
 	class := w.pickClass()
 	w.nextID++
@@ -62,7 +62,7 @@
 	return p
 }
 
-// weights shares a query out over its parts. The sum may be a little short of 1, as sums of rounded weights are.
+// weights draws the weights of a query's parts. Their sum may be slightly below 1, as sums of rounded weights are.
 func (w *world) weights(count int) []float64 {
 	out := make([]float64, count)
 	sum := 0.0
@@ -80,7 +80,7 @@
 	return out
 }
 
-// pickShard draws a shard; some are asked for more than others, and some have moved.
+// pickShard draws a shard; low numbers are more frequent. For a shard that has moved it returns the new one.
 func (w *world) pickShard() int {
 	draw := w.random.Float64()
 	shard := int(draw * draw * float64(w.set.Shards))
@@ -93,7 +93,7 @@
 	}
 }
 
-// closeQuery forgets a query that has ended.
+// closeQuery removes a query that has ended from the open queries.
 func (w *world) closeQuery(id uint64) {
 	q := w.open[id]
 	if q == nil {
@@ -106,7 +106,8 @@
 	}
 }
 
-// rejected lets the client come again, some the sooner for the advice and some with no heed to it.
+// rejected handles the rejection of a query: half of the clients send it again, up to three times. One in four of them
+// ignores the advised delay.
 func (w *world) rejected(id uint64, after time.Duration) {
 	q := w.open[id]
 	w.closeQuery(id)
@@ -120,7 +121,7 @@
 	w.at(w.now+wait, func() []event { return w.newQuery(q.again + 1) })
 }
 
-// clientEvents are a client that leaves, a body that is gone, and events that concern nobody.
+// clientEvents draws client disconnects, body evictions, and events that refer to unknown ids.
 func (w *world) clientEvents() []event {
 	var out []event
 	if len(w.queries) > 0 && w.chance(60) {
--- a/internal/routing/trace_server_test.go
+++ b/internal/routing/trace_server_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// simServer is a server of the simulated world: a queue before some cores.
+// simServer is a simulated server: a queue in front of a number of cores.
 type simServer struct {
 	id         uint64
 	zone       int
@@ -21,21 +21,21 @@
 	coldFrom float64
 	cold     time.Duration
 
-	cores    []time.Duration // when each is free
-	finishes []time.Duration // of the requests in hand
-	service  float64         // recent service time, ns
+	cores    []time.Duration // when each core becomes free
+	finishes []time.Duration // completion times of the queued and running requests
+	service  float64         // moving average of the service time, in nanoseconds
 	report   []float64
 	reportAt time.Duration
 
-	slow        float64 // multiple of the service time
-	failing     float64 // share of requests
-	lossy       float64 // share of probes
+	slow        float64 // factor of the service time
+	failing     float64 // share of requests that fail
+	lossy       float64 // share of health checks that get no reply
 	unreachable bool
 	silent      bool
 	jammed      bool
 }
 
-// warmth is the share of its capacity that a server has at a time.
+// warmth returns the share of its full capacity that a server has at a time.
 func (s *simServer) warmth(at time.Duration) float64 {
 	if s.since == 0 || at >= s.since+s.cold {
 		return 1
@@ -43,12 +43,12 @@
 	return s.coldFrom + (1-s.coldFrom)*float64(at-s.since)/float64(s.cold)
 }
 
-// trim forgets the requests that are done.
+// trim removes the completed requests.
 func (s *simServer) trim(at time.Duration) {
 	s.finishes = slices.DeleteFunc(s.finishes, func(end time.Duration) bool { return end <= at })
 }
 
-// serve queues a request and tells when it is done; not if the queue is full.
+// serve queues a request and returns when it completes. accepted is false if the queue is full.
 func (s *simServer) serve(at, work time.Duration) (end time.Duration, accepted bool) {
 	s.trim(at)
 	if len(s.finishes) >= s.size+s.queueLimit {
@@ -68,14 +68,14 @@
 	return end, true
 }
 
-// pause holds all cores up.
+// pause blocks all cores for a time.
 func (s *simServer) pause(at, length time.Duration) {
 	for i := range s.cores {
 		s.cores[i] = max(at, s.cores[i]) + length
 	}
 }
 
-// load is a report of the server, in the order of the fields, as measured a while ago.
+// load returns a load report with values in the order of the fields. A report is reused for 150 ms.
 func (s *simServer) load(at time.Duration, fields []reportField, random *rand.Rand) []float64 {
 	if len(s.report) > 0 && at < s.reportAt+150*time.Millisecond {
 		return s.report
@@ -104,7 +104,7 @@
 	return s.report
 }
 
-// recover ends all troubles of a server.
+// recover clears all faults of a server.
 func (s *simServer) recover() {
 	s.slow = 1
 	s.failing = 0
--- a/internal/routing/trace_settings_test.go
+++ b/internal/routing/trace_settings_test.go
@@ -10,7 +10,7 @@
 	"linkpass/internal/routing"
 )
 
-// span is a figure of a site file, or the low end of a range of them.
+// span is a number of a site file; for a range it is the lower end.
 type span float64
 
 // UnmarshalTOML implements toml.Unmarshaler.
@@ -31,7 +31,7 @@
 	return time.Duration(float64(s) * float64(time.Millisecond))
 }
 
-// site is what the trace reads of a site file.
+// site holds the settings of a site file that the trace uses.
 type site struct {
 	Day struct {
 		Tick span `toml:"tick_ms"`
@@ -160,7 +160,8 @@
 	return out
 }
 
-// layout spreads the shards: in a ring a cell is one server, in sets it is all that hold the same.
+// layout sets the numbers of cells, replicas and shards. In a ring a cell is one server; in sets it is all servers that
+// hold the same shards.
 func (s *site) layout(out *routing.Settings) {
 	out.Cells = int(s.Scale.Servers)
 	out.ReplicasPerShard = int(s.Fam.Replicas)
--- a/internal/routing/trace_test.go
+++ b/internal/routing/trace_test.go
@@ -14,14 +14,14 @@
 )
 
 var (
-	updateTrace = flag.Bool("update", false, "write the golden files under testdata/trace anew")
-	traceText   = flag.String("trace-text", "", "write the actions themselves to this directory, to compare two commits")
+	updateTrace = flag.Bool("update", false, "rewrite the golden files under testdata/trace")
+	traceText   = flag.String("trace-text", "", "directory to write the full traces to, to compare two commits")
 )
 
-// turnsPerHash is how many turns a line of a golden file stands for.
+// turnsPerHash is the number of turns that one line of a golden file covers.
 const turnsPerHash = 50
 
-// traced is what one variant did, in ranges of turns.
+// traced is the trace of one variant, divided into ranges of turns.
 type traced struct {
 	hashes  []string
 	texts   [][]byte
@@ -29,7 +29,7 @@
 	actions int
 }
 
-// trace plays all phases on a variant.
+// trace plays all phases with the settings of a variant.
 func trace(t *testing.T, v variant) traced {
 	t.Helper()
 	s := readSite(t, v.site)
@@ -59,7 +59,7 @@
 	return out
 }
 
-// cut ends a range of turns.
+// cut ends a range of turns: it stores the hash and the text of the trace since the last cut.
 func (x *traced) cut(w *world, turn int) {
 	line := fmt.Sprintf("turns before %d: %016x", turn, xxhash.Sum64(w.text))
 	x.hashes = append(x.hashes, line)
@@ -67,7 +67,7 @@
 	w.text = make([]byte, 0, len(w.text))
 }
 
-// compare tells where a trace leaves the golden one.
+// compare reports the first range of turns in which the trace differs from its golden file.
 func (x *traced) compare(t *testing.T, file string) {
 	t.Helper()
 	golden, err := os.ReadFile(file)
@@ -80,8 +80,8 @@
 	}
 	for i, line := range x.hashes {
 		if i < len(want) && line != want[i] {
-			t.Errorf("other actions than in %s:\ngot  %s\nwant %s", file, line, want[i])
-			t.Logf("this range begins (-trace-text writes all of it):\n%s", firstLines(x.texts[i], 40))
+			t.Errorf("actions differ from %s:\ngot  %s\nwant %s", file, line, want[i])
+			t.Logf("first lines of this range (-trace-text writes all of it):\n%s", firstLines(x.texts[i], 40))
 			return
 		}
 	}
@@ -107,7 +107,8 @@
 	}
 }
 
-// happened are the words that must be counted over all variants, lest the trace turn empty.
+// happened lists what must occur at least once over all variants. Guards against a trace that no longer covers some
+// kind of event or action.
 var happened = strings.Fields(`
 	action:send action:cancel action:reject action:fail action:answer action:timer action:health-check action:subscribe
 	action:belief action:listed
@@ -119,14 +120,15 @@
 	list:delta list:full list:cached list:failed
 	listed:ready listed:draining listed:gone listed:cold`)
 
-// leastActions is how many actions the trace of a variant has at least.
+// leastActions is the least number of actions in the trace of a variant.
 const leastActions = 2500
 
-// The same seeded events bring the same actions at the same times as when the golden files were written.
+// Guards against unintended changes of decisions: the same seeded events must yield the same actions at the same times
+// as when the golden files were written.
 func TestDecisionsAreThoseOfTheGoldenTrace(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("testdata", "trace", "*.txt"))
 	if err != nil || len(files) != len(variants) && !*updateTrace {
-		t.Errorf("%d golden files of %d variants, %v", len(files), len(variants), err)
+		t.Errorf("%d golden files for %d variants, want one for each; error %v", len(files), len(variants), err)
 	}
 	var total tally
 	t.Run("variant", func(t *testing.T) {
@@ -138,7 +140,7 @@
 		}
 	})
 	if total.played < len(variants) {
-		return // a -run pattern chose some
+		return // a -run pattern selected only some variants
 	}
 	for _, word := range happened {
 		if total.counts[strings.Replace(word, ":", " ", 1)] == 0 {
@@ -147,7 +149,7 @@
 	}
 }
 
-// tally is what all variants together have counted.
+// tally sums the counts of all variants, which run in parallel.
 type tally struct {
 	lock   sync.Mutex
 	played int
--- a/internal/routing/trace_trouble_test.go
+++ b/internal/routing/trace_trouble_test.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// phase is a stretch of turns of one kind.
+// phase is a range of turns with the same load and the same kinds of faults.
 type phase struct {
 	name        string
 	turns       int
 	step        time.Duration // mean time between turns
-	load        float64       // share of the fleet's capacity
-	slow        int           // servers that are slow
+	load        float64       // as a share of the fleet's capacity
+	slow        int           // number of slow servers; likewise for the next fields
 	failing     int
-	lossy       int // servers that lose probes
+	lossy       int // servers that lose health checks
 	unreachable int
 	silent      int
 	jammed      int
-	pauses      int     // a pause of the whole fleet each so many turns; 0: none
-	news        int     // news of the list each so many turns
-	moves       int     // a shard moves each so many turns; 0: none
-	lost        float64 // share of attempts that nothing is heard of
+	pauses      int     // mean number of turns between pauses of the whole fleet; 0: none
+	news        int     // mean number of turns between changes of the endpoint list
+	moves       int     // mean number of turns between moves of a shard; 0: none
+	lost        float64 // share of attempts that get no response
 	outage      bool    // discovery fails
 }
 
 const millisecond = time.Millisecond
 
-// phases are those of every run.
+// phases are played in this order for every variant.
 var phases = []phase{
 	{name: "quiet", turns: 100, step: 9 * millisecond, load: 0.3, news: 60},
 	{name: "trouble", turns: 220, step: 12 * millisecond, load: 0.45, news: 25, moves: 12,
@@ -38,7 +38,7 @@
 	{name: "quiet again", turns: 200, step: 12 * millisecond, load: 0.3, news: 30},
 }
 
-// begin starts a phase: the troubles of the one before end, and others are drawn.
+// begin starts a phase: it clears the faults of the previous phase and draws servers for those of the new one.
 func (w *world) begin(p phase) {
 	w.phase = p
 	for _, s := range w.servers {
@@ -60,7 +60,7 @@
 	take(p.jammed, func(s *simServer) { s.jammed = true })
 }
 
-// incidents are the events of a turn that the queries did not cause.
+// incidents draws the events of a turn that are not caused by queries.
 func (w *world) incidents() []event {
 	out := w.clientEvents()
 	if w.phase.pauses > 0 && w.chance(w.phase.pauses) {
@@ -84,7 +84,7 @@
 	return out
 }
 
-// list is news of the server list.
+// list returns an endpoint update and counts what it contains.
 func (w *world) list(mode string, servers ...*simServer) []event {
 	w.counts["list "+mode]++
 	for _, s := range servers {
@@ -96,7 +96,7 @@
 	return []event{endpointUpdateEvent(mode, servers)}
 }
 
-// listNews is one change of the fleet and how discovery tells of it.
+// listNews draws a change of the fleet and returns the endpoint update that results.
 func (w *world) listNews() []event {
 	if w.phase.outage && !w.chance(6) {
 		return w.list("failed")
@@ -120,7 +120,8 @@
 	return w.list("full", list...)
 }
 
-// drain takes a server out of service, and starts another in its place.
+// drain drains a server. It is removed after DrainGrace, and another one is started in its cell after twice that
+// time.
 func (w *world) drain(s *simServer) []event {
 	s.state = "draining"
 	w.at(w.now+w.set.DrainGrace, func() []event {
@@ -131,7 +132,7 @@
 	return w.list("delta", s)
 }
 
-// subscribed answers a subscription, with the list or with a failure.
+// subscribed schedules the reply to a subscription: the endpoint list, or a failure during an outage.
 func (w *world) subscribed() {
 	w.at(w.now+w.between(2*millisecond, 30*millisecond), func() []event {
 		if w.phase.outage && !w.chance(6) {
@@ -141,10 +142,11 @@
 	})
 }
 
-// move takes a shard to servers named for it; some time after it goes back, and for a while nobody has it.
+// move moves a shard to a new one that is placed on randomly chosen servers. After 400 to 900 ms the move is undone and
+// the placement removed; parts that are still sent to the new shard then find no replica.
 func (w *world) move() []event {
 	shard := w.pickShard()
-	if shard >= w.set.Shards { // one that has moved already
+	if shard >= w.set.Shards { // it has moved already
 		return nil
 	}
 	target := w.set.Shards + shard
@@ -162,7 +164,7 @@
 	return []event{shardPlacementEvent(target, holders)}
 }
 
-// overtake lets the move of a shard end some of the attempts that are on their way to it.
+// overtake ends some of the attempts in flight at a shard that moves, with the outcome "stale".
 func (w *world) overtake(shard int) {
 	for _, q := range w.queries {
 		for _, p := range q.parts {
--- a/internal/routing/trace_variants_test.go
+++ b/internal/routing/trace_variants_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// variant is a site with some settings changed.
+// variant is a site with some of its settings changed.
 type variant struct {
 	name   string
 	site   string
@@ -51,7 +51,7 @@
 	set.RetryBudgetWindow = 0
 }
 
-// setPatience lets little be refused for want of room.
+// setPatience raises latency objectives and deadlines, so that few queries are rejected for lack of capacity.
 func setPatience(set *routerSettings) {
 	for i := range set.Classes {
 		set.Classes[i].LatencyObjective *= 6
@@ -74,7 +74,7 @@
 
 const clinic, harbour = "night-clinic", "harbour-ledger"
 
-// variants turn each feature of the settings off and on.
+// variants switch each feature of the settings on and off.
 var variants = []variant{
 	{"clinic", clinic, func(*routerSettings) {}},
 	{"clinic-no-probes", clinic, func(s *routerSettings) { s.HealthChecks = false }},
--- a/internal/routing/trace_world_test.go
+++ b/internal/routing/trace_world_test.go
@@ -16,9 +16,9 @@
 	tenant int
 	count  int
 	left   time.Duration
-	work   time.Duration // of a part
+	work   time.Duration // of one part
 	parts  []*simPart
-	again  int // times that it was asked before
+	again  int // number of earlier tries
 }
 
 type simPart struct {
@@ -39,14 +39,14 @@
 	closed bool
 }
 
-// delivery is what reaches the coordinator at a time.
+// delivery is a batch of events that reaches the coordinator at a time.
 type delivery struct {
 	due    time.Duration
 	order  int
 	events func() []event
 }
 
-// world is a simulated fleet with its clients, as one coordinator meets them.
+// world simulates a fleet and its clients from the point of view of one coordinator.
 type world struct {
 	site     *site
 	set      routerSettings
@@ -55,17 +55,17 @@
 	now      time.Duration
 	lastStep time.Duration
 	phase    phase
-	servers  []*simServer // also those that are gone
-	pending  []delivery   // by due time
+	servers  []*simServer // including removed ones
+	pending  []delivery   // sorted by due time
 	order    int
 	nextID   uint64
 	queries  []*simQuery
 	open     map[uint64]*simQuery
 	parts    map[uint64]*simPart // of open queries
-	ended    map[uint64]*simPart // of others
-	moved    map[int]int         // shards that have moved, and where to
+	ended    map[uint64]*simPart // replaced parts and those of ended queries
+	moved    map[int]int         // by shard that has moved: its new shard
 	counts   map[string]int
-	text     []byte // of the actions since the last cut
+	text     []byte // the trace since the last cut
 }
 
 func newWorld(s *site, set routerSettings, seed uint64) (*world, error) {
@@ -91,7 +91,7 @@
 	return w, nil
 }
 
-// addServer starts a server; after the first second it comes cold.
+// addServer starts a server. One that is started after the simulation has begun needs to warm up.
 func (w *world) addServer(cell int) *simServer {
 	kind := w.site.Tier[0].Kind[0]
 	size := int(kind.Cores)
@@ -116,7 +116,7 @@
 	return s
 }
 
-// at plans a delivery.
+// at schedules a delivery. Those that are due at the same time keep the order in which they were scheduled.
 func (w *world) at(due time.Duration, events func() []event) {
 	w.order++
 	d := delivery{due, w.order, events}
@@ -126,7 +126,7 @@
 	w.pending = slices.Insert(w.pending, i, d)
 }
 
-// due takes the events that have fallen due.
+// due removes the deliveries that are due and returns their events.
 func (w *world) due() []event {
 	var out []event
 	n := 0
@@ -146,18 +146,18 @@
 	w.text = append(w.text, '\n')
 }
 
-// chance is true once in so many times.
+// chance returns true once in so many times on average.
 func (w *world) chance(times int) bool { return w.random.IntN(times) == 0 }
 
-// between draws a time.
+// between draws a duration between the bounds, which are included.
 func (w *world) between(least, most time.Duration) time.Duration {
 	return least + time.Duration(w.random.Int64N(int64(most-least)+1))
 }
 
-// turnsPerShow is after how many turns it is read what the router tells of its servers.
+// turnsPerShow is the number of turns between two snapshots of the router's servers in the trace.
 const turnsPerShow = 25
 
-// play plays one turn.
+// play simulates one turn.
 func (w *world) play(turn int) {
 	w.lastStep = w.between(w.phase.step/2, w.phase.step*3/2)
 	w.now += w.lastStep
@@ -179,12 +179,12 @@
 	}
 }
 
-// ready lists the servers that take part.
+// ready returns the servers in the state "ready".
 func (w *world) ready() []*simServer {
 	return slices.DeleteFunc(slices.Clone(w.servers), func(s *simServer) bool { return s.state != "ready" })
 }
 
-// backgroundLoad brings the servers what the other coordinators send them.
+// backgroundLoad queues the requests of the other coordinators at the servers.
 func (w *world) backgroundLoad() {
 	list := w.ready()
 	for range w.arrivals(float64(w.set.Coordinators-1) * 3) {
@@ -196,7 +196,7 @@
 	}
 }
 
-// arrivals draws how many arrive in a turn, of what is a third part of this node's load.
+// arrivals draws the number of arrivals in a turn. A multiple of 1 is a third of this coordinator's load in requests.
 func (w *world) arrivals(multiple float64) int {
 	cores := 2.5 * float64(w.site.Scale.Servers)
 	each := 3 * 75 * float64(time.Millisecond) * float64(w.set.Coordinators)
@@ -208,7 +208,7 @@
 	return n
 }
 
-// newQueries brings the queries of a turn; some come in bursts.
+// newQueries returns the arrivals of the queries of a turn; some come in bursts.
 func (w *world) newQueries() []event {
 	count := w.arrivals(1)
 	if count > 0 && w.chance(12) {
