--- a/internal/routing/attempts.go
+++ b/internal/routing/attempts.go
@@ -21,14 +21,14 @@
 // update adapts the estimates to the interval at which this coordinator gets a result from a server.
 func (r *resultRecorder) update(now time.Duration, servers int) {
 	interval := r.latencies.sampleInterval(now, servers)
-	r.outliers.update(interval)
-	r.load.update(interval)
+	r.outliers.updateHalfLife(interval)
+	r.load.updateServiceTimeWeight(interval)
 }
 
 // record updates the latency, health, load and overload backoff of a server from the result of an attempt.
 func (r *resultRecorder) record(now time.Duration, a *attempt, result AttemptResult) {
 	s, class := a.server, a.part.query.classIndex
-	r.load.learn(now, s, result.LoadReport)
+	r.load.recordReport(now, s, result.LoadReport)
 	switch result.Code {
 	case OK:
 		r.recordSuccess(now, a, max(1, float64(result.Latency)))
@@ -65,7 +65,7 @@
 	if len(p.servers) > 0 {
 		r.retries.countFurtherAttempt(r.now)
 	}
-	r.slowStart.sent(r.now, s, p.query.classIndex)
+	r.slowStart.startNextGap(r.now, s, p.query.classIndex)
 	if !p.mayHaveRun && !isHedge {
 		p.retryableUntil = p.query.class.retryableUntil(r.now)
 	}
--- a/internal/routing/eligibility_test.go
+++ b/internal/routing/eligibility_test.go
@@ -21,7 +21,7 @@
 var eligibilityCases = map[string]struct {
 	change func(*server)
 	now    bool // want mayGetAttempt
-	soon   bool // want mayGetAttemptSoon
+	soon   bool // want mayGetAttemptAfterBackoff
 }{
 	"ready":      {func(*server) {}, true, true},
 	"draining":   {func(s *server) { s.endpoint.State = Draining }, false, false},
@@ -55,8 +55,8 @@
 			if got := eligible.mayGetAttempt(eligibilityNow, s); got != c.now {
 				t.Errorf("mayGetAttempt = %v, want %v", got, c.now)
 			}
-			if got := eligible.mayGetAttemptSoon(eligibilityNow, s); got != c.soon {
-				t.Errorf("mayGetAttemptSoon = %v, want %v", got, c.soon)
+			if got := eligible.mayGetAttemptAfterBackoff(eligibilityNow, s); got != c.soon {
+				t.Errorf("mayGetAttemptAfterBackoff = %v, want %v", got, c.soon)
 			}
 		})
 	}
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -29,17 +29,17 @@
 	}
 }
 
-// unlistAll marks all servers as not listed. It is called before a full update is applied, so that servers
-// which the update does not contain end up removed.
-func (l *endpointList) unlistAll() {
+// markAllUnlisted marks all servers as not listed. It is called before a full update is applied, so that
+// servers which the update does not contain end up removed.
+func (l *endpointList) markAllUnlisted() {
 	for _, s := range l.listed {
 		s.listed = false
 	}
 }
 
-// learn applies one endpoint of an update. restarted is true if the server is new, or if the endpoint is a
-// later incarnation of a known server; the state of the previous incarnation is then reset.
-func (l *endpointList) learn(e Endpoint) (s *server, restarted bool) {
+// applyEndpoint applies one endpoint of an update. restarted is true if the server is new, or if the endpoint
+// is a later incarnation of a known server; the state of the previous incarnation is then reset.
+func (l *endpointList) applyEndpoint(e Endpoint) (s *server, restarted bool) {
 	s = l.servers[e.Server]
 	if s == nil {
 		s = &server{id: e.Server}
@@ -53,9 +53,9 @@
 	return s, restarted
 }
 
-// refresh brings the sorted list and the replica cache up to date after an update. It also bounds memory use:
+// rebuild brings the sorted list and the replica cache up to date after an update. It also bounds memory use:
 // it drops servers that left the list, have no attempt in flight and are past unlistedRetention.
-func (l *endpointList) refresh(now time.Duration) {
+func (l *endpointList) rebuild(now time.Duration) {
 	maps.DeleteFunc(l.servers, func(_ ServerID, s *server) bool {
 		return !s.listed && s.inFlight.count == 0 && now > s.inFlight.lastSentAt+unlistedRetention
 	})
@@ -64,9 +64,9 @@
 	clear(l.replicas)
 }
 
-// place overrides the replicas that a shard has by its cells. A placement without servers removes the
+// setPlacement overrides the replicas that a shard has by its cells. A placement without servers removes the
 // override.
-func (l *endpointList) place(p ShardPlacement) {
+func (l *endpointList) setPlacement(p ShardPlacement) {
 	delete(l.replicas, p.Shard)
 	if len(p.Servers) == 0 {
 		delete(l.placements, p.Shard)
--- a/internal/routing/endpoints_test.go
+++ b/internal/routing/endpoints_test.go
@@ -16,7 +16,7 @@
 }
 
 // Guards against keeping servers that left the list for ever, and against dropping one with an attempt in flight.
-func TestEndpointListForgetsServersThatLeft(t *testing.T) {
+func TestEndpointListDropsServersThatLeft(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.updateEndpoints(UpdateFull, readyEndpoint(1, 0))
 	h.startQuery(10, 0, 0)
@@ -31,9 +31,9 @@
 				listed, h.server(1) != nil)
 		}
 	}
-	most := int(unlistedRetention/time.Second) + 4
-	if known := len(h.router.endpoints.servers); known > most {
-		t.Errorf("%d servers known, want at most %d", known, most)
+	maxKnown := int(unlistedRetention/time.Second) + 4
+	if known := len(h.router.endpoints.servers); known > maxKnown {
+		t.Errorf("%d servers known, want at most %d", known, maxKnown)
 	}
 }
 
@@ -99,16 +99,16 @@
 			settings.ReplicasPerShard = 2
 			endpoints := newEndpointList(&settings)
 			for _, e := range readyEndpoints(3) {
-				endpoints.learn(e)
+				endpoints.applyEndpoint(e)
 			}
-			endpoints.refresh(time.Minute)
+			endpoints.rebuild(time.Minute)
 			endpoints.replicasOf(c.shard) // fills the cache: the changes below must clear it
-			endpoints.place(ShardPlacement{Shard: c.shard, Servers: c.placement})
+			endpoints.setPlacement(ShardPlacement{Shard: c.shard, Servers: c.placement})
 			endpoints.replicasOf(c.shard)
 			for _, id := range c.removed {
-				endpoints.learn(Endpoint{Server: id, State: Removed})
+				endpoints.applyEndpoint(Endpoint{Server: id, State: Removed})
 			}
-			endpoints.refresh(time.Minute)
+			endpoints.rebuild(time.Minute)
 			if got := serverIDs(endpoints.replicasOf(c.shard)); !slices.Equal(got, c.want) {
 				t.Errorf("replicas of %d = %v, want %v", c.shard, got, c.want)
 			}
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestEndpointListLearnDetectsRestart(t *testing.T) {
+func TestEndpointListApplyEndpointDetectsRestart(t *testing.T) {
 	for name, c := range map[string]struct {
 		startedAt time.Duration // of the second update; the first has 10 s
 		restarted bool
@@ -129,13 +129,13 @@
 			settings := testSettings()
 			endpoints := newEndpointList(&settings)
 			first := Endpoint{Server: 1, State: Ready, StartedAt: 10 * time.Second}
-			s, restarted := endpoints.learn(first)
+			s, restarted := endpoints.applyEndpoint(first)
 			if !restarted {
 				t.Error("restarted = false for a new server, want true")
 			}
 			s.health.byClass[0] = 0.5
 			second := Endpoint{Server: 1, State: Ready, StartedAt: c.startedAt}
-			if _, restarted := endpoints.learn(second); restarted != c.restarted {
+			if _, restarted := endpoints.applyEndpoint(second); restarted != c.restarted {
 				t.Errorf("restarted = %v, want %v", restarted, c.restarted)
 			}
 			if forgotten := s.health.byClass[0] == 1; forgotten != c.restarted {
--- a/internal/routing/forecast.go
+++ b/internal/routing/forecast.go
@@ -77,7 +77,7 @@
 // health checks are left out unless all of them do.
 func (f *forecaster) reachableReplicas(now time.Duration, shard int) []*server {
 	eligible := filter(f.endpoints.replicasOf(shard), func(s *server) bool {
-		return f.eligibility.mayGetAttemptSoon(now, s)
+		return f.eligibility.mayGetAttemptAfterBackoff(now, s)
 	})
 	return prefer(eligible, func(s *server) bool { return s.checks.isReachable() })
 }
--- a/internal/routing/health_check_race.go
+++ b/internal/routing/health_check_race.go
@@ -69,9 +69,9 @@
 	}
 }
 
-// check sends a health check to each of the servers, except those that were sent one within the interval or
+// send sends a health check to each of the servers, except those that were sent one within the interval or
 // in this turn.
-func (h *healthChecks) check(now time.Duration, servers []*server, interval time.Duration) {
+func (h *healthChecks) send(now time.Duration, servers []*server, interval time.Duration) {
 	if !h.settings.HealthChecks {
 		return
 	}
@@ -84,10 +84,10 @@
 	}
 }
 
-// receive records a result. It is matched to the latest pending check that is at least as old as the latency
-// of the result, or to the oldest pending check if there is none.
-func (h *healthChecks) receive(now time.Duration, s *server, result HealthCheckResult) {
-	h.load.learn(now, s, result.LoadReport)
+// recordResult records a result. It is matched to the latest pending check that is at least as old as the
+// latency of the result, or to the oldest pending check if there is none.
+func (h *healthChecks) recordResult(now time.Duration, s *server, result HealthCheckResult) {
+	h.load.recordReport(now, s, result.LoadReport)
 	if len(s.checks.sentAt) == 0 {
 		return
 	}
@@ -129,25 +129,25 @@
 	return &healthCheckRace{startedAt: now, results: map[*server]bool{}}
 }
 
-// join sends health checks to a part's candidates. If none of them has a valid reply, the part waits for the
-// race. It returns the candidates that have a valid reply: the router can choose among them at once.
-func (h *healthChecks) join(now time.Duration, race *healthCheckRace, p *part,
+// joinRace sends health checks to a part's candidates. If none of them has a valid reply, the part waits for
+// the race. It returns the candidates that have a valid reply: the router can choose among them at once.
+func (h *healthChecks) joinRace(now time.Duration, race *healthCheckRace, p *part,
 	candidates []*server) (valid []*server) {
 	valid = h.withValidReply(now, candidates)
 	interval := time.Duration(0)
 	if len(valid) > 0 {
 		interval = h.replyValidity()
 	}
-	h.check(now, filter(candidates, func(s *server) bool { return !slices.Contains(valid, s) }), interval)
+	h.send(now, filter(candidates, func(s *server) bool { return !slices.Contains(valid, s) }), interval)
 	if len(valid) == 0 && len(candidates) > 0 {
 		p.race, p.raceDeadline, race.joined = race, 0, true
 	}
 	return valid
 }
 
-// keep stores the race of this turn if a part waits for it, and drops races that started more than
+// retainRace stores the race of this turn if a part waits for it, and drops races that started more than
 // statsWindow ago.
-func (h *healthChecks) keep(now time.Duration, race *healthCheckRace) {
+func (h *healthChecks) retainRace(now time.Duration, race *healthCheckRace) {
 	h.races = append(h.races, race)
 	oldest := now - statsWindow
 	h.races = slices.DeleteFunc(h.races, func(r *healthCheckRace) bool {
@@ -159,15 +159,15 @@
 type raceState uint8
 
 const (
-	raceOpen raceState = iota
-	raceWon            // over; at least one candidate replied
-	raceLost           // over; no candidate replied
+	raceOpen      raceState = iota
+	raceSucceeded           // over; at least one candidate replied
+	raceFailed              // over; no candidate replied
 )
 
-// judge returns the state of a part's race and the candidates that replied. The race is over when every
-// candidate has a result, at raceDurationFactor times the age at which its first reply was seen, or when no
-// reply came within firstReplyTimeout.
-func (h *healthChecks) judge(now time.Duration, p *part, candidates []*server) (raceState, []*server) {
+// evaluateRace returns the state of a part's race and the candidates that replied. The race is over when
+// every candidate has a result, at raceDurationFactor times the age at which its first reply was seen, or
+// when no reply came within firstReplyTimeout.
+func (h *healthChecks) evaluateRace(now time.Duration, p *part, candidates []*server) (raceState, []*server) {
 	results := p.race.results
 	replied := filter(candidates, func(s *server) bool { return results[s] })
 	missing := 0
@@ -179,7 +179,7 @@
 	age := now - p.race.startedAt
 	if len(replied) == 0 {
 		if missing == 0 || age >= h.firstReplyTimeout(now, p) {
-			return raceLost, nil
+			return raceFailed, nil
 		}
 		return raceOpen, nil
 	}
@@ -187,7 +187,7 @@
 		p.raceDeadline = p.race.startedAt + time.Duration(raceDurationFactor*float64(age))
 	}
 	if missing == 0 || now >= p.raceDeadline {
-		return raceWon, replied
+		return raceSucceeded, replied
 	}
 	return raceOpen, replied
 }
--- a/internal/routing/health_check_race_test.go
+++ b/internal/routing/health_check_race_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestRaceIsWonByTheOnlyReply(t *testing.T) {
+func TestRaceSucceedsWithASingleReply(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.startQuery(10, 0, 0)
 	h.advance(20*ms, checkReply(1, 5))
@@ -67,44 +67,46 @@
 }
 
 const (
-	judgeFirstReply = 20 * ms // age of the race when its first reply is seen
-	judgeDeadline   = time.Duration(raceDurationFactor * float64(judgeFirstReply))
+	raceFirstReplyAge = 20 * ms // age of the race when its first reply is seen
+	raceTestDeadline  = time.Duration(raceDurationFactor * float64(raceFirstReplyAge))
 
-	judgeLatency = 100 * ms // median latency of the part's class
-	judgeTimeout = time.Duration(firstReplyTimeoutLatencyShare * float64(judgeLatency))
+	raceTestLatency = 100 * ms // median latency of the part's class
+	raceTestTimeout = time.Duration(firstReplyTimeoutLatencyShare * float64(raceTestLatency))
 )
 
 // raceResults are the results of a race by server; true: it replied.
 type raceResults map[ServerID]bool
 
 // The candidates are the servers 1 to 3.
-var judgeCases = map[string]struct {
-	results     raceResults
-	firstJudged time.Duration // age of the race when the first reply was seen; 0: not yet
-	age         time.Duration
-	state       raceState
-	replied     []ServerID
+var evaluateRaceCases = map[string]struct {
+	results        raceResults
+	firstReplySeen time.Duration // age of the race when the first reply was seen; 0: not yet
+	age            time.Duration
+	state          raceState
+	replied        []ServerID
 }{
-	"open without a result": {nil, 0, judgeTimeout - 1, raceOpen, nil},
+	"open without a result": {nil, 0, raceTestTimeout - 1, raceOpen, nil},
 	"open with a failure":   {raceResults{1: false}, 0, ms, raceOpen, nil},
 	"open until the deadline": {
-		raceResults{1: true}, judgeFirstReply, judgeDeadline - 1, raceOpen, []ServerID{1},
+		raceResults{1: true}, raceFirstReplyAge, raceTestDeadline - 1, raceOpen, []ServerID{1},
 	},
-	"won by deadline": {
-		raceResults{1: true}, judgeFirstReply, judgeDeadline, raceWon, []ServerID{1},
+	"succeeded at the deadline": {
+		raceResults{1: true}, raceFirstReplyAge, raceTestDeadline, raceSucceeded, []ServerID{1},
 	},
-	"won by all": {
-		raceResults{1: true, 2: true, 3: true}, 0, ms, raceWon, []ServerID{1, 2, 3},
+	"succeeded with all replies": {
+		raceResults{1: true, 2: true, 3: true}, 0, ms, raceSucceeded, []ServerID{1, 2, 3},
 	},
-	"won by all without failure": {raceResults{1: true, 2: false, 3: true}, 0, ms, raceWon, []ServerID{1, 3}},
-	"lost by timeout":            {nil, 0, judgeTimeout, raceLost, nil},
-	"lost by timeout, a failure": {raceResults{1: false}, 0, judgeTimeout, raceLost, nil},
-	"lost by all":                {raceResults{1: false, 2: false, 3: false}, 0, ms, raceLost, nil},
-	"reply of no candidate":      {raceResults{9: true}, 0, ms, raceOpen, nil},
+	"succeeded with replies and a failure": {
+		raceResults{1: true, 2: false, 3: true}, 0, ms, raceSucceeded, []ServerID{1, 3},
+	},
+	"failed by timeout":            {nil, 0, raceTestTimeout, raceFailed, nil},
+	"failed by timeout, a failure": {raceResults{1: false}, 0, raceTestTimeout, raceFailed, nil},
+	"failed with all failures":     {raceResults{1: false, 2: false, 3: false}, 0, ms, raceFailed, nil},
+	"reply of no candidate":        {raceResults{9: true}, 0, ms, raceOpen, nil},
 }
 
-func TestHealthChecksJudge(t *testing.T) {
-	for name, c := range judgeCases {
+func TestHealthChecksEvaluateRace(t *testing.T) {
+	for name, c := range evaluateRaceCases {
 		t.Run(name, func(t *testing.T) {
 			candidates := []*server{newServer(1), newServer(2), newServer(3)}
 			race := newHealthCheckRace(time.Minute)
@@ -115,11 +117,11 @@
 			}
 			p := &part{query: &query{}, race: race}
 			checks := newTestHealthChecks()
-			checks.latencies.byClass[0].add(time.Minute, float64(judgeLatency))
-			if c.firstJudged > 0 {
-				checks.judge(time.Minute+c.firstJudged, p, candidates)
+			checks.latencies.byClass[0].add(time.Minute, float64(raceTestLatency))
+			if c.firstReplySeen > 0 {
+				checks.evaluateRace(time.Minute+c.firstReplySeen, p, candidates)
 			}
-			state, servers := checks.judge(time.Minute+c.age, p, candidates)
+			state, servers := checks.evaluateRace(time.Minute+c.age, p, candidates)
 			if replied := serverIDs(servers); state != c.state || !slices.Equal(replied, c.replied) {
 				t.Errorf("state = %d, replied = %v; want %d, %v", state, replied, c.state, c.replied)
 			}
@@ -146,7 +148,7 @@
 	}
 }
 
-func TestHealthChecksCheckAtMostOncePerInterval(t *testing.T) {
+func TestHealthChecksSendAtMostOnePerInterval(t *testing.T) {
 	const interval = 25 * ms
 	for name, c := range map[string]struct {
 		enabled bool
@@ -165,14 +167,14 @@
 			if c.sentAgo > 0 {
 				s.checks.sentAt = []time.Duration{time.Minute - c.sentAgo}
 			}
-			checks.check(time.Minute, []*server{s}, interval)
+			checks.send(time.Minute, []*server{s}, interval)
 			wantActions[HealthCheck](t, checks.actions.list, c.want)
 		})
 	}
 }
 
 // Guards against matching a result to a later health check of the same server.
-func TestHealthChecksReceiveMatchesCheckByLatency(t *testing.T) {
+func TestHealthChecksRecordResultMatchesCheckByLatency(t *testing.T) {
 	const now = time.Minute
 	for name, c := range map[string]struct {
 		latency time.Duration
@@ -185,7 +187,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := newServer(1)
 			s.checks.sentAt = []time.Duration{now - 30*ms, now - 10*ms}
-			newTestHealthChecks().receive(now, s, HealthCheckResult{Server: 1, Code: OK, Latency: c.latency})
+			newTestHealthChecks().recordResult(now, s, HealthCheckResult{Server: 1, Code: OK, Latency: c.latency})
 			var open []time.Duration
 			for _, sentAt := range s.checks.sentAt {
 				open = append(open, now-sentAt)
@@ -197,7 +199,7 @@
 	}
 }
 
-func TestHealthChecksReceiveCountsConsecutiveFailures(t *testing.T) {
+func TestHealthChecksRecordResultCountsConsecutiveFailures(t *testing.T) {
 	checks, s := newTestHealthChecks(), newServer(1)
 	for i, c := range []struct {
 		code      Code
@@ -205,7 +207,7 @@
 		reachable bool
 	}{{TimedOut, 1, true}, {ConnectFailed, maxConsecutiveCheckFailures, false}, {OK, 0, true}} {
 		s.checks.sentAt = []time.Duration{time.Minute}
-		checks.receive(time.Minute, s, HealthCheckResult{Server: 1, Code: c.code})
+		checks.recordResult(time.Minute, s, HealthCheckResult{Server: 1, Code: c.code})
 		if s.checks.consecutiveFailures != c.failures || s.checks.isReachable() != c.reachable {
 			t.Errorf("after result %d: %d failures, reachable %v; want %d, %v",
 				i, s.checks.consecutiveFailures, s.checks.isReachable(), c.failures, c.reachable)
--- a/internal/routing/hedging.go
+++ b/internal/routing/hedging.go
@@ -14,8 +14,8 @@
 // mayHedge reports whether a hedge may be sent, given the number of further attempts counted, including this
 // one, and the number of arrivals. It returns false if servers report no load, as a hedge could then worsen
 // an overload that the router cannot see.
-func (r *retryPolicy) mayHedge(further, arrived float64) bool {
-	return len(r.settings.ReportFields) > 0 && further <= hedgeAllowance+hedgeRatio*arrived
+func (r *retryPolicy) mayHedge(furtherAttempts, arrivals float64) bool {
+	return len(r.settings.ReportFields) > 0 && furtherAttempts <= hedgeAllowance+hedgeRatio*arrivals
 }
 
 // hedger detects overdue attempts and makes their parts wait for a hedge.
@@ -35,9 +35,9 @@
 	}
 }
 
-// review records a part's latest attempt as failed once it is overdue. If hedging is on and the retry policy
-// allows it, the part then waits for a hedge. An overdue hedge can be followed by another one.
-func (h *hedger) review(now time.Duration, p *part) {
+// checkOverdue records a part's latest attempt as failed once it is overdue. If hedging is on and the retry
+// policy allows it, the part then waits for a hedge. An overdue hedge can be followed by another one.
+func (h *hedger) checkOverdue(now time.Duration, p *part) {
 	if p.state != partInFlight || len(p.inFlight) == 0 {
 		return
 	}
--- a/internal/routing/hedging_test.go
+++ b/internal/routing/hedging_test.go
@@ -84,7 +84,7 @@
 
 // Guards against hedges that add to the very load that makes all attempts overdue.
 func TestHedgesAreLimitedWhereAllAttemptsAreOverdue(t *testing.T) {
-	for queries, most := range map[int]int{1: 3, 120: 40} {
+	for queries, maxHedges := range map[int]int{1: 3, 120: 40} {
 		t.Run(fmt.Sprintf("queries=%d", queries), func(t *testing.T) {
 			h := newHarness(t, testSettings())
 			h.playQuery(1, 20*ms, 1, 2, 3)
@@ -96,8 +96,8 @@
 				h.advance(5*ms, checkReply(1, 0), checkReply(2, 0), checkReply(3, 0))
 				sent += len(actionsOf[Send](h.actions))
 			}
-			if hedges := sent - queries; hedges < 1 || hedges > most {
-				t.Errorf("%d hedges of %d overdue parts, want 1 to %d", hedges, queries, most)
+			if hedges := sent - queries; hedges < 1 || hedges > maxHedges {
+				t.Errorf("%d hedges of %d overdue parts, want 1 to %d", hedges, queries, maxHedges)
 			}
 		})
 	}
@@ -125,7 +125,7 @@
 	}
 }
 
-func TestHedgerReview(t *testing.T) {
+func TestHedgerCheckOverdue(t *testing.T) {
 	overdueAfter := time.Duration(overdueObjectiveShare * float64(testSettings().Classes[0].LatencyObjective))
 	for name, c := range map[string]struct {
 		hedging bool
@@ -147,7 +147,7 @@
 			p := &part{state: c.state, retryableUntil: unbounded, servers: []*server{s}}
 			p.query = &query{class: &settings.Classes[0]}
 			p.inFlight = []*attempt{{part: p, server: s, sentAt: time.Minute}}
-			newHedger(&settings, results, newRetryPolicy(&settings)).review(time.Minute+c.age, p)
+			newHedger(&settings, results, newRetryPolicy(&settings)).checkOverdue(time.Minute+c.age, p)
 			if p.state != c.want || p.inFlight[0].overdue != c.overdue {
 				t.Errorf("part state = %v, overdue = %v; want %v, %v",
 					p.state, p.inFlight[0].overdue, c.want, c.overdue)
--- a/internal/routing/load_estimate.go
+++ b/internal/routing/load_estimate.go
@@ -43,15 +43,15 @@
 	}
 }
 
-// update sets the weight of reported service times, given the mean time between two own samples of a server,
-// in nanoseconds. The error of a report and of an own sample grows with its age, so each is weighted by the
-// inverse square of its age.
-func (l *loadEstimator) update(sampleInterval float64) {
+// updateServiceTimeWeight sets the weight of reported service times, given the mean time between two own
+// samples of a server, in nanoseconds. The error of a report and of an own sample grows with its age, so each
+// is weighted by the inverse square of its age.
+func (l *loadEstimator) updateServiceTimeWeight(sampleInterval float64) {
 	l.serviceTimeWeight = 1 / (1 + math.Pow(float64(typicalReportDelay)/sampleInterval, 2))
 }
 
-// learn records a server's load report. An empty report is ignored.
-func (l *loadEstimator) learn(now time.Duration, s *server, report []float64) {
+// recordReport records a server's load report. An empty report is ignored.
+func (l *loadEstimator) recordReport(now time.Duration, s *server, report []float64) {
 	if len(report) == 0 {
 		return
 	}
@@ -61,13 +61,14 @@
 	}
 	s.report.values = append(s.report.values[:0], report...)
 	s.report.inFlight = s.inFlight.count
-	if serviceTime, ok := l.field(s, FieldServiceTime); ok && serviceTime > 0 {
+	if serviceTime, ok := l.reportedValue(s, FieldServiceTime); ok && serviceTime > 0 {
 		l.serviceTimes.add(now, serviceTime)
 	}
 }
 
-// field returns a value of a server's latest report, in the field's unit. ok is false if the report lacks it.
-func (l *loadEstimator) field(s *server, f ReportField) (value float64, ok bool) {
+// reportedValue returns a value of a server's latest report, in the field's unit. ok is false if the report
+// lacks it.
+func (l *loadEstimator) reportedValue(s *server, f ReportField) (value float64, ok bool) {
 	i := slices.Index(l.settings.ReportFields, f)
 	if i < 0 || i >= len(s.report.values) || math.IsNaN(s.report.values[i]) {
 		return 0, false
@@ -92,13 +93,13 @@
 
 // reportedRequests returns the number of requests in flight at a server, according to its report.
 func (l *loadEstimator) reportedRequests(s *server) float64 {
-	if inFlight, ok := l.field(s, FieldInFlight); ok {
+	if inFlight, ok := l.reportedValue(s, FieldInFlight); ok {
 		return inFlight
 	}
-	queue, hasQueue := l.field(s, FieldQueueLength)
-	utilization, _ := l.field(s, FieldUtilization)
-	rate, _ := l.field(s, FieldRate)
-	serviceTime, hasServiceTime := l.field(s, FieldServiceTime)
+	queue, hasQueue := l.reportedValue(s, FieldQueueLength)
+	utilization, _ := l.reportedValue(s, FieldUtilization)
+	rate, _ := l.reportedValue(s, FieldRate)
+	serviceTime, hasServiceTime := l.reportedValue(s, FieldServiceTime)
 	if !hasQueue && hasServiceTime {
 		return rate * serviceTime / 1000 // Little's law; service time in ms, rate per second
 	}
@@ -108,7 +109,7 @@
 // relativeServiceTime returns a server's reported service time relative to the median of all servers,
 // discounted by serviceTimeWeight. It is at least 1: a lower value is chance.
 func (l *loadEstimator) relativeServiceTime(now time.Duration, s *server) float64 {
-	serviceTime, _ := l.field(s, FieldServiceTime)
+	serviceTime, _ := l.reportedValue(s, FieldServiceTime)
 	median := l.serviceTimes.median(now, max(1, serviceTime))
 	return math.Pow(max(1, serviceTime/median), l.serviceTimeWeight)
 }
@@ -117,10 +118,10 @@
 // report lacks it, it is the requests being executed divided by the server's weight, where weights are
 // capacities. A server without a report within statsWindow counts as fully used.
 func (l *loadEstimator) utilization(now time.Duration, s *server) float64 {
-	share, ok := l.field(s, FieldUtilization)
-	inFlight, hasInFlight := l.field(s, FieldInFlight)
+	share, ok := l.reportedValue(s, FieldUtilization)
+	inFlight, hasInFlight := l.reportedValue(s, FieldInFlight)
 	if !ok && hasInFlight && l.settings.WeightsAreCapacities && s.endpoint.Weight > 0 {
-		queue, hasQueue := l.field(s, FieldQueueLength)
+		queue, hasQueue := l.reportedValue(s, FieldQueueLength)
 		share, ok = (inFlight-queue)/s.endpoint.Weight, hasQueue
 	}
 	if !ok || now > s.report.at+statsWindow {
--- a/internal/routing/load_estimate_test.go
+++ b/internal/routing/load_estimate_test.go
@@ -57,7 +57,7 @@
 		h.turn(reportReply(id, 8, serviceTime))
 	}
 	if got := h.router.results.load.relativeServiceTime(h.now, h.server(1)); got > 1.5 {
-		t.Errorf("relative service time = %.1f by a report of 10 times the median with 300 own samples, want at most 1.5",
+		t.Errorf("relative service time = %.1f for 10 times the median and 300 own samples, want at most 1.5",
 			got)
 	}
 }
--- a/internal/routing/outlier_detection.go
+++ b/internal/routing/outlier_detection.go
@@ -43,10 +43,10 @@
 	return &outlierDetector{latencies: latencies, halfLife: float64(minHealthHalfLife)}
 }
 
-// update sets the half-life, given the mean time between two own samples of a server, in nanoseconds.
-func (d *outlierDetector) update(sampleInterval float64) {
-	decay := healthHalfLifeIntervals * sampleInterval
-	d.halfLife = max(float64(minHealthHalfLife), min(float64(maxHealthHalfLife), decay))
+// updateHalfLife sets the half-life, given the mean time between two own samples of a server, in nanoseconds.
+func (d *outlierDetector) updateHalfLife(sampleInterval float64) {
+	halfLife := healthHalfLifeIntervals * sampleInterval
+	d.halfLife = max(float64(minHealthHalfLife), min(float64(maxHealthHalfLife), halfLife))
 }
 
 // health returns a server's current health for a class, from 0 to 1. Bad health decays, so that an ejected
--- a/internal/routing/outlier_detection_test.go
+++ b/internal/routing/outlier_detection_test.go
@@ -195,7 +195,7 @@
 		t.Run(name, func(t *testing.T) {
 			detector, s := newTestOutlierDetector(), newServer(1)
 			s.health = healthScores{byClass: []float64{0}, at: time.Minute}
-			detector.update(c.sampleInterval)
+			detector.updateHalfLife(c.sampleInterval)
 			if got := detector.health(time.Minute+c.want, s, 0); math.Abs(got-0.5) > 1e-9 {
 				t.Errorf("health = %v after %v, want 0.5", got, c.want)
 			}
--- a/internal/routing/replica_selection.go
+++ b/internal/routing/replica_selection.go
@@ -14,13 +14,13 @@
 	maxInFlightLead = 2
 
 	// Subtracted from a replica's cost, in requests of load, if requests cost and the part can share one.
-	sharedRequestBonus = 1.1
+	sharedRequestDiscount = 1.1
 
 	// The load of a server is divided by this power of its health: a failing server looks idle.
 	healthExponent = 2
 
 	// Added to the cost of a replica in another zone, in requests of load per unit of Settings.CrossZoneCost.
-	sameZoneBonus = 50
+	crossZonePenalty = 50
 )
 
 // replicaSelector chooses the replica that gets a part's next attempt.
@@ -68,11 +68,11 @@
 	for _, s := range candidates {
 		least = min(least, s.inFlight.count)
 	}
-	lead := func(s *server) int { return max(0, s.inFlight.count-least-maxInFlightLead) }
+	excessLead := func(s *server) int { return max(0, s.inFlight.count-least-maxInFlightLead) }
 	r.random.Shuffle(len(replied), func(i, j int) { replied[i], replied[j] = replied[j], replied[i] })
 	return slices.MinFunc(replied, func(a, b *server) int {
 		return cmp.Or(
-			cmp.Compare(lead(a), lead(b)),
+			cmp.Compare(excessLead(a), excessLead(b)),
 			cmp.Compare(r.cost(now, p, a), r.cost(now, p, b)),
 			cmp.Compare(a.inFlight.count, b.inFlight.count),
 		)
@@ -84,11 +84,11 @@
 func (r *replicaSelector) cost(now time.Duration, p *part, s *server) float64 {
 	cost := r.load.load(now, s)
 	if r.settings.RequestCost > 0 && r.partsSent[s]%max(1, r.settings.PartsPerRequest) > 0 {
-		cost -= sharedRequestBonus
+		cost -= sharedRequestDiscount
 	}
 	cost /= math.Pow(r.outliers.health(now, s, p.query.classIndex), healthExponent)
 	if s.endpoint.Zone != r.settings.Zone && !r.admission.wasRecentlyOverloaded(now) {
-		cost += sameZoneBonus * r.settings.CrossZoneCost
+		cost += crossZonePenalty * r.settings.CrossZoneCost
 	}
 	return cost
 }
--- a/internal/routing/replica_selection_test.go
+++ b/internal/routing/replica_selection_test.go
@@ -125,10 +125,10 @@
 		"half healthy": {
 			func(s *server) { s.health = healthScores{[]float64{0.5}, time.Minute} }, 0, 4,
 		},
-		"shares a request":     {func(*server) {}, 1, 1 - sharedRequestBonus},
+		"shares a request":     {func(*server) {}, 1, 1 - sharedRequestDiscount},
 		"request has no space": {func(*server) {}, 4, 1},
-		"second request":       {func(*server) {}, 5, 1 - sharedRequestBonus},
-		"other zone":           {func(s *server) { s.endpoint.Zone = 1 }, 0, 1 + sameZoneBonus*0.1},
+		"second request":       {func(*server) {}, 5, 1 - sharedRequestDiscount},
+		"other zone":           {func(s *server) { s.endpoint.Zone = 1 }, 0, 1 + crossZonePenalty*0.1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			selector, servers := newTestSelector(t, 0.1)
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -64,7 +64,7 @@
 func (r *Router) Turn(now time.Duration, events []Event) []Action {
 	r.now = now
 	r.actions.reset()
-	r.slowStart.update(now, r.endpoints.listed)
+	r.slowStart.updateWarmRate(now, r.endpoints.listed)
 	for _, event := range events {
 		r.apply(event)
 	}
@@ -84,14 +84,14 @@
 	case EndpointUpdate:
 		r.updateEndpoints(e)
 	case ShardPlacement:
-		r.endpoints.place(e)
+		r.endpoints.setPlacement(e)
 	case Arrival:
 		r.addArrival(e)
 	case AttemptResult:
 		r.endAttempt(e)
 	case HealthCheckResult:
 		if s := r.endpoints.servers[e.Server]; s != nil {
-			r.checks.receive(r.now, s, e)
+			r.checks.recordResult(r.now, s, e)
 		}
 	case CapacityChange:
 		r.admission.maxOpen = e.MaxOpen
@@ -121,14 +121,14 @@
 		r.subscription.succeeded()
 	}
 	if u.Mode != UpdateDelta {
-		r.endpoints.unlistAll()
+		r.endpoints.markAllUnlisted()
 	}
 	for _, e := range u.Endpoints {
-		if s, restarted := r.endpoints.learn(e); restarted {
-			r.slowStart.begin(r.now, s)
+		if s, restarted := r.endpoints.applyEndpoint(e); restarted {
+			r.slowStart.startFirstGap(r.now, s)
 		}
 	}
-	r.endpoints.refresh(r.now)
+	r.endpoints.rebuild(r.now)
 }
 
 // addArrival adds a query or one of its parts.
@@ -156,9 +156,9 @@
 // checkEligibleServers sends a health check to every server that may get attempts soon.
 func (r *Router) checkEligibleServers() {
 	eligible := filter(r.endpoints.listed, func(s *server) bool {
-		return r.selector.eligibility.mayGetAttemptSoon(r.now, s)
+		return r.selector.eligibility.mayGetAttemptAfterBackoff(r.now, s)
 	})
-	r.checks.check(r.now, eligible, 0)
+	r.checks.send(r.now, eligible, 0)
 }
 
 // decideQueries admits or rejects the new queries and ends those that completionPolicy decides to end, in
@@ -187,7 +187,7 @@
 	stale := filter(rejection.slowReplicas, func(s *server) bool {
 		return r.now > s.report.at+rejection.reportMaxAge
 	})
-	r.checks.check(r.now, stale, rejection.reportMaxAge)
+	r.checks.send(r.now, stale, rejection.reportMaxAge)
 	r.reject(q, rejection.retryAfter)
 }
 
@@ -208,7 +208,7 @@
 		r.reject(q, r.settings.MaxRetryAfter)
 	case keepOpen:
 		for _, p := range q.parts {
-			r.hedger.review(r.now, p)
+			r.hedger.checkOverdue(r.now, p)
 		}
 	}
 }
@@ -246,26 +246,26 @@
 			}
 		}
 	}
-	r.checks.keep(r.now, race)
+	r.checks.retainRace(r.now, race)
 }
 
 // joinRace sends a part at once if earlier health-check replies of its candidates are still valid. Otherwise
 // the part joins the race of this turn; a part without candidates waits for the next turn.
 func (r *Router) joinRace(race *healthCheckRace, p *part, candidates []*server) {
-	if valid := r.checks.join(r.now, race, p, candidates); len(valid) > 0 {
+	if valid := r.checks.joinRace(r.now, race, p, candidates); len(valid) > 0 {
 		r.send(p, r.selector.choose(r.now, p, candidates, valid))
 	}
 }
 
 // judgeRace sends a part whose race is over. A part that has no candidates left waits for a new race.
 func (r *Router) judgeRace(p *part, candidates []*server) {
-	state, replied := r.checks.judge(r.now, p, candidates)
+	state, replied := r.checks.evaluateRace(r.now, p, candidates)
 	switch {
-	case state == raceWon:
+	case state == raceSucceeded:
 		r.send(p, r.selector.choose(r.now, p, candidates, replied))
-	case state == raceLost && len(candidates) > 0:
+	case state == raceFailed && len(candidates) > 0:
 		r.send(p, r.selector.chooseByLatency(r.now, p, candidates))
-	case state == raceLost:
+	case state == raceFailed:
 		p.wait()
 	}
 }
--- a/internal/routing/slow_start.go
+++ b/internal/routing/slow_start.go
@@ -34,9 +34,9 @@
 	return &slowStart{settings: settings, random: random, load: results.load, latencies: results.latencies}
 }
 
-// update estimates the warm rate: the recent rate of answers, divided by the sum of the ready servers'
-// utilizations (at least 1). It is at least one part at a time, shared among the coordinators.
-func (r *slowStart) update(now time.Duration, servers []*server) {
+// updateWarmRate estimates the warm rate: the recent rate of answers, divided by the sum of the ready
+// servers' utilizations (at least 1). It is at least one part at a time, shared among the coordinators.
+func (r *slowStart) updateWarmRate(now time.Duration, servers []*server) {
 	utilization := 0.0
 	for _, s := range servers {
 		if s.endpoint.State == Ready {
@@ -48,9 +48,9 @@
 	r.warmRate = max(onePartAtATime, answered/max(1, utilization))
 }
 
-// begin starts the slow start of a new incarnation of a server, at a random point of the first gap. The
-// random point prevents the coordinators from sending at the same times.
-func (r *slowStart) begin(now time.Duration, s *server) {
+// startFirstGap starts the slow start of a new incarnation of a server, at a random point of the first gap.
+// The random point prevents the coordinators from sending at the same times.
+func (r *slowStart) startFirstGap(now time.Duration, s *server) {
 	elapsed := r.random.Float64()
 	if r.isWarmingUp(now, s) {
 		s.slowStart.gapStartedAt = now - time.Duration(elapsed*r.gap(now, s, 1))
@@ -84,9 +84,9 @@
 	return now >= s.slowStart.gapStartedAt+time.Duration(r.gap(now, s, 1))
 }
 
-// sent starts the next gap after a part of a class was sent. If the part was sent later than its gap allowed,
-// the next gap is shortened by the delay, by one gap at most.
-func (r *slowStart) sent(now time.Duration, s *server, class int) {
+// startNextGap starts the next gap after a part of a class was sent. If the part was sent later than its gap
+// allowed, the next gap is shortened by the delay, by one gap at most.
+func (r *slowStart) startNextGap(now time.Duration, s *server, class int) {
 	if !r.isWarmingUp(now, s) {
 		return
 	}
--- a/internal/routing/slow_start_test.go
+++ b/internal/routing/slow_start_test.go
@@ -90,7 +90,7 @@
 	first := time.Duration(h.router.slowStart.gap(h.now, s, 1))
 	h.advance(14 * time.Second)
 	now := time.Duration(h.router.slowStart.gap(h.now, s, 1))
-	if first < 15*time.Second || !h.router.selector.eligibility.mayGetAttemptSoon(h.now, s) {
+	if first < 15*time.Second || !h.router.selector.eligibility.mayGetAttemptAfterBackoff(h.now, s) {
 		t.Errorf("gap = %v at the start, want at least 15s; %v after 14 s, want an attempt allowed", first, now)
 	}
 }
@@ -123,7 +123,7 @@
 	rule := newSlowStart(&settings, rand.New(rand.NewPCG(1, 2)), newResultRecorder(&settings))
 	s := newServer(1)
 	s.endpoint.StartedAt = startedAt
-	rule.update(startedAt, []*server{s})
+	rule.updateWarmRate(startedAt, []*server{s})
 	return rule, s
 }
 
@@ -176,7 +176,7 @@
 	}
 }
 
-func TestSlowStartSentBeginsNextGap(t *testing.T) {
+func TestSlowStartStartNextGap(t *testing.T) {
 	now := time.Minute
 	rule, s := newTestSlowStart(now)
 	gap := time.Duration(rule.gap(now, s, 1))
@@ -193,7 +193,7 @@
 		t.Run(name, func(t *testing.T) {
 			s.endpoint.StartedAt = c.startedAt
 			s.slowStart.gapStartedAt = now - c.gapAge
-			rule.sent(now, s, 0)
+			rule.startNextGap(now, s, 0)
 			if got := now - s.slowStart.gapStartedAt; got != c.wantAge {
 				t.Errorf("next gap began %v ago, want %v", got, c.wantAge)
 			}
@@ -202,13 +202,13 @@
 }
 
 // Guards against coordinators that all send when a server starts, or all at the end of its first gap.
-func TestSlowStartBeginsWithinFirstGap(t *testing.T) {
+func TestSlowStartFirstGapBeginsAtRandomPoint(t *testing.T) {
 	now := time.Minute
 	rule, s := newTestSlowStart(now)
 	gap := time.Duration(rule.gap(now, s, 1))
 	ages := map[time.Duration]bool{}
 	for range 100 {
-		rule.begin(now, s)
+		rule.startFirstGap(now, s)
 		age := now - s.slowStart.gapStartedAt
 		if age < 0 || age > gap {
 			t.Fatalf("first gap of %v began %v ago, want 0 to %v", gap, age, gap)
--- a/internal/routing/trace_api_test.go
+++ b/internal/routing/trace_api_test.go
@@ -81,12 +81,12 @@
 	return routing.Arrival{
 		ID:           routing.RequestID(q.id),
 		Shard:        -1,
-		Timeout:      q.left,
+		Timeout:      q.timeout,
 		Class:        q.class,
 		IsRetry:      repeat,
-		ExpectedWork: time.Duration(q.count) * q.work,
+		ExpectedWork: time.Duration(q.partCount) * q.work,
 		Key:          q.id % 7,
-		Weight:       float64(q.count),
+		Weight:       float64(q.partCount),
 		QueryNumber:  q.number,
 		Tenant:       q.tenant,
 	}
@@ -96,7 +96,7 @@
 	return routing.Arrival{
 		ID:           routing.RequestID(p.id),
 		Shard:        p.shard,
-		Timeout:      p.query.left,
+		Timeout:      p.query.timeout,
 		Class:        p.query.class,
 		ExpectedWork: p.query.work,
 		Weight:       p.weight,
@@ -129,9 +129,9 @@
 	return routing.ShardPlacement{Shard: shard, Servers: ids}
 }
 
-func partsReplacedEvent(yielding []*simPart, in float64, parts []*simPart) event {
-	out := routing.PartsReplaced{ReceivedWeight: in}
-	for _, p := range yielding {
+func partsReplacedEvent(replaced []*simPart, receivedWeight float64, parts []*simPart) event {
+	out := routing.PartsReplaced{ReceivedWeight: receivedWeight}
+	for _, p := range replaced {
 		out.IDs = append(out.IDs, routing.RequestID(p.id))
 	}
 	for _, p := range parts {
@@ -149,8 +149,8 @@
 			Kind:      s.kind,
 			Cell:      s.cell,
 			State:     serverStates[s.state],
-			Weight:    float64(s.size),
-			StartedAt: s.since,
+			Weight:    float64(s.coreCount),
+			StartedAt: s.startedAt,
 		})
 	}
 	return out
@@ -187,43 +187,43 @@
 	for _, action := range r.Turn(w.now, events) {
 		switch a := action.(type) {
 		case routing.Send:
-			w.write("send", "part=%d server=%d timeout=%d until=%d", a.ID, a.Server, a.Timeout, a.WriteBefore)
+			w.writeAction("send", "part=%d server=%d timeout=%d until=%d", a.ID, a.Server, a.Timeout, a.WriteBefore)
 			w.sendPart(uint64(a.ID), uint64(a.Server), a.Timeout, a.WriteBefore)
 		case routing.Cancel:
-			w.write("cancel", "part=%d attempt=%d", a.ID, a.Attempt)
+			w.writeAction("cancel", "part=%d attempt=%d", a.ID, a.Attempt)
 			w.cancelAttempt(uint64(a.ID), a.Attempt)
 		case routing.Reject:
-			w.write("reject", "query=%d after=%d", a.ID, a.RetryAfter)
-			w.rejected(uint64(a.ID), a.RetryAfter)
+			w.writeAction("reject", "query=%d after=%d", a.ID, a.RetryAfter)
+			w.retryRejected(uint64(a.ID), a.RetryAfter)
 		case routing.Fail:
-			w.write("fail", "query=%d", a.ID)
+			w.writeAction("fail", "query=%d", a.ID)
 			w.closeQuery(uint64(a.ID))
 		case routing.Answer:
-			w.write("answer", "query=%d whole=%t", a.ID, a.Complete)
+			w.writeAction("answer", "query=%d whole=%t", a.ID, a.Complete)
 			w.closeQuery(uint64(a.ID))
 		case routing.SetTimer:
-			w.write("timer", "after=%d token=%d", a.After, a.Token)
-			w.at(w.now+a.After, func() []event { return []event{timerFiredEvent(a.Token)} })
+			w.writeAction("timer", "after=%d token=%d", a.After, a.Token)
+			w.schedule(w.now+a.After, func() []event { return []event{timerFiredEvent(a.Token)} })
 		case routing.HealthCheck:
-			w.write("health-check", "server=%d", a.Server)
+			w.writeAction("health-check", "server=%d", a.Server)
 			w.checkHealth(uint64(a.Server))
 		case routing.Subscribe:
-			w.write("subscribe", "")
-			w.subscribed()
+			w.writeAction("subscribe", "")
+			w.replyToSubscription()
 		default:
-			w.write("unknown", "%T", a)
+			w.writeAction("unknown", "%T", a)
 		}
 	}
 }
 
-// show writes the router's snapshot of its servers to the trace.
-func (r router) show(w *world) {
-	for _, b := range r.Snapshot(w.now) {
-		w.write("belief", "server=%d state=%s out=%d median=%d lost=%d cold=%t down=%t pause=%d quiet=%d health=%x",
-			b.Server, stateWord(b.State), b.InFlight, b.MedianLatency, b.FailedHealthChecks, b.WarmingUp, b.Unreachable, b.Backoff, b.SinceLastSend, b.Health)
+// writeSnapshot writes the router's snapshot of its servers to the trace.
+func (r router) writeSnapshot(w *world) {
+	for _, s := range r.Snapshot(w.now) {
+		w.writeAction("belief", "server=%d state=%s out=%d median=%d lost=%d cold=%t down=%t pause=%d quiet=%d health=%x",
+			s.Server, stateWord(s.State), s.InFlight, s.MedianLatency, s.FailedHealthChecks, s.WarmingUp, s.Unreachable, s.Backoff, s.SinceLastSend, s.Health)
 	}
 	known, avoided := r.EndpointCounts(w.now)
-	w.write("listed", "known=%d avoided=%d", known, avoided)
+	w.writeAction("listed", "known=%d avoided=%d", known, avoided)
 }
 
 func stateWord(state routing.EndpointState) string {
--- a/internal/routing/trace_client_test.go
+++ b/internal/routing/trace_client_test.go
@@ -21,35 +21,35 @@
 	return 0
 }
 
-// newQuery creates a query and returns its arrival and those of its parts. again is the number of earlier tries.
-func (w *world) newQuery(again int) []event {
+// newQuery creates a query and returns its arrival and those of its parts.
+func (w *world) newQuery(earlierTries int) []event {
 	class := w.pickClass()
 	w.nextID++
 	q := &simQuery{
-		id:     w.nextID,
-		number: w.nextID,
-		class:  class,
-		count:  int(w.site.Fam.Class[class].Parts) + w.random.IntN(3),
-		work:   w.site.Class[class].Work.milliseconds(),
-		again:  again,
+		id:           w.nextID,
+		number:       w.nextID,
+		class:        class,
+		partCount:    int(w.site.Fam.Class[class].Parts) + w.random.IntN(3),
+		work:         w.site.Class[class].Work.milliseconds(),
+		earlierTries: earlierTries,
 	}
-	if w.chance(150) {
-		q.count = 0
+	if w.oneIn(150) {
+		q.partCount = 0
 	}
-	if len(w.set.Tenants) > 0 {
-		q.tenant = w.random.IntN(len(w.set.Tenants) + 1) // the last is unknown
+	if len(w.settings.Tenants) > 0 {
+		q.tenant = w.random.IntN(len(w.settings.Tenants) + 1) // the last is unknown
 	}
-	deadline := w.set.Classes[class].Deadline
-	q.left = w.between(deadline*7/10, deadline)
+	deadline := w.settings.Classes[class].Deadline
+	q.timeout = w.drawDuration(deadline*7/10, deadline)
 	w.queries = append(w.queries, q)
-	w.open[q.id] = q
-	out := []event{arrivalOfQuery(q, again > 0)}
-	for _, weight := range w.weights(q.count) {
+	w.openQueries[q.id] = q
+	out := []event{arrivalOfQuery(q, earlierTries > 0)}
+	for _, weight := range w.weights(q.partCount) {
 		out = append(out, arrivalOfPart(w.newPart(q, w.pickShard(), weight)))
 	}
-	if w.chance(300) {
-		stranger := &simQuery{number: 1 << 40, left: time.Second}
-		out = append(out, arrivalOfPart(&simPart{id: 1 << 40, query: stranger, weight: 1}))
+	if w.oneIn(300) {
+		unknownQuery := &simQuery{number: 1 << 40, timeout: time.Second}
+		out = append(out, arrivalOfPart(&simPart{id: 1 << 40, query: unknownQuery, weight: 1}))
 	}
 	return out
 }
@@ -71,7 +71,7 @@
 		sum += out[i]
 	}
 	total := 1.0
-	if w.chance(4) {
+	if w.oneIn(4) {
 		total -= 3e-4 * w.random.Float64()
 	}
 	for i := range out {
@@ -83,9 +83,9 @@
 // pickShard draws a shard; low numbers are more frequent. For a shard that has moved it returns the new one.
 func (w *world) pickShard() int {
 	draw := w.random.Float64()
-	shard := int(draw * draw * float64(w.set.Shards))
+	shard := int(draw * draw * float64(w.settings.Shards))
 	for {
-		next, moved := w.moved[shard]
+		next, moved := w.movedTo[shard]
 		if !moved {
 			return shard
 		}
@@ -95,49 +95,49 @@
 
 // closeQuery removes a query that has ended from the open queries.
 func (w *world) closeQuery(id uint64) {
-	q := w.open[id]
+	q := w.openQueries[id]
 	if q == nil {
 		return
 	}
-	delete(w.open, id)
+	delete(w.openQueries, id)
 	w.queries = slices.DeleteFunc(w.queries, func(o *simQuery) bool { return o == q })
 	for _, p := range q.parts {
-		w.retire(p)
+		w.closePart(p)
 	}
 }
 
-// rejected handles the rejection of a query: half of the clients send it again, up to three times. One in four of them
-// ignores the advised delay.
-func (w *world) rejected(id uint64, after time.Duration) {
-	q := w.open[id]
+// retryRejected handles the rejection of a query: half of the clients send it again, up to three times. One in four of
+// them ignores the advised delay.
+func (w *world) retryRejected(id uint64, after time.Duration) {
+	q := w.openQueries[id]
 	w.closeQuery(id)
-	if q == nil || q.again > 2 || w.chance(2) {
+	if q == nil || q.earlierTries > 2 || w.oneIn(2) {
 		return
 	}
-	wait := w.between(40*time.Millisecond, 300*time.Millisecond)
-	if !w.chance(4) {
+	wait := w.drawDuration(40*time.Millisecond, 300*time.Millisecond)
+	if !w.oneIn(4) {
 		wait = max(wait, after)
 	}
-	w.at(w.now+wait, func() []event { return w.newQuery(q.again + 1) })
+	w.schedule(w.now+wait, func() []event { return w.newQuery(q.earlierTries + 1) })
 }
 
 // clientEvents draws client disconnects, body evictions, and events that refer to unknown ids.
 func (w *world) clientEvents() []event {
 	var out []event
-	if len(w.queries) > 0 && w.chance(60) {
+	if len(w.queries) > 0 && w.oneIn(60) {
 		q := w.queries[w.random.IntN(len(w.queries))]
 		w.closeQuery(q.id)
 		out = append(out, clientDisconnectedEvent(q.id))
 	}
-	if len(w.queries) > 0 && w.chance(60) {
+	if len(w.queries) > 0 && w.oneIn(60) {
 		q := w.queries[w.random.IntN(len(w.queries))]
 		for _, p := range q.parts {
-			if w.chance(2) {
+			if w.oneIn(2) {
 				out = append(out, bodyEvictedEvent(p.id))
 			}
 		}
 	}
-	if w.chance(100) {
+	if w.oneIn(100) {
 		out = append(out, gossipMessageEvent(), bodyEvictedEvent(1<<40), clientDisconnectedEvent(1<<40))
 	}
 	return out
--- a/internal/routing/trace_server_test.go
+++ b/internal/routing/trace_server_test.go
@@ -13,48 +13,48 @@
 	zone       int
 	kind       int
 	cell       int
-	size       int
+	coreCount  int
 	state      string
-	since      time.Duration
+	startedAt  time.Duration
 	queueLimit int
 
-	coldFrom float64
-	cold     time.Duration
+	initialCapacity float64
+	warmupDuration  time.Duration
 
-	cores    []time.Duration // when each core becomes free
-	finishes []time.Duration // completion times of the queued and running requests
-	service  float64         // moving average of the service time, in nanoseconds
-	report   []float64
-	reportAt time.Duration
+	cores           []time.Duration // when each core becomes free
+	completions     []time.Duration // completion times of the queued and running requests
+	meanServiceTime float64         // moving average of the service time, in nanoseconds
+	report          []float64
+	reportAt        time.Duration
 
-	slow        float64 // factor of the service time
-	failing     float64 // share of requests that fail
-	lossy       float64 // share of health checks that get no reply
-	unreachable bool
-	silent      bool
-	jammed      bool
+	slowdown      float64 // factor of the service time
+	failureRate   float64 // share of requests that fail
+	checkLossRate float64 // share of health checks that get no reply
+	unreachable   bool
+	silent        bool
+	overloaded    bool
 }
 
-// warmth returns the share of its full capacity that a server has at a time.
-func (s *simServer) warmth(at time.Duration) float64 {
-	if s.since == 0 || at >= s.since+s.cold {
+// capacityShare returns the share of its full capacity that a server has at a time.
+func (s *simServer) capacityShare(at time.Duration) float64 {
+	if s.startedAt == 0 || at >= s.startedAt+s.warmupDuration {
 		return 1
 	}
-	return s.coldFrom + (1-s.coldFrom)*float64(at-s.since)/float64(s.cold)
+	return s.initialCapacity + (1-s.initialCapacity)*float64(at-s.startedAt)/float64(s.warmupDuration)
 }
 
-// trim removes the completed requests.
-func (s *simServer) trim(at time.Duration) {
-	s.finishes = slices.DeleteFunc(s.finishes, func(end time.Duration) bool { return end <= at })
+// removeCompleted removes the completed requests.
+func (s *simServer) removeCompleted(at time.Duration) {
+	s.completions = slices.DeleteFunc(s.completions, func(end time.Duration) bool { return end <= at })
 }
 
 // serve queues a request and returns when it completes. accepted is false if the queue is full.
 func (s *simServer) serve(at, work time.Duration) (end time.Duration, accepted bool) {
-	s.trim(at)
-	if len(s.finishes) >= s.size+s.queueLimit {
+	s.removeCompleted(at)
+	if len(s.completions) >= s.coreCount+s.queueLimit {
 		return 0, false
 	}
-	took := time.Duration(float64(work) * s.slow / s.warmth(at))
+	took := time.Duration(float64(work) * s.slowdown / s.capacityShare(at))
 	core := 0
 	for i := range s.cores {
 		if s.cores[i] < s.cores[core] {
@@ -63,8 +63,8 @@
 	}
 	end = max(at, s.cores[core]) + took
 	s.cores[core] = end
-	s.finishes = append(s.finishes, end)
-	s.service += 0.2 * (float64(took) - s.service)
+	s.completions = append(s.completions, end)
+	s.meanServiceTime += 0.2 * (float64(took) - s.meanServiceTime)
 	return end, true
 }
 
@@ -75,22 +75,22 @@
 	}
 }
 
-// load returns a load report with values in the order of the fields. A report is reused for 150 ms.
-func (s *simServer) load(at time.Duration, fields []reportField, random *rand.Rand) []float64 {
+// loadReport returns a load report with values in the order of the fields. A report is reused for 150 ms.
+func (s *simServer) loadReport(at time.Duration, fields []reportField, random *rand.Rand) []float64 {
 	if len(s.report) > 0 && at < s.reportAt+150*time.Millisecond {
 		return s.report
 	}
-	s.trim(at)
-	hand := float64(len(s.finishes))
-	busy := min(hand, float64(s.size))
-	rate := busy / s.service * float64(time.Second)
+	s.removeCompleted(at)
+	inFlight := float64(len(s.completions))
+	busy := min(inFlight, float64(s.coreCount))
+	rate := busy / s.meanServiceTime * float64(time.Second)
 	values := map[reportField]float64{
-		siteFields["inflight"]:   hand,
-		siteFields["queue"]:      hand - busy,
-		siteFields["util"]:       busy / float64(s.size),
-		siteFields["service_ms"]: s.service / float64(time.Millisecond),
+		siteFields["inflight"]:   inFlight,
+		siteFields["queue"]:      inFlight - busy,
+		siteFields["util"]:       busy / float64(s.coreCount),
+		siteFields["service_ms"]: s.meanServiceTime / float64(time.Millisecond),
 		siteFields["qps"]:        rate,
-		siteFields["errors"]:     rate * s.failing,
+		siteFields["errors"]:     rate * s.failureRate,
 	}
 	s.reportAt = at
 	s.report = nil
@@ -104,12 +104,12 @@
 	return s.report
 }
 
-// recover clears all faults of a server.
-func (s *simServer) recover() {
-	s.slow = 1
-	s.failing = 0
-	s.lossy = 0
+// clearFaults clears all faults of a server.
+func (s *simServer) clearFaults() {
+	s.slowdown = 1
+	s.failureRate = 0
+	s.checkLossRate = 0
 	s.unreachable = false
 	s.silent = false
-	s.jammed = false
+	s.overloaded = false
 }
--- a/internal/routing/trace_settings_test.go
+++ b/internal/routing/trace_settings_test.go
@@ -10,33 +10,33 @@
 	"linkpass/internal/routing"
 )
 
-// span is a number of a site file; for a range it is the lower end.
-type span float64
+// siteNumber is a number of a site file; for a range it is the lower end.
+type siteNumber float64
 
 // UnmarshalTOML implements toml.Unmarshaler.
-func (s *span) UnmarshalTOML(value any) error {
+func (s *siteNumber) UnmarshalTOML(value any) error {
 	if list, ok := value.([]any); ok {
 		value = list[0]
 	}
 	switch v := value.(type) {
 	case int64:
-		*s = span(v)
+		*s = siteNumber(v)
 	case float64:
-		*s = span(v)
+		*s = siteNumber(v)
 	}
 	return nil
 }
 
-func (s span) milliseconds() time.Duration {
+func (s siteNumber) milliseconds() time.Duration {
 	return time.Duration(float64(s) * float64(time.Millisecond))
 }
 
 // site holds the settings of a site file that the trace uses.
 type site struct {
 	Day struct {
-		Tick span `toml:"tick_ms"`
+		Tick siteNumber `toml:"tick_ms"`
 	}
-	Scale struct{ Servers, Balancers span }
+	Scale struct{ Servers, Balancers siteNumber }
 	Net   struct{ Zones []string }
 	Allow struct {
 		Probes       bool
@@ -46,29 +46,29 @@
 		MaxAttempts  int  `toml:"max_attempts"`
 	}
 	Clients struct {
-		MaxRetryAfter span `toml:"max_retry_after_ms"`
+		MaxRetryAfter siteNumber `toml:"max_retry_after_ms"`
 	}
 	Rules struct {
-		DrainGrace   span `toml:"drain_grace_ms"`
-		BudgetShare  span `toml:"budget_share"`
-		BudgetFree   span `toml:"budget_free"`
-		Budget       span `toml:"budget_ms"`
-		FallMultiple span `toml:"fall_multiple"`
+		DrainGrace   siteNumber `toml:"drain_grace_ms"`
+		BudgetShare  siteNumber `toml:"budget_share"`
+		BudgetFree   siteNumber `toml:"budget_free"`
+		Budget       siteNumber `toml:"budget_ms"`
+		FallMultiple siteNumber `toml:"fall_multiple"`
 	}
 	Discovery struct{ Mode string }
 	Prices    struct {
-		CrossZone span `toml:"cross_zone"`
+		CrossZone siteNumber `toml:"cross_zone"`
 	}
 	Tier   []siteTier
 	Class  []siteClass
 	Tenant []struct{ Share float64 }
 	Fam    struct {
-		Replicas      span
+		Replicas      siteNumber
 		Layout        string
-		ShardsPerCell span `toml:"shards_per_cell"`
-		Batch         span
-		CallMicros    span `toml:"call_us"`
-		Class         []struct{ Parts, Need, Floor, Partial span }
+		ShardsPerCell siteNumber `toml:"shards_per_cell"`
+		Batch         siteNumber
+		CallMicros    siteNumber `toml:"call_us"`
+		Class         []struct{ Parts, Need, Floor, Partial siteNumber }
 	}
 }
 
@@ -79,27 +79,27 @@
 		Fields []string
 	}
 	Probe struct {
-		Timeout span `toml:"timeout_ms"`
+		Timeout siteNumber `toml:"timeout_ms"`
 	}
 	Kind []struct {
-		Cores    span
-		Queue    span `toml:"queue_per_core"`
-		ColdFrom span `toml:"cold_from"`
-		Cold     span `toml:"cold_s"`
+		Cores    siteNumber
+		Queue    siteNumber `toml:"queue_per_core"`
+		ColdFrom siteNumber `toml:"cold_from"`
+		Cold     siteNumber `toml:"cold_s"`
 	}
 }
 
 type siteClass struct {
-	Share     span
-	Work      span `toml:"work_ms"`
-	Aim       span `toml:"aim_ms"`
-	Deadline  span `toml:"deadline_ms"`
+	Share     siteNumber
+	Work      siteNumber `toml:"work_ms"`
+	Aim       siteNumber `toml:"aim_ms"`
+	Deadline  siteNumber `toml:"deadline_ms"`
 	Worth     float64
 	LateWorth float64 `toml:"late_worth"`
 	Effect    string
 }
 
-var siteEffects = map[string]routing.Idempotency{
+var siteIdempotency = map[string]routing.Idempotency{
 	"safe":   routing.Idempotent,
 	"keyed":  routing.IdempotentWithKey,
 	"unsafe": routing.NonIdempotent,
@@ -183,7 +183,7 @@
 			floor = need
 		}
 		out.Classes = append(out.Classes, routing.Class{
-			Idempotency:      siteEffects[c.Effect],
+			Idempotency:      siteIdempotency[c.Effect],
 			LatencyObjective: c.Aim.milliseconds(),
 			Deadline:         c.Deadline.milliseconds(),
 			PriorityWeight:   c.Worth,
--- a/internal/routing/trace_test.go
+++ b/internal/routing/trace_test.go
@@ -21,8 +21,8 @@
 // turnsPerHash is the number of turns that one line of a golden file covers.
 const turnsPerHash = 50
 
-// traced is the trace of one variant, divided into ranges of turns.
-type traced struct {
+// tracedRun is the trace of one variant, divided into ranges of turns.
+type tracedRun struct {
 	hashes  []string
 	texts   [][]byte
 	counts  map[string]int
@@ -30,7 +30,7 @@
 }
 
 // trace plays all phases with the settings of a variant.
-func trace(t *testing.T, v variant) traced {
+func trace(t *testing.T, v variant) tracedRun {
 	t.Helper()
 	s := readSite(t, v.site)
 	set := s.settings()
@@ -39,28 +39,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := traced{counts: w.counts}
-	w.at(w.now, func() []event { return w.list("cached", w.ready()...) })
+	out := tracedRun{counts: w.counts}
+	w.schedule(w.now, func() []event { return w.endpointUpdate("cached", w.readyServers()...) })
 	turn := 0
 	for _, p := range phases {
-		w.begin(p)
+		w.startPhase(p)
 		for range p.turns {
 			w.play(turn)
 			turn++
 			if turn%turnsPerHash == 0 {
-				out.cut(w, turn)
+				out.endRange(w, turn)
 			}
 		}
 	}
-	out.cut(w, turn)
+	out.endRange(w, turn)
 	for _, word := range []string{"send", "cancel", "reject", "fail", "answer", "timer", "health-check", "subscribe"} {
 		out.actions += w.counts["action "+word]
 	}
 	return out
 }
 
-// cut ends a range of turns: it stores the hash and the text of the trace since the last cut.
-func (x *traced) cut(w *world, turn int) {
+// endRange ends a range of turns: it stores the hash and the text of the trace since the end of the range before.
+func (x *tracedRun) endRange(w *world, turn int) {
 	line := fmt.Sprintf("turns before %d: %016x", turn, xxhash.Sum64(w.text))
 	x.hashes = append(x.hashes, line)
 	x.texts = append(x.texts, w.text)
@@ -68,7 +68,7 @@
 }
 
 // compare reports the first range of turns in which the trace differs from its golden file.
-func (x *traced) compare(t *testing.T, file string) {
+func (x *tracedRun) compare(t *testing.T, file string) {
 	t.Helper()
 	golden, err := os.ReadFile(file)
 	if err != nil {
@@ -92,7 +92,7 @@
 	return bytes.Join(lines[:min(count, len(lines))], nil)
 }
 
-func (x *traced) update(t *testing.T, file string) {
+func (x *tracedRun) update(t *testing.T, file string) {
 	t.Helper()
 	writeFile(t, file, []byte(strings.Join(x.hashes, "\n")+"\n"))
 }
@@ -107,9 +107,9 @@
 	}
 }
 
-// happened lists what must occur at least once over all variants. Guards against a trace that no longer covers some
-// kind of event or action.
-var happened = strings.Fields(`
+// requiredCounts lists what must occur at least once over all variants. Guards against a trace that no longer covers
+// some kind of event or action.
+var requiredCounts = strings.Fields(`
 	action:send action:cancel action:reject action:fail action:answer action:timer action:health-check action:subscribe
 	action:belief action:listed
 	event:endpoint-update event:arrival event:stream-started event:attempt-result event:client-disconnected event:timer-fired event:health-check-result event:capacity-change
@@ -120,17 +120,17 @@
 	list:delta list:full list:cached list:failed
 	listed:ready listed:draining listed:gone listed:cold`)
 
-// leastActions is the least number of actions in the trace of a variant.
-const leastActions = 2500
+// minActions is the least number of actions in the trace of a variant.
+const minActions = 2500
 
 // Guards against unintended changes of decisions: the same seeded events must yield the same actions at the same times
 // as when the golden files were written.
-func TestDecisionsAreThoseOfTheGoldenTrace(t *testing.T) {
+func TestDecisionsMatchGoldenTrace(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("testdata", "trace", "*.txt"))
 	if err != nil || len(files) != len(variants) && !*updateTrace {
 		t.Errorf("%d golden files for %d variants, want one for each; error %v", len(files), len(variants), err)
 	}
-	var total tally
+	var total totalCounts
 	t.Run("variant", func(t *testing.T) {
 		for _, v := range variants {
 			t.Run(v.name, func(t *testing.T) {
@@ -142,21 +142,21 @@
 	if total.played < len(variants) {
 		return // a -run pattern selected only some variants
 	}
-	for _, word := range happened {
+	for _, word := range requiredCounts {
 		if total.counts[strings.Replace(word, ":", " ", 1)] == 0 {
 			t.Errorf("%s never occurred", word)
 		}
 	}
 }
 
-// tally sums the counts of all variants, which run in parallel.
-type tally struct {
+// totalCounts sums the counts of all variants, which run in parallel.
+type totalCounts struct {
 	lock   sync.Mutex
 	played int
 	counts map[string]int
 }
 
-func (y *tally) add(counts map[string]int) {
+func (y *totalCounts) add(counts map[string]int) {
 	y.lock.Lock()
 	defer y.lock.Unlock()
 	if y.counts == nil {
@@ -180,8 +180,8 @@
 		writeFile(t, filepath.Join(*traceText, v.name+".txt"), bytes.Join(got.texts, nil))
 	}
 	got.compare(t, file)
-	if got.actions < leastActions {
-		t.Errorf("%d actions, want at least %d", got.actions, leastActions)
+	if got.actions < minActions {
+		t.Errorf("%d actions, want at least %d", got.actions, minActions)
 	}
 	return got.counts
 }
--- a/internal/routing/trace_trouble_test.go
+++ b/internal/routing/trace_trouble_test.go
@@ -4,176 +4,180 @@
 
 // phase is a range of turns with the same load and the same kinds of faults.
 type phase struct {
-	name        string
-	turns       int
-	step        time.Duration // mean time between turns
-	load        float64       // as a share of the fleet's capacity
-	slow        int           // number of slow servers; likewise for the next fields
-	failing     int
-	lossy       int // servers that lose health checks
-	unreachable int
-	silent      int
-	jammed      int
-	pauses      int     // mean number of turns between pauses of the whole fleet; 0: none
-	news        int     // mean number of turns between changes of the endpoint list
-	moves       int     // mean number of turns between moves of a shard; 0: none
-	lost        float64 // share of attempts that get no response
-	outage      bool    // discovery fails
+	name               string
+	turns              int
+	step               time.Duration // mean time between turns
+	load               float64       // as a share of the fleet's capacity
+	slowServers        int           // number of slow servers; likewise for the next fields
+	failingServers     int
+	checkLosingServers int // servers that lose health checks
+	unreachableServers int
+	silentServers      int
+	overloadedServers  int
+	turnsPerPause      int     // mean number of turns between pauses of the whole fleet; 0: none
+	turnsPerListChange int     // mean number of turns between changes of the endpoint list
+	turnsPerShardMove  int     // mean number of turns between moves of a shard; 0: none
+	lostShare          float64 // share of attempts that get no response
+	outage             bool    // discovery fails
 }
 
 const millisecond = time.Millisecond
 
 // phases are played in this order for every variant.
 var phases = []phase{
-	{name: "quiet", turns: 100, step: 9 * millisecond, load: 0.3, news: 60},
-	{name: "trouble", turns: 220, step: 12 * millisecond, load: 0.45, news: 25, moves: 12,
-		slow: 1, failing: 2, lossy: 2, unreachable: 1, jammed: 1},
-	{name: "overload", turns: 140, step: 6 * millisecond, load: 2, news: 80},
-	{name: "recovery", turns: 180, step: 20 * millisecond, load: 0.35, news: 30},
-	{name: "pauses", turns: 150, step: 10 * millisecond, load: 0.4, news: 60, pauses: 60, silent: 2},
-	{name: "outage", turns: 200, step: 300 * millisecond, load: 0.2, news: 20, outage: true, failing: 1, unreachable: 1},
-	{name: "lost attempts", turns: 200, step: 20 * millisecond, load: 0.25, news: 100, moves: 12, lost: 0.6},
-	{name: "overload in trouble", turns: 150, step: 8 * millisecond, load: 1.3, news: 40, moves: 12,
-		slow: 2, lossy: 1, silent: 1, failing: 1, pauses: 90},
-	{name: "quiet again", turns: 200, step: 12 * millisecond, load: 0.3, news: 30},
+	{name: "quiet", turns: 100, step: 9 * millisecond, load: 0.3, turnsPerListChange: 60},
+	{name: "trouble", turns: 220, step: 12 * millisecond, load: 0.45, turnsPerListChange: 25, turnsPerShardMove: 12,
+		slowServers: 1, failingServers: 2, checkLosingServers: 2, unreachableServers: 1, overloadedServers: 1},
+	{name: "overload", turns: 140, step: 6 * millisecond, load: 2, turnsPerListChange: 80},
+	{name: "recovery", turns: 180, step: 20 * millisecond, load: 0.35, turnsPerListChange: 30},
+	{name: "pauses", turns: 150, step: 10 * millisecond, load: 0.4, turnsPerListChange: 60, turnsPerPause: 60,
+		silentServers: 2},
+	{name: "outage", turns: 200, step: 300 * millisecond, load: 0.2, turnsPerListChange: 20, outage: true,
+		failingServers: 1, unreachableServers: 1},
+	{name: "lost attempts", turns: 200, step: 20 * millisecond, load: 0.25, turnsPerListChange: 100,
+		turnsPerShardMove: 12, lostShare: 0.6},
+	{name: "overload in trouble", turns: 150, step: 8 * millisecond, load: 1.3, turnsPerListChange: 40,
+		turnsPerShardMove: 12, slowServers: 2, checkLosingServers: 1, silentServers: 1, failingServers: 1,
+		turnsPerPause: 90},
+	{name: "quiet again", turns: 200, step: 12 * millisecond, load: 0.3, turnsPerListChange: 30},
 }
 
-// begin starts a phase: it clears the faults of the previous phase and draws servers for those of the new one.
-func (w *world) begin(p phase) {
+// startPhase starts a phase: it clears the faults of the previous phase and draws servers for those of the new one.
+func (w *world) startPhase(p phase) {
 	w.phase = p
 	for _, s := range w.servers {
-		s.recover()
+		s.clearFaults()
 	}
-	list := w.ready()
+	list := w.readyServers()
 	w.random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	take := func(count int, trouble func(*simServer)) {
+	take := func(count int, setFault func(*simServer)) {
 		for range min(count, len(list)-1) {
-			trouble(list[0])
+			setFault(list[0])
 			list = list[1:]
 		}
 	}
-	take(p.slow, func(s *simServer) { s.slow = 3 + 5*w.random.Float64() })
-	take(p.failing, func(s *simServer) { s.failing = 0.3 + 0.6*w.random.Float64() })
-	take(p.lossy, func(s *simServer) { s.lossy = 0.4 + 0.5*w.random.Float64() })
-	take(p.unreachable, func(s *simServer) { s.unreachable = true })
-	take(p.silent, func(s *simServer) { s.silent = true })
-	take(p.jammed, func(s *simServer) { s.jammed = true })
+	take(p.slowServers, func(s *simServer) { s.slowdown = 3 + 5*w.random.Float64() })
+	take(p.failingServers, func(s *simServer) { s.failureRate = 0.3 + 0.6*w.random.Float64() })
+	take(p.checkLosingServers, func(s *simServer) { s.checkLossRate = 0.4 + 0.5*w.random.Float64() })
+	take(p.unreachableServers, func(s *simServer) { s.unreachable = true })
+	take(p.silentServers, func(s *simServer) { s.silent = true })
+	take(p.overloadedServers, func(s *simServer) { s.overloaded = true })
 }
 
-// incidents draws the events of a turn that are not caused by queries.
-func (w *world) incidents() []event {
+// drawIncidents draws the events of a turn that are not caused by queries.
+func (w *world) drawIncidents() []event {
 	out := w.clientEvents()
-	if w.phase.pauses > 0 && w.chance(w.phase.pauses) {
-		length := w.between(300*millisecond, 900*millisecond)
+	if w.phase.turnsPerPause > 0 && w.oneIn(w.phase.turnsPerPause) {
+		length := w.drawDuration(300*millisecond, 900*millisecond)
 		for _, s := range w.servers {
 			s.pause(w.now, length)
 		}
 	}
-	if w.chance(w.phase.news) {
-		out = append(out, w.listNews()...)
+	if w.oneIn(w.phase.turnsPerListChange) {
+		out = append(out, w.drawListChange()...)
 	}
-	if w.phase.moves > 0 && w.chance(w.phase.moves) {
-		out = append(out, w.move()...)
+	if w.phase.turnsPerShardMove > 0 && w.oneIn(w.phase.turnsPerShardMove) {
+		out = append(out, w.moveShard()...)
 	}
-	if w.chance(80) {
+	if w.oneIn(80) {
 		out = append(out, warmUpEvent())
 	}
-	if w.set.MaxOpen > 0 && w.chance(40) {
-		out = append(out, capacityChangeEvent(w.set.MaxOpen/2+w.random.IntN(w.set.MaxOpen)))
+	if w.settings.MaxOpen > 0 && w.oneIn(40) {
+		out = append(out, capacityChangeEvent(w.settings.MaxOpen/2+w.random.IntN(w.settings.MaxOpen)))
 	}
 	return out
 }
 
-// list returns an endpoint update and counts what it contains.
-func (w *world) list(mode string, servers ...*simServer) []event {
+// endpointUpdate returns an endpoint update and counts what it contains.
+func (w *world) endpointUpdate(mode string, servers ...*simServer) []event {
 	w.counts["list "+mode]++
 	for _, s := range servers {
 		w.counts["listed "+s.state]++
-		if s.since > 0 {
+		if s.startedAt > 0 {
 			w.counts["listed cold"]++
 		}
 	}
 	return []event{endpointUpdateEvent(mode, servers)}
 }
 
-// listNews draws a change of the fleet and returns the endpoint update that results.
-func (w *world) listNews() []event {
-	if w.phase.outage && !w.chance(6) {
-		return w.list("failed")
+// drawListChange draws a change of the fleet and returns the endpoint update that results.
+func (w *world) drawListChange() []event {
+	if w.phase.outage && !w.oneIn(6) {
+		return w.endpointUpdate("failed")
 	}
-	list := w.ready()
+	list := w.readyServers()
 	s := list[w.random.IntN(len(list))]
 	switch w.random.IntN(6) {
 	case 0:
-		return w.drain(s)
+		return w.drainServer(s)
 	case 1:
-		s.since = w.now - w.between(0, 200*millisecond)
-		return w.list("delta", s)
+		s.startedAt = w.now - w.drawDuration(0, 200*millisecond)
+		return w.endpointUpdate("delta", s)
 	case 2:
 		w.addServer(s.cell)
-		return w.list("full", w.ready()...)
+		return w.endpointUpdate("full", w.readyServers()...)
 	case 3:
-		return w.list("cached", list[:len(list)-w.random.IntN(2)]...)
+		return w.endpointUpdate("cached", list[:len(list)-w.random.IntN(2)]...)
 	case 4:
-		return w.list("failed")
+		return w.endpointUpdate("failed")
 	}
-	return w.list("full", list...)
+	return w.endpointUpdate("full", list...)
 }
 
-// drain drains a server. It is removed after DrainGrace, and another one is started in its cell after twice that
+// drainServer drains a server. It is removed after DrainGrace, and another one is started in its cell after twice that
 // time.
-func (w *world) drain(s *simServer) []event {
+func (w *world) drainServer(s *simServer) []event {
 	s.state = "draining"
-	w.at(w.now+w.set.DrainGrace, func() []event {
+	w.schedule(w.now+w.settings.DrainGrace, func() []event {
 		s.state = "gone"
-		return w.list("delta", s)
+		return w.endpointUpdate("delta", s)
 	})
-	w.at(w.now+2*w.set.DrainGrace, func() []event { return w.list("delta", w.addServer(s.cell)) })
-	return w.list("delta", s)
+	w.schedule(w.now+2*w.settings.DrainGrace, func() []event { return w.endpointUpdate("delta", w.addServer(s.cell)) })
+	return w.endpointUpdate("delta", s)
 }
 
-// subscribed schedules the reply to a subscription: the endpoint list, or a failure during an outage.
-func (w *world) subscribed() {
-	w.at(w.now+w.between(2*millisecond, 30*millisecond), func() []event {
-		if w.phase.outage && !w.chance(6) {
-			return w.list("failed")
+// replyToSubscription schedules the reply to a subscription: the endpoint list, or a failure during an outage.
+func (w *world) replyToSubscription() {
+	w.schedule(w.now+w.drawDuration(2*millisecond, 30*millisecond), func() []event {
+		if w.phase.outage && !w.oneIn(6) {
+			return w.endpointUpdate("failed")
 		}
-		return w.list("full", w.ready()...)
+		return w.endpointUpdate("full", w.readyServers()...)
 	})
 }
 
-// move moves a shard to a new one that is placed on randomly chosen servers. After 400 to 900 ms the move is undone and
-// the placement removed; parts that are still sent to the new shard then find no replica.
-func (w *world) move() []event {
+// moveShard moves a shard to a new one that is placed on randomly chosen servers. After 400 to 900 ms the move is
+// undone and the placement removed; parts that are still sent to the new shard then find no replica.
+func (w *world) moveShard() []event {
 	shard := w.pickShard()
-	if shard >= w.set.Shards { // it has moved already
+	if shard >= w.settings.Shards { // it has moved already
 		return nil
 	}
-	target := w.set.Shards + shard
+	target := w.settings.Shards + shard
 	var holders []uint64
 	for range 2 {
-		list := w.ready()
+		list := w.readyServers()
 		holders = append(holders, list[w.random.IntN(len(list))].id)
 	}
-	w.moved[shard] = target
-	w.overtake(shard)
-	w.at(w.now+w.between(400*millisecond, 900*millisecond), func() []event {
-		delete(w.moved, shard)
+	w.movedTo[shard] = target
+	w.endAttemptsAtMovedShard(shard)
+	w.schedule(w.now+w.drawDuration(400*millisecond, 900*millisecond), func() []event {
+		delete(w.movedTo, shard)
 		return []event{shardPlacementEvent(target, nil)}
 	})
 	return []event{shardPlacementEvent(target, holders)}
 }
 
-// overtake ends some of the attempts in flight at a shard that moves, with the outcome "stale".
-func (w *world) overtake(shard int) {
+// endAttemptsAtMovedShard ends some of the attempts in flight at a shard that moves, with the outcome "stale".
+func (w *world) endAttemptsAtMovedShard(shard int) {
 	for _, q := range w.queries {
 		for _, p := range q.parts {
-			if p.shard != shard || len(p.attempts) == 0 || len(p.attempts) == 1 && w.chance(3) {
+			if p.shard != shard || len(p.attempts) == 0 || len(p.attempts) == 1 && w.oneIn(3) {
 				continue
 			}
 			a := p.attempts[len(p.attempts)-1]
-			due := w.now + w.between(millisecond, 40*millisecond)
-			w.at(due, func() []event { return w.stale(a, w.set.Shards+shard) })
+			due := w.now + w.drawDuration(millisecond, 40*millisecond)
+			w.schedule(due, func() []event { return w.shardMoved(a, w.settings.Shards+shard) })
 		}
 	}
 }
--- a/internal/routing/trace_variants_test.go
+++ b/internal/routing/trace_variants_test.go
@@ -19,10 +19,10 @@
 	}
 }
 
-func setEffect(set *routerSettings, effect string, window time.Duration) {
+func setIdempotency(set *routerSettings, effect string, window time.Duration) {
 	set.Classes = slices.Clone(set.Classes)
 	for i := range set.Classes {
-		set.Classes[i].Idempotency = siteEffects[effect]
+		set.Classes[i].Idempotency = siteIdempotency[effect]
 		set.Classes[i].IdempotencyWindow = window
 	}
 }
@@ -45,14 +45,14 @@
 	set.RetryBudgetRatio = 0.05
 }
 
-func setAnyCopies(set *routerSettings) {
+func setUnlimitedHedges(set *routerSettings) {
 	set.Hedging = true
 	set.MaxAttempts = 0
 	set.RetryBudgetWindow = 0
 }
 
-// setPatience raises latency objectives and deadlines, so that few queries are rejected for lack of capacity.
-func setPatience(set *routerSettings) {
+// setLongDeadlines raises latency objectives and deadlines, so that few queries are rejected for lack of capacity.
+func setLongDeadlines(set *routerSettings) {
 	for i := range set.Classes {
 		set.Classes[i].LatencyObjective *= 6
 		set.Classes[i].Deadline *= 4
@@ -79,7 +79,7 @@
 	{"clinic", clinic, func(*routerSettings) {}},
 	{"clinic-no-probes", clinic, func(s *routerSettings) { s.HealthChecks = false }},
 	{"clinic-copies", clinic, func(s *routerSettings) { s.Hedging = true }},
-	{"clinic-any-copies", clinic, setAnyCopies},
+	{"clinic-any-copies", clinic, setUnlimitedHedges},
 	{"clinic-small-budget", clinic, setSmallBudget},
 	{"clinic-no-cancel", clinic, func(s *routerSettings) { s.Cancel = false }},
 	{"clinic-no-advice", clinic, func(s *routerSettings) { s.RetryAfter = false }},
@@ -94,12 +94,12 @@
 	{"clinic-pace", clinic, func(s *routerSettings) { setFields(s, "service_ms", "qps") }},
 	{"clinic-single-calls", clinic, func(s *routerSettings) { s.RequestCost, s.PartsPerRequest = 0, 0 }},
 	{"clinic-keyed", clinic, func(s *routerSettings) {
-		setEffect(s, "keyed", 400*time.Millisecond)
+		setIdempotency(s, "keyed", 400*time.Millisecond)
 		s.MaxWriteDelay = 200 * time.Millisecond
 	}},
 	{"clinic-keyed-copies", clinic, func(s *routerSettings) {
-		setEffect(s, "keyed", 350*time.Millisecond)
-		setAnyCopies(s)
+		setIdempotency(s, "keyed", 350*time.Millisecond)
+		setUnlimitedHedges(s)
 	}},
 	{"clinic-quotas", clinic, setQuotas},
 	{"clinic-second-steps", clinic, setSecondSteps},
@@ -112,12 +112,12 @@
 	{"harbour-far-dear", harbour, func(s *routerSettings) {
 		s.CrossZoneCost = 0.05
 		s.ReplicasPerShard = 3
-		setPatience(s)
+		setLongDeadlines(s)
 	}},
 	{"harbour-far-cheap", harbour, func(s *routerSettings) {
 		s.CrossZoneCost = 0.008
 		s.ReplicasPerShard = 3
-		setPatience(s)
+		setLongDeadlines(s)
 	}},
 	{"harbour-reports-seldom", harbour, func(s *routerSettings) {
 		setSlowStart(s)
@@ -126,14 +126,14 @@
 	{"harbour-unsized", harbour, func(s *routerSettings) { s.WeightsAreCapacities = false }},
 	{"harbour-sized-by-hand", harbour, func(s *routerSettings) { setFields(s, "inflight", "queue") }},
 	{"harbour-budget", harbour, setBudget},
-	{"harbour-keyed", harbour, func(s *routerSettings) { setEffect(s, "keyed", 700*time.Millisecond) }},
-	{"harbour-keyed-briefly", harbour, func(s *routerSettings) { setEffect(s, "keyed", 90*time.Millisecond) }},
-	{"harbour-safe", harbour, func(s *routerSettings) { setEffect(s, "safe", 0) }},
+	{"harbour-keyed", harbour, func(s *routerSettings) { setIdempotency(s, "keyed", 700*time.Millisecond) }},
+	{"harbour-keyed-briefly", harbour, func(s *routerSettings) { setIdempotency(s, "keyed", 90*time.Millisecond) }},
+	{"harbour-safe", harbour, func(s *routerSettings) { setIdempotency(s, "safe", 0) }},
 	{"harbour-one-node", harbour, func(s *routerSettings) { s.Coordinators = 1 }},
 	{"harbour-always-warm", harbour, func(s *routerSettings) { s.WarmupDuration = 0 }},
 	{"harbour-slow-start", harbour, setSlowStart},
 	{"harbour-any-attempts", harbour, func(s *routerSettings) {
 		s.MaxAttempts = 0
-		setEffect(s, "safe", 0)
+		setIdempotency(s, "safe", 0)
 	}},
 }
