--- a/internal/routing/trace_attempt_test.go
+++ b/internal/routing/trace_attempt_test.go
@@ -101,7 +101,7 @@
 
 // shardMoved returns the events of an attempt whose shard has moved: its outcome and, if its part is still open, the
 // replacement of the part.
-func (w *world) shardMoved(a *simAttempt, next int) []event {
+func (w *world) shardMoved(a *simAttempt, newShard int) []event {
 	if a.closed {
 		return nil
 	}
@@ -116,12 +116,12 @@
 			replaced = append(replaced, other)
 		}
 	}
-	return append(out, w.replaceParts(replaced, next)...)
+	return append(out, w.replaceParts(replaced, newShard)...)
 }
 
 // replaceParts replaces some parts of a query by two parts of another shard. A quarter of the weight may have been
 // received already.
-func (w *world) replaceParts(replaced []*simPart, next int) []event {
+func (w *world) replaceParts(replaced []*simPart, newShard int) []event {
 	weight := 0.0
 	for _, p := range replaced {
 		weight += p.weight
@@ -133,8 +133,8 @@
 	}
 	q := replaced[0].query
 	replacements := []*simPart{
-		w.newPart(q, next, (weight-receivedWeight)/2),
-		w.newPart(q, next, (weight-receivedWeight)/2),
+		w.newPart(q, newShard, (weight-receivedWeight)/2),
+		w.newPart(q, newShard, (weight-receivedWeight)/2),
 	}
 	if w.oneIn(4) {
 		w.schedule(w.now+w.drawDuration(0, 60*time.Millisecond), func() []event {
--- a/internal/routing/trace_server_test.go
+++ b/internal/routing/trace_server_test.go
@@ -30,9 +30,9 @@
 	slowdown      float64 // factor of the service time
 	failureRate   float64 // share of requests that fail
 	checkLossRate float64 // share of health checks that get no reply
-	unreachable   bool
-	silent        bool
-	overloaded    bool
+	unreachable   bool    // attempts and health checks fail to connect
+	silent        bool    // attempts and health checks get no reply
+	overloaded    bool    // all attempts are rejected as overloaded
 }
 
 // capacityShare returns the share of its full capacity that a server has at a time.
--- a/internal/routing/trace_trouble_test.go
+++ b/internal/routing/trace_trouble_test.go
@@ -153,19 +153,19 @@
 	if shard >= w.settings.Shards { // it has moved already
 		return nil
 	}
-	target := w.settings.Shards + shard
-	var holders []uint64
+	newShard := w.settings.Shards + shard
+	var serverIDs []uint64
 	for range 2 {
 		list := w.readyServers()
-		holders = append(holders, list[w.random.IntN(len(list))].id)
+		serverIDs = append(serverIDs, list[w.random.IntN(len(list))].id)
 	}
-	w.movedTo[shard] = target
+	w.movedTo[shard] = newShard
 	w.endAttemptsAtMovedShard(shard)
 	w.schedule(w.now+w.drawDuration(400*millisecond, 900*millisecond), func() []event {
 		delete(w.movedTo, shard)
-		return []event{shardPlacementEvent(target, nil)}
+		return []event{shardPlacementEvent(newShard, nil)}
 	})
-	return []event{shardPlacementEvent(target, holders)}
+	return []event{shardPlacementEvent(newShard, serverIDs)}
 }
 
 // endAttemptsAtMovedShard ends some of the attempts in flight at a shard that moves, with the outcome "stale".
