--- a/internal/routing/trace_api_test.go
+++ b/internal/routing/trace_api_test.go
@@ -7,8 +7,8 @@
 	"linkpass/internal/routing"
 )
 
-// Of the trace's files only this one names the package's events and actions. The words here are those of the golden
-// files: they stay as they are when the interface is renamed.
+// This is the only file of the golden trace that refers to the package's events and actions. The strings here are part
+// of the hashed traces in the golden files, so they stay as they are when the package's interface is renamed.
 
 type (
 	event          = routing.Event
@@ -16,7 +16,7 @@
 	reportField    = routing.ReportField
 )
 
-// outcomeCodes are the words for how an attempt or a probe ended.
+// outcomeCodes maps the trace's words for the outcome of an attempt or a health check to the package's codes.
 var outcomeCodes = map[string]routing.Code{
 	"ok":             routing.OK,
 	"errored":        routing.ServerError,
@@ -29,7 +29,7 @@
 	"stale":          routing.ShardMoved,
 }
 
-// listModes are the words for how news of the server list is to be read.
+// listModes maps the trace's words for the kind of an endpoint update to its mode.
 var listModes = map[string]routing.UpdateMode{
 	"delta":  routing.UpdateDelta,
 	"full":   routing.UpdateFull,
@@ -37,14 +37,14 @@
 	"failed": routing.UpdateFailed,
 }
 
-// serverStates are the words for what the list says of a server.
+// serverStates maps the trace's words for the state of a server to the state in an endpoint update.
 var serverStates = map[string]routing.EndpointState{
 	"draining": routing.Draining,
 	"ready":    routing.Ready,
 	"gone":     routing.Removed,
 }
 
-// eventWord names the kind of an event for the counters.
+// eventWord returns the word under which events of this type are counted.
 func eventWord(e event) string {
 	switch e.(type) {
 	case routing.EndpointUpdate:
@@ -81,12 +81,12 @@
 	return routing.Arrival{
 		ID:           routing.RequestID(q.id),
 		Shard:        -1,
-		Timeout:      q.left,
+		Timeout:      q.timeout,
 		Class:        q.class,
 		IsRetry:      repeat,
-		ExpectedWork: time.Duration(q.count) * q.work,
+		ExpectedWork: time.Duration(q.partCount) * q.work,
 		Key:          q.id % 7,
-		Weight:       float64(q.count),
+		Weight:       float64(q.partCount),
 		QueryNumber:  q.number,
 		Tenant:       q.tenant,
 	}
@@ -96,7 +96,7 @@
 	return routing.Arrival{
 		ID:           routing.RequestID(p.id),
 		Shard:        p.shard,
-		Timeout:      p.query.left,
+		Timeout:      p.query.timeout,
 		Class:        p.query.class,
 		ExpectedWork: p.query.work,
 		Weight:       p.weight,
@@ -129,9 +129,9 @@
 	return routing.ShardPlacement{Shard: shard, Servers: ids}
 }
 
-func partsReplacedEvent(yielding []*simPart, in float64, parts []*simPart) event {
-	out := routing.PartsReplaced{ReceivedWeight: in}
-	for _, p := range yielding {
+func partsReplacedEvent(replaced []*simPart, receivedWeight float64, parts []*simPart) event {
+	out := routing.PartsReplaced{ReceivedWeight: receivedWeight}
+	for _, p := range replaced {
 		out.IDs = append(out.IDs, routing.RequestID(p.id))
 	}
 	for _, p := range parts {
@@ -149,8 +149,8 @@
 			Kind:      s.kind,
 			Cell:      s.cell,
 			State:     serverStates[s.state],
-			Weight:    float64(s.size),
-			StartedAt: s.since,
+			Weight:    float64(s.coreCount),
+			StartedAt: s.startedAt,
 		})
 	}
 	return out
@@ -174,7 +174,7 @@
 
 func gossipMessageEvent() event { return routing.GossipMessage{From: 1, Data: []byte("load")} }
 
-// router is what the trace needs of the decision module.
+// router wraps the router under test with what the trace needs.
 type router struct{ *routing.Router }
 
 func newRouter(set routerSettings, seed uint64) (router, error) {
@@ -182,48 +182,48 @@
 	return router{r}, err
 }
 
-// play gives the router one turn and carries out its actions, each of which is written to the trace.
+// play runs one turn of the router. It writes each action to the trace and carries it out in the simulation.
 func (r router) play(w *world, events []event) {
 	for _, action := range r.Turn(w.now, events) {
 		switch a := action.(type) {
 		case routing.Send:
-			w.write("send", "part=%d server=%d timeout=%d until=%d", a.ID, a.Server, a.Timeout, a.WriteBefore)
+			w.writeAction("send", "part=%d server=%d timeout=%d until=%d", a.ID, a.Server, a.Timeout, a.WriteBefore)
 			w.sendPart(uint64(a.ID), uint64(a.Server), a.Timeout, a.WriteBefore)
 		case routing.Cancel:
-			w.write("cancel", "part=%d attempt=%d", a.ID, a.Attempt)
+			w.writeAction("cancel", "part=%d attempt=%d", a.ID, a.Attempt)
 			w.cancelAttempt(uint64(a.ID), a.Attempt)
 		case routing.Reject:
-			w.write("reject", "query=%d after=%d", a.ID, a.RetryAfter)
-			w.rejected(uint64(a.ID), a.RetryAfter)
+			w.writeAction("reject", "query=%d after=%d", a.ID, a.RetryAfter)
+			w.retryRejected(uint64(a.ID), a.RetryAfter)
 		case routing.Fail:
-			w.write("fail", "query=%d", a.ID)
+			w.writeAction("fail", "query=%d", a.ID)
 			w.closeQuery(uint64(a.ID))
 		case routing.Answer:
-			w.write("answer", "query=%d whole=%t", a.ID, a.Complete)
+			w.writeAction("answer", "query=%d whole=%t", a.ID, a.Complete)
 			w.closeQuery(uint64(a.ID))
 		case routing.SetTimer:
-			w.write("timer", "after=%d token=%d", a.After, a.Token)
-			w.at(w.now+a.After, func() []event { return []event{timerFiredEvent(a.Token)} })
+			w.writeAction("timer", "after=%d token=%d", a.After, a.Token)
+			w.schedule(w.now+a.After, func() []event { return []event{timerFiredEvent(a.Token)} })
 		case routing.HealthCheck:
-			w.write("health-check", "server=%d", a.Server)
+			w.writeAction("health-check", "server=%d", a.Server)
 			w.checkHealth(uint64(a.Server))
 		case routing.Subscribe:
-			w.write("subscribe", "")
-			w.subscribed()
+			w.writeAction("subscribe", "")
+			w.replyToSubscription()
 		default:
-			w.write("unknown", "%T", a)
+			w.writeAction("unknown", "%T", a)
 		}
 	}
 }
 
-// show writes what the router tells of its servers.
-func (r router) show(w *world) {
-	for _, b := range r.Snapshot(w.now) {
-		w.write("belief", "server=%d state=%s out=%d median=%d lost=%d cold=%t down=%t pause=%d quiet=%d health=%x",
-			b.Server, stateWord(b.State), b.InFlight, b.MedianLatency, b.FailedHealthChecks, b.WarmingUp, b.Unreachable, b.Backoff, b.SinceLastSend, b.Health)
+// writeSnapshot writes the router's snapshot of its servers to the trace.
+func (r router) writeSnapshot(w *world) {
+	for _, s := range r.Snapshot(w.now) {
+		w.writeAction("belief", "server=%d state=%s out=%d median=%d lost=%d cold=%t down=%t pause=%d quiet=%d health=%x",
+			s.Server, stateWord(s.State), s.InFlight, s.MedianLatency, s.FailedHealthChecks, s.WarmingUp, s.Unreachable, s.Backoff, s.SinceLastSend, s.Health)
 	}
 	known, avoided := r.EndpointCounts(w.now)
-	w.write("listed", "known=%d avoided=%d", known, avoided)
+	w.writeAction("listed", "known=%d avoided=%d", known, avoided)
 }
 
 func stateWord(state routing.EndpointState) string {
