--- a/internal/bodystore/body.go
+++ b/internal/bodystore/body.go
@@ -3,18 +3,18 @@
 import "io"
 
 // Body is one query's reference to a stored body. Its methods are safe for concurrent use and don't
-// wait for a disk.
+// wait for the disk. Reading from the reader that Open returns may wait for it.
 type Body struct {
 	store     *Store
 	entry     *entry
 	onEvicted func() // guarded by Store.mu
 }
 
-// Size returns the length in bytes.
+// Size returns the length of the body in bytes.
 func (b *Body) Size() int64 { return b.entry.size }
 
-// OnEvicted sets the function to call, once, when the body can't be read any more; at once if that is
-// so already.
+// OnEvicted sets the function to call once, when the body can no longer be read. If the body has already
+// been evicted, OnEvicted calls f before it returns.
 func (b *Body) OnEvicted(f func()) {
 	b.store.mu.Lock()
 	b.onEvicted = f
@@ -25,7 +25,8 @@
 	}
 }
 
-// MarkSent says that this query's parts have been sent: the body may be evicted.
+// MarkSent records that all parts of this query have been sent. The body may be evicted once this holds for
+// every query that references it.
 func (b *Body) MarkSent() {
 	s, e := b.store, b.entry
 	s.mu.Lock()
@@ -39,7 +40,8 @@
 	s.applyAndUnlock(moves)
 }
 
-// MarkPending says that a part of this query has to be sent, or sent again: the body is not evicted.
+// MarkPending records that a part of this query has yet to be sent, for the first time or again. The body is
+// not evicted before MarkSent or Release.
 func (b *Body) MarkPending() {
 	s, e := b.store, b.entry
 	s.mu.Lock()
@@ -51,7 +53,7 @@
 	s.applyAndUnlock(moves)
 }
 
-// Release ends the reference; the last one removes the body. A second call has no effect.
+// Release ends the reference. The body is removed with its last reference. A second call has no effect.
 func (b *Body) Release() {
 	s, e := b.store, b.entry
 	s.mu.Lock()
@@ -62,15 +64,16 @@
 	case !referenced || e.evicted:
 	case len(e.refs) == 0:
 		s.state.Remove(e.id)
-		s.remove(e) // without references there are no callbacks
+		s.remove(e) // returns no callbacks, as no references are left
 	case !e.isPending():
 		moves = append(moves, s.state.MarkSent(e.id, s.cfg.Now())...)
 	}
 	s.applyAndUnlock(moves)
 }
 
-// Open returns a reader of the body from its start. The reader's data stay readable if the body is moved or
-// evicted meanwhile. The error is ErrEvicted; one while reading means that the body has been removed.
+// Open returns a reader of the body from its start, or ErrEvicted. The reader stays usable if the body is moved
+// or evicted while it is open. An error from the reader other than io.EOF means that the body could not be read
+// and has been removed.
 func (b *Body) Open() (io.ReadCloser, error) {
 	b.store.mu.Lock()
 	defer b.store.mu.Unlock()
--- a/internal/bodystore/compaction.go
+++ b/internal/bodystore/compaction.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	maxCompactionBytes  = 1 << 20                // written each time, so that moves don't wait long
-	compactionInterval  = 100 * time.Millisecond // between two compactions at least
-	compactionDiskRatio = 1.5                    // compacts from this multiple of Limits.Files on disk
+	maxCompactionBytes  = 1 << 20                // after these, one compaction stops, so that moves don't wait long
+	compactionInterval  = 100 * time.Millisecond // minimum time between two compactions
+	compactionDiskRatio = 1.5                    // segments are compacted from this multiple of Limits.Files on disk
 )
 
-// compact rewrites what is left in the sparsest segment, where segments take much more of the disk than
-// the bodies in them.
+// compact copies the live records of the sparsest segment to the current one, so that the sparsest can be
+// removed. It does nothing while the segments together use less disk than compactionDiskRatio times Limits.Files.
 func (s *Store) compact() {
 	if s.log == nil || float64(s.log.diskBytes()) < compactionDiskRatio*float64(s.cfg.Limits.Files) {
 		return
@@ -27,7 +27,7 @@
 	}
 }
 
-// entriesIn lists the entries with records in a segment.
+// entriesIn returns the entries with records in a segment.
 func (s *Store) entriesIn(seg *segment) (out []*entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,7 +42,7 @@
 	return out
 }
 
-// compactEntry moves an entry's records out of a segment and returns the bytes written.
+// compactEntry copies an entry's records out of a segment and returns the number of bytes written.
 func (s *Store) compactEntry(e *entry, seg *segment) (written int64) {
 	e.moveMu.Lock()
 	defer e.moveMu.Unlock()
@@ -63,7 +63,7 @@
 	return written
 }
 
-// pinRecords returns an entry's records, pinned so that their segments are not removed.
+// pinRecords returns an entry's records. Their segments are pinned, so that they are not removed.
 func (s *Store) pinRecords(e *entry) []record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,7 +73,7 @@
 }
 
 // compactRecord copies the i-th record of an entry to the current segment. It returns false if the
-// entry's others are not to be copied: it is evicted, or the disk failed.
+// remaining records of the entry should not be copied: the entry was evicted, or the disk failed.
 func (s *Store) compactRecord(e *entry, i int, old record, buf []byte) (written int64, ok bool) {
 	data, err := s.log.read(old, buf)
 	if err != nil {
--- a/internal/bodystore/disk_fault_test.go
+++ b/internal/bodystore/disk_fault_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// A full disk rejects the body that arrives; bodies in files stay readable, new ones go to memory.
+// On a full disk the arriving body is rejected. Bodies in files stay readable, and new ones are stored in memory.
 func TestWriteRejectsBodyWhenDiskIsFull(t *testing.T) {
 	fs := newFaultyFS()
 	s := newStore(t, smallLimits, fs)
@@ -20,7 +20,7 @@
 	b := mustStore(t, s, before)
 	fs.capacity.Store(100 << 10)
 	if _, err := storeBody(s, 0, randomBytes(2, 600<<10)); !errors.Is(err, ErrNoCapacity) {
-		t.Fatalf("a body larger than the disk: %v", err)
+		t.Fatalf("storing a body larger than the disk: err = %v, want %v", err, ErrNoCapacity)
 	}
 	wantBody(t, b, before)
 	small := randomBytes(3, 60<<10)
@@ -28,14 +28,14 @@
 	wantBody(t, c, small)
 	fs.capacity.Store(-1)
 	if n := s.cfg.Counters.Get("bodies_write_failed"); n == 0 {
-		t.Error("failed write not counted")
+		t.Errorf("bodies_write_failed = %d, want more than 0", n)
 	}
 	if f := s.Totals(); f.Bodies != 2 {
-		t.Errorf("%+v", f)
+		t.Errorf("totals = %+v, want 2 bodies", f)
 	}
 }
 
-// Data that come back corrupt, or not at all, are never returned.
+// Data that is read back corrupt, or can't be read, is not returned, and the body is evicted.
 func TestReadOfCorruptRecordEvictsBody(t *testing.T) {
 	for name, setFault := range map[string]func(*faultyFS){
 		"flipped bit": func(f *faultyFS) { f.corruptReads.Store(true) },
@@ -51,11 +51,11 @@
 			setFault(fs)
 			got, err := readBody(b)
 			if err == nil || len(got) > 0 {
-				t.Errorf("%d bytes, %v", len(got), err)
+				t.Errorf("read %d bytes, err = %v, want no bytes and an error", len(got), err)
 			}
 			<-evicted
 			if _, err := b.Open(); !errors.Is(err, ErrEvicted) {
-				t.Errorf("opens: %v", err)
+				t.Errorf("Open: err = %v, want %v", err, ErrEvicted)
 			}
 			b.Release()
 		})
@@ -67,14 +67,14 @@
 	s := newStore(t, smallLimits, fs)
 	fs.shortWrites.Store(true)
 	if _, err := storeBody(s, 0, randomBytes(5, 900<<10)); !errors.Is(err, ErrNoCapacity) {
-		t.Errorf("a body with a short write: %v", err)
+		t.Errorf("storing a body with short writes: err = %v, want %v", err, ErrNoCapacity)
 	}
 	if f := s.Totals(); f.Bodies != 0 || f.Memory != 0 {
-		t.Errorf("%+v", f)
+		t.Errorf("totals = %+v, want no bodies and no bytes in memory", f)
 	}
 }
 
-// A reader, as of a hedge, reads to the end of a body that is removed meanwhile.
+// A reader, for example of a hedge, reads to the end of a body that is released while the reader is open.
 func TestReadContinuesAfterRelease(t *testing.T) {
 	for _, size := range []int{100 << 10, 400 << 10} {
 		s := newStore(t, smallLimits, nil)
@@ -93,26 +93,28 @@
 		s.log.removeRetired()
 		unread, err := io.ReadAll(r)
 		if err != nil || !bytes.Equal(append(first, unread...), data) {
-			t.Errorf("%d bytes: %v", len(unread), err)
+			t.Errorf("read %d more bytes, err = %v, want the %d more bytes stored", len(unread), err,
+				len(data)-len(first))
 		}
 		_ = r.Close()
 	}
 }
 
-// Without its directory the store rejects what needs a new file and serves the rest from memory.
+// If its directory is removed, the store rejects bodies that need a new file and stores others in memory.
 func TestWriteRejectsBodyWhenDirectoryIsRemoved(t *testing.T) {
 	s := newStore(t, smallLimits, nil)
 	if err := os.RemoveAll(s.dir); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := storeBody(s, 0, randomBytes(1, 600<<10)); !errors.Is(err, ErrNoCapacity) {
-		t.Errorf("a body in files: %v", err)
+		t.Errorf("storing a body in files: err = %v, want %v", err, ErrNoCapacity)
 	}
 	data := randomBytes(2, 100<<10)
 	wantBody(t, mustStore(t, s, data), data)
 }
 
-// ENOSPC from the kernel: a child process under a file-size limit of its own.
+// A write error from the kernel, instead of an injected one, is handled like a full disk. The test runs a child
+// process with a file size limit of its own.
 func TestWriteRejectsBodyAtFileSizeLimit(t *testing.T) {
 	if os.Getenv("BODIES_CHILD") != "" {
 		storeUnderFileSizeLimit(t)
@@ -122,7 +124,8 @@
 	cmd.Env = append(os.Environ(), "BODIES_CHILD=1")
 	out, err := cmd.CombinedOutput()
 	if err != nil || !strings.Contains(string(out), "rejected and continued") {
-		t.Fatalf("%v\n%s", err, out)
+		t.Fatalf("child process: err = %v, want none; want the output to contain %q:\n%s", err,
+			"rejected and continued", out)
 	}
 }
 
@@ -136,7 +139,7 @@
 	first := randomBytes(1, 150<<10)
 	b := mustStore(t, s, first)
 	if _, err := storeBody(s, 0, randomBytes(2, 600<<10)); !errors.Is(err, ErrNoCapacity) {
-		t.Fatalf("past the limit: %v", err)
+		t.Fatalf("storing a body larger than the file size limit: err = %v, want %v", err, ErrNoCapacity)
 	}
 	wantBody(t, b, first)
 	fmt.Println("rejected and continued")
--- a/internal/bodystore/entry.go
+++ b/internal/bodystore/entry.go
@@ -8,7 +8,7 @@
 	"linkpass/internal/eventlog"
 )
 
-// entry is one stored body, shared by all queries with the same content.
+// entry is one stored body, shared by all queries whose bodies have the same content.
 type entry struct {
 	id    tier.ID
 	class int
@@ -16,17 +16,18 @@
 	// Guarded by Store.mu.
 	size    int64
 	hash    [32]byte
-	indexed bool // in Store.byHash
+	indexed bool // whether the entry is in Store.byHash
 	chunks  [][]byte
-	records []record       // in place of chunks, once in files
-	refs    map[*Body]bool // true: a part of that query has yet to be sent
+	records []record       // replace chunks once the body is in files
+	refs    map[*Body]bool // value true: a part of that query has yet to be sent
 	evicted bool
 
-	moveMu  sync.Mutex // held while data are written to files or added; taken before Store.mu
-	inFiles bool       // guarded by moveMu
+	moveMu  sync.Mutex // held while data is added or written to files; locked before Store.mu
+	inFiles bool       // whether records replace chunks; guarded by moveMu
 }
 
-// append adds a chunk that has arrived. Store.mu and moveMu are held.
+// append adds a chunk that has arrived. For an entry in files it only counts the bytes; the Writer writes the
+// record. The caller holds moveMu and Store.mu.
 func (e *entry) append(chunk []byte) {
 	e.size += int64(len(chunk))
 	if !e.inFiles {
@@ -34,7 +35,7 @@
 	}
 }
 
-// isPending reports whether a part of any query has yet to be sent.
+// isPending reports whether any query that references the entry has a part yet to be sent.
 func (e *entry) isPending() bool {
 	for _, pending := range e.refs {
 		if pending {
@@ -44,8 +45,8 @@
 	return false
 }
 
-// remove deletes an entry and returns the eviction callbacks of its references. The caller holds mu,
-// and calls them without it.
+// remove deletes an entry and returns the eviction callbacks of its references. The caller holds Store.mu and
+// calls the callbacks after unlocking it.
 func (s *Store) remove(e *entry) (callbacks []func()) {
 	if e.evicted {
 		return nil
@@ -67,7 +68,7 @@
 	return callbacks
 }
 
-// removeUnreadable removes an entry whose data can't be read.
+// removeUnreadable removes an entry whose data can't be read from files, and logs the loss.
 func (s *Store) removeUnreadable(e *entry, err error) {
 	s.mu.Lock()
 	s.count(e, "lost")
--- a/internal/bodystore/errors.go
+++ b/internal/bodystore/errors.go
@@ -3,13 +3,13 @@
 import "errors"
 
 var (
-	// ErrNoCapacity is returned for a body that arrives and fits neither memory nor files. The body is
-	// removed; its query has to be rejected.
-	ErrNoCapacity = errors.New("bodies: no room for the body")
+	// ErrNoCapacity is returned for an arriving body that fits neither in memory nor in files. The body is
+	// removed, and its query has to be rejected.
+	ErrNoCapacity = errors.New("bodies: no capacity for the body in memory or files")
 
-	// ErrEvicted is returned by Body.Open once the body is evicted or could not be read.
-	ErrEvicted = errors.New("bodies: the body is not kept any more")
+	// ErrEvicted is returned by Body.Open after the body was evicted, or removed because it could not be read.
+	ErrEvicted = errors.New("bodies: body is no longer stored")
 
 	// ErrCorrupt is returned for a record that differs from what was written.
-	ErrCorrupt = errors.New("bodies: a record does not check")
+	ErrCorrupt = errors.New("bodies: corrupt record")
 )
--- a/internal/bodystore/faulty_fs_test.go
+++ b/internal/bodystore/faulty_fs_test.go
@@ -6,7 +6,8 @@
 	"syscall"
 )
 
-// faultyFS is a file system that fails as set: full, with short writes, or corrupting or failing reads.
+// faultyFS is the operating system's file system with faults that a test can set: a full disk, short writes, and
+// corrupt or failing reads.
 type faultyFS struct {
 	capacity     atomic.Int64 // bytes that may still be written; negative: no limit
 	shortWrites  atomic.Bool
--- a/internal/bodystore/file.go
+++ b/internal/bodystore/file.go
@@ -5,20 +5,20 @@
 	"os"
 )
 
-// FS is what the segment log needs of a file system.
+// FS is the part of a file system that the store needs for its segments.
 type FS interface {
-	Create(path string) (File, error) // error if the path exists
+	Create(path string) (File, error) // read-write; fails if the path exists
 	Remove(path string) error
 }
 
-// File is a file of FS.
+// File is an open file of an FS.
 type File interface {
 	io.ReaderAt
 	io.WriterAt
 	io.Closer
 }
 
-// osFS is the operating system's file system.
+// osFS is the FS of the operating system.
 type osFS struct{}
 
 func (osFS) Create(path string) (File, error) {
--- a/internal/bodystore/golden_open_test.go
+++ b/internal/bodystore/golden_open_test.go
@@ -7,14 +7,15 @@
 	"testing"
 )
 
-// Bodies end with their process: Open removes a killed one's directory, cut in a record or not, and nothing else.
+// Bodies are not reused after their process has ended. Open removes the directory of a killed process, even if its
+// segment ends in the middle of a record, and nothing else.
 func TestOpenOnGoldenDataDirectory(t *testing.T) {
 	segment := filepath.Join(goldenProcess, goldenSegment)
 	lock := goldenProcess + "/lock"
 	for _, c := range []struct {
 		name    string
 		prepare func(t *testing.T, dir string)
-		stays   []string // beside the new process's directory and its lock
+		stays   []string // what remains besides the new process's directory and its lock
 	}{
 		{"complete", func(*testing.T, string) {}, nil},
 		{"segment ends in a record", truncateSegment(70000), nil},
@@ -69,31 +70,32 @@
 	}
 }
 
-// testOpenLeaves opens a store on dir, checks what it leaves there, and stores a body.
+// testOpenLeaves opens a store on dir, checks that only stays and the new process's directory remain there, and
+// stores a body.
 func testOpenLeaves(t *testing.T, dir string, stays []string) {
 	t.Helper()
 	before := tree(t, dir)
 	s := newGoldenStore(t, dir)
 	if got := s.Totals(); got != (Totals{}) {
-		t.Errorf("contains %+v at its start", got)
+		t.Errorf("totals after Open = %+v, want none", got)
 	}
 	created := filepath.Base(s.dir)
 	want := append([]string{created + "/", created + "/lock"}, stays...)
 	slices.Sort(want)
 	after := tree(t, dir)
 	if !slices.Equal(names(after), want) {
-		t.Fatalf("left %q, want %q", names(after), want)
+		t.Fatalf("files after Open: %q, want %q", names(after), want)
 	}
 	for _, name := range stays {
 		if after[name] != before[name] {
-			t.Errorf("%s was changed", name)
+			t.Errorf("%s: content after Open differs from that before it", name)
 		}
 	}
 	b := mustStore(t, s, goldenBodies()[1])
 	waitForMoves(s)
 	wantBody(t, b, goldenBodies()[1])
 	if data := tree(t, dir)[filepath.Join(created, goldenSegment)]; len(data) != 2*16+64<<10+17 {
-		t.Errorf("the new segment has %d bytes", len(data))
+		t.Errorf("new segment has %d bytes, want %d", len(data), 2*16+64<<10+17)
 	}
 	b.Release()
 }
--- a/internal/bodystore/golden_test.go
+++ b/internal/bodystore/golden_test.go
@@ -20,28 +20,28 @@
 	"linkpass/internal/metrics"
 )
 
-var update = flag.Bool("update", false, "write the golden data directory anew")
+var update = flag.Bool("update", false, "rewrite the golden data directory")
 
-// The golden data directory is that of a killed process, with three bodies in one segment.
+// The golden data directory was left by a killed process. It has three bodies in one segment.
 const (
 	goldenDir     = "testdata/killed"
 	goldenProcess = "linkpass-bodies-1700000001"
 	goldenSegment = "seg-00000001"
 )
 
-// goldenBodies returns the bodies of the golden segment in their order. The second has two records.
+// goldenBodies returns the bodies of the golden segment in the order of their records. The second has two records.
 func goldenBodies() [][]byte {
 	long := bytes.Repeat([]byte("0123456789abcdef"), 64<<10/16)
 	return [][]byte{[]byte("c41e77d0 \x00\xff\n"), append(long, "the second record"...), []byte(`{"query":{"match_all":{}}}`)}
 }
 
-// goldenRecords returns the data of each record.
+// goldenRecords returns the data of each record of the golden segment.
 func goldenRecords() [][]byte {
 	b := goldenBodies()
 	return [][]byte{b[0], b[1][:64<<10], b[1][64<<10:], b[2]}
 }
 
-// newGoldenStore returns a store that writes all bodies to files at once.
+// newGoldenStore returns a store that writes each body to files as soon as it arrives.
 func newGoldenStore(t *testing.T, dir string) *Store {
 	t.Helper()
 	s := Open(Config{Limits: tier.Limits{Memory: 1 << 20, Files: 1 << 20, Largest: 1}, Classes: []string{"lookup"}, Dir: dir,
@@ -50,7 +50,7 @@
 	return s
 }
 
-// tree returns the files below a directory with their contents.
+// tree returns the contents of all files below a directory by relative path. The name of a directory ends in a slash.
 func tree(t *testing.T, dir string) map[string]string {
 	t.Helper()
 	found := map[string]string{}
@@ -76,7 +76,7 @@
 	return found
 }
 
-// copyGolden returns the path of a copy of the golden data directory.
+// copyGolden copies the golden data directory and returns the path of the copy.
 func copyGolden(t *testing.T) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "bodies")
@@ -104,7 +104,7 @@
 	return data
 }
 
-// The store writes the golden directory byte for byte, but for the number of its process.
+// The store writes the golden data directory byte for byte, except for the random suffix of the process directory.
 func TestDataDirectoryGoldenWritten(t *testing.T) {
 	dir := t.TempDir()
 	s := newGoldenStore(t, dir)
@@ -115,7 +115,7 @@
 	}
 	created := filepath.Base(s.dir)
 	if !strings.HasPrefix(created, "linkpass-bodies-") {
-		t.Errorf("the process's directory is %q", created)
+		t.Errorf("process directory is %q, want prefix %q", created, "linkpass-bodies-")
 	}
 	got := map[string]string{}
 	for name, data := range tree(t, dir) {
@@ -140,42 +140,43 @@
 	}
 }
 
-// The format: LPB1, length and xxhash64, little-endian, then the data.
+// A record is the bytes LPB1, the length and the xxhash64 of the data, both little-endian, and the data.
 func TestSegmentGoldenFormat(t *testing.T) {
 	unread := readSegment(t)
 	for i, want := range goldenRecords() {
 		if len(unread) < 16 {
-			t.Fatalf("record %d: %d bytes left", i, len(unread))
+			t.Fatalf("record %d: %d bytes left, want at least 16", i, len(unread))
 		}
 		n := int(binary.LittleEndian.Uint32(unread[4:]))
 		if string(unread[:4]) != "LPB1" || n != len(want) || binary.LittleEndian.Uint64(unread[8:]) != xxhash.Sum64(want) {
-			t.Fatalf("record %d: header %x", i, unread[:16])
+			t.Fatalf("record %d: header %x, want LPB1, length %d and hash %#x", i, unread[:16], len(want), xxhash.Sum64(want))
 		}
 		if !bytes.Equal(unread[16:16+n], want) {
-			t.Errorf("record %d: the data differ", i)
+			t.Errorf("record %d: data differs from the %d bytes stored", i, n)
 		}
 		unread = unread[16+n:]
 	}
 	if len(unread) != 0 {
-		t.Errorf("%d bytes after the last record", len(unread))
+		t.Errorf("%d bytes after the last record, want 0", len(unread))
 	}
 	if got := xxhash.Sum64(nil); got != 0xef46db3751d8e999 { // as published for xxHash64 with seed 0
-		t.Errorf("xxhash64 of nothing is %#x", got)
+		t.Errorf("xxhash64 of no data is %#x, want %#x", got, uint64(0xef46db3751d8e999))
 	}
 }
 
-// segmentLog.read on the golden segment, complete and cut in its last record.
+// segmentLog.read returns the records of the golden segment, and an error for a last record that is truncated or
+// corrupt.
 func TestSegmentGoldenRead(t *testing.T) {
 	complete := readSegment(t)
 	records := goldenRecords()
 	last := records[len(records)-1]
-	begin := len(complete) - 16 - len(last) // of the last record
+	begin := len(complete) - 16 - len(last) // offset of the last record
 	flipped := bytes.Clone(complete)
 	flipped[len(complete)-1] ^= 1
 	for _, c := range []struct {
 		name string
 		data []byte
-		err  error // of the last record
+		err  error // expected for the last record
 	}{
 		{"complete", complete, nil},
 		{"ends before a record", complete[:begin], io.EOF},
@@ -191,7 +192,8 @@
 	}
 }
 
-// testSegmentRead reads the golden records from a segment; the last one gives lastErr.
+// testSegmentRead reads the golden records from a segment with data. The last one is expected to fail with lastErr,
+// unless that is nil.
 func testSegmentRead(t *testing.T, data []byte, lastErr error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), goldenSegment)
@@ -210,12 +212,12 @@
 		offset += int64(16 + len(want))
 		if i == len(records)-1 && lastErr != nil {
 			if !errors.Is(err, lastErr) || got != nil {
-				t.Errorf("record %d: %d bytes, %v, want %v", i, len(got), err, lastErr)
+				t.Errorf("record %d: read %d bytes, err = %v, want no bytes, err = %v", i, len(got), err, lastErr)
 			}
 			continue
 		}
 		if err != nil || !bytes.Equal(got, want) {
-			t.Errorf("record %d: %d bytes, %v, want %d", i, len(got), err, len(want))
+			t.Errorf("record %d: read %d bytes, err = %v, want the %d bytes stored", i, len(got), err, len(want))
 		}
 	}
 }
--- a/internal/bodystore/helpers_test.go
+++ b/internal/bodystore/helpers_test.go
@@ -64,7 +64,7 @@
 func wantBody(t testing.TB, b *Body, data []byte) {
 	t.Helper()
 	if got, err := readBody(b); err != nil || !bytes.Equal(got, data) {
-		t.Fatalf("read %d bytes, %v, want %d", len(got), err, len(data))
+		t.Fatalf("read %d bytes, err = %v, want the %d bytes stored", len(got), err, len(data))
 	}
 }
 
@@ -84,14 +84,14 @@
 	}
 }
 
-// crash ends a store as SIGKILL would: its goroutine and its lock end, its files stay.
+// crash ends a store as SIGKILL would: its goroutine ends, its directory is unlocked and its files stay.
 func crash(s *Store) {
 	close(s.done)
 	s.wg.Wait()
 	_ = s.dirLock.Close()
 }
 
-// compactAll compacts the sparsest segment whether or not the disk needs it.
+// compactAll compacts the sparsest segment, however much disk the segments use.
 func (s *Store) compactAll() {
 	for seg := s.log.sparsest(); seg != nil; seg = nil {
 		for _, e := range s.entriesIn(seg) {
--- a/internal/bodystore/main_test.go
+++ b/internal/bodystore/main_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// Guards against the store's goroutine outliving Close.
+// TestMain fails if a goroutine, such as that of a Store after Close, is still running after the tests.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/bodystore/model_test.go
+++ b/internal/bodystore/model_test.go
@@ -16,14 +16,14 @@
 	_ "linkpass/internal/testrand"
 )
 
-// modelRef is a reference to a body, and what it should read as.
+// modelRef is a reference to a body, with the data that it should read as.
 type modelRef struct {
 	body    *Body
 	data    []byte
 	evicted atomic.Bool
 }
 
-// storeModel plays random events on a store and on a list of references.
+// storeModel applies random events to a store and keeps a list of the references to its bodies.
 type storeModel struct {
 	t     *rapid.T
 	cfg   Config
@@ -33,8 +33,8 @@
 	seen  map[string]int
 }
 
-// Whatever arrives, is shared, moves, fails on the disk or is released: a body reads as it was written,
-// or its eviction is reported.
+// After any sequence of arrivals, shared bodies, moves, disk faults, crashes and releases, each body reads as it was
+// written, or its eviction has been reported.
 func TestStoreAgreesWithModel(t *testing.T) {
 	seen := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -56,7 +56,7 @@
 		m.releaseAll()
 	})
 	if seen["rejected"] == 0 || seen["evicted"] == 0 || seen["read"] == 0 || seen["crash"] == 0 {
-		t.Errorf("the runs show too little: %v", seen)
+		t.Errorf("events seen: %v, want at least one each of rejected, evicted, read, crash", seen)
 	}
 }
 
@@ -71,7 +71,7 @@
 	return &storeModel{t: t, cfg: cfg, fs: fs, store: Open(cfg), seen: seen}
 }
 
-// randomEvent plays an event; it returns false if that was a rejected body.
+// randomEvent applies a random event. It returns false if a body was rejected.
 func (m *storeModel) randomEvent() bool {
 	var ref *modelRef
 	if len(m.refs) > 0 {
@@ -113,7 +113,7 @@
 	return true
 }
 
-// crash ends the process's store and starts the next process's.
+// crash ends the store as SIGKILL would and opens another one on the same directory, as the next process does.
 func (m *storeModel) crash() {
 	m.t.Helper()
 	crash(m.store)
@@ -121,22 +121,23 @@
 	m.store, m.refs = Open(m.cfg), nil
 	m.seen["crash"]++
 	if _, err := os.Stat(stale); !errors.Is(err, os.ErrNotExist) || m.store.log == nil {
-		m.t.Fatalf("directory of the crashed process: %v", err)
+		m.t.Fatalf("directory of the crashed process: Stat: err = %v, want %v; new store uses files: %t, want true",
+			err, os.ErrNotExist, m.store.log != nil)
 	}
 }
 
-// check reads all bodies and compares the limits.
+// check reads all bodies and checks the limits of memory and files.
 func (m *storeModel) check() {
 	m.t.Helper()
 	for _, ref := range m.refs {
 		got, err := readBody(ref.body)
 		switch {
 		case err == nil && !bytes.Equal(got, ref.data):
-			m.t.Fatalf("read %d other bytes than the %d written", len(got), len(ref.data))
+			m.t.Fatalf("read %d bytes that differ from the %d bytes stored", len(got), len(ref.data))
 		case err != nil && !ref.evicted.Load():
-			m.t.Fatalf("evicted without a callback: %v", err)
+			m.t.Fatalf("body can't be read (%v), but OnEvicted was not called", err)
 		case err == nil && ref.evicted.Load():
-			m.t.Fatal("reported as evicted and reads")
+			m.t.Fatal("body can be read, but OnEvicted was called")
 		case err != nil:
 			m.seen["evicted"]++
 		default:
@@ -144,7 +145,7 @@
 		}
 	}
 	if f := m.store.Totals(); f.Memory > 50<<10 || f.Files > 120<<10 {
-		m.t.Fatalf("%+v", f)
+		m.t.Fatalf("totals = %+v, want at most %d bytes in memory and %d in files", f, 50<<10, 120<<10)
 	}
 }
 
@@ -154,6 +155,6 @@
 		ref.body.Release()
 	}
 	if f := m.store.Totals(); f.Bodies != 0 || f.Memory != 0 || f.Files != 0 {
-		m.t.Fatalf("after all were released: %+v", f)
+		m.t.Fatalf("totals after all bodies were released = %+v, want 0 bodies and bytes", f)
 	}
 }
--- a/internal/bodystore/moves.go
+++ b/internal/bodystore/moves.go
@@ -7,10 +7,11 @@
 	"linkpass/internal/eventlog"
 )
 
-// fileSuspension is for how long files accept no bodies after a failed write.
+// fileSuspension is how long files accept no new bodies after a failed write.
 const fileSuspension = 5 * time.Second
 
-// run moves bodies to files one after another, and compacts between them, until Close.
+// run moves queued bodies to files one at a time and, between moves, compacts the segments. After each of these it
+// removes retired segments. Close ends it.
 func (s *Store) run() {
 	tick := time.NewTicker(compactionInterval)
 	defer tick.Stop()
@@ -48,16 +49,17 @@
 	return e
 }
 
-// applyAndUnlock applies the moves of an event, releases mu and calls the eviction callbacks. These call
-// back into the store, so that they would deadlock under mu.
+// applyAndUnlock applies the moves of an event, unlocks mu and calls the eviction callbacks. The callbacks may
+// call methods of the store, which would deadlock while mu is held.
 func (s *Store) applyAndUnlock(moves []tier.Move) {
 	callbacks := s.apply(moves, nil)
 	s.mu.Unlock()
 	runAll(callbacks)
 }
 
-// apply removes what is evicted and queues what moves to files, but for the entry arriving, which its
-// Writer moves itself. The caller holds mu, and calls the eviction callbacks without it.
+// apply removes evicted entries and queues moves to files. It does not queue a move of arriving, which may be
+// nil: the Writer of that entry moves it. The caller holds mu and calls the returned eviction callbacks after
+// unlocking it.
 func (s *Store) apply(moves []tier.Move, arriving *entry) (callbacks []func()) {
 	for _, m := range moves {
 		e := s.entries[m.ID]
@@ -74,17 +76,17 @@
 	return callbacks
 }
 
-// queueMove leaves a move to run. The caller holds mu.
+// queueMove queues a move for run. The caller holds mu.
 func (s *Store) queueMove(e *entry) {
 	s.moveQueue = append(s.moveQueue, e)
 	select {
 	case s.moveQueued <- struct{}{}:
-	default: // run is to look at the queue already
+	default: // run has already been notified
 	}
 }
 
-// moveToFiles writes an entry's data to files. The caller holds e.moveMu, so that only a Writer of the
-// same entry waits for the disk.
+// moveToFiles writes an entry's data to files. The caller holds e.moveMu but not mu, so that only the Writer of
+// the same entry waits for the disk.
 func (s *Store) moveToFiles(e *entry) {
 	s.mu.Lock()
 	chunks := append([][]byte(nil), e.chunks...)
@@ -100,8 +102,8 @@
 	s.finishMove(e, records, err == nil)
 }
 
-// finishMove replaces an entry's data in memory by its records, or frees these if the move failed or
-// the entry was evicted meanwhile.
+// finishMove replaces an entry's chunks by its records. If the write failed or the entry was evicted during the
+// move, it frees the records instead.
 func (s *Store) finishMove(e *entry, records []record, written bool) {
 	s.mu.Lock()
 	moves := s.resumeFiles()
@@ -116,8 +118,8 @@
 	s.applyAndUnlock(append(moves, s.state.FinishMove(e.id, false)...))
 }
 
-// suspendFiles stops new bodies from going to files after a failed write: the disk is full or broken.
-// What is stored there stays readable.
+// suspendFiles makes files accept no new bodies for fileSuspension after a failed write, as the disk is full or
+// broken. Bodies in files stay readable.
 func (s *Store) suspendFiles(err error) {
 	s.mu.Lock()
 	moves := s.resumeFiles()
@@ -129,7 +131,8 @@
 	s.applyAndUnlock(append(moves, s.state.SetFilesSuspended(true)...))
 }
 
-// resumeFiles ends a suspension whose time is over. Each event begins with it, under mu.
+// resumeFiles ends a suspension that has expired. Every event calls it first. The caller holds mu and applies
+// the returned moves.
 func (s *Store) resumeFiles() []tier.Move {
 	if s.suspendedUntil > 0 && s.cfg.Now() >= s.suspendedUntil {
 		s.suspendedUntil = 0
--- a/internal/bodystore/process_dir.go
+++ b/internal/bodystore/process_dir.go
@@ -13,9 +13,9 @@
 	lockFile         = "lock"
 )
 
-// createProcessDir creates a directory for this process below dir, and removes those of processes that
-// have ended. A process locks its directory until it ends, so that old and new process during a change
-// of version don't remove each other's.
+// createProcessDir creates a directory for this process in dir and removes the directories of processes that
+// have ended. A process keeps its directory locked until it ends, so that during an upgrade the old and the new
+// process don't remove each other's directory.
 func createProcessDir(dir string) (created string, lock *os.File, err error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return "", nil, fmt.Errorf("bodies: %w", err)
@@ -39,8 +39,8 @@
 	return created, lock, nil
 }
 
-// lockDir locks a process's directory; closing the file unlocks it. It fails if another process has the
-// lock.
+// lockDir locks a process's directory. Closing the returned file unlocks it. It fails if another process holds
+// the lock.
 func lockDir(dir string) (*os.File, error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockFile), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -53,10 +53,10 @@
 	return f, nil
 }
 
-// removeStaleDir removes the directory of a process that has ended.
+// removeStaleDir removes the directory of a process if its lock file is not locked: the process has ended.
 func removeStaleDir(dir string) {
 	if _, err := os.Stat(filepath.Join(dir, lockFile)); err != nil {
-		return // its process has yet to create the lock; a later start checks again
+		return // the process has yet to create the lock file; the next start checks again
 	}
 	f, err := lockDir(dir)
 	if err != nil {
--- a/internal/bodystore/process_dir_test.go
+++ b/internal/bodystore/process_dir_test.go
@@ -10,7 +10,7 @@
 	"linkpass/internal/metrics"
 )
 
-// Without a usable directory bodies are stored in memory.
+// If the directory can't be created, bodies are stored in memory.
 func TestOpenWithoutUsableDirectory(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
@@ -18,10 +18,10 @@
 	}
 	s := Open(processDirConfig(filepath.Join(file, "none")))
 	if s.log != nil {
-		t.Error("files in a directory that can't exist")
+		t.Error("store has a segment log in a directory that can't be created")
 	}
 	if _, err := storeBody(s, 0, randomBytes(1, 100<<10)); err != nil {
-		t.Errorf("in memory: %v", err)
+		t.Errorf("storing a body in memory: %v", err)
 	}
 	s.Close()
 }
@@ -30,7 +30,7 @@
 	return Config{Limits: smallLimits, Dir: dir, Counters: metrics.NewCounters(), Now: func() time.Duration { return 0 }}
 }
 
-// The directory of an ended process is removed, that of a running one is not.
+// Open removes the directory of a process that has ended, but not that of a running one.
 func TestOpenRemovesDirectoriesOfEndedProcesses(t *testing.T) {
 	dir := t.TempDir()
 	stale := filepath.Join(dir, processDirPrefix+"left")
@@ -44,7 +44,7 @@
 	}
 	first := Open(processDirConfig(dir))
 	if _, err := os.Stat(stale); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("directory of an ended process: %v", err)
+		t.Errorf("directory of an ended process: Stat: err = %v, want %v", err, os.ErrNotExist)
 	}
 	data := randomBytes(2, 400<<10)
 	b := mustStore(t, first, data)
@@ -54,6 +54,6 @@
 	wantBody(t, b, data)
 	first.Close()
 	if left, _ := filepath.Glob(filepath.Join(dir, processDirPrefix+"*")); len(left) != 0 {
-		t.Errorf("left behind: %v", left)
+		t.Errorf("process directories after Close: %v, want none", left)
 	}
 }
--- a/internal/bodystore/reader.go
+++ b/internal/bodystore/reader.go
@@ -2,17 +2,17 @@
 
 import "io"
 
-// reader streams a body, with one record in memory at a time.
+// reader streams a body. It holds at most one record of a body in files in memory at a time.
 type reader struct {
 	store   *Store
 	entry   *entry
-	chunks  [][]byte // to be read, if the body was in memory
-	records []record // to be read, pinned
-	buf     []byte   // of the current record
-	unread  []byte   // of the current chunk or record
+	chunks  [][]byte // yet to be read; empty if the body was in files
+	records []record // yet to be read; their segments are pinned
+	buf     []byte   // holds the current record
+	unread  []byte   // rest of the current chunk or record
 }
 
-// Read implements io.Reader. A corrupt record is an error before any byte of it.
+// Read implements io.Reader. It returns no byte of a corrupt record, only the error.
 func (r *reader) Read(p []byte) (int, error) {
 	for len(r.unread) == 0 {
 		if err := r.next(); err != nil {
@@ -24,7 +24,7 @@
 	return n, nil
 }
 
-// next goes on to the next chunk or record.
+// next sets unread to the next chunk or record, or returns io.EOF.
 func (r *reader) next() error {
 	switch {
 	case len(r.chunks) > 0:
@@ -37,7 +37,7 @@
 	}
 }
 
-// readRecord reads the first of the records left.
+// readRecord reads rec, the first of r.records, into unread. After an error it removes the body from the store.
 func (r *reader) readRecord(rec record) error {
 	if cap(r.buf) < recordHeaderSize+rec.length {
 		r.buf = make([]byte, recordHeaderSize+rec.length)
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// Close releases the records not read.
+// Close unpins the segments of the records that were not read.
 func (r *reader) Close() error {
 	r.store.log.unpinAll(r.records)
 	r.records, r.chunks = nil, nil
--- a/internal/bodystore/record.go
+++ b/internal/bodystore/record.go
@@ -7,26 +7,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A record is a header and its data. The header: recordMagic, the length of the data as uint32 and their
-// xxhash64 as uint64, both little-endian.
+// On disk, a record is a header followed by data. The header is recordMagic, the length of the data as a
+// uint32 and its xxhash64 as a uint64, both little-endian.
 const (
-	recordHeaderSize = 16
+	recordHeaderSize = 16       // bytes
 	maxRecordData    = 64 << 10 // bytes
 )
 
 var recordMagic = [4]byte{'L', 'P', 'B', '1'}
 
-// record is the location of a record.
+// record is the location of a record on disk.
 type record struct {
 	segment *segment
 	offset  int64
-	length  int // of the data
+	length  int // of the data, in bytes
 }
 
-// size is the number of bytes on disk.
+// size returns the number of bytes on disk, header included.
 func (r record) size() int64 { return int64(recordHeaderSize + r.length) }
 
-// encodeRecord returns a record with data.
+// encodeRecord returns the bytes of a record with data.
 func encodeRecord(data []byte) []byte {
 	b := make([]byte, recordHeaderSize, recordHeaderSize+len(data))
 	copy(b, recordMagic[:])
@@ -35,16 +35,16 @@
 	return append(b, data...)
 }
 
-// parseRecord returns the data of a record that should have n bytes of them, without copying. The error
-// is ErrCorrupt.
+// parseRecord returns the data of the record in buf, which should have n bytes of data. The result is a part of
+// buf, not a copy. The error wraps ErrCorrupt.
 func parseRecord(buf []byte, n int) ([]byte, error) {
 	if len(buf) < recordHeaderSize || [4]byte(buf[:4]) != recordMagic ||
 		binary.LittleEndian.Uint32(buf[4:]) != uint32(n) || len(buf) != recordHeaderSize+n {
-		return nil, fmt.Errorf("%w: its head", ErrCorrupt)
+		return nil, fmt.Errorf("%w: invalid header", ErrCorrupt)
 	}
 	data := buf[recordHeaderSize:]
 	if xxhash.Sum64(data) != binary.LittleEndian.Uint64(buf[8:]) {
-		return nil, fmt.Errorf("%w: its data", ErrCorrupt)
+		return nil, fmt.Errorf("%w: data does not match its checksum", ErrCorrupt)
 	}
 	return data, nil
 }
--- a/internal/bodystore/record_test.go
+++ b/internal/bodystore/record_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Whatever is on the disk, parseRecord returns what was written or ErrCorrupt.
+// For any bytes on the disk, parseRecord returns data of the expected length or ErrCorrupt.
 func FuzzRecord(f *testing.F) {
 	l := newSegmentLog(osFS{}, f.TempDir())
 	r, err := l.append([]byte("some text"))
@@ -22,7 +22,7 @@
 	f.Fuzz(func(t *testing.T, b []byte, n int) {
 		data, err := parseRecord(b, n)
 		if err == nil && (len(data) != n || n < 0) || err != nil && !errors.Is(err, ErrCorrupt) {
-			t.Fatalf("%d bytes for %d: %v", len(data), n, err)
+			t.Fatalf("parseRecord with n = %d: %d bytes, err = %v, want n bytes or %v", n, len(data), err, ErrCorrupt)
 		}
 	})
 }
--- a/internal/bodystore/segment.go
+++ b/internal/bodystore/segment.go
@@ -2,25 +2,26 @@
 
 const maxSegmentSize = 4 << 20 // bytes
 
-// segment is one file of the log. The log's mu guards the fields that change.
+// segment is one file of the segment log. segmentLog.mu guards the fields from size on; file and path don't
+// change.
 type segment struct {
 	file      File
 	path      string
-	size      int64 // bytes reserved, written or not
-	liveBytes int64 // of records that are not free
-	pins      int   // readers and writers
-	sealed    bool  // gets no more records
+	size      int64 // bytes reserved for records, written or not
+	liveBytes int64 // bytes of the records that have not been freed
+	pins      int   // number of uses by readers and writers; while above 0, the file is not removed
+	sealed    bool  // no more records are added
 }
 
-// isSparse reports whether compaction is worth its writes: less than half is live.
+// isSparse reports whether the segment is worth compacting: it is sealed and less than half of it is live.
 func (s *segment) isSparse() bool { return s.sealed && s.liveBytes > 0 && s.liveBytes < s.size/2 }
 
-// sparserThan orders segments by live bytes, then by path.
+// sparserThan reports whether s has fewer live bytes than other. Segments with as many are ordered by path.
 func (s *segment) sparserThan(other *segment) bool {
 	return s.liveBytes < other.liveBytes || s.liveBytes == other.liveBytes && s.path < other.path
 }
 
-// pinAll keeps the segments of records from being removed, until unpin.
+// pinAll pins the segment of each record, so that it is not removed before unpin or unpinAll.
 func (l *segmentLog) pinAll(records []record) {
 	for _, r := range records {
 		l.pin(r.segment)
@@ -46,7 +47,7 @@
 	l.retireIfUnused(s)
 }
 
-// free says that a record is not needed any more.
+// free marks a record as no longer needed.
 func (l *segmentLog) free(r record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,7 +55,8 @@
 	l.retireIfUnused(r.segment)
 }
 
-// retireIfUnused hands a segment without live records to removeRetired. The caller holds mu.
+// retireIfUnused retires a sealed segment without live records or pins, so that removeRetired removes its file.
+// The caller holds mu.
 func (l *segmentLog) retireIfUnused(s *segment) {
 	if !s.sealed || s.liveBytes > 0 || s.pins > 0 || !l.segments[s] {
 		return
@@ -71,6 +73,6 @@
 	l.mu.Unlock()
 	for _, s := range retired {
 		_ = s.file.Close()
-		_ = l.fs.Remove(s.path) // what is left is removed with the directory
+		_ = l.fs.Remove(s.path) // a file left behind is removed with the directory
 	}
 }
--- a/internal/bodystore/segment_log.go
+++ b/internal/bodystore/segment_log.go
@@ -8,26 +8,26 @@
 	"sync"
 )
 
-// segmentLog stores records in segments. Records are written concurrently; a segment is removed once
-// all of its records are free and nobody reads or writes it.
+// segmentLog stores records in segments. Records may be written concurrently. A segment is removed once it is
+// sealed, all of its records have been freed and no reader or writer has it pinned.
 type segmentLog struct {
 	fs  FS
 	dir string
 
-	createMu     sync.Mutex // held while a segment is created; taken before mu
-	lastSequence int        // guarded by createMu
+	createMu     sync.Mutex // held while a segment is created; locked before mu
+	lastSequence int        // number in the name of the newest segment; guarded by createMu
 
-	mu       sync.Mutex // never held while waiting for a disk
+	mu       sync.Mutex // not held while waiting for the disk
 	current  *segment   // nil before the first record
 	segments map[*segment]bool
-	retired  []*segment // to be removed from the disk
+	retired  []*segment // no longer in segments, with files yet to be removed
 }
 
 func newSegmentLog(fs FS, dir string) *segmentLog {
 	return &segmentLog{fs: fs, dir: dir, segments: map[*segment]bool{}}
 }
 
-// append writes a record with data of at most maxRecordData bytes.
+// append writes a record. data has at most maxRecordData bytes.
 func (l *segmentLog) append(data []byte) (record, error) {
 	need := int64(recordHeaderSize + len(data))
 	seg, offset, err := l.reserve(need)
@@ -47,7 +47,7 @@
 	return r, nil
 }
 
-// appendAll writes a record for each chunk. After an error it returns the records before it.
+// appendAll writes a record for each chunk. After an error it returns the records written before it.
 func (l *segmentLog) appendAll(chunks [][]byte) (records []record, err error) {
 	for _, chunk := range chunks {
 		r, err := l.append(chunk)
@@ -59,27 +59,27 @@
 	return records, nil
 }
 
-// reserve returns a segment with need bytes reserved at an offset. The segment is pinned.
+// reserve reserves need bytes and returns their segment and offset. The segment is pinned.
 func (l *segmentLog) reserve(need int64) (*segment, int64, error) {
 	if s, offset := l.reserveInCurrent(need); s != nil {
 		return s, offset, nil
 	}
 	l.createMu.Lock()
 	defer l.createMu.Unlock()
-	if s, offset := l.reserveInCurrent(need); s != nil { // another writer created one
+	if s, offset := l.reserveInCurrent(need); s != nil { // another writer has created a segment
 		return s, offset, nil
 	}
 	if err := l.createSegment(); err != nil {
 		return nil, 0, err
 	}
 	s, offset := l.reserveInCurrent(need)
-	if s == nil { // filled by other writers meanwhile
-		return nil, 0, errors.New("bodies: segment: full at once")
+	if s == nil { // other writers have filled the new segment
+		return nil, 0, errors.New("bodies: segment: filled by other writers right after its creation")
 	}
 	return s, offset, nil
 }
 
-// createSegment replaces the current segment. The caller holds createMu.
+// createSegment creates a segment, makes it the current one and seals the one before. The caller holds createMu.
 func (l *segmentLog) createSegment() error {
 	l.lastSequence++
 	path := filepath.Join(l.dir, fmt.Sprintf("seg-%08d", l.lastSequence))
@@ -99,7 +99,8 @@
 	return nil
 }
 
-// reserveInCurrent returns nil if the current segment has no capacity.
+// reserveInCurrent reserves need bytes in the current segment and pins it. It returns nil if there is no current
+// segment or it lacks the capacity.
 func (l *segmentLog) reserveInCurrent(need int64) (*segment, int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -113,8 +114,8 @@
 	return s, offset
 }
 
-// read reads a record whose segment is pinned into buf, which has the capacity for it, and returns its
-// data there. The error is ErrCorrupt or the file's.
+// read reads a record, header included, into buf and returns the part of buf that holds its data. The caller has
+// pinned the segment, and buf has the capacity for the record. The error wraps ErrCorrupt or the file's error.
 func (*segmentLog) read(r record, buf []byte) ([]byte, error) {
 	buf = buf[:r.size()]
 	if _, err := r.segment.file.ReadAt(buf, r.offset); err != nil {
@@ -123,7 +124,7 @@
 	return parseRecord(buf, r.length)
 }
 
-// diskBytes is the size of all segments.
+// diskBytes returns the size of all segments in bytes.
 func (l *segmentLog) diskBytes() (n int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/bodystore/store.go
+++ b/internal/bodystore/store.go
@@ -1,6 +1,6 @@
-// Package bodystore stores the bodies of queries so that their parts can be retried: one body once,
-// however many queries share it, in memory or in a segment log on disk, until the last of them has
-// ended. Package tier decides which body is stored where and which is evicted.
+// Package bodystore stores the bodies of queries, so that parts of a query can be retried. Queries with the same
+// body share one copy, which is stored in memory or in a segment log on disk until the last of these queries has
+// ended. Package tier decides where each body is stored and which body is evicted.
 package bodystore
 
 import (
@@ -16,40 +16,40 @@
 // InlineLimit is the size in bytes up to which a body travels with its query instead of being stored.
 const InlineLimit = 4 << 10
 
-// Config configures a store.
+// Config configures a Store. Counters and Now are required.
 type Config struct {
-	Limits   tier.Limits          // of this process
-	Classes  []string             // names of the query classes, for counters
-	Dir      string               // directory for files; "": bodies stay in memory
-	FS       FS                   // nil: the operating system's
-	Now      func() time.Duration // clock
+	Limits   tier.Limits          // limits of this process
+	Classes  []string             // names of the query classes by index, for counter names
+	Dir      string               // parent of the directory for files; "": bodies stay in memory
+	FS       FS                   // file system of the segments; nil: the operating system's
+	Now      func() time.Duration // clock: the time since a fixed point
 	Counters *metrics.Counters
 }
 
-// Store stores bodies. Its methods and those of Body are safe for concurrent use and don't wait for a
-// disk. It owns one goroutine, which moves bodies to files and compacts these; Close ends it.
+// Store stores bodies. Its methods and those of Body are safe for concurrent use and, other than Close, don't wait
+// for the disk. It runs one goroutine, which moves bodies to files and compacts the segments. Close ends it.
 type Store struct {
 	cfg     Config
-	log     *segmentLog // nil: bodies stay in memory
-	dir     string      // of this process, below Config.Dir
-	dirLock *os.File
+	log     *segmentLog // nil: bodies are stored in memory only
+	dir     string      // directory of this process in Config.Dir
+	dirLock *os.File    // keeps dir locked while it is open
 
 	mu             sync.Mutex
 	state          *tier.State
 	lastID         tier.ID
 	entries        map[tier.ID]*entry
-	byHash         map[[32]byte]*entry // the entries that have arrived
-	suspendedUntil time.Duration       // files accept no bodies before this clock time; 0: they do
-	moveQueue      []*entry            // to be moved to files
+	byHash         map[[32]byte]*entry // entries that have arrived completely
+	suspendedUntil time.Duration       // clock time until which files accept no bodies; 0: not suspended
+	moveQueue      []*entry            // entries to be moved to files, oldest first
 	lossLog        eventlog.RateLimited
 
-	moveQueued chan struct{} // sent to by whoever queues a move, received by run
-	done       chan struct{} // closed by Close, ends run
+	moveQueued chan struct{} // tells run that moveQueue is not empty
+	done       chan struct{} // closed by Close to end run
 	wg         sync.WaitGroup
 }
 
-// Open returns a store and starts its goroutine. If the directory can't be used, it logs that and
-// stores bodies in memory only.
+// Open returns a store and starts its goroutine. If the directory can't be used, Open logs the error and the store
+// keeps bodies in memory only.
 func Open(c Config) *Store {
 	if c.FS == nil {
 		c.FS = osFS{}
@@ -67,7 +67,7 @@
 	return s
 }
 
-// openFiles opens the segment log, or sets the limit of files to 0 if there is none.
+// openFiles creates the segment log. If bodies can't be stored in files, it sets Limits.Files to 0 instead.
 func (s *Store) openFiles() {
 	if s.cfg.Dir != "" && s.cfg.Limits.Files > 0 {
 		dir, lock, err := createProcessDir(s.cfg.Dir)
@@ -82,8 +82,8 @@
 	}
 }
 
-// Close waits for the store's goroutine and removes the files. Bodies that are still referenced can't be
-// read any more.
+// Close ends the store's goroutine, waits for it and removes the files. Bodies in files can't be read after Close,
+// even if they are still referenced.
 func (s *Store) Close() {
 	close(s.done)
 	s.wg.Wait()
@@ -96,8 +96,8 @@
 	}
 }
 
-// SetLimits replaces the limits of memory and files, in bytes, as when the number of processes that
-// share them changes.
+// SetLimits replaces the limits of memory and files, in bytes. It is used when the number of processes that share
+// the limits changes. Without a segment log the limit of files stays 0.
 func (s *Store) SetLimits(memory, files int64) {
 	s.mu.Lock()
 	moves := s.resumeFiles()
@@ -107,17 +107,17 @@
 	s.applyAndUnlock(append(moves, s.state.SetLimits(memory, files)...))
 }
 
-// Totals is what the store contains.
+// Totals counts the contents of a store.
 type Totals struct {
-	Bodies         int
+	Bodies         int   // all bodies, arriving ones included
 	Shared         int   // references beyond the first of each body
-	Memory, Files  int64 // bytes of bodies
-	Disk           int64 // bytes of segments
-	PendingBodies  int   // a part with the body has yet to be sent
-	ArrivingBodies int   // not arrived completely
+	Memory, Files  int64 // bytes of bodies; those of a move in flight count in both
+	Disk           int64 // bytes of segments, including records that have been freed
+	PendingBodies  int   // bodies with a part yet to be sent
+	ArrivingBodies int   // bodies that have not arrived completely
 }
 
-// Totals returns what the store contains now.
+// Totals counts the current contents of the store.
 func (s *Store) Totals() Totals {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,7 +136,7 @@
 	return t
 }
 
-// count adds 1 to a counter of the entry's class.
+// count adds 1 to the counter of an event for the entry's class.
 func (s *Store) count(e *entry, event string) {
 	class := "other"
 	if e.class < len(s.cfg.Classes) {
--- a/internal/bodystore/store_test.go
+++ b/internal/bodystore/store_test.go
@@ -10,7 +10,7 @@
 	"linkpass/internal/bodystore/tier"
 )
 
-// A body of many queries is stored once, until the last of them releases it.
+// A body that many queries share is stored once, until the last of them releases it.
 func TestCommitSharesEqualBodies(t *testing.T) {
 	s := newStore(t, smallLimits, nil)
 	data := randomBytes(7, 100<<10)
@@ -19,19 +19,19 @@
 		refs = append(refs, mustStore(t, s, data))
 	}
 	if f := s.Totals(); f.Bodies != 1 || f.Memory != int64(len(data)) || f.Shared != 99 {
-		t.Errorf("%+v", f)
+		t.Errorf("totals = %+v, want 1 body, %d bytes in memory, 99 shared", f, len(data))
 	}
 	for i, b := range refs {
 		wantBody(t, b, data)
 		b.MarkSent()
 		b.Release()
 		if f := s.Totals(); i < 99 && f.Bodies != 1 || i == 99 && f.Bodies != 0 {
-			t.Fatalf("after %d: %+v", i+1, f)
+			t.Fatalf("totals after %d of 100 releases = %+v, want 1 body until the last release", i+1, f)
 		}
 	}
 }
 
-// No pending body is evicted for a large one, which goes to a file, or is rejected without files.
+// No pending body is evicted to store a large one. The large one is stored in a file, or rejected without files.
 func TestWriteKeepsPendingBodiesForLargeOne(t *testing.T) {
 	for _, files := range []int64{0, 8 << 20} {
 		s := newStore(t, tier.Limits{Memory: 256 << 10, Files: files, Largest: 1 << 20}, nil)
@@ -42,7 +42,7 @@
 		newcomer := randomBytes(9, 500<<10)
 		b, err := storeBody(s, 0, newcomer)
 		if files == 0 && !errors.Is(err, ErrNoCapacity) || files > 0 && err != nil {
-			t.Fatalf("with %d bytes of files: %v", files, err)
+			t.Fatalf("storing a large body with %d bytes of files: err = %v, want an error only with 0", files, err)
 		}
 		if b != nil {
 			wantBody(t, b, newcomer)
@@ -66,7 +66,7 @@
 				}
 				b.MarkSent()
 				if got, err := readBody(b); err == nil && !bytes.Equal(got, data) {
-					t.Error("read another body")
+					t.Errorf("read %d bytes that differ from the %d bytes stored", len(got), len(data))
 				}
 				b.Release()
 			}
@@ -74,7 +74,7 @@
 	}
 	wg.Wait()
 	if f := s.Totals(); f.Bodies != 0 || f.Memory != 0 || f.Files != 0 {
-		t.Errorf("%+v", f)
+		t.Errorf("totals after all releases = %+v, want 0 bodies and bytes", f)
 	}
 }
 
--- a/internal/bodystore/tier/eviction.go
+++ b/internal/bodystore/tier/eviction.go
@@ -1,7 +1,7 @@
 package tier
 
-// enforceLimits moves and evicts bodies until memory and files are within their limits, as far as
-// bodies may be moved. grown is the body that has just grown, or nil.
+// enforceLimits moves and evicts bodies until memory and files are within their limits, or until no more bodies
+// may be moved or evicted. grown is the body that has just grown, or nil.
 func (s *State) enforceLimits(grown *body) {
 	s.enforceFileLimit()
 	if grown != nil {
@@ -39,8 +39,7 @@
 	}
 }
 
-// exceedsLimits reports whether the limits are still exceeded after enforceLimits, so that b can't
-// be stored.
+// exceedsLimits reports whether b can't be stored because limits are still exceeded after enforceLimits.
 func (s *State) exceedsLimits(b *body) bool {
 	maxMemory := s.limits.Memory + int64(memoryOvercommit*float64(s.limits.Memory))
 	return s.usage.bytes[Memory] > maxMemory ||
@@ -49,8 +48,8 @@
 		s.exceedsClassShare(b)
 }
 
-// exceedsClassShare reports whether b is in memory and its class uses more than its share of it. The
-// guarantee holds even where the share is smaller.
+// exceedsClassShare reports whether b is in memory without a move in flight and its class uses more than
+// MaxMemoryShare of the limit. A class may always use its GuaranteedBytes, even if its share is smaller.
 func (s *State) exceedsClassShare(b *body) bool {
 	if !b.staysInMemory() || b.class >= len(s.limits.Classes) {
 		return false
@@ -60,8 +59,8 @@
 	return c.MaxMemoryShare > 0 && float64(s.usage.byClass[b.class]) > limit
 }
 
-// firstCandidate returns the first body of a tier in the order of eviction that is eligible and not
-// protected by its class's guarantee, or nil.
+// firstCandidate returns the first body of a tier in the eviction order that is eligible, or nil. In memory, it
+// skips bodies that the guarantee of their class protects from grown.
 func (s *State) firstCandidate(t Tier, grown *body, eligible func(*body) bool) (found *body) {
 	s.evictionOrder[t].Scan(func(b *body) bool {
 		if eligible(b) && (t != Memory || !s.isGuaranteed(b, grown)) {
@@ -72,8 +71,8 @@
 	return found
 }
 
-// isGuaranteed reports whether evicting b for a body of another class would leave b's class with less
-// than its guaranteed memory.
+// isGuaranteed reports whether evicting b for grown would leave b's class with less than its GuaranteedBytes. The
+// guarantee applies only against bodies of other classes; it is false if grown is nil.
 func (s *State) isGuaranteed(b, grown *body) bool {
 	if b.class >= len(s.limits.Classes) || grown == nil || grown.class == b.class {
 		return false
@@ -81,13 +80,13 @@
 	return s.usage.byClass[b.class]-b.size < s.limits.Classes[b.class].GuaranteedBytes
 }
 
-// canLeaveMemory reports whether a body in memory can be moved to a file or evicted.
+// canLeaveMemory reports whether a body in memory can be moved to a file or evicted. An empty body can't.
 func (s *State) canLeaveMemory(b *body) bool {
 	return !b.moving && b.size > 0 && (s.canFitFiles(b) || b.isEvictable())
 }
 
-// moveOutOfMemory moves a body to a file, or evicts it where files have no capacity. It returns false
-// if neither is possible.
+// moveOutOfMemory moves a body to a file, or evicts it if files have no capacity for it. It returns false if
+// neither is possible.
 func (s *State) moveOutOfMemory(b *body, reason Reason) bool {
 	if s.canFitFiles(b) {
 		s.evictFromFilesFor(b)
@@ -101,24 +100,26 @@
 	return false
 }
 
-// evictFromFilesFor frees capacity in files for a body; canFitFiles has returned true for it.
+// evictFromFilesFor evicts bodies from files until b fits. The caller has checked canFitFiles(b), so that a body to
+// evict is found each time.
 func (s *State) evictFromFilesFor(b *body) {
 	for !s.fitsFiles(b) {
 		s.evict(s.firstCandidate(File, nil, yieldsTo(b)), ReasonNoCapacity)
 	}
 }
 
-// yieldsTo returns whether a body in files may be evicted for b: its priority density is lower.
+// yieldsTo returns a function that reports whether a body in files may be evicted to store b there: it is evictable
+// and its priority density is lower.
 func yieldsTo(b *body) func(*body) bool {
 	return func(stored *body) bool { return stored.isEvictable() && stored.priorityDensity() < b.priorityDensity() }
 }
 
-// fitsFiles reports whether files have capacity for a body now.
+// fitsFiles reports whether files have capacity for b without an eviction.
 func (s *State) fitsFiles(b *body) bool {
 	return !s.filesSuspended && s.usage.bytes[File]+b.size <= s.limits.Files
 }
 
-// canFitFiles reports whether files have capacity for a body, or would after evicting bodies of a lower
+// canFitFiles reports whether files have capacity for b, or would have it after evicting bodies of a lower
 // priority density.
 func (s *State) canFitFiles(b *body) bool {
 	if s.filesSuspended || b.size > s.limits.Files {
--- a/internal/bodystore/tier/model_test.go
+++ b/internal/bodystore/tier/model_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// modelBody is a body as the brute-force model has it.
+// modelBody is a body in the brute-force model.
 type modelBody struct {
 	id              ID
 	class           int
@@ -20,13 +20,13 @@
 	sentAt          time.Duration
 }
 
-// model computes every figure from all bodies anew.
+// model is a reference for State that computes every result from all bodies each time.
 type model struct {
 	limits Limits
 	bodies map[ID]*modelBody
 }
 
-// memory returns the bytes in memory, and those of them that no move is in flight for.
+// memory returns the bytes in memory, and those among them whose move to a file is not in flight.
 func (m *model) memory() (all, staying int64) {
 	for _, b := range m.bodies {
 		if b.tier == Memory {
@@ -57,7 +57,7 @@
 	return n
 }
 
-// ids returns the bodies in a fixed order.
+// ids returns the IDs of all bodies, sorted.
 func (m *model) ids() (ids []ID) {
 	for id := range m.bodies {
 		ids = append(ids, id)
@@ -66,7 +66,7 @@
 	return ids
 }
 
-// evictionOrder sorts the bodies that may be evicted from memory for one of a class.
+// evictionOrder returns the bodies that may be evicted from memory for a body of a class, in eviction order.
 func (m *model) evictionOrder(class int) (out []ID) {
 	var list []*modelBody
 	for _, b := range m.bodies {
@@ -85,28 +85,29 @@
 	return out
 }
 
-// apply follows moves and fails on one that the body's state does not allow.
+// apply applies moves to the model. It fails the test if the state of a body does not allow its move.
 func (m *model) apply(t *rapid.T, moves []Move, seen map[string]int) {
 	t.Helper()
 	for _, mv := range moves {
 		b := m.bodies[mv.ID]
 		if b == nil {
-			t.Fatalf("moved %d, which is not stored", mv.ID)
+			t.Fatalf("moved body %d, which is not stored", mv.ID)
 		}
 		seen[mv.To.String()+" "+string(mv.Reason)]++
 		switch mv.To {
 		case File:
 			if b.tier != Memory || b.moving {
-				t.Fatalf("to a file from %s", b.tier)
+				t.Fatalf("moved body %d to a file from tier %s (moving: %t), want from memory", mv.ID, b.tier, b.moving)
 			}
 			b.moving = true
 		case None:
 			if !b.arrived || b.pending {
-				t.Fatalf("evicted %d, a part of which has yet to be sent", mv.ID)
+				t.Fatalf("evicted body %d with arrived = %t, pending = %t, want true, false", mv.ID, b.arrived,
+					b.pending)
 			}
 			delete(m.bodies, mv.ID)
 		default:
-			t.Fatalf("moved up: %+v", mv)
+			t.Fatalf("move %+v, want to a file or none", mv)
 		}
 	}
 }
--- a/internal/bodystore/tier/state.go
+++ b/internal/bodystore/tier/state.go
@@ -6,18 +6,18 @@
 	"github.com/tidwall/btree"
 )
 
-// State holds the tier of each body and the bytes used. Each event of a body is a method; those that
-// return moves have applied them to the state already. It is not safe for concurrent use.
+// State holds the tier of each body and the bytes in use. Each event is a method. A method that returns moves has
+// already applied them to the State; the caller only carries them out. A State is not safe for concurrent use.
 type State struct {
 	limits         Limits
 	filesSuspended bool
 	bodies         map[ID]*body
-	evictionOrder  [2]*btree.BTreeG[*body] // of Memory and File
+	evictionOrder  [2]*btree.BTreeG[*body] // bodies in Memory and File, sorted by evictedBefore
 	usage          usage
-	moves          []Move // of the current event
+	moves          []Move // results of the current event
 }
 
-// New returns a state without bodies.
+// New returns a State without bodies.
 func New(l Limits) *State {
 	s := &State{limits: l, bodies: map[ID]*body{}, usage: newUsage(len(l.Classes))}
 	for t := range s.evictionOrder {
@@ -34,7 +34,7 @@
 	return s.moves
 }
 
-// SetFilesSuspended says whether files accept no new bodies, as after a failed write.
+// SetFilesSuspended sets whether files accept no new bodies, as after a failed write. The default is false.
 func (s *State) SetFilesSuspended(suspended bool) []Move {
 	s.moves = nil
 	s.filesSuspended = suspended
@@ -42,15 +42,15 @@
 	return s.moves
 }
 
-// Add begins a body of size 0 that arrives in memory. It is pending until MarkSent.
+// Add adds a body of size 0 in memory. It is arriving until MarkArrived and pending until MarkSent.
 func (s *State) Add(id ID, class int, priorityWeight float64) {
 	b := &body{id: id, class: class, priorityWeight: priorityWeight, pending: true}
 	s.bodies[id] = b
 	s.evictionOrder[Memory].Set(b)
 }
 
-// Grow says that n more bytes of a body have arrived. It returns false where the limits leave no
-// capacity for them: the body is removed and its query has to be rejected.
+// Grow records that n more bytes of a body have arrived. It returns false if the limits leave no capacity for them
+// or the body is not known. The body has then been removed, and its query has to be rejected.
 func (s *State) Grow(id ID, n int64) (moves []Move, hasCapacity bool) {
 	b := s.bodies[id]
 	if b == nil {
@@ -69,14 +69,14 @@
 	return s.moves, true
 }
 
-// MarkArrived says that a body has arrived completely.
+// MarkArrived records that a body has arrived completely.
 func (s *State) MarkArrived(id ID) {
 	if b := s.bodies[id]; b != nil {
 		b.arrived = true
 	}
 }
 
-// MarkSent says that every part with a body has been sent by now.
+// MarkSent records that all parts with a body have been sent, the last one at now.
 func (s *State) MarkSent(id ID, now time.Duration) []Move {
 	b := s.bodies[id]
 	if b == nil {
@@ -84,22 +84,22 @@
 	}
 	s.moves = nil
 	s.update(b, func() { b.pending, b.sentAt = false, now })
-	if b.staysInMemory() && b.size > s.limits.Largest { // only its pending parts kept it there
+	if b.staysInMemory() && b.size > s.limits.Largest { // it stayed in memory only because it was pending
 		s.evict(b, ReasonTooLarge)
 	}
 	s.enforceLimits(nil)
 	return s.moves
 }
 
-// MarkPending says that a part with a body has to be sent, or sent again.
+// MarkPending records that a part with a body has yet to be sent, for the first time or again.
 func (s *State) MarkPending(id ID) {
 	if b := s.bodies[id]; b != nil {
 		s.update(b, func() { b.pending = true })
 	}
 }
 
-// FinishMove says whether a body has been written to a file. It stays in memory if not, unless it is
-// too large for it.
+// FinishMove ends a body's move to a file. If the body has not been written, it stays in memory within the limits;
+// a body that is larger than Limits.Largest and not pending is evicted.
 func (s *State) FinishMove(id ID, written bool) []Move {
 	b := s.bodies[id]
 	if b == nil || !b.moving {
@@ -118,14 +118,15 @@
 	return s.moves
 }
 
-// Remove says that a body is not needed any more or can't be read.
+// Remove removes a body that is no longer needed or can't be read.
 func (s *State) Remove(id ID) {
 	if b := s.bodies[id]; b != nil {
 		s.remove(b)
 	}
 }
 
-// Used returns the bytes of a tier's limit that are in use.
+// Used returns the bytes in use of a tier's limit, 0 for None. A body whose move to a file is in flight counts for
+// both tiers.
 func (s *State) Used(t Tier) int64 {
 	if t == None {
 		return 0
@@ -133,10 +134,10 @@
 	return s.usage.bytes[t]
 }
 
-// Len returns the number of bodies.
+// Len returns the number of bodies, arriving ones included.
 func (s *State) Len() int { return len(s.bodies) }
 
-// TierOf returns where a body is stored, None if it is not known.
+// TierOf returns the tier of a body, None if the body is not known. A body that moves is in Memory until FinishMove.
 func (s *State) TierOf(id ID) Tier {
 	if b := s.bodies[id]; b != nil {
 		return b.tier
--- a/internal/bodystore/tier/tier_test.go
+++ b/internal/bodystore/tier/tier_test.go
@@ -9,8 +9,8 @@
 	_ "linkpass/internal/testrand"
 )
 
-// Any sequence of events keeps limits and guarantees, moves bodies down only and evicts no pending one;
-// without files the body evicted is the one that the model finds by comparing all.
+// For any sequence of events, limits and guarantees hold, bodies only move to later tiers and no pending body is
+// evicted. Without files, the first body evicted is the one that the model finds by comparing all bodies.
 func TestStateAgreesWithModel(t *testing.T) {
 	seen := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -28,12 +28,12 @@
 		"none " + string(ReasonTooLarge), "none " + string(ReasonClassShare), "rejected",
 	} {
 		if seen[what] == 0 {
-			t.Errorf("no run shows %q: %v", what, seen)
+			t.Errorf("no run had %q; moves and rejections seen: %v", what, seen)
 		}
 	}
 }
 
-// comparison plays the same events on the state and on the model.
+// comparison applies the same events to the State and to the model.
 type comparison struct {
 	t      *rapid.T
 	state  *State
@@ -43,7 +43,7 @@
 	now    time.Duration
 }
 
-// randomEvent plays an event on a body drawn from those stored.
+// randomEvent adds a body or applies a random event to one of the stored bodies.
 func (c *comparison) randomEvent() {
 	ids := c.model.ids()
 	pick := func() *modelBody {
@@ -102,7 +102,7 @@
 	c.model.apply(c.t, c.state.FinishMove(b.id, written), c.seen)
 }
 
-// grow lets bytes arrive and compares what is evicted with the model.
+// grow lets n bytes of a body arrive and compares the moves with the model.
 func (c *comparison) grow(b *modelBody, n int64) {
 	c.t.Helper()
 	m := c.model
@@ -111,7 +111,7 @@
 	before := [2]int64{m.class(0), m.class(1)}
 	moves, hasCapacity := c.state.Grow(b.id, n)
 	if m.limits.Files == 0 && len(moves) > 0 && moves[0].Reason == ReasonNoCapacity && (len(want) == 0 || moves[0].ID != want[0]) {
-		c.t.Fatalf("evicted %d first, want %v", moves[0].ID, want)
+		c.t.Fatalf("evicted body %d first, want the first of %v", moves[0].ID, want)
 	}
 	m.apply(c.t, moves, c.seen)
 	if !hasCapacity {
@@ -120,25 +120,27 @@
 	}
 	all, staying := m.memory()
 	if hasCapacity && (staying > m.limits.Memory || float64(all) > (1+memoryOvercommit)*float64(m.limits.Memory)) {
-		c.t.Fatalf("%d bytes in memory, %d of them to stay", all, staying)
+		c.t.Fatalf("%d bytes in memory, %d of them without a move in flight, limit = %d", all, staying,
+			m.limits.Memory)
 	}
 	for class, limit := range m.limits.Classes {
 		if class != b.class && m.class(class) < min(limit.GuaranteedBytes, before[class]) {
-			c.t.Fatalf("class %d fell from %d to %d, %d are guaranteed", class, before[class], m.class(class), limit.GuaranteedBytes)
+			c.t.Fatalf("class %d has %d bytes in memory after %d, guaranteed are %d", class, m.class(class), before[class],
+				limit.GuaranteedBytes)
 		}
 	}
 }
 
-// check compares the figures of state and model.
+// check compares the usage of the State with that of the model.
 func (c *comparison) check() {
 	c.t.Helper()
 	s, m := c.state, c.model
 	all, _ := m.memory()
 	if s.Used(Memory) != all || s.Used(File) != m.files() || s.Len() != len(m.bodies) {
-		c.t.Fatalf("used %d and %d of %d bodies, the model has %d, %d, %d",
+		c.t.Fatalf("memory, files, bodies = %d, %d, %d, want %d, %d, %d",
 			s.Used(Memory), s.Used(File), s.Len(), all, m.files(), len(m.bodies))
 	}
 	if m.files() > m.limits.Files {
-		c.t.Fatalf("%d bytes in files", m.files())
+		c.t.Fatalf("%d bytes in files, limit = %d", m.files(), m.limits.Files)
 	}
 }
--- a/internal/bodystore/tier/usage.go
+++ b/internal/bodystore/tier/usage.go
@@ -2,17 +2,17 @@
 
 // usage counts the bytes in use by tier and by class.
 type usage struct {
-	bytes   [2]int64 // of Memory and File; a body that moves counts in both
+	bytes   [2]int64 // by tier, Memory and File; a body whose move is in flight counts in both
 	moving  int64    // bytes in memory whose move to a file is in flight
-	byClass []int64  // bytes in memory that no move is in flight for
+	byClass []int64  // bytes in memory by class, without those whose move to a file is in flight
 }
 
 func newUsage(classes int) usage { return usage{byClass: make([]int64, classes)} }
 
-// add counts a body.
+// add adds a body to the counts.
 func (u *usage) add(b *body) { u.addTimes(b, 1) }
 
-// subtract takes a body out of the counts.
+// subtract removes a body from the counts.
 func (u *usage) subtract(b *body) { u.addTimes(b, -1) }
 
 func (u *usage) addTimes(b *body, times int64) {
@@ -23,13 +23,14 @@
 	u.bytes[b.tier] += bytes
 	if b.moving {
 		u.moving += bytes
-		u.bytes[File] += bytes // reserved, so that no other body gets the same capacity
+		u.bytes[File] += bytes // reserved, so that no other body takes this capacity
 	} else if b.tier == Memory && b.class < len(u.byClass) {
 		u.byClass[b.class] += bytes
 	}
 }
 
-// update changes a body and keeps the counts and the order of eviction in step with it.
+// update changes a body and updates the counts and the eviction order. The body is taken out of both before the
+// change, as both depend on the fields that change.
 func (s *State) update(b *body, change func()) {
 	s.evictionOrder[b.tier].Delete(b)
 	s.usage.subtract(b)
--- a/internal/bodystore/writer.go
+++ b/internal/bodystore/writer.go
@@ -6,7 +6,7 @@
 	"linkpass/internal/bodystore/tier"
 )
 
-// Writer stores a body while it arrives. It is used by one goroutine; Commit or Abort ends it.
+// Writer stores a body while it arrives. It is not safe for concurrent use. Commit or Abort ends it.
 type Writer struct {
 	store *Store
 	entry *entry
@@ -14,7 +14,7 @@
 	ended bool
 }
 
-// NewWriter begins a body of a query class. priorityWeight is the query's.
+// NewWriter starts a body of size 0 for a query with the given class index and priority weight.
 func (s *Store) NewWriter(class int, priorityWeight float64) *Writer {
 	e := &entry{class: class, refs: map[*Body]bool{}}
 	s.mu.Lock()
@@ -26,8 +26,8 @@
 	return &Writer{store: s, entry: e, hash: blake3.New(32, nil)}
 }
 
-// Write adds p to the body and doesn't retain it. It may wait for the disk. After ErrNoCapacity the body
-// is removed.
+// Write appends p to the body and doesn't retain p. It may wait for the disk. The error is ErrNoCapacity; the body
+// has then been removed.
 func (w *Writer) Write(p []byte) (n int, err error) {
 	for len(p) > 0 {
 		chunk := p[:min(len(p), maxRecordData)]
@@ -40,7 +40,7 @@
 	return n, nil
 }
 
-// writeChunk adds a chunk to memory, or to the files that the body is in.
+// writeChunk appends a chunk in memory, or in files if the body is there.
 func (w *Writer) writeChunk(chunk []byte) error {
 	_, _ = w.hash.Write(chunk) // never fails
 	s, e := w.store, w.entry
@@ -63,7 +63,7 @@
 	switch {
 	case evicted:
 		return ErrNoCapacity
-	case movesToFile(moves, e.id): // with this chunk
+	case movesToFile(moves, e.id): // including this chunk
 		s.moveToFiles(e)
 	case inFiles:
 		return w.appendToFiles(chunk)
@@ -80,8 +80,8 @@
 	return false
 }
 
-// appendToFiles adds a chunk to a body in files. If the disk fails, the body is rejected, as it can't
-// return to memory.
+// appendToFiles appends a chunk to a body in files. If the write fails, the body is rejected, as it can't be moved
+// back to memory.
 func (w *Writer) appendToFiles(chunk []byte) error {
 	s, e := w.store, w.entry
 	r, err := s.log.append(chunk)
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// Abort removes the body; after Commit or an error of Write it has no effect.
+// Abort removes the body. It has no effect after Commit or after Write has failed.
 func (w *Writer) Abort() {
 	if w.ended {
 		return
@@ -114,8 +114,8 @@
 	w.store.remove(w.entry)
 }
 
-// Commit ends the arrival and returns a reference, to the stored body with the same content if there is
-// one. The error is ErrNoCapacity if the body was removed.
+// Commit marks the body as complete and returns a reference to it. If a body with the same content is already
+// stored, the reference is to that one. The error is ErrNoCapacity if the body has been removed.
 func (w *Writer) Commit() (*Body, error) {
 	s := w.store
 	if w.ended {
@@ -135,8 +135,8 @@
 	return b, nil
 }
 
-// shareOrIndex returns the stored entry with the content of e, in whose place e is removed, or e. The
-// caller holds mu.
+// shareOrIndex returns the stored entry with the same content as e and removes e, or, if there is none, indexes
+// and returns e. The caller holds mu.
 func (s *Store) shareOrIndex(e *entry) *entry {
 	if stored := s.byHash[e.hash]; stored != nil && !stored.evicted && stored.size == e.size {
 		s.state.Remove(e.id)
