--- a/internal/bodystore/compaction.go
+++ b/internal/bodystore/compaction.go
@@ -18,12 +18,12 @@
 	if seg == nil {
 		return
 	}
-	left := int64(maxCompactionBytes)
+	remaining := int64(maxCompactionBytes)
 	for _, e := range s.entriesIn(seg) {
-		if left <= 0 {
+		if remaining <= 0 {
 			return
 		}
-		left -= s.compactEntry(e, seg)
+		remaining -= s.compactEntry(e, seg)
 	}
 }
 
--- a/internal/bodystore/disk_fault_test.go
+++ b/internal/bodystore/disk_fault_test.go
@@ -16,13 +16,13 @@
 func TestWriteRejectsBodyWhenDiskIsFull(t *testing.T) {
 	fs := newFaultyFS()
 	s := newStore(t, smallLimits, fs)
-	before := randomBytes(1, 300<<10)
-	b := mustStore(t, s, before)
+	stored := randomBytes(1, 300<<10)
+	b := mustStore(t, s, stored)
 	fs.capacity.Store(100 << 10)
 	if _, err := storeBody(s, 0, randomBytes(2, 600<<10)); !errors.Is(err, ErrNoCapacity) {
 		t.Fatalf("storing a body larger than the disk: err = %v, want %v", err, ErrNoCapacity)
 	}
-	wantBody(t, b, before)
+	wantBody(t, b, stored)
 	small := randomBytes(3, 60<<10)
 	c := mustStore(t, s, small)
 	wantBody(t, c, small)
@@ -30,8 +30,8 @@
 	if n := s.cfg.Counters.Get("bodies_write_failed"); n == 0 {
 		t.Errorf("bodies_write_failed = %d, want more than 0", n)
 	}
-	if f := s.Totals(); f.Bodies != 2 {
-		t.Errorf("totals = %+v, want 2 bodies", f)
+	if totals := s.Totals(); totals.Bodies != 2 {
+		t.Errorf("totals = %+v, want 2 bodies", totals)
 	}
 }
 
@@ -69,8 +69,8 @@
 	if _, err := storeBody(s, 0, randomBytes(5, 900<<10)); !errors.Is(err, ErrNoCapacity) {
 		t.Errorf("storing a body with short writes: err = %v, want %v", err, ErrNoCapacity)
 	}
-	if f := s.Totals(); f.Bodies != 0 || f.Memory != 0 {
-		t.Errorf("totals = %+v, want no bodies and no bytes in memory", f)
+	if totals := s.Totals(); totals.Bodies != 0 || totals.Memory != 0 {
+		t.Errorf("totals = %+v, want no bodies and no bytes in memory", totals)
 	}
 }
 
@@ -89,7 +89,7 @@
 			t.Fatal(err)
 		}
 		b.Release()
-		s.compactAll()
+		s.compactSparsest()
 		s.log.removeRetired()
 		unread, err := io.ReadAll(r)
 		if err != nil || !bytes.Equal(append(first, unread...), data) {
--- a/internal/bodystore/faulty_fs_test.go
+++ b/internal/bodystore/faulty_fs_test.go
@@ -22,36 +22,36 @@
 }
 
 func (f *faultyFS) Create(path string) (File, error) {
-	d, err := osFS{}.Create(path)
-	return &faultyFile{d, f}, err
+	file, err := osFS{}.Create(path)
+	return &faultyFile{file, f}, err
 }
 func (*faultyFS) Remove(path string) error { return os.Remove(path) }
 
 type faultyFile struct {
 	File
-	f *faultyFS
+	fs *faultyFS
 }
 
-func (d *faultyFile) WriteAt(p []byte, off int64) (int, error) {
-	if d.f.shortWrites.Load() {
-		return d.File.WriteAt(p[:len(p)/2], off)
+func (f *faultyFile) WriteAt(p []byte, off int64) (int, error) {
+	if f.fs.shortWrites.Load() {
+		return f.File.WriteAt(p[:len(p)/2], off)
 	}
-	if left := d.f.capacity.Load(); left >= 0 {
-		if left < int64(len(p)) {
-			_, _ = d.File.WriteAt(p[:left], off)
-			return int(left), syscall.ENOSPC
+	if remaining := f.fs.capacity.Load(); remaining >= 0 {
+		if remaining < int64(len(p)) {
+			_, _ = f.File.WriteAt(p[:remaining], off)
+			return int(remaining), syscall.ENOSPC
 		}
-		d.f.capacity.Add(-int64(len(p)))
+		f.fs.capacity.Add(-int64(len(p)))
 	}
-	return d.File.WriteAt(p, off)
+	return f.File.WriteAt(p, off)
 }
 
-func (d *faultyFile) ReadAt(p []byte, off int64) (int, error) {
-	if d.f.failReads.Load() {
+func (f *faultyFile) ReadAt(p []byte, off int64) (int, error) {
+	if f.fs.failReads.Load() {
 		return 0, syscall.EIO
 	}
-	n, err := d.File.ReadAt(p, off)
-	if d.f.corruptReads.Load() && n > 0 {
+	n, err := f.File.ReadAt(p, off)
+	if f.fs.corruptReads.Load() && n > 0 {
 		p[n/2] ^= 4
 	}
 	return n, err
--- a/internal/bodystore/golden_open_test.go
+++ b/internal/bodystore/golden_open_test.go
@@ -13,9 +13,9 @@
 	segment := filepath.Join(goldenProcess, goldenSegment)
 	lock := goldenProcess + "/lock"
 	for _, c := range []struct {
-		name    string
-		prepare func(t *testing.T, dir string)
-		stays   []string // what remains besides the new process's directory and its lock
+		name          string
+		prepare       func(t *testing.T, dir string)
+		wantRemaining []string // what remains besides the new process's directory and its lock
 	}{
 		{"complete", func(*testing.T, string) {}, nil},
 		{"segment ends in a record", truncateSegment(70000), nil},
@@ -27,7 +27,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			dir := copyGolden(t)
 			c.prepare(t, dir)
-			testOpenLeaves(t, dir, c.stays)
+			testOpenLeavesOnly(t, dir, c.wantRemaining)
 		})
 	}
 }
@@ -70,23 +70,23 @@
 	}
 }
 
-// testOpenLeaves opens a store on dir, checks that only stays and the new process's directory remain there, and
-// stores a body.
-func testOpenLeaves(t *testing.T, dir string, stays []string) {
+// testOpenLeavesOnly opens a store on dir, checks that only wantRemaining and the new process's directory remain
+// there, and stores a body.
+func testOpenLeavesOnly(t *testing.T, dir string, wantRemaining []string) {
 	t.Helper()
-	before := tree(t, dir)
+	before := readTree(t, dir)
 	s := newGoldenStore(t, dir)
 	if got := s.Totals(); got != (Totals{}) {
 		t.Errorf("totals after Open = %+v, want none", got)
 	}
 	created := filepath.Base(s.dir)
-	want := append([]string{created + "/", created + "/lock"}, stays...)
+	want := append([]string{created + "/", created + "/lock"}, wantRemaining...)
 	slices.Sort(want)
-	after := tree(t, dir)
-	if !slices.Equal(names(after), want) {
-		t.Fatalf("files after Open: %q, want %q", names(after), want)
+	after := readTree(t, dir)
+	if !slices.Equal(sortedNames(after), want) {
+		t.Fatalf("files after Open: %q, want %q", sortedNames(after), want)
 	}
-	for _, name := range stays {
+	for _, name := range wantRemaining {
 		if after[name] != before[name] {
 			t.Errorf("%s: content after Open differs from that before it", name)
 		}
@@ -94,7 +94,7 @@
 	b := mustStore(t, s, goldenBodies()[1])
 	waitForMoves(s)
 	wantBody(t, b, goldenBodies()[1])
-	if data := tree(t, dir)[filepath.Join(created, goldenSegment)]; len(data) != 2*16+64<<10+17 {
+	if data := readTree(t, dir)[filepath.Join(created, goldenSegment)]; len(data) != 2*16+64<<10+17 {
 		t.Errorf("new segment has %d bytes, want %d", len(data), 2*16+64<<10+17)
 	}
 	b.Release()
--- a/internal/bodystore/golden_test.go
+++ b/internal/bodystore/golden_test.go
@@ -20,7 +20,7 @@
 	"linkpass/internal/metrics"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden data directory")
+var updateGolden = flag.Bool("update", false, "rewrite the golden data directory")
 
 // The golden data directory was left by a killed process. It has three bodies in one segment.
 const (
@@ -50,10 +50,11 @@
 	return s
 }
 
-// tree returns the contents of all files below a directory by relative path. The name of a directory ends in a slash.
-func tree(t *testing.T, dir string) map[string]string {
+// readTree returns the contents of all files below a directory by relative path. The path of a directory ends in a
+// slash.
+func readTree(t *testing.T, dir string) map[string]string {
 	t.Helper()
-	found := map[string]string{}
+	contents := map[string]string{}
 	err := filepath.WalkDir(dir, func(path string, e fs.DirEntry, err error) error {
 		if err != nil || path == dir {
 			return err
@@ -63,17 +64,17 @@
 			return err
 		}
 		if e.IsDir() {
-			found[name+"/"] = ""
+			contents[name+"/"] = ""
 			return nil
 		}
 		data, err := os.ReadFile(path)
-		found[name] = string(data)
+		contents[name] = string(data)
 		return err
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return found
+	return contents
 }
 
 // copyGolden copies the golden data directory and returns the path of the copy.
@@ -86,9 +87,9 @@
 	return dir
 }
 
-func names(found map[string]string) []string {
+func sortedNames(contents map[string]string) []string {
 	var out []string
-	for name := range found {
+	for name := range contents {
 		out = append(out, name)
 	}
 	slices.Sort(out)
@@ -118,10 +119,10 @@
 		t.Errorf("process directory is %q, want prefix %q", created, "linkpass-bodies-")
 	}
 	got := map[string]string{}
-	for name, data := range tree(t, dir) {
+	for name, data := range readTree(t, dir) {
 		got[strings.Replace(name, created, goldenProcess, 1)] = data
 	}
-	if *update {
+	if *updateGolden {
 		if err := os.RemoveAll(goldenDir); err != nil {
 			t.Fatal(err)
 		}
@@ -129,9 +130,9 @@
 			t.Fatal(err)
 		}
 	}
-	want := tree(t, goldenDir)
-	if !slices.Equal(names(got), names(want)) {
-		t.Fatalf("wrote %q, want %q", names(got), names(want))
+	want := readTree(t, goldenDir)
+	if !slices.Equal(sortedNames(got), sortedNames(want)) {
+		t.Fatalf("wrote %q, want %q", sortedNames(got), sortedNames(want))
 	}
 	for name := range want {
 		if got[name] != want[name] {
@@ -170,7 +171,7 @@
 	complete := readSegment(t)
 	records := goldenRecords()
 	last := records[len(records)-1]
-	begin := len(complete) - 16 - len(last) // offset of the last record
+	lastStart := len(complete) - 16 - len(last) // offset of the last record
 	flipped := bytes.Clone(complete)
 	flipped[len(complete)-1] ^= 1
 	for _, c := range []struct {
@@ -179,13 +180,13 @@
 		err  error // expected for the last record
 	}{
 		{"complete", complete, nil},
-		{"ends before a record", complete[:begin], io.EOF},
-		{"ends in a record's magic", complete[:begin+2], io.EOF},
-		{"ends in a record's length", complete[:begin+6], io.EOF},
-		{"ends after a record's header", complete[:begin+16], io.EOF},
+		{"ends before a record", complete[:lastStart], io.EOF},
+		{"ends in a record's magic", complete[:lastStart+2], io.EOF},
+		{"ends in a record's length", complete[:lastStart+6], io.EOF},
+		{"ends after a record's header", complete[:lastStart+16], io.EOF},
 		{"ends in a record's data", complete[:len(complete)-1], io.EOF},
 		{"ends in zeros", append(bytes.Clone(complete[:len(complete)-1]), 0), ErrCorrupt},
-		{"header of zeros", append(bytes.Clone(complete[:begin]), make([]byte, len(complete)-begin)...), ErrCorrupt},
+		{"header of zeros", append(bytes.Clone(complete[:lastStart]), make([]byte, len(complete)-lastStart)...), ErrCorrupt},
 		{"flipped bit", flipped, ErrCorrupt},
 	} {
 		t.Run(c.name, func(t *testing.T) { testSegmentRead(t, c.data, c.err) })
@@ -206,9 +207,9 @@
 	}
 	defer file.Close()
 	records := goldenRecords()
-	log, seg, offset := newSegmentLog(osFS{}, t.TempDir()), &segment{file: file, path: path}, int64(0)
+	segLog, seg, offset := newSegmentLog(osFS{}, t.TempDir()), &segment{file: file, path: path}, int64(0)
 	for i, want := range records {
-		got, err := log.read(record{seg, offset, len(want)}, make([]byte, 16+len(want)))
+		got, err := segLog.read(record{seg, offset, len(want)}, make([]byte, 16+len(want)))
 		offset += int64(16 + len(want))
 		if i == len(records)-1 && lastErr != nil {
 			if !errors.Is(err, lastErr) || got != nil {
--- a/internal/bodystore/helpers_test.go
+++ b/internal/bodystore/helpers_test.go
@@ -15,13 +15,13 @@
 
 func newStore(t testing.TB, l tier.Limits, fs FS) *Store {
 	t.Helper()
-	began := time.Now()
+	start := time.Now()
 	dir := ""
 	if l.Files > 0 {
 		dir = t.TempDir()
 	}
 	s := Open(Config{Limits: l, Classes: []string{"lookup", "table"}, Dir: dir, FS: fs, Counters: metrics.NewCounters(),
-		Now: func() time.Duration { return time.Since(began) }})
+		Now: func() time.Duration { return time.Since(start) }})
 	t.Cleanup(s.Close)
 	return s
 }
@@ -91,8 +91,8 @@
 	_ = s.dirLock.Close()
 }
 
-// compactAll compacts the sparsest segment, however much disk the segments use.
-func (s *Store) compactAll() {
+// compactSparsest compacts the sparsest segment, however much disk the segments use.
+func (s *Store) compactSparsest() {
 	for seg := s.log.sparsest(); seg != nil; seg = nil {
 		for _, e := range s.entriesIn(seg) {
 			s.compactEntry(e, seg)
--- a/internal/bodystore/model_test.go
+++ b/internal/bodystore/model_test.go
@@ -30,7 +30,7 @@
 	fs    *faultyFS
 	store *Store
 	refs  []*modelRef
-	seen  map[string]int
+	seen  map[string]int // number of events by kind, in all runs
 }
 
 // After any sequence of arrivals, shared bodies, moves, disk faults, crashes and releases, each body reads as it was
@@ -91,7 +91,7 @@
 	case kind == 6:
 		m.fs.capacity.Store(rapid.SampledFrom([]int64{-1, 0, 30 << 10}).Draw(m.t, "capacity"))
 	case kind == 7:
-		m.store.compactAll()
+		m.store.compactSparsest()
 	case kind == 9 && rapid.IntRange(0, 2).Draw(m.t, "crash") == 0:
 		m.crash()
 	case kind == 8:
@@ -144,8 +144,8 @@
 			m.seen["read"]++
 		}
 	}
-	if f := m.store.Totals(); f.Memory > 50<<10 || f.Files > 120<<10 {
-		m.t.Fatalf("totals = %+v, want at most %d bytes in memory and %d in files", f, 50<<10, 120<<10)
+	if totals := m.store.Totals(); totals.Memory > 50<<10 || totals.Files > 120<<10 {
+		m.t.Fatalf("totals = %+v, want at most %d bytes in memory and %d in files", totals, 50<<10, 120<<10)
 	}
 }
 
@@ -154,7 +154,7 @@
 	for _, ref := range m.refs {
 		ref.body.Release()
 	}
-	if f := m.store.Totals(); f.Bodies != 0 || f.Memory != 0 || f.Files != 0 {
-		m.t.Fatalf("totals after all bodies were released = %+v, want 0 bodies and bytes", f)
+	if totals := m.store.Totals(); totals.Bodies != 0 || totals.Memory != 0 || totals.Files != 0 {
+		m.t.Fatalf("totals after all bodies were released = %+v, want 0 bodies and bytes", totals)
 	}
 }
--- a/internal/bodystore/moves.go
+++ b/internal/bodystore/moves.go
@@ -19,8 +19,8 @@
 		select {
 		case <-s.done:
 			return
-		case <-s.moveQueued:
-			s.moveAllQueued()
+		case <-s.moveSignal:
+			s.processMoveQueue()
 		case <-tick.C:
 			s.compact()
 		}
@@ -30,15 +30,15 @@
 	}
 }
 
-func (s *Store) moveAllQueued() {
-	for e := s.nextQueued(); e != nil; e = s.nextQueued() {
+func (s *Store) processMoveQueue() {
+	for e := s.dequeueMove(); e != nil; e = s.dequeueMove() {
 		e.moveMu.Lock()
 		s.moveToFiles(e)
 		e.moveMu.Unlock()
 	}
 }
 
-func (s *Store) nextQueued() *entry {
+func (s *Store) dequeueMove() *entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.moveQueue) == 0 {
@@ -80,7 +80,7 @@
 func (s *Store) queueMove(e *entry) {
 	s.moveQueue = append(s.moveQueue, e)
 	select {
-	case s.moveQueued <- struct{}{}:
+	case s.moveSignal <- struct{}{}:
 	default: // run has already been notified
 	}
 }
--- a/internal/bodystore/process_dir.go
+++ b/internal/bodystore/process_dir.go
@@ -16,7 +16,7 @@
 // createProcessDir creates a directory for this process in dir and removes the directories of processes that
 // have ended. A process keeps its directory locked until it ends, so that during an upgrade the old and the new
 // process don't remove each other's directory.
-func createProcessDir(dir string) (created string, lock *os.File, err error) {
+func createProcessDir(dir string) (processDir string, lock *os.File, err error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return "", nil, fmt.Errorf("bodies: %w", err)
 	}
@@ -29,14 +29,14 @@
 			removeStaleDir(filepath.Join(dir, e.Name()))
 		}
 	}
-	if created, err = os.MkdirTemp(dir, processDirPrefix); err != nil {
+	if processDir, err = os.MkdirTemp(dir, processDirPrefix); err != nil {
 		return "", nil, fmt.Errorf("bodies: %w", err)
 	}
-	if lock, err = lockDir(created); err != nil {
-		_ = os.RemoveAll(created)
+	if lock, err = lockDir(processDir); err != nil {
+		_ = os.RemoveAll(processDir)
 		return "", nil, fmt.Errorf("bodies: %w", err)
 	}
-	return created, lock, nil
+	return processDir, lock, nil
 }
 
 // lockDir locks a process's directory. Closing the returned file unlocks it. It fails if another process holds
--- a/internal/bodystore/process_dir_test.go
+++ b/internal/bodystore/process_dir_test.go
@@ -11,7 +11,7 @@
 )
 
 // If the directory can't be created, bodies are stored in memory.
-func TestOpenWithoutUsableDirectory(t *testing.T) {
+func TestOpenStoresInMemoryWithoutUsableDirectory(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
@@ -53,7 +53,7 @@
 	second.Close()
 	wantBody(t, b, data)
 	first.Close()
-	if left, _ := filepath.Glob(filepath.Join(dir, processDirPrefix+"*")); len(left) != 0 {
-		t.Errorf("process directories after Close: %v, want none", left)
+	if remaining, _ := filepath.Glob(filepath.Join(dir, processDirPrefix+"*")); len(remaining) != 0 {
+		t.Errorf("process directories after Close: %v, want none", remaining)
 	}
 }
--- a/internal/bodystore/record_test.go
+++ b/internal/bodystore/record_test.go
@@ -6,18 +6,18 @@
 )
 
 // For any bytes on the disk, parseRecord returns data of the expected length or ErrCorrupt.
-func FuzzRecord(f *testing.F) {
+func FuzzParseRecord(f *testing.F) {
 	l := newSegmentLog(osFS{}, f.TempDir())
 	r, err := l.append([]byte("some text"))
 	if err != nil {
 		f.Fatal(err)
 	}
-	good := make([]byte, recordHeaderSize+r.length)
-	if _, err := r.segment.file.ReadAt(good, 0); err != nil {
+	valid := make([]byte, recordHeaderSize+r.length)
+	if _, err := r.segment.file.ReadAt(valid, 0); err != nil {
 		f.Fatal(err)
 	}
-	f.Add(good, 9)
-	f.Add(good[:12], 9)
+	f.Add(valid, 9)
+	f.Add(valid[:12], 9)
 	f.Add([]byte{}, 0)
 	f.Fuzz(func(t *testing.T, b []byte, n int) {
 		data, err := parseRecord(b, n)
--- a/internal/bodystore/store.go
+++ b/internal/bodystore/store.go
@@ -43,7 +43,7 @@
 	moveQueue      []*entry            // entries to be moved to files, oldest first
 	lossLog        eventlog.RateLimited
 
-	moveQueued chan struct{} // tells run that moveQueue is not empty
+	moveSignal chan struct{} // tells run that moveQueue is not empty
 	done       chan struct{} // closed by Close to end run
 	wg         sync.WaitGroup
 }
@@ -58,7 +58,7 @@
 		cfg:        c,
 		entries:    map[tier.ID]*entry{},
 		byHash:     map[[32]byte]*entry{},
-		moveQueued: make(chan struct{}, 1),
+		moveSignal: make(chan struct{}, 1),
 		done:       make(chan struct{}),
 	}
 	s.openFiles()
--- a/internal/bodystore/store_test.go
+++ b/internal/bodystore/store_test.go
@@ -18,34 +18,34 @@
 	for range 100 {
 		refs = append(refs, mustStore(t, s, data))
 	}
-	if f := s.Totals(); f.Bodies != 1 || f.Memory != int64(len(data)) || f.Shared != 99 {
-		t.Errorf("totals = %+v, want 1 body, %d bytes in memory, 99 shared", f, len(data))
+	if totals := s.Totals(); totals.Bodies != 1 || totals.Memory != int64(len(data)) || totals.Shared != 99 {
+		t.Errorf("totals = %+v, want 1 body, %d bytes in memory, 99 shared", totals, len(data))
 	}
 	for i, b := range refs {
 		wantBody(t, b, data)
 		b.MarkSent()
 		b.Release()
-		if f := s.Totals(); i < 99 && f.Bodies != 1 || i == 99 && f.Bodies != 0 {
-			t.Fatalf("totals after %d of 100 releases = %+v, want 1 body until the last release", i+1, f)
+		if totals := s.Totals(); i < 99 && totals.Bodies != 1 || i == 99 && totals.Bodies != 0 {
+			t.Fatalf("totals after %d of 100 releases = %+v, want 1 body until the last release", i+1, totals)
 		}
 	}
 }
 
 // No pending body is evicted to store a large one. The large one is stored in a file, or rejected without files.
-func TestWriteKeepsPendingBodiesForLargeOne(t *testing.T) {
+func TestWriteOfLargeBodyKeepsPendingBodies(t *testing.T) {
 	for _, files := range []int64{0, 8 << 20} {
 		s := newStore(t, tier.Limits{Memory: 256 << 10, Files: files, Largest: 1 << 20}, nil)
 		var pending []*Body
 		for i := range 4 {
 			pending = append(pending, mustStore(t, s, randomBytes(uint64(i), 60<<10)))
 		}
-		newcomer := randomBytes(9, 500<<10)
-		b, err := storeBody(s, 0, newcomer)
+		large := randomBytes(9, 500<<10)
+		b, err := storeBody(s, 0, large)
 		if files == 0 && !errors.Is(err, ErrNoCapacity) || files > 0 && err != nil {
 			t.Fatalf("storing a large body with %d bytes of files: err = %v, want an error only with 0", files, err)
 		}
 		if b != nil {
-			wantBody(t, b, newcomer)
+			wantBody(t, b, large)
 		}
 		for i, p := range pending {
 			wantBody(t, p, randomBytes(uint64(i), 60<<10))
@@ -73,8 +73,8 @@
 		})
 	}
 	wg.Wait()
-	if f := s.Totals(); f.Bodies != 0 || f.Memory != 0 || f.Files != 0 {
-		t.Errorf("totals after all releases = %+v, want 0 bodies and bytes", f)
+	if totals := s.Totals(); totals.Bodies != 0 || totals.Memory != 0 || totals.Files != 0 {
+		t.Errorf("totals after all releases = %+v, want 0 bodies and bytes", totals)
 	}
 }
 
--- a/internal/bodystore/tier/eviction.go
+++ b/internal/bodystore/tier/eviction.go
@@ -104,13 +104,13 @@
 // evict is found each time.
 func (s *State) evictFromFilesFor(b *body) {
 	for !s.fitsFiles(b) {
-		s.evict(s.firstCandidate(File, nil, yieldsTo(b)), ReasonNoCapacity)
+		s.evict(s.firstCandidate(File, nil, evictableFor(b)), ReasonNoCapacity)
 	}
 }
 
-// yieldsTo returns a function that reports whether a body in files may be evicted to store b there: it is evictable
-// and its priority density is lower.
-func yieldsTo(b *body) func(*body) bool {
+// evictableFor returns a function that reports whether a body in files may be evicted to store b there: it is
+// evictable and its priority density is lower.
+func evictableFor(b *body) func(*body) bool {
 	return func(stored *body) bool { return stored.isEvictable() && stored.priorityDensity() < b.priorityDensity() }
 }
 
@@ -129,12 +129,12 @@
 	if free >= b.size {
 		return true
 	}
-	yields := yieldsTo(b)
+	evictable := evictableFor(b)
 	s.evictionOrder[File].Scan(func(stored *body) bool {
 		if stored.priorityDensity() >= b.priorityDensity() {
 			return false
 		}
-		if yields(stored) {
+		if evictable(stored) {
 			free += stored.size
 		}
 		return free < b.size
--- a/internal/bodystore/tier/tier_test.go
+++ b/internal/bodystore/tier/tier_test.go
@@ -23,12 +23,12 @@
 			c.check()
 		}
 	})
-	for _, what := range []string{
+	for _, outcome := range []string{
 		"file " + string(ReasonTooLarge), "file " + string(ReasonNoCapacity), "none " + string(ReasonNoCapacity),
 		"none " + string(ReasonTooLarge), "none " + string(ReasonClassShare), "rejected",
 	} {
-		if seen[what] == 0 {
-			t.Errorf("no run had %q; moves and rejections seen: %v", what, seen)
+		if seen[outcome] == 0 {
+			t.Errorf("no run had %q; moves and rejections seen: %v", outcome, seen)
 		}
 	}
 }
@@ -38,7 +38,7 @@
 	t      *rapid.T
 	state  *State
 	model  *model
-	seen   map[string]int
+	seen   map[string]int // number of moves by tier and reason, and of rejections, in all runs
 	lastID ID
 	now    time.Duration
 }
@@ -54,13 +54,13 @@
 	}
 	kind := rapid.IntRange(0, 7).Draw(c.t, "event")
 	if kind <= 1 {
-		c.add()
+		c.addBody()
 	} else if b := pick(); b != nil {
-		c.event(kind, b)
+		c.applyEvent(kind, b)
 	}
 }
 
-func (c *comparison) event(kind int, b *modelBody) {
+func (c *comparison) applyEvent(kind int, b *modelBody) {
 	switch kind {
 	case 2:
 		if !b.arrived {
@@ -84,7 +84,7 @@
 	}
 }
 
-func (c *comparison) add() {
+func (c *comparison) addBody() {
 	c.lastID++
 	b := &modelBody{id: c.lastID, class: rapid.IntRange(0, 1).Draw(c.t, "class"),
 		priorityWeight: float64(rapid.IntRange(1, 3).Draw(c.t, "weight")), pending: true}
--- a/internal/bodystore/tier/usage.go
+++ b/internal/bodystore/tier/usage.go
@@ -10,16 +10,16 @@
 func newUsage(classes int) usage { return usage{byClass: make([]int64, classes)} }
 
 // add adds a body to the counts.
-func (u *usage) add(b *body) { u.addTimes(b, 1) }
+func (u *usage) add(b *body) { u.addScaled(b, 1) }
 
 // subtract removes a body from the counts.
-func (u *usage) subtract(b *body) { u.addTimes(b, -1) }
+func (u *usage) subtract(b *body) { u.addScaled(b, -1) }
 
-func (u *usage) addTimes(b *body, times int64) {
+func (u *usage) addScaled(b *body, factor int64) {
 	if b.tier == None {
 		return
 	}
-	bytes := times * b.size
+	bytes := factor * b.size
 	u.bytes[b.tier] += bytes
 	if b.moving {
 		u.moving += bytes
--- a/internal/bodystore/writer.go
+++ b/internal/bodystore/writer.go
@@ -48,8 +48,8 @@
 	defer e.moveMu.Unlock()
 	s.mu.Lock()
 	moves := s.resumeFiles()
-	grown, hasCapacity := s.state.Grow(e.id, int64(len(chunk)))
-	moves = append(moves, grown...)
+	growMoves, hasCapacity := s.state.Grow(e.id, int64(len(chunk)))
+	moves = append(moves, growMoves...)
 	callbacks := s.apply(moves, e)
 	if hasCapacity && !e.evicted {
 		e.append(chunk)
