--- a/internal/bodystore/golden_test.go
+++ b/internal/bodystore/golden_test.go
@@ -44,8 +44,8 @@
 // newGoldenStore returns a store that writes each body to files as soon as it arrives.
 func newGoldenStore(t *testing.T, dir string) *Store {
 	t.Helper()
-	s := Open(Config{Limits: tier.Limits{Memory: 1 << 20, Files: 1 << 20, Largest: 1}, Classes: []string{"lookup"}, Dir: dir,
-		Counters: metrics.NewCounters(), Now: func() time.Duration { return time.Second }})
+	s := Open(Config{Limits: tier.Limits{Memory: 1 << 20, Files: 1 << 20, MaxMemoryBodySize: 1},
+		Classes: []string{"lookup"}, Dir: dir, Counters: metrics.NewCounters(), Now: func() time.Duration { return time.Second }})
 	t.Cleanup(s.Close)
 	return s
 }
--- a/internal/bodystore/helpers_test.go
+++ b/internal/bodystore/helpers_test.go
@@ -11,7 +11,7 @@
 	"linkpass/internal/metrics"
 )
 
-var smallLimits = tier.Limits{Memory: 256 << 10, Files: 64 << 20, Largest: 128 << 10}
+var smallLimits = tier.Limits{Memory: 256 << 10, Files: 64 << 20, MaxMemoryBodySize: 128 << 10}
 
 func newStore(t testing.TB, l tier.Limits, fs FS) *Store {
 	t.Helper()
--- a/internal/bodystore/store_test.go
+++ b/internal/bodystore/store_test.go
@@ -34,7 +34,7 @@
 // No pending body is evicted to store a large one. The large one is stored in a file, or rejected without files.
 func TestWriteOfLargeBodyKeepsPendingBodies(t *testing.T) {
 	for _, files := range []int64{0, 8 << 20} {
-		s := newStore(t, tier.Limits{Memory: 256 << 10, Files: files, Largest: 1 << 20}, nil)
+		s := newStore(t, tier.Limits{Memory: 256 << 10, Files: files, MaxMemoryBodySize: 1 << 20}, nil)
 		var pending []*Body
 		for i := range 4 {
 			pending = append(pending, mustStore(t, s, randomBytes(uint64(i), 60<<10)))
@@ -54,7 +54,7 @@
 }
 
 func TestStoreUnderConcurrentUse(t *testing.T) {
-	s := newStore(t, tier.Limits{Memory: 512 << 10, Files: 1 << 20, Largest: 64 << 10}, nil)
+	s := newStore(t, tier.Limits{Memory: 512 << 10, Files: 1 << 20, MaxMemoryBodySize: 64 << 10}, nil)
 	var wg sync.WaitGroup
 	for g := range 8 {
 		wg.Go(func() {
--- a/internal/bodystore/tier/state.go
+++ b/internal/bodystore/tier/state.go
@@ -58,7 +58,7 @@
 	}
 	s.moves = nil
 	s.update(b, func() { b.size += n })
-	if b.staysInMemory() && b.size > s.limits.Largest && s.fitsFiles(b) {
+	if b.staysInMemory() && b.size > s.limits.MaxMemoryBodySize && s.fitsFiles(b) {
 		s.moveToFile(b, ReasonTooLarge)
 	}
 	s.enforceLimits(b)
@@ -84,7 +84,7 @@
 	}
 	s.moves = nil
 	s.update(b, func() { b.pending, b.sentAt = false, now })
-	if b.staysInMemory() && b.size > s.limits.Largest { // it stayed in memory only because it was pending
+	if b.staysInMemory() && b.size > s.limits.MaxMemoryBodySize { // it stayed in memory only because it was pending
 		s.evict(b, ReasonTooLarge)
 	}
 	s.enforceLimits(nil)
@@ -99,7 +99,7 @@
 }
 
 // FinishMove ends a body's move to a file. If the body has not been written, it stays in memory within the limits;
-// a body that is larger than Limits.Largest and not pending is evicted.
+// a body that is larger than Limits.MaxMemoryBodySize and not pending is evicted.
 func (s *State) FinishMove(id ID, written bool) []Move {
 	b := s.bodies[id]
 	if b == nil || !b.moving {
@@ -112,7 +112,7 @@
 	}
 	s.update(b, func() { b.moving = false })
 	s.enforceLimits(nil)
-	if b.size > s.limits.Largest && !b.pending && s.bodies[id] != nil {
+	if b.size > s.limits.MaxMemoryBodySize && !b.pending && s.bodies[id] != nil {
 		s.evict(b, ReasonFileFailed)
 	}
 	return s.moves
--- a/internal/bodystore/tier/tier.go
+++ b/internal/bodystore/tier/tier.go
@@ -27,10 +27,10 @@
 
 // Limits are the limits of all bodies together, in bytes.
 type Limits struct {
-	Memory  int64   // bytes of all bodies in memory
-	Files   int64   // bytes of all bodies in files; 0: no files
-	Largest int64   // size above which a body does not stay in memory
-	Classes []Class // by class index; classes beyond the end have no guarantee and no limit
+	Memory            int64   // bytes of all bodies in memory
+	Files             int64   // bytes of all bodies in files; 0: no files
+	MaxMemoryBodySize int64   // size above which a body does not stay in memory
+	Classes           []Class // by class index; classes beyond the end have no guarantee and no limit
 }
 
 // memoryOvercommit is the share of Limits.Memory by which memory may exceed it while moves to files are in flight.
@@ -49,8 +49,8 @@
 
 // The reasons of moves.
 const (
-	ReasonTooLarge   Reason = "too_large"   // the body is larger than Limits.Largest
+	ReasonTooLarge   Reason = "too_large"   // the body is larger than Limits.MaxMemoryBodySize
 	ReasonNoCapacity Reason = "no_room"     // memory or files reached their limit
-	ReasonFileFailed Reason = "file_failed" // the write to a file failed and the body is larger than Limits.Largest
+	ReasonFileFailed Reason = "file_failed" // the write to a file failed and the body is larger than MaxMemoryBodySize
 	ReasonClassShare Reason = "class_share" // the body's class exceeds MaxMemoryShare
 )
--- a/internal/daemon/body_config.go
+++ b/internal/daemon/body_config.go
@@ -56,16 +56,16 @@
 func (b BodyConfig) limits(memoryMB int, classes []string) (tier.Limits, error) {
 	limit := int64(memoryMB) << 20
 	l := tier.Limits{
-		Memory:  b.MemoryKiB << 10,
-		Files:   b.FilesKiB << 10,
-		Largest: Keys.Int("bodies.largest_kib", b.LargestKiB) << 10,
-		Classes: make([]tier.Class, len(classes)),
+		Memory:            b.MemoryKiB << 10,
+		Files:             b.FilesKiB << 10,
+		MaxMemoryBodySize: Keys.Int("bodies.largest_kib", b.LargestKiB) << 10,
+		Classes:           make([]tier.Class, len(classes)),
 	}
 	if l.Memory == 0 {
 		l.Memory = cmp.Or(limit, assumedMemory) / defaultMemoryDivisor
 	}
 	if b.LargestKiB == 0 {
-		l.Largest = min(l.Largest, l.Memory)
+		l.MaxMemoryBodySize = min(l.MaxMemoryBodySize, l.Memory)
 	}
 	if limit > 0 && l.Memory > limit/minMemoryDivisor {
 		return l, fmt.Errorf("bodies.memory_kib: %d KiB is more than half of the limit of %d MB", l.Memory>>10, memoryMB)
--- a/internal/experiment/body_memory.go
+++ b/internal/experiment/body_memory.go
@@ -116,7 +116,7 @@
 func openHoldStore(dir string, budget int64) *bodystore.Store {
 	began := time.Now()
 	return bodystore.Open(bodystore.Config{
-		Limits:   tier.Limits{Memory: budget, Files: 1 << 30, Largest: 1 << 20},
+		Limits:   tier.Limits{Memory: budget, Files: 1 << 30, MaxMemoryBodySize: 1 << 20},
 		Classes:  []string{"lookup"},
 		Dir:      dir,
 		Counters: metrics.NewCounters(),
--- a/internal/opensearch/large_body_test.go
+++ b/internal/opensearch/large_body_test.go
@@ -47,8 +47,8 @@
 // Guards against a body that stays in the store after its search, and a query that is changed on its way.
 func TestLargeSearchSendsStoredQuery(t *testing.T) {
 	for _, limits := range []tier.Limits{
-		{Memory: 4 << 20, Files: 0, Largest: 4 << 20},
-		{Memory: 64 << 10, Files: 4 << 20, Largest: 16 << 10},
+		{Memory: 4 << 20, Files: 0, MaxMemoryBodySize: 4 << 20},
+		{Memory: 64 << 10, Files: 4 << 20, MaxMemoryBodySize: 16 << 10},
 	} {
 		query := termsQuery(20_000)
 		var text []byte
@@ -91,7 +91,7 @@
 		`{"query":{"match":{"a":"` + strings.Repeat("x", 2*maxTokenBytes) + `"}}}`: "json_parse_exception",
 	} {
 		c := &fakeCore{answer: completeAnswer}
-		f, req, s := newLargeSearch(t, c, tier.Limits{Memory: 8 << 20, Largest: 8 << 20}, body)
+		f, req, s := newLargeSearch(t, c, tier.Limits{Memory: 8 << 20, MaxMemoryBodySize: 8 << 20}, body)
 		res := f.Serve(context.Background(), 0, req)
 		var out struct{ Error struct{ Type string } }
 		_ = json.Unmarshal(res.Body, &out)
--- a/internal/platform/response_golden_test.go
+++ b/internal/platform/response_golden_test.go
@@ -133,7 +133,7 @@
 	t.Helper()
 	f := goldenFront(&fakeCore{})
 	s := bodystore.Open(bodystore.Config{
-		Limits:   tier.Limits{Memory: 16, Largest: 16},
+		Limits:   tier.Limits{Memory: 16, MaxMemoryBodySize: 16},
 		Classes:  f.Classes,
 		Counters: f.Counters,
 		Now:      func() time.Duration { return 0 },
