--- a/internal/bodystore/model_test.go
+++ b/internal/bodystore/model_test.go
@@ -64,7 +64,7 @@
 	fs := newFaultyFS()
 	cfg := Config{
 		Limits: tier.Limits{Memory: 40 << 10, Files: 120 << 10, MaxMemoryBodySize: 24 << 10,
-			Classes: []tier.Class{{GuaranteedBytes: 8 << 10}, {}}},
+			Classes: []tier.ClassLimits{{GuaranteedBytes: 8 << 10}, {}}},
 		Classes: []string{"lookup", "table"}, Dir: dir, FS: fs, Counters: metrics.NewCounters(),
 		Now: func() time.Duration { return time.Duration(now.Load()) },
 	}
--- a/internal/bodystore/tier/tier.go
+++ b/internal/bodystore/tier/tier.go
@@ -19,18 +19,18 @@
 // String returns the tier's name, which is part of counter names.
 func (t Tier) String() string { return [...]string{Memory: "memory", File: "file", None: "none"}[t] }
 
-// Class holds the memory limits of a class of queries. The zero value is no guarantee and no limit.
-type Class struct {
+// ClassLimits holds the memory limits of a class of queries. The zero value is no guarantee and no limit.
+type ClassLimits struct {
 	GuaranteedBytes int64   // bytes in memory that bodies of other classes can't take from this class; default 0
 	MaxMemoryShare  float64 // share of Limits.Memory that the class may use, from 0 to 1; 0: no limit
 }
 
 // Limits are the limits of all bodies together, in bytes.
 type Limits struct {
-	Memory            int64   // bytes of all bodies in memory
-	Files             int64   // bytes of all bodies in files; 0: no files
-	MaxMemoryBodySize int64   // size above which a body does not stay in memory
-	Classes           []Class // by class index; classes beyond the end have no guarantee and no limit
+	Memory            int64         // bytes of all bodies in memory
+	Files             int64         // bytes of all bodies in files; 0: no files
+	MaxMemoryBodySize int64         // size above which a body does not stay in memory
+	Classes           []ClassLimits // by class index; classes beyond the end have no guarantee and no limit
 }
 
 // memoryOvercommit is the share of Limits.Memory by which memory may exceed it while moves to files are in flight.
--- a/internal/bodystore/tier/tier_test.go
+++ b/internal/bodystore/tier/tier_test.go
@@ -15,7 +15,7 @@
 	seen := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{Memory: 1000, Files: rapid.SampledFrom([]int64{0, 1500}).Draw(t, "files"),
-			MaxMemoryBodySize: 400, Classes: []Class{{GuaranteedBytes: 200}, {MaxMemoryShare: 0.6}}}
+			MaxMemoryBodySize: 400, Classes: []ClassLimits{{GuaranteedBytes: 200}, {MaxMemoryShare: 0.6}}}
 		c := &comparison{t: t, state: New(limits), model: &model{limits: limits, bodies: map[ID]*modelBody{}}, seen: seen}
 		for range rapid.IntRange(10, 120).Draw(t, "events") {
 			c.now += time.Millisecond
--- a/internal/daemon/body_config.go
+++ b/internal/daemon/body_config.go
@@ -59,7 +59,7 @@
 		Memory:            b.MemoryKiB << 10,
 		Files:             b.FilesKiB << 10,
 		MaxMemoryBodySize: Keys.Int("bodies.largest_kib", b.LargestKiB) << 10,
-		Classes:           make([]tier.Class, len(classes)),
+		Classes:           make([]tier.ClassLimits, len(classes)),
 	}
 	if l.Memory == 0 {
 		l.Memory = cmp.Or(limit, assumedMemory) / defaultMemoryDivisor
@@ -80,13 +80,13 @@
 }
 
 // setClassLimits sets the limits of the classes by index in names.
-func (b BodyConfig) setClassLimits(limits []tier.Class, names []string) error {
+func (b BodyConfig) setClassLimits(limits []tier.ClassLimits, names []string) error {
 	for name, c := range b.Classes {
 		i := slices.Index(names, name)
 		if i < 0 {
 			return fmt.Errorf("bodies.classes.%s: no such class", name)
 		}
-		limits[i] = tier.Class{GuaranteedBytes: c.GuaranteedKiB << 10, MaxMemoryShare: c.MaxMemoryShare}
+		limits[i] = tier.ClassLimits{GuaranteedBytes: c.GuaranteedKiB << 10, MaxMemoryShare: c.MaxMemoryShare}
 	}
 	return nil
 }
