--- a/internal/bodystore/segment.go
+++ b/internal/bodystore/segment.go
@@ -16,7 +16,7 @@
 // isSparse reports whether the segment is worth compacting: it is sealed and less than half of it is live.
 func (s *segment) isSparse() bool { return s.sealed && s.liveBytes > 0 && s.liveBytes < s.size/2 }
 
-// sparserThan reports whether s has fewer live bytes than other. Segments with as many are ordered by path.
+// sparserThan reports whether s has fewer live bytes than other. Segments with equally many are ordered by path.
 func (s *segment) sparserThan(other *segment) bool {
 	return s.liveBytes < other.liveBytes || s.liveBytes == other.liveBytes && s.path < other.path
 }
--- a/internal/bodystore/segment_log.go
+++ b/internal/bodystore/segment_log.go
@@ -17,10 +17,10 @@
 	createMu     sync.Mutex // held while a segment is created; locked before mu
 	lastSequence int        // number in the name of the newest segment; guarded by createMu
 
-	mu       sync.Mutex // not held while waiting for the disk
-	current  *segment   // nil before the first record
-	segments map[*segment]bool
-	retired  []*segment // no longer in segments, with files yet to be removed
+	mu       sync.Mutex        // not held while waiting for the disk
+	current  *segment          // nil before the first record
+	segments map[*segment]bool // all that are not retired
+	retired  []*segment        // no longer in segments, with files yet to be removed
 }
 
 func newSegmentLog(fs FS, dir string) *segmentLog {
@@ -134,7 +134,7 @@
 	return n
 }
 
-// sparsest returns the sealed segment with the fewest live bytes, or nil if none is less than half full.
+// sparsest returns the sealed segment with the fewest live bytes, or nil if none is less than half live.
 func (l *segmentLog) sparsest() (found *segment) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -146,7 +146,7 @@
 	return found
 }
 
-// close removes all segments.
+// close closes and removes the files of all segments, pinned ones included.
 func (l *segmentLog) close() {
 	l.mu.Lock()
 	for s := range l.segments {
--- a/internal/bodystore/store.go
+++ b/internal/bodystore/store.go
@@ -36,8 +36,8 @@
 
 	mu             sync.Mutex
 	state          *tier.State
-	lastID         tier.ID
-	entries        map[tier.ID]*entry
+	lastID         tier.ID             // ID of the newest entry
+	entries        map[tier.ID]*entry  // all bodies, arriving ones included
 	byHash         map[[32]byte]*entry // entries that have arrived completely
 	suspendedUntil time.Duration       // clock time until which files accept no bodies; 0: not suspended
 	moveQueue      []*entry            // entries to be moved to files, oldest first
--- a/internal/bodystore/tier/tier.go
+++ b/internal/bodystore/tier/tier.go
@@ -25,11 +25,11 @@
 	MaxMemoryShare  float64 // share of Limits.Memory that the class may use, from 0 to 1; 0: no limit
 }
 
-// Limits are the limits of all bodies together, in bytes.
+// Limits are the storage limits of all bodies together. Sizes are in bytes.
 type Limits struct {
 	Memory            int64         // bytes of all bodies in memory
-	Files             int64         // bytes of all bodies in files; 0: no files
-	MaxMemoryBodySize int64         // size above which a body does not stay in memory
+	Files             int64         // bytes of all bodies in files; 0: bodies are not stored in files
+	MaxMemoryBodySize int64         // a larger body is moved to a file, or evicted from memory once sent
 	Classes           []ClassLimits // by class index; classes beyond the end have no guarantee and no limit
 }
 
