--- a/internal/discovery/converter.go
+++ b/internal/discovery/converter.go
@@ -11,15 +11,16 @@
 	"linkpass/internal/routing"
 )
 
-// Converter maps discovery's lists to updates of the core. A zone or kind that it does not know becomes the first.
+// Converter converts discovery's endpoint lists to endpoint updates of the core. A zone or kind that is not in Zones or
+// Kinds is converted to index 0, the first one.
 type Converter struct {
-	Zones, Kinds []string                         // the core knows them by their index here
-	Cells        int                              // cells are numbered from 0 to Cells-1
-	Clock        func(unixMS int64) time.Duration // from milliseconds of Unix time to the core's clock
+	Zones, Kinds []string                         // the core identifies a zone or kind by its index here
+	Cells        int                              // number of cells; a cell is from 0 to Cells-1
+	Clock        func(unixMS int64) time.Duration // converts milliseconds of Unix time to the core's clock; required
 }
 
-// Convert maps a list to an update. The error is an *InvalidEndpointError where an endpoint can't be used: then the
-// complete list is refused, as a part of it would mislead.
+// Convert converts a list to an update. If an endpoint can't be used, it rejects the whole list with an
+// *InvalidEndpointError: an update with only a part of the list would be misleading.
 func (c *Converter) Convert(list EndpointList) (coordinator.EndpointUpdate, error) {
 	update := coordinator.EndpointUpdate{Mode: routing.UpdateDelta}
 	if list.Full {
@@ -54,7 +55,8 @@
 	}}, nil
 }
 
-// ServerID is the routing package's number for a server's name. It is the same in every process.
+// ServerID returns the number by which the routing package identifies the server of this name. It is a hash of the
+// name, so that it is the same in every process.
 func ServerID(name string) routing.ServerID {
 	h := fnv.New64a()
 	h.Write([]byte(name))
--- a/internal/discovery/converter_test.go
+++ b/internal/discovery/converter_test.go
@@ -10,7 +10,7 @@
 	_ "linkpass/internal/testrand"
 )
 
-// An endpoint that can't be used is named by the error, whose text stands in the log.
+// The error of an endpoint that can't be used has its values in fields, and its text is written to the log.
 func TestConvertInvalidEndpoint(t *testing.T) {
 	for name, c := range map[string]struct {
 		endpoint Endpoint
@@ -26,15 +26,16 @@
 			_, err := newTestConverter().Convert(EndpointList{Endpoints: []Endpoint{c.endpoint}})
 			var invalid *InvalidEndpointError
 			if !errors.As(err, &invalid) || invalid.ID != c.endpoint.ID || err.Error() != c.text {
-				t.Errorf("got %v, want %s", err, c.text)
+				t.Errorf("error = %v, want the *InvalidEndpointError %s", err, c.text)
 			}
 			if addrErr := new(net.AddrError); errors.As(err, &addrErr) != (name == "addr") {
-				t.Errorf("got cause %v", errors.Unwrap(err))
+				t.Errorf("cause = %v, want a *net.AddrError only for an invalid address", errors.Unwrap(err))
 			}
 		})
 	}
 }
 
+// No input makes Parse or Convert panic, and Parse rejects a truncated list.
 func TestParseAndConvertAnyInput(t *testing.T) {
 	valid := `{"version":41,"full":true,"servers":[` + testServer + `]}`
 	rapid.Check(t, func(t *rapid.T) {
@@ -42,7 +43,7 @@
 		if rapid.Bool().Draw(t, "cut") {
 			data = []byte(valid[:rapid.IntRange(0, len(valid)-1).Draw(t, "at")])
 			if _, err := Parse(data); err == nil {
-				t.Fatalf("accepted the truncated list %q", data)
+				t.Fatalf("Parse accepted the truncated list %q, want an error", data)
 			}
 		}
 		if list, err := Parse(data); err == nil {
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -12,16 +12,16 @@
 	"linkpass/internal/metrics"
 )
 
-// testServer is an endpoint of a list, as discovery writes it.
+// testServer is the JSON of one endpoint of a list.
 const testServer = `{"id":"s-1","addr":"127.0.0.1:9","zone":"port-louis","kind":"m2","cell":3,"state":"in_service","weight":1.5,"started_ms":7}`
 
 // cachedNine is a complete cached list without endpoints, at version 9.
 var cachedNine = EndpointList{Version: 9, Full: true}
 
-// fakeCore hands on the updates and the deadlines. Its clock stands at 0.
+// fakeCore sends the updates and the deadlines that it receives to channels. Its clock is always 0.
 type fakeCore struct {
 	updates chan coordinator.EndpointUpdate
-	armed   chan armedDeadline // nil: deadlines are never due
+	armed   chan armedDeadline // nil: deadlines are dropped and never fire
 }
 
 type armedDeadline struct {
@@ -61,7 +61,7 @@
 	return NewWatcher(addr, newTestConverter(), core, metrics.NewCounters())
 }
 
-// runWatcher runs a watcher until stop is called; stop waits for its end.
+// runWatcher runs a watcher until stop is called; stop waits until Run has returned.
 func runWatcher(t *testing.T, w *Watcher, cached EndpointList) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -70,8 +70,8 @@
 	return func() { cancel(); <-done }
 }
 
-// startAgent answers each call with the next body, or with the status that stands in its place, and hands on its
-// target. Its connections end once answers is closed or the test ends.
+// startAgent starts a discovery agent. It sends each request's target to targets and responds with the next value of
+// answers: a body, or the number of a status. A connection ends once answers is closed or the test ends.
 func startAgent(t *testing.T, targets chan<- string, answers <-chan string) (addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -102,7 +102,7 @@
 		}
 		select {
 		case targets <- request.Path + "?" + request.Query:
-		case <-ctx.Done(): // Guards against a call after the last one that the test receives
+		case <-ctx.Done(): // the test does not receive the targets of calls after its last one
 			return
 		}
 		body, ok := <-answers
--- a/internal/discovery/main_test.go
+++ b/internal/discovery/main_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// Guards against a call's goroutine or a dial that outlives Watcher.Run.
+// TestMain fails if a goroutine, such as that of a call or a dial, outlives Watcher.Run.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	maxListBytes = 1 << 20
+	maxListBytes = 1 << 20 // limit of a response's body
 	statusOK     = 200
 
-	// noVersion stands for no list. Guards against 0 in its place, which is a real version: the complete list would be
-	// requested, and answered at once, again and again.
+	// noVersion means that no list has been applied. It is not 0, because that is a real version: a watcher at
+	// version 0 would request the complete list, which is answered at once, again and again.
 	noVersion = -1
 )
 
-// listRequest is a call for the changes since a version, or for the complete list.
+// listRequest is a request for the changes since a version, or for the complete list.
 type listRequest struct {
-	version int64         // noVersion: the complete list
+	version int64         // noVersion requests the complete list
 	wait    time.Duration // how long discovery may hold the call
-	slack   time.Duration // how much later than that the answer may come
+	slack   time.Duration // how long after wait the call times out
 }
 
-// callResult is how one call ended.
+// callResult is the outcome of one call.
 type callResult struct {
-	conn *discoveryConn // for the next call; nil: it has to connect
+	conn *discoveryConn // for reuse by the next call; nil if that has to connect
 	body []byte
 	err  error
 }
 
-// discoveryConn is a connection to discovery. It belongs to the call in flight, or to the watcher between calls.
+// discoveryConn is a connection to discovery. The call in flight owns it, and the watcher owns it between calls.
 type discoveryConn struct {
 	net.Conn
 	reader *http1.Reader
 }
 
-// call makes one call, on conn or on a new connection. A connection that can't carry another call is closed and not
-// returned.
+// call makes one call, on conn or, if that is nil, on a new connection. A connection that can't be used for another
+// call is closed and not returned.
 func (w *Watcher) call(ctx context.Context, conn *discoveryConn, request listRequest) callResult {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -69,7 +69,7 @@
 	return callResult{conn: conn, body: response.Body}
 }
 
-// dial connects to discovery; cancel ends ctx when the time limit has passed.
+// dial connects to discovery. When Timeouts.dial has passed it calls cancel, which ends ctx and so the attempt.
 func (w *Watcher) dial(ctx context.Context, cancel context.CancelFunc) (*discoveryConn, error) {
 	disarm := w.Core.Arm(w.Core.Now()+w.Timeouts.dial, cancel)
 	defer disarm()
--- a/internal/discovery/timeouts.go
+++ b/internal/discovery/timeouts.go
@@ -6,29 +6,33 @@
 )
 
 const (
-	// longPollWait is how long discovery may hold a call without changes. It is short: a connection that fell silent
-	// looks like a list without changes until the wait is over.
+	// longPollWait is how long discovery may hold a call without changes. It is short because, until the wait is
+	// over, a broken connection that carries nothing can't be told from a list without changes.
 	longPollWait = time.Second
-	// firstAnswerTimeout is how long discovery's first answer is awaited before the cached list is used.
+	// firstAnswerTimeout is how long the watcher waits for discovery's first answer before it is ready with the cached
+	// list.
 	firstAnswerTimeout = 300 * time.Millisecond
-	// startupTimeout is the same where no endpoint is cached. The platform requires a start to be ready in 10 s.
+	// startupTimeout takes its place if no endpoint is cached. The platform requires a process to be ready within 10 s
+	// of its start.
 	startupTimeout = 8 * time.Second
-	// defaultDrainGrace is for sends to a draining server, where the settings name none.
+	// defaultDrainGrace is how long sends to a draining server may go on if the settings do not say.
 	defaultDrainGrace = time.Second
 )
 
-// Timeouts limits a watcher's calls, and sets its backoff after a call that failed.
+// Timeouts holds the time limits of a watcher's calls and the backoff after failed calls. Its zero value is not usable:
+// take SharedServiceTimeouts or LocalAgentTimeouts.
 type Timeouts struct {
-	dial time.Duration
+	dial time.Duration // limit of connecting
 
-	// Beyond the time that a call asks discovery to hold it: for the first two calls of a watch, and for later ones.
+	// The time that a call may take beyond the wait that it requests: startSlack for the first two calls of a watch,
+	// renewSlack for later ones.
 	startSlack, renewSlack time.Duration
 
-	minBackoff, maxBackoff time.Duration // doubled after each failure in a row, before jitter
+	minBackoff, maxBackoff time.Duration // before jitter; the backoff doubles after each consecutive failure
 }
 
-// SharedServiceTimeouts is for one service that answers all coordinators in turn. startSlack is long because a call
-// that is given up loses its position in the service's queue.
+// SharedServiceTimeouts is for a service that answers the calls of all coordinators one after the other. startSlack is
+// long because a call that is abandoned loses its position in the service's queue.
 var SharedServiceTimeouts = Timeouts{
 	dial:       500 * time.Millisecond,
 	startSlack: 2500 * time.Millisecond,
@@ -37,9 +41,10 @@
 	maxBackoff: 1600 * time.Millisecond,
 }
 
-// LocalAgentTimeouts is for an agent on this machine, which answers at once and may drop a call without an answer.
-// drainGrace (default 1 s) is how long after a change sends by the old list may go on. An agent that is back has to be
-// reached well within it: one unanswered call, the longest backoff with its jitter, and the answer take just over half.
+// LocalAgentTimeouts returns the timeouts for a discovery agent on this machine, which answers at once and may drop a
+// call without an answer. drainGrace is how long after a change sends may still follow the old list; 0 is 1 s. An
+// agent that has recovered has to be reached well within drainGrace: one unanswered call, the longest backoff with
+// its jitter, and the answer take just over half of it.
 func LocalAgentTimeouts(drainGrace time.Duration) Timeouts {
 	drainGrace = cmp.Or(drainGrace, defaultDrainGrace)
 	return Timeouts{
@@ -51,11 +56,11 @@
 	}
 }
 
-// minBackoffJitter is the least wait after a failure, as a share of its base; the greatest is 1 more.
+// minBackoffJitter is the shortest wait after a failure, as a fraction of its base; the longest is 1 greater.
 const minBackoffJitter = 0.5
 
-// backoff returns how long to wait after a failure and the base of the next wait. The wait is base with a jitter of
-// half of it to either side; random is from 0 to 1.
+// backoff returns how long to wait after a failure, and the base of the wait after the next consecutive one. The wait
+// is base plus or minus a jitter of at most half of base; random is from 0 to 1.
 func (t Timeouts) backoff(base time.Duration, random float64) (wait, nextBase time.Duration) {
 	return time.Duration((minBackoffJitter + random) * float64(base)), min(2*base, t.maxBackoff)
 }
--- a/internal/discovery/timeouts_test.go
+++ b/internal/discovery/timeouts_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// An agent that was silent for any time is reached within 0.6 of the drain grace, in which sends by the old list end.
+// However long an agent was silent, it is called within 0.6 of the drain grace after it has recovered. Sends may follow
+// the old list for the drain grace and no longer.
 func TestBackoffReachesRecoveredAgentInTime(t *testing.T) {
 	const drainGrace = time.Second
 	timeouts := LocalAgentTimeouts(drainGrace)
@@ -21,12 +22,12 @@
 			at += max(timeouts.startSlack, timeouts.dial) + wait
 		}
 		if late := at - recovered; late > drainGrace*6/10 {
-			t.Errorf("seed %d: called %v after the agent recovered", seed, late)
+			t.Errorf("seed %d: called %v after the agent recovered, want at most %v", seed, late, drainGrace*6/10)
 		}
 	}
 }
 
-// The wait doubles up to a bound, with a jitter that differs between coordinators.
+// The wait doubles up to a maximum, with a jitter that differs between coordinators.
 func TestBackoffDoublesWithJitter(t *testing.T) {
 	timeouts := SharedServiceTimeouts
 	var waits [2][]time.Duration
@@ -37,13 +38,13 @@
 			var wait time.Duration
 			wait, next = timeouts.backoff(next, random.Float64())
 			if wait < want/2 || wait > want+want/2 {
-				t.Errorf("waits %v, want about %v", wait, want)
+				t.Errorf("wait = %v, want %v to %v", wait, want/2, want+want/2)
 			}
 			waits[i] = append(waits[i], wait)
 			want = min(2*want, timeouts.maxBackoff)
 		}
 	}
 	if slices.Equal(waits[0], waits[1]) {
-		t.Error("two watchers retry in step")
+		t.Errorf("watchers with different seeds have the same waits %v, want different ones", waits[0])
 	}
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -13,40 +13,44 @@
 	"linkpass/internal/routing"
 )
 
-// Core receives the endpoint updates and keeps the deadlines.
+// Core is the part of the coordinator's core that a Watcher uses: it receives the endpoint updates and provides the
+// clock and the deadlines.
 type Core interface {
 	UpdateEndpoints(coordinator.EndpointUpdate)
+	// Now returns the time of the core's clock.
 	Now() time.Duration
+	// Arm calls fire when the core's clock reaches at, unless disarm is called before.
 	Arm(at time.Duration, fire func()) (disarm func())
 }
 
-// firstCalls is how many calls after a failure may wait in the queue of a service that answers all coordinators in turn.
+// firstCalls is how many calls after a start, a failure or a change of address have Timeouts.startSlack: they may have
+// to wait in the queue of a service that answers the calls of all coordinators one after the other.
 const firstCalls = 2
 
-// Watcher follows the endpoint list. Run's goroutine owns its state and connection; it starts one goroutine for each
-// call, one at a time, and receives the call's result before it goes on or returns.
+// Watcher follows the endpoint list. The goroutine of Run owns the watcher's state and connection. It starts a
+// goroutine for each call, one at a time, and receives the call's result before it goes on or returns.
 type Watcher struct {
-	Addr      string // host:port; Run changes it when SetAddress is called
+	Addr      string // host:port; Run changes it after SetAddress
 	Converter *Converter
 	Core      Core
 	Counters  *metrics.Counters
-	Seed      uint64   // of the backoff's jitter; it differs between coordinators, so that they do not retry in step
-	Timeouts  Timeouts // default SharedServiceTimeouts
+	Seed      uint64   // of the backoff's jitter; differs between coordinators, so that they don't retry at the same time
+	Timeouts  Timeouts // set by NewWatcher to SharedServiceTimeouts
 
 	version            int64 // of the list last applied, or noVersion
 	consecutiveAnswers int   // since the last failure or change of address
-	failing            bool  // the last call failed, and that has been logged
+	failing            bool  // the last call failed, and the outage has been logged
 	conn               *discoveryConn
 	backoffBase        time.Duration // of the wait after the next failure
 	random             *rand.Rand
 
 	results     chan callResult // from the call's goroutine to Run; never closed
-	addrChanges chan string     // from SetAddress to Run; holds the latest; never closed
+	addrChanges chan string     // from SetAddress to Run; holds only the latest address; never closed
 	ready       chan struct{}   // closed by markReady, once
 	markReady   func()
 }
 
-// NewWatcher creates the watcher of the list at an address, host:port.
+// NewWatcher returns a watcher of the list at an address (host:port), with SharedServiceTimeouts and Seed 0.
 func NewWatcher(addr string, converter *Converter, core Core, counters *metrics.Counters) *Watcher {
 	w := &Watcher{
 		Addr:        addr,
@@ -62,13 +66,13 @@
 	return w
 }
 
-// Ready is closed once there is a list to work with: discovery has answered, or firstAnswerTimeout has passed and the
-// cached list is in use. Where no endpoint is cached it is closed after startupTimeout all the same: queries are
-// rejected until discovery answers.
+// Ready returns a channel that is closed once there is a list to work with: discovery has answered, or
+// firstAnswerTimeout has passed and the cached list is in use. If no endpoint is cached, it is closed after
+// startupTimeout even without a list; queries are then rejected until discovery answers.
 func (w *Watcher) Ready() <-chan struct{} { return w.ready }
 
-// SetAddress makes Run watch at another address. Of several calls before Run takes note, the last one holds.
-// It must not be called from two goroutines at once.
+// SetAddress makes Run watch the list at another address. If it is called several times before Run reads the address,
+// only the last address is used. It must not be called from two goroutines at once.
 func (w *Watcher) SetAddress(addr string) {
 	select {
 	case <-w.addrChanges:
@@ -77,7 +81,7 @@
 	w.addrChanges <- addr
 }
 
-// Run starts from the cached list and watches until the context ends.
+// Run applies the cached list, then watches for changes until the context ends.
 func (w *Watcher) Run(ctx context.Context, cached EndpointList) {
 	disarm := w.start(cached)
 	defer disarm()
@@ -102,7 +106,7 @@
 	}
 }
 
-// start applies the cached list and arms the time at which the watcher counts as ready without an answer.
+// start applies the cached list and arms the deadline at which the watcher becomes ready without an answer.
 func (w *Watcher) start(cached EndpointList) (disarm func()) {
 	timeout := startupTimeout
 	w.version = noVersion
@@ -123,8 +127,8 @@
 	return disarm
 }
 
-// poll makes one call and waits for its end. newAddr is set where SetAddress ended the call early; the response may
-// have come all the same.
+// poll makes one call and waits for its result. newAddr is set if SetAddress ended the call early; body may hold a
+// response even then.
 func (w *Watcher) poll(ctx context.Context) (body []byte, newAddr string, err error) {
 	callCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -132,7 +136,7 @@
 	go func() { w.results <- w.call(callCtx, conn, request) }()
 	var result callResult
 	select {
-	case result = <-w.results: // the call ends with the context
+	case result = <-w.results: // comes when ctx ends, too: that ends the call
 	case newAddr = <-w.addrChanges:
 		cancel()
 		result = <-w.results
@@ -141,8 +145,8 @@
 	return result.body, newAddr, result.err
 }
 
-// nextRequest asks for the changes since the version applied, or for the complete list where there is none. The first
-// call of a watch is answered at once, so that a cached list is confirmed without a long poll's wait.
+// nextRequest returns a request for the changes since the version applied, or for the complete list if none is applied.
+// The first call of a watch is answered at once, so that a cached list is confirmed without the wait of a long poll.
 func (w *Watcher) nextRequest() listRequest {
 	request := listRequest{version: w.version, wait: longPollWait, slack: w.Timeouts.renewSlack}
 	if w.consecutiveAnswers == 0 || request.version == noVersion {
@@ -171,8 +175,8 @@
 	return nil
 }
 
-// decode reads a response's list. Guards against changes older than those applied: a server in them may have begun to
-// drain since.
+// decode decodes and converts the list of a response. It rejects changes that are older than the version applied: a
+// server that is in service there may have begun to drain since.
 func (w *Watcher) decode(body []byte) (EndpointList, coordinator.EndpointUpdate, error) {
 	list, err := Parse(body)
 	if err != nil {
@@ -202,8 +206,9 @@
 	w.backoffBase = w.Timeouts.minBackoff
 }
 
-// recordFailure counts a failed call. Unless discovery rejected it, changes on the broken watch may be lost, and the
-// complete list is requested. Guards the log against a line for each retry while discovery is down.
+// recordFailure counts a failed call. Unless discovery rejected the call by a status, changes may have been lost with
+// the connection, and the complete list is requested. Only the first of consecutive failures is logged, so that there
+// is no line for each retry while discovery is down.
 func (w *Watcher) recordFailure(err error) {
 	w.Counters.Add("discovery_failed", 1)
 	w.consecutiveAnswers = 0
@@ -216,7 +221,7 @@
 	w.failing = true
 }
 
-// backOff waits before the next call; a change of address or the end of the context ends the wait.
+// backOff waits before the next call. A change of address or the end of the context ends the wait early.
 func (w *Watcher) backOff(ctx context.Context) {
 	var wait time.Duration
 	wait, w.backoffBase = w.Timeouts.backoff(w.backoffBase, w.random.Float64())
@@ -228,8 +233,8 @@
 	}
 }
 
-// moveTo leaves the old address. The complete list is requested at the new one: versions of another discovery service
-// need not agree.
+// moveTo replaces the address. The complete list is requested from the new one, because another discovery service may
+// number its versions differently.
 func (w *Watcher) moveTo(addr string) {
 	w.closeConn()
 	eventlog.DiscoveryMoved.Log(w.Addr, addr)
--- a/internal/discovery/watcher_failure_test.go
+++ b/internal/discovery/watcher_failure_test.go
@@ -14,7 +14,7 @@
 	"linkpass/internal/routing"
 )
 
-// While discovery is down each failure is counted, and only the first is logged.
+// While discovery is down, each failure is counted and only the first is logged.
 func TestWatchLogsOutageOnce(t *testing.T) {
 	var lines bytes.Buffer
 	eventlog.SetOutput(&lines, false)
@@ -45,11 +45,12 @@
 	stop()
 	ln.Close()
 	if n := strings.Count(lines.String(), "event=discovery_failed"); n != 1 || w.Counters.Get("discovery_failed") < 2 {
-		t.Errorf("%d lines, counters %s", n, w.Counters)
+		t.Errorf("%d log lines of discovery_failed, want 1; counters %s, want discovery_failed >= 2", n, w.Counters)
 	}
 }
 
-// Guards against a silent connection that is taken for a list without changes.
+// A call on a silent connection times out and the complete list is requested, instead of the silence being taken for a
+// list without changes.
 func TestWatchTimesOutWhenSilent(t *testing.T) {
 	targets, answers := make(chan string), make(chan string)
 	defer close(answers)
@@ -61,26 +62,27 @@
 	<-core.armed                          // the dial
 	for _, wait := range []int{0, 1000} { // a new watch may wait in the service's queue
 		if first := <-core.armed; first.at < time.Duration(wait)*time.Millisecond+SharedServiceTimeouts.startSlack {
-			t.Errorf("an early call times out after %v", first.at)
+			t.Errorf("call with a wait of %d ms times out after %v, want at least %v",
+				wait, first.at, time.Duration(wait)*time.Millisecond+SharedServiceTimeouts.startSlack)
 		}
 		if got := <-targets; got != fmt.Sprint("/registry/instances?after=9&wait_ms=", wait) {
-			t.Errorf("requested %q", got)
+			t.Errorf("request target = %q, want after=9 and wait_ms=%d", got, wait)
 		}
 		answers <- `{"version":9,"full":false,"servers":[]}`
 	}
 	watch := <-core.armed
 	if got := <-targets; !strings.HasPrefix(got, "/registry/instances?after=9&") || watch.at > 2*time.Second {
-		t.Fatalf("requested %q, times out after %v", got, watch.at)
+		t.Fatalf("request target = %q, want after=9; times out after %v, want at most %v", got, watch.at, 2*time.Second)
 	}
 	watch.fire()
 	if got := <-targets; got != "/registry/instances?" {
-		t.Errorf("then requested %q", got)
+		t.Errorf("request target after the timeout = %q, want the complete list", got)
 	}
 	stop()
 }
 
-// Guards against rejected coordinators that keep discovery down: each backs off, none in step with another, and
-// resumes from its version.
+// After a rejection by a status the watcher backs off and resumes from its version. Without that, coordinators that
+// discovery rejects would keep it overloaded.
 func TestWatchBacksOffAfterRejection(t *testing.T) {
 	targets, answers := make(chan string), make(chan string)
 	defer close(answers)
@@ -89,7 +91,7 @@
 	stop := runWatcher(t, w, cachedNine)
 	for _, answer := range []string{"503", `{"version":9,"full":false,"servers":[]}`} {
 		if got := <-targets; got != "/registry/instances?after=9&wait_ms=0" {
-			t.Errorf("requested %q", got)
+			t.Errorf("request target = %q, want after=9 and wait_ms=0", got)
 		}
 		answers <- answer
 	}
@@ -97,7 +99,8 @@
 	stop()
 }
 
-// Crossing: changes during a reset, an outage and a change of address are not lost: the complete list is requested.
+// Crossing: changes during a reset, an outage and a change of address are not lost, because the complete list is
+// requested.
 func TestWatchReopensAfterReset(t *testing.T) {
 	targets, answers := make(chan string), make(chan string)
 	defer close(answers)
@@ -107,22 +110,23 @@
 	w.Timeouts = LocalAgentTimeouts(time.Second)
 	stop := runWatcher(t, w, cachedNine)
 	<-reset
-	for w.Counters.Get("discovery_failed") < 3 { // reset, then refused
+	for w.Counters.Get("discovery_failed") < 3 { // the first connection is reset, later ones are refused
 		time.Sleep(time.Millisecond)
 	}
 	w.SetAddress(startAgent(t, targets, answers))
 	if got := <-targets; got != "/registry/instances?" {
-		t.Errorf("requested %q", got)
+		t.Errorf("request target = %q, want the complete list", got)
 	}
 	answers <- `{"version":12,"full":true,"servers":[` + testServer + `]}`
 	<-core.updates // the cached list
 	if update := <-core.updates; update.Mode != routing.UpdateFull || len(update.Endpoints) != 1 {
-		t.Errorf("got update %+v", update)
+		t.Errorf("update = %+v, want a full one with 1 endpoint", update)
 	}
 	stop()
 }
 
-// startResettingAgent resets its first connection after a request and then refuses others; reset is closed after that.
+// startResettingAgent starts an agent that resets its first connection after a request and refuses later ones. reset is
+// closed once it refuses connections.
 func startResettingAgent(t *testing.T) (addr string, reset <-chan struct{}) {
 	t.Helper()
 	done := make(chan struct{})
@@ -144,7 +148,7 @@
 	return ln.Addr().String(), done
 }
 
-// Each call to a silent agent times out as its Timeouts say, and is retried.
+// Each call to a silent agent times out within the limits of Timeouts, and is retried.
 func TestWatchRetriesSilentAgent(t *testing.T) {
 	targets, answers := make(chan string), make(chan string)
 	defer close(answers)
@@ -156,7 +160,8 @@
 	for range 3 {
 		dial, call := <-core.armed, <-core.armed
 		if dial.at > w.Timeouts.dial || call.at > w.Timeouts.startSlack {
-			t.Errorf("the dial times out after %v, the call after %v", dial.at, call.at)
+			t.Errorf("dial times out after %v, want at most %v; call after %v, want at most %v",
+				dial.at, w.Timeouts.dial, call.at, w.Timeouts.startSlack)
 		}
 		<-targets
 		call.fire()
@@ -164,13 +169,13 @@
 	<-core.armed
 	<-core.armed
 	<-targets
-	for range 3 { // responses on the closed connections are ignored
+	for range 3 { // these responses go to the closed connections and are ignored
 		answers <- "503"
 	}
 	answers <- `{"version":12,"full":true,"servers":[` + testServer + `]}`
 	<-core.updates // the cached list
 	if update := <-core.updates; len(update.Endpoints) != 1 {
-		t.Errorf("got update %+v", update)
+		t.Errorf("update = %+v, want 1 endpoint", update)
 	}
 	stop()
 }
--- a/internal/discovery/wire.go
+++ b/internal/discovery/wire.go
@@ -7,24 +7,24 @@
 	"linkpass/internal/routing"
 )
 
-// The values of Endpoint.State.
+// Values of Endpoint.State.
 const (
 	StateInService   = "in_service"
 	StateTerminating = "terminating"
 	StateTerminated  = "terminated"
 )
 
-// endpointStates maps the protocol's states to those of the routing package.
+// endpointStates maps the values of Endpoint.State to the states of the routing package.
 var endpointStates = map[string]routing.EndpointState{
 	StateInService:   routing.Ready,
 	StateTerminating: routing.Draining,
 	StateTerminated:  routing.Removed,
 }
 
-// EndpointList is an endpoint list, or the changes since a version, in the form of discovery's protocol.
+// EndpointList is discovery's response: the complete endpoint list, or the changes since a version.
 type EndpointList struct {
-	Version   int64      `json:"version"` // grows with each change; 0 is a version like any other
-	Full      bool       `json:"full"`    // the list is complete; otherwise it holds the changed endpoints
+	Version   int64      `json:"version"` // grows with each change; 0 is a valid version
+	Full      bool       `json:"full"`    // the list is complete; otherwise it has only the changed endpoints
 	Endpoints []Endpoint `json:"servers"`
 }
 
@@ -37,7 +37,7 @@
 	Cell      int     `json:"cell"`  // from 0
 	State     string  `json:"state"` // StateInService, StateTerminating or StateTerminated
 	Weight    float64 `json:"weight"`
-	StartedMS int64   `json:"started_ms"` // the start of the server's process, in milliseconds of Unix time
+	StartedMS int64   `json:"started_ms"` // when the server's process started, in milliseconds of Unix time
 }
 
 // Parse decodes a list. The error wraps that of encoding/json.
@@ -51,7 +51,7 @@
 
 const listPath = "/registry/instances"
 
-// target is the request's target: the complete list, or a long poll for the changes since a version.
+// target returns the HTTP request target for the complete list, or for a long poll for the changes since a version.
 func (r listRequest) target() string {
 	if r.version == noVersion {
 		return listPath
--- a/internal/discovery/wire_golden_test.go
+++ b/internal/discovery/wire_golden_test.go
@@ -17,7 +17,7 @@
 	"linkpass/internal/routing"
 )
 
-// goldenList is a golden file and what it is decoded and converted to.
+// goldenList is a golden file with the list that it decodes to and the update that this converts to.
 type goldenList struct {
 	file   string
 	list   EndpointList
@@ -75,17 +75,17 @@
 		t.Run(c.file, func(t *testing.T) {
 			list, err := Parse(readList(t, c.file))
 			if err != nil || !reflect.DeepEqual(list, c.list) {
-				t.Fatalf("got  %+v, %v\nwant %+v", list, err, c.list)
+				t.Fatalf("list:\ngot  %+v, %v\nwant %+v", list, err, c.list)
 			}
 			update, err := newGoldenConverter().Convert(list)
 			if err != nil || !reflect.DeepEqual(update, c.update) {
-				t.Errorf("got  %+v, %v\nwant %+v", update, err, c.update)
+				t.Errorf("update:\ngot  %+v, %v\nwant %+v", update, err, c.update)
 			}
 		})
 	}
 }
 
-// Lists are written too: an old process hands its cached list to the new one.
+// Lists are encoded, too: an old process passes its cached list to the new one.
 func TestListGoldenWritten(t *testing.T) {
 	var got []goldentest.Entry
 	for _, c := range goldenLists() {
@@ -106,7 +106,7 @@
 				_, err = newGoldenConverter().Convert(list)
 			}
 			if err == nil {
-				t.Errorf("accepted %s", data)
+				t.Errorf("Parse and Convert accepted %s, want an error", data)
 			}
 		})
 	}
@@ -130,7 +130,7 @@
 		}()
 		conn := &discoveryConn{client, http1.NewReader(failedRead{}, maxListBytes)}
 		if _, err := conn.roundTrip("127.0.0.1:9400", c.request); err == nil {
-			t.Errorf("%s: got a response without a server", c.name)
+			t.Errorf("%s: got a response, want an error, as there is no server", c.name)
 		}
 		_ = client.Close()
 		got = append(got, goldentest.Entry{Name: c.name, Data: <-done})
@@ -138,23 +138,24 @@
 	goldentest.CheckEntries(t, "requests.txt", got)
 }
 
-// failedRead is a connection whose server never answers.
+// failedRead is the read side of a connection that ends without a response.
 type failedRead struct{}
 
 func (failedRead) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// receive returns the next value, and fails the test after 10 s without one.
+// receive returns the next value of a channel. It fails the test if there is none for 10 s.
 func receive[T any](t *testing.T, c <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
 	case <-time.After(10 * time.Second):
-		t.Fatal("received nothing for 10 s")
+		t.Fatal("received no value within 10 s")
 	}
 	return v
 }
 
-// A watch from the cached list through the golden ones: the updates of the core, and the requests.
+// A watch that starts from a cached list and receives the golden lists passes the expected updates to the core and
+// sends the golden requests.
 func TestWatchGolden(t *testing.T) {
 	targets, answers := make(chan string, 16), make(chan string, 16)
 	defer close(answers)
--- a/internal/endpoints/broadcast.go
+++ b/internal/endpoints/broadcast.go
@@ -9,18 +9,18 @@
 	"linkpass/internal/eventlog"
 )
 
-// broadcastTimeout bounds one call of a BroadcastFunc.
+// broadcastTimeout limits one call of a BroadcastFunc.
 const broadcastTimeout = 300 * time.Millisecond
 
-// toBroadcast returns the requests that the other instances must receive.
+// toBroadcast returns the requests that the other instances must receive: the pending and the recent ones.
 func (r *Registry) toBroadcast() []restriction.Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.recent.appendTo(r.pending.List())
 }
 
-// broadcast sends another instance the requests that it has not acknowledged, and brings acknowledged up to
-// date: it has the given requests only.
+// broadcast sends another instance those of the requests that it has not acknowledged. Afterwards acknowledged has the
+// ids of the given requests that the instance has received, and no others.
 func (r *Registry) broadcast(ctx context.Context, id string, send BroadcastFunc, requests []restriction.Request,
 	acknowledged map[restriction.ID]bool) {
 	var unacknowledged, known []restriction.Request
@@ -53,7 +53,7 @@
 // propose proposes pending requests to the log, if this instance leads it.
 func (r *Registry) propose(ctx context.Context, requests []restriction.Request) {
 	r.mu.Lock()
-	log := r.log // attached: there are no requests before
+	log := r.log // not nil: there are no requests before Attach
 	r.mu.Unlock()
 	if !log.IsLeader() {
 		return
@@ -63,7 +63,7 @@
 		result, err := log.Propose(ctx, command)
 		if err != nil {
 			r.cfg.Counters.Add("restrictions_not_proposed", 1)
-			return // no quorum at present: the worker retries
+			return // there is no quorum at present; the worker retries
 		}
 		if result.Reason != config.Applied && result.Reason != config.AlreadySettled {
 			eventlog.RestrictionRejected.Log(request.ID, request.Server, request.Level, string(result.Reason))
--- a/internal/endpoints/config.go
+++ b/internal/endpoints/config.go
@@ -13,17 +13,18 @@
 // received them.
 type BroadcastFunc = func(context.Context, []restriction.Request) error
 
-// Config is what a Registry depends on. All fields but Broadcast are required.
+// Config has the settings and dependencies of a Registry. All fields but Broadcast are required.
 type Config struct {
 	// InstanceID is the id of this instance.
 	InstanceID string
-	// Incarnation is that of this process; it grows from each process of the instance to the next.
+	// Incarnation is the number of this process; each process of an instance has a greater one than the process before.
 	Incarnation uint64
 	// OnUpdate receives the updates of the merged list, one at a time and in order. It must not call the Registry.
 	OnUpdate func(coordinator.EndpointUpdate)
-	// ResolveEndpoint returns the endpoint of a server that a command added.
+	// ResolveEndpoint returns the endpoint of a server that a command of the log added.
 	ResolveEndpoint func(id string, spec config.ServerSpec) (coordinator.Endpoint, error)
-	// Broadcast has a function for each other instance, by id.
+	// Broadcast has a function for each other instance, by the instance's id. It is nil if there are none.
 	Broadcast map[string]BroadcastFunc
-	Counters  *metrics.Counters
+	// Counters counts the restrictions that are issued, received, not acknowledged and not proposed.
+	Counters *metrics.Counters
 }
--- a/internal/endpoints/doc.go
+++ b/internal/endpoints/doc.go
@@ -1,8 +1,8 @@
-// Package endpoints keeps an instance's list of servers: discovery's, merged with the overrides that the
-// replicated log holds and with the restrictions that are still pending.
+// Package endpoints keeps an instance's list of servers: the list of discovery, merged with the overrides in the
+// replicated log and with the restrictions that are still pending.
 //
-// A restriction takes effect here as soon as it is issued or received. A worker for each other instance
-// broadcasts it beside the log, and the leader proposes it until the log has settled it; so a drain needs no
-// majority. The package owns the pending restrictions, the merged list and those workers. It decides nothing
-// that internal/config does not decide, and keeps nothing on disk.
+// A restriction takes effect here as soon as it is issued or received. Besides the log, a worker for each other
+// instance broadcasts it directly, so that a drain needs no majority; the leader proposes it until the log has
+// settled it. The package owns the pending restrictions, the merged list and those workers. All decisions are
+// internal/config's, and nothing is stored on disk.
 package endpoints
--- a/internal/endpoints/errors.go
+++ b/internal/endpoints/errors.go
@@ -10,8 +10,8 @@
 // ErrStoreNotReady means that the replicated store is not open yet.
 var ErrStoreNotReady = errors.New("endpoints: the replicated store is not open yet")
 
-// RejectedError is a command that the log rejected, or would reject.
+// RejectedError reports a command that the log rejected, or would reject in its present state.
 type RejectedError struct{ config.Result }
 
-// Error implements error with the reason and the detail of the result.
+// Error returns the reason and the detail of the result.
 func (e *RejectedError) Error() string { return fmt.Sprintf("%s: %s", e.Reason, e.Detail) }
--- a/internal/endpoints/network_test.go
+++ b/internal/endpoints/network_test.go
@@ -23,15 +23,15 @@
 
 var errLost = errors.New("lost")
 
-// network is three instances whose messages are lost, late, repeated and out of order, by a seed; links may be
-// blocked in one direction alone. The log is one list: the first instance leads it while it reaches another in
-// both directions.
+// network simulates three instances and the links between them. Messages are lost, delayed, repeated and reordered at
+// random, from a seed; a link may be blocked in one direction only. The log is a single list. Its leader is the first
+// instance, which can commit while it reaches another instance in both directions.
 type network struct {
 	nodes [instances]*Registry
 
-	mu        sync.Mutex
-	rng       *rand.Rand
-	links     [instances][instances]*rand.Rand // of each direction, so that the draws of one do not depend on the others
+	mu        sync.Mutex                       // guards the fields below
+	rng       *rand.Rand                       // draws the blocked links and the instance that issues a drain
+	links     [instances][instances]*rand.Rand // one for each direction, so that its draws do not depend on other links
 	blocked   [instances][instances]bool
 	log       []config.Command
 	states    [instances]*config.State
@@ -49,7 +49,7 @@
 	return n
 }
 
-// addNode adds an instance to which discovery has listed all servers.
+// addNode adds an instance whose list from discovery has all servers.
 func (n *network) addNode(seed uint64, i int) {
 	n.states[i], _ = config.NewState(&searchconfig.Config{}).Apply(n.log[0])
 	n.endpoints[i] = map[string]routing.EndpointState{}
@@ -67,7 +67,7 @@
 		Broadcast:   broadcast,
 		OnUpdate:    func(update coordinator.EndpointUpdate) { n.setEndpoints(i, update.Endpoints) },
 		ResolveEndpoint: func(string, config.ServerSpec) (coordinator.Endpoint, error) {
-			return coordinator.Endpoint{}, errors.New("no server was added")
+			return coordinator.Endpoint{}, errors.New("ResolveEndpoint called, but no command added a server")
 		},
 	})
 	n.nodes[i].Attach(nodeLog{n, i})
@@ -87,14 +87,14 @@
 	}
 }
 
-// serverState is the state of a server in an instance's list.
+// serverState returns the state of a server in an instance's list.
 func (n *network) serverState(i int, server string) routing.EndpointState {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.endpoints[i][server]
 }
 
-// blockLinks blocks links at random, and draws an instance.
+// blockLinks blocks links at random, and picks an instance at random.
 func (n *network) blockLinks() (at int, blocked [instances][instances]bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -135,7 +135,7 @@
 	return func(ctx context.Context, requests []restriction.Request) error {
 		if n.chance(i, j, 0.3) {
 			late := n.delay(i, j)
-			go func() { // a copy that overtakes others or is overtaken; the test's bubble waits for it
+			go func() { // a copy that may arrive out of order; synctest.Test waits for this goroutine
 				time.Sleep(late)
 				_ = n.nodes[j].ReceiveRestrictions("late", requests)
 			}()
@@ -144,7 +144,7 @@
 			return err
 		}
 		if !n.connected(j, i) || n.chance(i, j, 0.2) {
-			return errLost // received, but the acknowledgement is lost
+			return errLost // the requests were received, but the acknowledgement is lost
 		}
 		return nil
 	}
@@ -162,7 +162,8 @@
 	return n.nodes[j].ReceiveRestrictions(fmt.Sprint("n", i), requests)
 }
 
-// replicate lets the instances that the leader reaches apply the log, and returns the last result at the leader.
+// replicate applies the log at each instance that the leader reaches in both directions, and returns the last result at
+// the leader.
 func (n *network) replicate() config.Result {
 	var last config.Result
 	for i := range instances {
@@ -177,7 +178,8 @@
 	return last
 }
 
-// applyLog applies what an instance lacks of the log, and returns the last result if there was any.
+// applyLog applies the commands of the log that an instance has not applied, and returns the last result if there are
+// any.
 func (n *network) applyLog(i int) (last config.Result, applied bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -188,7 +190,7 @@
 	return last, applied
 }
 
-// commit appends a command to the log if the leader reaches a majority.
+// commit appends a command to the log if the leader reaches a majority in both directions.
 func (n *network) commit(c config.Command) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -201,7 +203,7 @@
 	return errLost
 }
 
-// nodeLog is the log as an instance sees it.
+// nodeLog is the ReplicatedLog of one instance.
 type nodeLog struct {
 	n  *network
 	id int
--- a/internal/endpoints/recent_requests.go
+++ b/internal/endpoints/recent_requests.go
@@ -7,11 +7,11 @@
 	"linkpass/internal/config/restriction"
 )
 
-// recentFor is how long a request is broadcast although the log has settled it here.
+// recentFor is how long after its issue or receipt a request is broadcast even if the log has settled it here.
 const recentFor = 10 * time.Second
 
-// recentRequests are requests that were issued or received a moment ago. They are broadcast even after the log
-// has settled them here: another instance may be reachable and yet be far behind in the log.
+// recentRequests has the requests that were issued or received in the last recentFor. They are broadcast even after
+// the log has settled them here, because another instance may be reachable and yet be far behind in the log.
 type recentRequests map[restriction.ID]recentRequest
 
 type recentRequest struct {
@@ -19,7 +19,8 @@
 	until   time.Time
 }
 
-// add remembers a request. Past the limit it is dropped, and broadcast only while it is pending.
+// add adds a request. Beyond restriction.MaxPending requests it drops the request, which is then broadcast only while
+// it is pending.
 func (r recentRequests) add(request restriction.Request) {
 	now := time.Now()
 	maps.DeleteFunc(r, func(_ restriction.ID, recent recentRequest) bool { return recent.until.Before(now) })
@@ -28,7 +29,7 @@
 	}
 }
 
-// appendTo appends the requests that have not expired and are not in the list yet.
+// appendTo appends to requests the recent ones that have not expired and are not in it yet.
 func (r recentRequests) appendTo(requests []restriction.Request) []restriction.Request {
 	listed := make(map[restriction.ID]bool, len(requests))
 	for _, request := range requests {
--- a/internal/endpoints/registry.go
+++ b/internal/endpoints/registry.go
@@ -19,16 +19,16 @@
 	broadcasters []*worker // one for each other instance
 	proposer     *worker
 
-	mu        sync.Mutex // guards what follows, and orders the calls of OnUpdate
+	mu        sync.Mutex // guards the fields below, and orders the calls of OnUpdate
 	pending   *restriction.PendingSet
 	merger    *endpointmerge.Merger
-	log       ReplicatedLog // nil: not open yet
-	announced map[string]endpointmerge.Override
+	log       ReplicatedLog                     // nil until Attach
+	announced map[string]endpointmerge.Override // by server: those last given to the merger, without empty ones
 	recent    recentRequests
 }
 
-// New returns a Registry without endpoints. It accepts restrictions after Attach, and broadcasts and proposes
-// them in Run.
+// New returns a Registry without endpoints. It accepts restrictions once Attach has been called, and broadcasts and
+// proposes them while Run runs.
 func New(c Config) *Registry {
 	origin := restriction.Origin{Instance: c.InstanceID, Incarnation: c.Incarnation}
 	r := &Registry{
@@ -50,7 +50,8 @@
 }
 
 // Run broadcasts and proposes until the context ends, and returns when all workers have ended. Each other
-// instance has a worker of its own, so that one that hangs does not delay the others. Run must be called once.
+// instance has a worker of its own, so that an instance that does not answer delays no other. Run must be called only
+// once.
 func (r *Registry) Run(ctx context.Context) {
 	var workers sync.WaitGroup
 	for _, w := range r.broadcasters {
@@ -60,7 +61,7 @@
 	workers.Wait()
 }
 
-// Attach gives the Registry the replicated log, which must be open.
+// Attach sets the replicated log, which must be open, and applies the overrides in it.
 func (r *Registry) Attach(log ReplicatedLog) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -75,7 +76,8 @@
 	r.cfg.OnUpdate(r.merger.ApplyDiscovery(update))
 }
 
-// LogApplied must be called after the log was applied further.
+// LogApplied must be called each time the instance has applied more of the log. It drops the pending requests that the
+// log has settled, and applies the changed overrides. Before Attach it does nothing.
 func (r *Registry) LogApplied() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -86,9 +88,9 @@
 	r.announce(nil)
 }
 
-// Restrict takes a server out of service: here at once, at other instances as soon as they receive the request,
-// and for good once the log has settled it. What the log would reject in its present state gives a
-// RejectedError.
+// Restrict takes a server out of service: at this instance at once, at the others as soon as they receive the request,
+// and permanently once the log has settled it. The error is a *RejectedError if the log would reject the request in its
+// present state, and ErrStoreNotReady before Attach.
 func (r *Registry) Restrict(server string, level restriction.Level, force bool) (restriction.Request, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -115,8 +117,9 @@
 	return request, nil
 }
 
-// checkRestriction applies a restriction to a copy of the state. Its id is of a later incarnation, so that it
-// cannot be settled. Before the first settings the log cannot decide, and the request stays pending.
+// checkRestriction returns a *RejectedError if the log would reject a restriction in this state. The request that it
+// tries has the id of a later incarnation, which cannot be settled yet. Before the first settings are in the log, the
+// log cannot decide; the restriction is then allowed, and its request stays pending.
 func (r *Registry) checkRestriction(state *config.State, server string, level restriction.Level, force bool) error {
 	origin := restriction.Origin{Instance: r.cfg.InstanceID, Incarnation: r.cfg.Incarnation + 1}
 	request := restriction.Request{
@@ -132,7 +135,8 @@
 	return nil
 }
 
-// ReceiveRestrictions adds requests that another instance broadcast.
+// ReceiveRestrictions adds requests that another instance, from, has broadcast. They take effect here at once. Before
+// Attach it fails with ErrStoreNotReady.
 func (r *Registry) ReceiveRestrictions(from string, requests []restriction.Request) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -166,8 +170,8 @@
 	r.proposer.notify()
 }
 
-// announce passes on the overrides that have changed: of these servers and of all that have an override or had
-// one. The caller must hold the mutex.
+// announce passes the overrides that have changed to the merger, and the update that results to OnUpdate. It looks at
+// the named servers and at all that have an override or had one. The caller must hold the mutex.
 func (r *Registry) announce(names []string) {
 	state := r.log.State()
 	names = append(names, state.ServerIDs()...)
@@ -194,7 +198,7 @@
 	}
 }
 
-// override returns what is in effect here for a server. The caller must hold the mutex.
+// override returns the override of a server that is in effect here. The caller must hold the mutex.
 func (r *Registry) override(state *config.State, name string) endpointmerge.Override {
 	server, _ := state.Server(name)
 	override := endpointmerge.Override{Restriction: r.pending.Effective(state, name), Weight: server.Weight}
--- a/internal/endpoints/registry_test.go
+++ b/internal/endpoints/registry_test.go
@@ -13,9 +13,9 @@
 	"linkpass/internal/routing"
 )
 
-// Whatever the network does, a drain is in effect at once where it is issued, and within a second wherever a
-// link leads to directly; after the network has recovered, every request is settled and all instances are in
-// the same state.
+// A drain takes effect at once at the instance where it is issued, and within a second at each instance to which the
+// link from there is not blocked, even if the log has no majority. After the links have recovered, every request is
+// settled and all instances have the same state.
 func TestDrainReachesReachableInstancesOverFaultyNetwork(t *testing.T) {
 	_ = eventlog.SetLevel("store", "off")
 	defer func() { _ = eventlog.SetLevel("store", "info") }()
@@ -42,7 +42,7 @@
 	}
 }
 
-// checkDrain drains a server somewhere while some links are blocked.
+// checkDrain drains a server at a random instance while random links are blocked, and checks where it drains.
 func checkDrain(t *testing.T, n *network, server string) {
 	t.Helper()
 	at, blocked := n.blockLinks()
@@ -50,17 +50,18 @@
 		t.Fatal(err)
 	}
 	if n.serverState(at, server) != routing.Draining {
-		t.Fatalf("%s does not drain at n%d, where the drain was issued", server, at)
+		t.Fatalf("%s is not draining at n%d, where the drain was issued", server, at)
 	}
 	time.Sleep(time.Second)
 	for j := range instances {
 		if !blocked[at][j] && n.serverState(j, server) != routing.Draining {
-			t.Errorf("n%d is reachable from n%d and does not drain %s after a second", j, at, server)
+			t.Errorf("n%d, which is reachable from n%d, does not drain %s 1 s after the drain was issued", j, at, server)
 		}
 	}
 }
 
-// checkConverged checks that all requests are settled, all instances in one state, and all servers draining.
+// checkConverged checks that all requests are settled, that all instances have the same state, and that all servers
+// are draining.
 func checkConverged(t *testing.T, n *network) {
 	t.Helper()
 	first := ""
@@ -70,16 +71,16 @@
 			t.Error(err)
 		}
 		if pending := node.PendingRestrictions(); len(pending) > 0 {
-			t.Errorf("n%d has %v pending", i, pending)
+			t.Errorf("n%d has the pending requests %v, want none", i, pending)
 		}
 		if i == 0 {
 			first = hash
 		} else if hash != first {
-			t.Errorf("n%d is in state %s, n0 in %s", i, hash, first)
+			t.Errorf("state hash of n%d = %s, want %s, that of n0", i, hash, first)
 		}
 		for s := range servers {
 			if server := fmt.Sprint("s", s); n.serverState(i, server) != routing.Draining {
-				t.Errorf("%s does not drain at n%d in the end", server, i)
+				t.Errorf("%s is not draining at n%d after the links have recovered", server, i)
 			}
 		}
 	}
--- a/internal/endpoints/replicated_log.go
+++ b/internal/endpoints/replicated_log.go
@@ -6,11 +6,12 @@
 	"linkpass/internal/config"
 )
 
-// ReplicatedLog is what a Registry needs of the replicated store.
+// ReplicatedLog is the part of the replicated store that a Registry uses.
 type ReplicatedLog interface {
 	// State returns the state that this instance has applied.
 	State() *config.State
+	// IsLeader reports whether this instance leads the log.
 	IsLeader() bool
-	// Propose returns the result of a command, or an error if no quorum is known to have committed it.
+	// Propose returns the result of a command, or an error if it is not known that a quorum has committed it.
 	Propose(context.Context, config.Command) (config.Result, error)
 }
--- a/internal/endpoints/wire_golden_test.go
+++ b/internal/endpoints/wire_golden_test.go
@@ -14,16 +14,16 @@
 	"linkpass/internal/searchconfig"
 )
 
-// followerLog is the log of an instance that is not the leader.
+// followerLog is the ReplicatedLog of an instance that is not the leader. Its state does not change.
 type followerLog struct{ state *config.State }
 
 func (l followerLog) State() *config.State { return l.state }
 func (followerLog) IsLeader() bool         { return false }
 func (followerLog) Propose(context.Context, config.Command) (config.Result, error) {
-	panic("a follower got a proposal")
+	panic("Propose called on a follower")
 }
 
-// newInstance is the registry of an instance that is not the leader, with two servers in its replicated state.
+// newInstance returns the registry of an instance that is not the leader and has two servers in its replicated state.
 func newInstance(t *testing.T, name string, incarnation uint64) *Registry {
 	t.Helper()
 	state, r := config.NewState(&searchconfig.Config{}).Apply(config.Command{
@@ -56,10 +56,10 @@
 	return registry
 }
 
-// goldenOrigin is the instance "a" in its one incarnation.
+// goldenOrigin is the instance "a" in its only incarnation.
 var goldenOrigin = restriction.Origin{Instance: "a", Incarnation: 1764652800123456789}
 
-// goldenRequests are restrictions that instance "a" has issued, as its calls to the others carry them.
+// goldenRequests are the restriction requests of instance "a" that the golden file holds in their wire format.
 var goldenRequests = []restriction.Request{
 	{
 		ID:     restriction.ID{Origin: goldenOrigin, Seq: 1},
@@ -76,7 +76,7 @@
 
 func TestRequestsGolden(t *testing.T) { goldentest.JSON(t, "orders_request.json", goldenRequests) }
 
-// An instance broadcasts the restrictions that it issues in the golden form.
+// The restrictions that an instance issues are broadcast in the format of the golden file.
 func TestBroadcastRequestsGolden(t *testing.T) {
 	a := newInstance(t, goldenOrigin.Instance, goldenOrigin.Incarnation)
 	for _, request := range goldenRequests {
@@ -92,11 +92,11 @@
 	}
 	a.broadcast(context.Background(), "b", send, a.toBroadcast(), map[restriction.ID]bool{})
 	if calls != 1 {
-		t.Errorf("%d calls", calls)
+		t.Errorf("%d calls of the broadcast function, want 1", calls)
 	}
 }
 
-// Another instance receives the golden requests and keeps all of them pending.
+// An instance that receives the requests of the golden file has all of them pending.
 func TestReceiveGoldenRequests(t *testing.T) {
 	b := newInstance(t, "b", 5)
 	var requests []restriction.Request
@@ -107,6 +107,6 @@
 		t.Fatal(err)
 	}
 	if got := b.PendingRestrictions(); !reflect.DeepEqual(got, goldenRequests) {
-		t.Errorf("got %+v, want %+v", got, goldenRequests)
+		t.Errorf("pending requests = %+v, want %+v", got, goldenRequests)
 	}
 }
--- a/internal/endpoints/worker.go
+++ b/internal/endpoints/worker.go
@@ -7,17 +7,17 @@
 	"linkpass/internal/config/restriction"
 )
 
-// The pause between two attempts. The first are short, because a drain must reach the other instances within a
-// second; the later ones are long, because a partition may last for hours.
+// The pause between two attempts of a worker. It is short after the first shortAttempts, because a drain must reach the
+// other instances within a second, and long after later ones, because a partition may last for hours.
 const (
 	shortPause    = 25 * time.Millisecond
 	longPause     = 400 * time.Millisecond
 	shortAttempts = 20
 )
 
-// worker repeats an action while there are requests for it, and sleeps otherwise.
+// worker calls handle repeatedly while there are requests, and waits for notify while there are none.
 type worker struct {
-	wake     chan struct{} // has room for one; never closed
+	wake     chan struct{} // capacity 1; never closed
 	requests func() []restriction.Request
 	handle   func(context.Context, []restriction.Request)
 }
@@ -26,7 +26,8 @@
 	return &worker{wake: make(chan struct{}, 1), requests: requests, handle: handle}
 }
 
-// notify wakes the worker. It does not block: one pending wake-up stands for all.
+// notify wakes the worker and makes its pauses short again. It does not block: if a wake-up is pending already, another
+// one is not needed.
 func (w *worker) notify() {
 	select {
 	case w.wake <- struct{}{}:
@@ -34,7 +35,7 @@
 	}
 }
 
-// run works until the context ends.
+// run handles requests until the context ends.
 func (w *worker) run(ctx context.Context) {
 	for attempts := 0; ; attempts++ {
 		var retry <-chan time.Time
--- a/internal/handover/follower.go
+++ b/internal/handover/follower.go
@@ -7,7 +7,7 @@
 	"linkpass/internal/eventlog"
 )
 
-// follow makes this process a follower; mu is locked.
+// follow makes this process a follower of the leader at the other end of a connection. The caller must hold the mutex.
 func (g *Group) follow(leader net.Conn) {
 	g.leader = leader
 	g.onShare(Share{Processes: 2, MaxOpen: g.maxOpen / 2}) // until the leader's first message
@@ -20,7 +20,7 @@
 	})
 }
 
-// receiveShares applies the leader's messages until the leader ends.
+// receiveShares applies the leader's messages until the connection ends or a message is invalid.
 func (g *Group) receiveShares(leader net.Conn) {
 	reader := bufio.NewReader(leader)
 	for {
--- a/internal/handover/group.go
+++ b/internal/handover/group.go
@@ -1,9 +1,9 @@
-// Package handover makes the processes of one coordinator share one set of limits while they run at the same time, as
-// one version takes over from another.
+// Package handover divides one set of limits between the processes of one coordinator while they run at the same time,
+// because one version is taking over from another.
 //
-// The processes form a group through a Unix socket. The one that listens there is the leader and sends each follower its
-// share; when the leader ends, a follower takes its place. The package owns the socket and computes the shares. It does
-// not apply them: each process does that itself, in the callback that it joins with.
+// The processes form a group through a Unix socket. The process that listens on it is the leader and sends each
+// follower its share; when the leader ends, a follower takes its place. The package owns the socket and computes the
+// shares. It does not apply them: each process does that itself, in the callback that it passes to Join.
 package handover
 
 import (
@@ -16,26 +16,27 @@
 	"syscall"
 )
 
-// Group is this process's membership in the group of a coordinator's processes.
+// Group is the group of a coordinator's processes, as seen by this process.
 type Group struct {
 	path    string // of the socket
-	maxOpen int    // of all processes together
+	maxOpen int    // limit of all processes together on queries and shard requests in flight; 0 or less: no limit
 	onShare func(Share)
 
-	mu        sync.Mutex // guards the fields below
-	listener  net.Listener
-	leader    net.Conn          // nil: this process leads
-	followers map[net.Conn]bool // of a leader
-	retiring  bool              // this process accepts nothing more
-	retained  int               // what it had in flight when it began to retire
+	mu        sync.Mutex        // guards the fields below
+	listener  net.Listener      // nil while this process is a follower
+	leader    net.Conn          // connection to the leader; nil while this process is the leader
+	followers map[net.Conn]bool // connections to the followers; empty while this process is a follower
+	retiring  bool              // this process accepts no more queries
+	retained  int               // queries and shard requests in flight when it began to retire
 	closed    bool
 
 	wg sync.WaitGroup // of all goroutines
 }
 
-// Join joins the group of a coordinator's processes, which use a directory together. It calls onShare with the first
-// share before it returns and, from another goroutine, with each later one; onShare must not call the group.
-// After an error this process is alone in the group, which must be closed all the same.
+// Join joins the group of the processes of the coordinator of this name, which have the directory in common. It calls
+// onShare with the first share before it returns and, from other goroutines, with each later one; onShare must not call
+// the group. If Join fails, it has not called onShare, and the group that it returns has no other process but must be
+// closed all the same.
 func Join(dir, name string, maxOpen int, onShare func(Share)) (*Group, error) {
 	g := &Group{
 		path:      filepath.Join(dir, "linkpass-"+filepath.Base(name)+".sock"),
@@ -46,7 +47,7 @@
 	return g, g.enter()
 }
 
-// enter follows the group's leader, or becomes it where there is none.
+// enter makes this process a follower of the group's leader, or the leader if there is none.
 func (g *Group) enter() error {
 	unlock, err := lockFile(g.path + ".lock") // of two processes that start at once, the second finds the first listening
 	if err != nil {
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// lockFile waits for the exclusive lock on a file, which it creates where there is none.
+// lockFile waits for an exclusive lock on a file, which it creates if it does not exist.
 func lockFile(path string) (unlock func(), err error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -81,9 +82,9 @@
 	return func() { _ = file.Close() }, nil
 }
 
-// lead makes this process the leader; mu is locked.
+// lead makes this process the leader. The caller must hold the mutex.
 func (g *Group) lead() error {
-	// A process that crashed has left its socket behind.
+	// A process that crashed may have left its socket behind.
 	if err := os.Remove(g.path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
@@ -98,7 +99,8 @@
 	return nil
 }
 
-// Retire records that this process accepts nothing more and has so much in flight: the rest of its share is the others'.
+// Retire records that this process accepts no more queries and has inFlight queries and shard requests in flight. The
+// rest of its share goes to the other processes.
 func (g *Group) Retire(inFlight int) {
 	g.update(func() {
 		g.retiring = true
@@ -106,12 +108,12 @@
 	})
 }
 
-// Close leaves the group and waits for all goroutines.
+// Close leaves the group and waits until all of its goroutines have ended.
 func (g *Group) Close() {
 	g.mu.Lock()
 	g.closed = true
 	if g.listener != nil {
-		_ = g.listener.Close() // removes the socket
+		_ = g.listener.Close() // also removes the socket's file
 	}
 	if g.leader != nil {
 		_ = g.leader.Close()
--- a/internal/handover/group_test.go
+++ b/internal/handover/group_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// process is a member of a group whose shares the test reads.
+// process is one process of a group. The shares that it gets are sent to a channel.
 type process struct {
 	*Group
 	shares chan Share
@@ -23,7 +23,7 @@
 	return process{g, shares}
 }
 
-// awaitShare waits for a share.
+// awaitShare reads shares until it gets the wanted one.
 func (p process) awaitShare(t *testing.T, want Share) {
 	t.Helper()
 	for got := range p.shares {
@@ -33,17 +33,17 @@
 	}
 }
 
-// The shares of all processes sum to the limit at most; a process that is alone has all of it, however the others
-// ended.
+// The shares of all processes together are at most the limit. A process that is alone has the whole limit, also after
+// another process has retired or left.
 func TestSharesSumToLimit(t *testing.T) {
 	dir := t.TempDir()
 	first := join(t, dir)
 	if s := <-first.shares; s != (Share{1, 160}) {
-		t.Fatalf("alone: %+v", s)
+		t.Fatalf("share of a process that is alone = %+v, want %+v", s, Share{1, 160})
 	}
 	second := join(t, dir)
 	if s := <-second.shares; s != (Share{2, 80}) {
-		t.Fatalf("the first share of the second process is %+v", s)
+		t.Fatalf("first share of the second process = %+v, want %+v", s, Share{2, 80})
 	}
 	first.awaitShare(t, Share{2, 80})
 	third := join(t, dir)
@@ -53,7 +53,7 @@
 	third.Close()
 	first.awaitShare(t, Share{2, 80})
 	second.awaitShare(t, Share{2, 80})
-	first.Retire(30) // the rest of its share is the other process's
+	first.Retire(30) // the rest of its share goes to the other process
 	first.awaitShare(t, Share{2, 30})
 	second.awaitShare(t, Share{2, 130})
 	first.Close()
@@ -73,9 +73,9 @@
 	ln.SetUnlinkOnClose(false)
 	ln.Close()
 	if s := <-join(t, dir).shares; s != (Share{1, 160}) {
-		t.Errorf("beside stale files: %+v", s)
+		t.Errorf("share beside a stale socket = %+v, want %+v", s, Share{1, 160})
 	}
 	if _, err := Join(filepath.Join(dir, "none"), "n1", 1, func(Share) {}); err == nil {
-		t.Error("joined in a directory that is not there")
+		t.Error("Join in a directory that does not exist succeeded, want an error")
 	}
 }
--- a/internal/handover/leader.go
+++ b/internal/handover/leader.go
@@ -14,15 +14,15 @@
 		}
 		g.update(func() { g.followers[follower] = true })
 		g.wg.Go(func() {
-			_, _ = bufio.NewReader(follower).ReadByte() // a follower sends nothing: this returns when it ends
+			_, _ = bufio.NewReader(follower).ReadByte() // a follower sends nothing: returns when its connection ends
 			g.update(func() { delete(g.followers, follower) })
 			_ = follower.Close()
 		})
 	}
 }
 
-// update applies a change of the group and notifies all of their shares: this process first, which may have to make room
-// for the others.
+// update applies a change of the group and gives each process its share. This process is first, because it may have to
+// free a part of the limits for the others.
 func (g *Group) update(apply func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -32,18 +32,18 @@
 		g.onShare(own)
 	}
 	for follower := range g.followers {
-		_ = others.write(follower) // acceptFollowers' reader sees that a follower has ended
+		_ = others.write(follower) // if this fails, the read in acceptFollowers ends and removes the follower
 	}
 }
 
-// shares returns the share of this process and that of each follower; mu is locked.
+// shares returns the share of this process and that of each follower. The caller must hold the mutex.
 func (g *Group) shares() (own, others Share) {
 	n := len(g.followers) + 1
 	own = Share{Processes: n, MaxOpen: g.maxOpen / n}
 	others = own
 	unlimited := g.maxOpen <= 0
 	if g.retiring && n > 1 && !unlimited {
-		// A limit of 0 would be none at all.
+		// Shares of at least 1, because 0 means no limit.
 		own.MaxOpen = max(1, g.retained)
 		others.MaxOpen = max(1, (g.maxOpen-g.retained)/(n-1))
 	}
--- a/internal/handover/leader_test.go
+++ b/internal/handover/leader_test.go
@@ -29,7 +29,7 @@
 				g.followers[&net.UnixConn{}] = true
 			}
 			if own, others := g.shares(); own != c.own || others != c.others {
-				t.Errorf("got %+v, %+v; want %+v, %+v", own, others, c.own, c.others)
+				t.Errorf("shares() = %+v, %+v, want %+v, %+v", own, others, c.own, c.others)
 			}
 		})
 	}
--- a/internal/handover/share.go
+++ b/internal/handover/share.go
@@ -6,16 +6,16 @@
 	"io"
 )
 
-// shareFormat is the one message of the protocol, from the leader to a follower. Processes of other versions read it.
+// shareFormat is the protocol's only message, from the leader to a follower. Processes of other versions read it, too.
 const shareFormat = "processes=%d open=%d\n"
 
-// errInvalidShare says that a message is no valid share.
+// errInvalidShare reports a message that is not a valid share.
 var errInvalidShare = errors.New("invalid share")
 
 // Share is the part of the limits that a process may use.
 type Share struct {
-	Processes int // in the group; each has an equal part of memory and descriptors
-	MaxOpen   int // queries and shard requests that this one may have in flight
+	Processes int // number in the group; each may use an equal part of the memory and the file descriptors
+	MaxOpen   int // queries and shard requests that this process may have in flight; 0: no limit
 }
 
 // write sends a share to a follower.
@@ -24,7 +24,8 @@
 	return err
 }
 
-// parseShare decodes a message of the leader, which has a follower and so at least two processes.
+// parseShare decodes a message of the leader. Fewer than two processes are invalid: the leader and the follower that
+// reads the message are in the group.
 func parseShare(message string) (Share, error) {
 	var s Share
 	if _, err := fmt.Sscanf(message, shareFormat, &s.Processes, &s.MaxOpen); err != nil {
--- a/internal/handover/share_test.go
+++ b/internal/handover/share_test.go
@@ -24,14 +24,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			got, err := parseShare(c.message)
 			if got != c.want || !errors.Is(err, c.err) {
-				t.Fatalf("got %+v, %v; want %+v, %v", got, err, c.want, c.err)
+				t.Fatalf("parseShare(%q) = %+v, %v, want %+v, %v", c.message, got, err, c.want, c.err)
 			}
 			if err != nil {
 				return
 			}
 			var encoded bytes.Buffer
 			if err := got.write(&encoded); err != nil || encoded.String() != c.message {
-				t.Errorf("encoded again: %q, %v", &encoded, err)
+				t.Errorf("encoded again: %q, %v, want %q", &encoded, err, c.message)
 			}
 		})
 	}
--- a/internal/handover/wire_golden_test.go
+++ b/internal/handover/wire_golden_test.go
@@ -13,9 +13,9 @@
 	"linkpass/internal/goldentest"
 )
 
-const ioTimeout = 10 * time.Second // ends a test that hangs; nothing is asserted on it
+const ioTimeout = 10 * time.Second // ends a test that hangs; no check depends on it
 
-// dialLeader connects to the leader process as another version of the program would: by the socket's name.
+// dialLeader connects to the leader through the name of its socket, as a process of another version does.
 func dialLeader(t *testing.T, dir string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	nc, err := net.Dial("unix", filepath.Join(dir, "linkpass-n1.sock"))
@@ -39,8 +39,8 @@
 	return line
 }
 
-// The golden files hold every message that the first and the second follower read, in order: the second joins,
-// the leader begins to drain with 30 open, and the second leaves.
+// The golden files hold all messages that the first and the second follower read, in order: the first joins, the second
+// joins, the leader retires with 30 in flight, and the second leaves.
 func TestLeaderMessagesGolden(t *testing.T) {
 	dir := t.TempDir()
 	leader := join(t, dir)
@@ -59,13 +59,13 @@
 	first.WriteString(readLine(t, r1))
 	leader.Close()
 	if rest, err := io.ReadAll(r1); err != nil || len(rest) > 0 {
-		t.Errorf("after the leader closed: %q, %v", rest, err)
+		t.Errorf("messages after the leader closed = %q, %v, want none", rest, err)
 	}
 	goldentest.Bytes(t, "eldest_to_first.txt", first.Bytes())
 	goldentest.Bytes(t, "eldest_to_second.txt", second.Bytes())
 }
 
-// goldenMessages are the messages of a golden file, one a line.
+// goldenMessages returns the messages of a golden file, which has one on each line.
 func goldenMessages(t *testing.T, file string) []string {
 	t.Helper()
 	return strings.Split(strings.TrimSuffix(string(goldentest.Read(t, file)), "\n"), "\n")
@@ -79,7 +79,7 @@
 	{Processes: 2, MaxOpen: 130},
 }
 
-// A follower reads its share from the golden messages and sends nothing itself.
+// A follower reads its share from each golden message and sends nothing to the leader.
 func TestFollowerReadsGoldenMessages(t *testing.T) {
 	dir := t.TempDir()
 	ln, err := net.Listen("unix", filepath.Join(dir, "linkpass-n1.sock"))
@@ -96,7 +96,7 @@
 		t.Fatal(err)
 	}
 	if s := <-follower.shares; s != (Share{Processes: 2, MaxOpen: 80}) {
-		t.Errorf("share before the first message: %+v", s)
+		t.Errorf("share before the first message = %+v, want %+v", s, Share{Processes: 2, MaxOpen: 80})
 	}
 	messages := goldenMessages(t, "eldest_to_first.txt")
 	if len(messages) != len(goldenShares) {
@@ -107,13 +107,13 @@
 			t.Fatal(err)
 		}
 		if s := <-follower.shares; s != goldenShares[i] {
-			t.Errorf("%q: share %+v, want %+v", message, s, goldenShares[i])
+			t.Errorf("share after the message %q = %+v, want %+v", message, s, goldenShares[i])
 		}
 	}
-	_ = ln.Close() // so that the follower becomes the leader instead of connecting again
+	_ = ln.Close() // the follower must not connect to it again, but become the leader
 	go follower.Close()
 	if sent, err := io.ReadAll(nc); err != nil || len(sent) > 0 {
-		t.Errorf("the follower sent %q, %v", sent, err)
+		t.Errorf("the follower sent %q, %v, want nothing", sent, err)
 	}
 	_ = nc.Close()
 }
--- a/internal/lifecycle/component.go
+++ b/internal/lifecycle/component.go
@@ -6,22 +6,24 @@
 	"time"
 )
 
-// Component is one subsystem of a program. A hook that is nil is skipped.
+// Component is one subsystem of a program. Start, Run and Stop may be nil; they are then skipped.
 type Component struct {
-	Name      string
+	Name      string   // unique in the group
 	DependsOn []string // names of components that precede this one in the group
-	Deferred  bool     // started by StartDeferred, or by Start with deferred set
-	// Start acquires what the component owns: addresses, files. If it fails it releases what it has acquired.
+	Deferred  bool     // not started by Start(false), but by StartDeferred or Start(true)
+	// Start acquires the component's resources, such as addresses and files. If it fails, it must release those that it
+	// has acquired.
 	Start func() error
 	// Run works until the context ends.
 	Run func(context.Context)
-	// Stop releases what Start acquired. Run has returned by then, or has exceeded StopTimeout.
+	// Stop releases what Start acquired. It is called once Run has returned, and not if Run exceeds StopTimeout.
 	Stop func() error
-	// StopTimeout bounds the end of Run and Stop together; 0: DefaultStopTimeout.
+	// StopTimeout limits how long the return of Run and the call of Stop take together; 0 or less is
+	// DefaultStopTimeout.
 	StopTimeout time.Duration
 }
 
-// DefaultStopTimeout bounds the stop of a component that sets no StopTimeout.
+// DefaultStopTimeout is the StopTimeout of a component that sets none.
 const DefaultStopTimeout = 5 * time.Second
 
 // ErrStopTimeout reports that a component did not stop within its StopTimeout.
--- a/internal/lifecycle/group.go
+++ b/internal/lifecycle/group.go
@@ -1,6 +1,6 @@
-// Package lifecycle starts, runs and stops the components of a program. It owns the order: a component starts after
-// those it depends on, and all stop in reverse order; a start that fails is undone. It does not restart a component
-// whose Run returns, and it knows nothing of what a component does.
+// Package lifecycle starts, runs and stops the components of a program in order: a component starts after those it
+// depends on, and all stop in reverse order. If a component fails to start, those started before it are stopped. The
+// package does not restart a component whose Run returns, and it does not depend on what a component does.
 package lifecycle
 
 import (
@@ -10,15 +10,15 @@
 	"slices"
 )
 
-// Group is the ordered list of a program's components. It does no locking: its callers make one call at a time.
+// Group is the ordered list of a program's components. It is not safe for concurrent use.
 type Group struct {
 	components []*running
-	running    bool
-	ctx        context.Context // Run's: a component that starts later runs under it too
+	running    bool            // Run was called, and Stop has not been called since
+	ctx        context.Context // given to Run; a component that starts later runs under it too
 }
 
-// New makes a group that starts components in the given order. A duplicate name, and a dependency that does not
-// precede its dependent, are errors.
+// New returns a group that starts components in the given order. It fails if a name is duplicate, or if a dependency
+// does not precede the component that depends on it.
 func New(components ...Component) (*Group, error) {
 	g := &Group{}
 	for _, c := range components {
@@ -43,8 +43,9 @@
 	return g.components[i]
 }
 
-// Start starts, in order, every component that is not started yet; the deferred ones only if deferred is set. If one
-// fails, those that this call has started are stopped in reverse order, and the error names the component.
+// Start starts, in order, every component that is not started yet; the deferred ones only if deferred is true. If one
+// fails to start, those that this call has started are stopped in reverse order, and the error names the one that
+// failed.
 func (g *Group) Start(deferred bool) error {
 	var started []*running
 	for _, r := range g.components {
@@ -53,7 +54,7 @@
 		}
 		if err := r.start(g); err != nil {
 			for _, s := range slices.Backward(started) {
-				_ = s.stop() // the first error is the cause; this one would only hide it
+				_ = s.stop() // its error is dropped: only the start's error tells the cause
 			}
 			return fmt.Errorf("%s: %w", r.Name, err)
 		}
@@ -62,8 +63,8 @@
 	return nil
 }
 
-// StartDeferred starts the deferred components while the others run. A failure is reported to onError and affects
-// no other component, as the program goes on without the one that failed.
+// StartDeferred starts the deferred components while the others run. It reports a component that fails to start to
+// onError; the others are not stopped, because the program continues without the one that failed.
 func (g *Group) StartDeferred(onError func(name string, err error)) {
 	for _, r := range g.components {
 		if !r.Deferred || r.started {
@@ -75,7 +76,7 @@
 	}
 }
 
-// Run runs every started component, and from now on each component as it starts. It does not block.
+// Run runs every started component, and later ones as they start, until ctx ends or Stop is called. It does not block.
 func (g *Group) Run(ctx context.Context) {
 	g.running, g.ctx = true, ctx
 	for _, r := range g.components {
@@ -85,8 +86,8 @@
 	}
 }
 
-// Stop stops all started components in reverse order, each within its timeout. One that does not stop in time is
-// abandoned and named in the error.
+// Stop stops all started components in reverse order, each within its StopTimeout. A component that does not stop in
+// time is abandoned and named in the error, which wraps ErrStopTimeout.
 func (g *Group) Stop() error {
 	var errs []error
 	for _, r := range slices.Backward(g.components) {
--- a/internal/lifecycle/group_test.go
+++ b/internal/lifecycle/group_test.go
@@ -14,8 +14,8 @@
 	_ "linkpass/internal/testrand"
 )
 
-// Whichever component fails to start, those before it are stopped in reverse order and nothing else happens; if
-// none fails, all stop in reverse order.
+// If a component fails to start, those started before it are stopped in reverse order and no other is started. If none
+// fails, Stop stops all in reverse order.
 func TestStartRollsBackAndStopReverses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 8).Draw(t, "components")
@@ -59,12 +59,13 @@
 		}
 		if !slices.Equal(log, want) || stop != nil || (err != nil) != (fails < n) ||
 			err != nil && err.Error() != fmt.Sprintf("p%d: no room", fails) {
-			t.Fatalf("%v, want %v; %v %v", log, want, err, stop)
+			t.Fatalf("starts and stops = %v, want %v; Start error = %v with p%d of %d components failing; "+
+				"Stop error = %v, want nil", log, want, err, fails, n, stop)
 		}
 	})
 }
 
-// A component that does not stop is named and abandoned; the others stop all the same.
+// A component that does not stop in time is named in the error and abandoned. The others are stopped nevertheless.
 func TestStopTimeoutDoesNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := 0
@@ -86,13 +87,14 @@
 		g.StartDeferred(func(name string, err error) { t.Error(name, err) }) // runs at once: the group is running
 		err = g.Stop()
 		if !errors.Is(err, ErrStopTimeout) || !strings.Contains(err.Error(), "b: did not") || !strings.Contains(err.Error(), "c: did not") || ended != 2 {
-			t.Errorf("%v, %d ended", err, ended)
+			t.Errorf("Stop error = %v, want ErrStopTimeout with b and c; %d Runs ended, want 2", err, ended)
 		}
 		close(release)
 	})
 }
 
-// A list with a missing or duplicate dependency is rejected before anything starts.
+// New rejects a dependency that is missing or does not precede its dependent, and a duplicate name. Start rejects a
+// dependency that is not started, and a failed deferred component does not prevent the next one from starting.
 func TestInvalidOrderIsRejected(t *testing.T) {
 	for _, list := range [][]Component{
 		{{Name: "a", DependsOn: []string{"b"}}, {Name: "b"}},
@@ -100,7 +102,7 @@
 		{{Name: "a", DependsOn: []string{"a"}}},
 	} {
 		if _, err := New(list...); err == nil {
-			t.Errorf("%+v was accepted", list)
+			t.Errorf("New accepted %+v, want an error", list)
 		}
 	}
 	g, err := New(Component{Name: "a", Deferred: true}, Component{Name: "b", DependsOn: []string{"a"}})
@@ -108,7 +110,7 @@
 		t.Fatal(err)
 	}
 	if err := g.Start(false); err == nil {
-		t.Error("a component started without its dependency")
+		t.Error("a component started without its dependency, want an error")
 	}
 	g, err = New(
 		Component{Name: "a"},
@@ -121,6 +123,6 @@
 	failed := ""
 	g.StartDeferred(func(name string, err error) { failed += name + err.Error() })
 	if failed != "btaken" || !g.components[2].started {
-		t.Errorf("%q, c started: %v", failed, g.components[2].started)
+		t.Errorf("failures = %q, want %q; c started = %v, want true", failed, "btaken", g.components[2].started)
 	}
 }
--- a/internal/lifecycle/running.go
+++ b/internal/lifecycle/running.go
@@ -11,10 +11,10 @@
 	Component
 	started bool
 	cancel  context.CancelFunc
-	done    chan struct{} // closed by run's goroutine once Run has returned; nil: Run was never called
+	done    chan struct{} // closed by run's goroutine once Run has returned; nil: no Run to wait for
 }
 
-// start starts one component, and runs it if the group is running already.
+// start starts the component, and runs it if the group is running already. It fails if a dependency is not started.
 func (r *running) start(g *Group) error {
 	for _, name := range r.DependsOn {
 		if !g.find(name).started {
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// run calls the component's Run in a goroutine that stop waits for.
+// run calls the component's Run in a goroutine. The method stop waits for its end.
 func (r *running) run(parent context.Context) {
 	if r.Run == nil {
 		return
@@ -46,7 +46,8 @@
 	}()
 }
 
-// stop cancels Run, waits for it and calls Stop, all within StopTimeout.
+// stop cancels Run, waits for its return and calls Stop, all within StopTimeout. If Run does not return in time, Stop
+// is not called.
 func (r *running) stop() error {
 	r.started = false
 	limit := r.StopTimeout
@@ -67,7 +68,7 @@
 	if r.Stop == nil {
 		return nil
 	}
-	stopped := make(chan error, 1) // buffered: a Stop that outlasts the timeout must not leak its goroutine
+	stopped := make(chan error, 1) // buffered, so that the goroutine of a Stop that exceeds the timeout can still end
 	go func() { stopped <- r.Stop() }()
 	select {
 	case err := <-stopped:
