--- a/internal/discovery/converter_test.go
+++ b/internal/discovery/converter_test.go
@@ -11,7 +11,7 @@
 )
 
 // The error of an endpoint that can't be used has its values in fields, and its text is written to the log.
-func TestConvertInvalidEndpoint(t *testing.T) {
+func TestConvertRejectsInvalidEndpoint(t *testing.T) {
 	for name, c := range map[string]struct {
 		endpoint Endpoint
 		text     string
@@ -36,8 +36,8 @@
 }
 
 // No input makes Parse or Convert panic, and Parse rejects a truncated list.
-func TestParseAndConvertAnyInput(t *testing.T) {
-	valid := `{"version":41,"full":true,"servers":[` + testServer + `]}`
+func TestParseAndConvertDoNotPanicOnAnyInput(t *testing.T) {
+	valid := `{"version":41,"full":true,"servers":[` + testEndpointJSON + `]}`
 	rapid.Check(t, func(t *rapid.T) {
 		data := rapid.SliceOf(rapid.Byte()).Draw(t, "garbage")
 		if rapid.Bool().Draw(t, "cut") {
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -12,11 +12,11 @@
 	"linkpass/internal/metrics"
 )
 
-// testServer is the JSON of one endpoint of a list.
-const testServer = `{"id":"s-1","addr":"127.0.0.1:9","zone":"port-louis","kind":"m2","cell":3,"state":"in_service","weight":1.5,"started_ms":7}`
+// testEndpointJSON is the JSON of one endpoint of a list.
+const testEndpointJSON = `{"id":"s-1","addr":"127.0.0.1:9","zone":"port-louis","kind":"m2","cell":3,"state":"in_service","weight":1.5,"started_ms":7}`
 
-// cachedNine is a complete cached list without endpoints, at version 9.
-var cachedNine = EndpointList{Version: 9, Full: true}
+// cachedAtVersion9 is a complete cached list without endpoints, at version 9.
+var cachedAtVersion9 = EndpointList{Version: 9, Full: true}
 
 // fakeCore sends the updates and the deadlines that it receives to channels. Its clock is always 0.
 type fakeCore struct {
@@ -70,9 +70,9 @@
 	return func() { cancel(); <-done }
 }
 
-// startAgent starts a discovery agent. It sends each request's target to targets and responds with the next value of
-// answers: a body, or the number of a status. A connection ends once answers is closed or the test ends.
-func startAgent(t *testing.T, targets chan<- string, answers <-chan string) (addr string) {
+// startTestAgent starts a discovery agent. It sends each request's target to targets and responds with the next value
+// of answers: a body, or the number of a status. A connection ends once answers is closed or the test ends.
+func startTestAgent(t *testing.T, targets chan<- string, answers <-chan string) (addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -23,9 +23,9 @@
 	Arm(at time.Duration, fire func()) (disarm func())
 }
 
-// firstCalls is how many calls after a start, a failure or a change of address have Timeouts.startSlack: they may have
-// to wait in the queue of a service that answers the calls of all coordinators one after the other.
-const firstCalls = 2
+// startSlackCalls is how many calls after a start, a failure or a change of address have Timeouts.startSlack: they
+// may have to wait in the queue of a service that answers the calls of all coordinators one after the other.
+const startSlackCalls = 2
 
 // Watcher follows the endpoint list. The goroutine of Run owns the watcher's state and connection. It starts a
 // goroutine for each call, one at a time, and receives the call's result before it goes on or returns.
@@ -34,7 +34,7 @@
 	Converter *Converter
 	Core      Core
 	Counters  *metrics.Counters
-	Seed      uint64   // of the backoff's jitter; differs between coordinators, so that they don't retry at the same time
+	Seed      uint64   // of the backoff's jitter; differs between coordinators, so that they retry at different times
 	Timeouts  Timeouts // set by NewWatcher to SharedServiceTimeouts
 
 	version            int64 // of the list last applied, or noVersion
@@ -96,10 +96,10 @@
 		}
 		switch {
 		case newAddr != "":
-			w.moveTo(newAddr)
+			w.switchAddress(newAddr)
 		case err != nil:
 			w.recordFailure(err)
-			w.backOff(ctx)
+			w.waitBackoff(ctx)
 		default:
 			w.recordSuccess()
 		}
@@ -152,7 +152,7 @@
 	if w.consecutiveAnswers == 0 || request.version == noVersion {
 		request.wait = 0
 	}
-	if w.consecutiveAnswers < firstCalls {
+	if w.consecutiveAnswers < startSlackCalls {
 		request.slack = w.Timeouts.startSlack
 	}
 	return request
@@ -221,21 +221,21 @@
 	w.failing = true
 }
 
-// backOff waits before the next call. A change of address or the end of the context ends the wait early.
-func (w *Watcher) backOff(ctx context.Context) {
+// waitBackoff waits before the next call. A change of address or the end of the context ends the wait early.
+func (w *Watcher) waitBackoff(ctx context.Context) {
 	var wait time.Duration
 	wait, w.backoffBase = w.Timeouts.backoff(w.backoffBase, w.random.Float64())
 	select {
 	case <-ctx.Done():
 	case addr := <-w.addrChanges:
-		w.moveTo(addr)
+		w.switchAddress(addr)
 	case <-time.After(wait):
 	}
 }
 
-// moveTo replaces the address. The complete list is requested from the new one, because another discovery service may
-// number its versions differently.
-func (w *Watcher) moveTo(addr string) {
+// switchAddress replaces the address. The complete list is requested from the new one, because another discovery
+// service may number its versions differently.
+func (w *Watcher) switchAddress(addr string) {
 	w.closeConn()
 	eventlog.DiscoveryMoved.Log(w.Addr, addr)
 	w.Counters.Add("discovery_moved", 1)
--- a/internal/discovery/watcher_failure_test.go
+++ b/internal/discovery/watcher_failure_test.go
@@ -55,8 +55,8 @@
 	targets, answers := make(chan string), make(chan string)
 	defer close(answers)
 	core := newFakeCoreWithDeadlines()
-	w := newTestWatcher(startAgent(t, targets, answers), core)
-	stop := runWatcher(t, w, cachedNine)
+	w := newTestWatcher(startTestAgent(t, targets, answers), core)
+	stop := runWatcher(t, w, cachedAtVersion9)
 	<-core.updates
 	<-core.armed                          // the startup timeout
 	<-core.armed                          // the dial
@@ -87,8 +87,8 @@
 	targets, answers := make(chan string), make(chan string)
 	defer close(answers)
 	core := newFakeCore()
-	w := newTestWatcher(startAgent(t, targets, answers), core)
-	stop := runWatcher(t, w, cachedNine)
+	w := newTestWatcher(startTestAgent(t, targets, answers), core)
+	stop := runWatcher(t, w, cachedAtVersion9)
 	for _, answer := range []string{"503", `{"version":9,"full":false,"servers":[]}`} {
 		if got := <-targets; got != "/registry/instances?after=9&wait_ms=0" {
 			t.Errorf("request target = %q, want after=9 and wait_ms=0", got)
@@ -108,16 +108,16 @@
 	core := newFakeCore()
 	w := newTestWatcher(addr, core)
 	w.Timeouts = LocalAgentTimeouts(time.Second)
-	stop := runWatcher(t, w, cachedNine)
+	stop := runWatcher(t, w, cachedAtVersion9)
 	<-reset
 	for w.Counters.Get("discovery_failed") < 3 { // the first connection is reset, later ones are refused
 		time.Sleep(time.Millisecond)
 	}
-	w.SetAddress(startAgent(t, targets, answers))
+	w.SetAddress(startTestAgent(t, targets, answers))
 	if got := <-targets; got != "/registry/instances?" {
 		t.Errorf("request target = %q, want the complete list", got)
 	}
-	answers <- `{"version":12,"full":true,"servers":[` + testServer + `]}`
+	answers <- `{"version":12,"full":true,"servers":[` + testEndpointJSON + `]}`
 	<-core.updates // the cached list
 	if update := <-core.updates; update.Mode != routing.UpdateFull || len(update.Endpoints) != 1 {
 		t.Errorf("update = %+v, want a full one with 1 endpoint", update)
@@ -153,9 +153,9 @@
 	targets, answers := make(chan string), make(chan string)
 	defer close(answers)
 	core := newFakeCoreWithDeadlines()
-	w := newTestWatcher(startAgent(t, targets, answers), core)
+	w := newTestWatcher(startTestAgent(t, targets, answers), core)
 	w.Timeouts = LocalAgentTimeouts(time.Second)
-	stop := runWatcher(t, w, cachedNine)
+	stop := runWatcher(t, w, cachedAtVersion9)
 	<-core.armed // the startup timeout
 	for range 3 {
 		dial, call := <-core.armed, <-core.armed
@@ -172,7 +172,7 @@
 	for range 3 { // these responses go to the closed connections and are ignored
 		answers <- "503"
 	}
-	answers <- `{"version":12,"full":true,"servers":[` + testServer + `]}`
+	answers <- `{"version":12,"full":true,"servers":[` + testEndpointJSON + `]}`
 	<-core.updates // the cached list
 	if update := <-core.updates; len(update.Endpoints) != 1 {
 		t.Errorf("update = %+v, want 1 endpoint", update)
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -14,7 +14,7 @@
 	targets, answers := make(chan string), make(chan string)
 	defer close(answers)
 	core := newFakeCore()
-	w := newTestWatcher(startAgent(t, targets, answers), core)
+	w := newTestWatcher(startTestAgent(t, targets, answers), core)
 	cached := Endpoint{ID: "s-1", Addr: "127.0.0.1:9", State: "in_service"}
 	stop := runWatcher(t, w, EndpointList{Version: 0, Full: true, Endpoints: []Endpoint{cached}})
 	if update := <-core.updates; update.Mode != routing.UpdateCached || len(update.Endpoints) != 1 {
@@ -29,7 +29,7 @@
 	next("/registry/instances?after=0&wait_ms=")
 	answers <- `{"version":0,"full":false,"servers":[]}`
 	next("/registry/instances?after=0&wait_ms=")
-	answers <- `{"version":2,"full":false,"servers":[` + testServer + `]}`
+	answers <- `{"version":2,"full":false,"servers":[` + testEndpointJSON + `]}`
 	update := <-core.updates
 	e := update.Endpoints[0]
 	if update.Mode != routing.UpdateDelta || e.Zone != 1 || e.Cell != 3 || e.StartedAt != 7*time.Millisecond {
@@ -51,16 +51,16 @@
 	newTargets, newAnswers := make(chan string), make(chan string)
 	defer close(newAnswers)
 	core := newFakeCore()
-	w := newTestWatcher(startAgent(t, targets, answers), core)
-	stop := runWatcher(t, w, cachedNine)
+	w := newTestWatcher(startTestAgent(t, targets, answers), core)
+	stop := runWatcher(t, w, cachedAtVersion9)
 	<-core.updates
 	<-targets // the call to the old address is never answered
 	w.SetAddress("127.0.0.1:1")
-	w.SetAddress(startAgent(t, newTargets, newAnswers))
+	w.SetAddress(startTestAgent(t, newTargets, newAnswers))
 	if got := <-newTargets; got != "/registry/instances?" {
 		t.Errorf("request target at the new address = %q, want the complete list", got)
 	}
-	newAnswers <- `{"version":3,"full":true,"servers":[` + testServer + `]}`
+	newAnswers <- `{"version":3,"full":true,"servers":[` + testEndpointJSON + `]}`
 	if update := <-core.updates; update.Mode != routing.UpdateFull || len(update.Endpoints) != 1 {
 		t.Errorf("update = %+v, want a full one with 1 endpoint", update)
 	}
@@ -76,16 +76,16 @@
 	targets, answers := make(chan string), make(chan string)
 	defer close(answers)
 	core := newFakeCore()
-	w := newTestWatcher(startAgent(t, targets, answers), core)
-	stop := runWatcher(t, w, cachedNine)
+	w := newTestWatcher(startTestAgent(t, targets, answers), core)
+	stop := runWatcher(t, w, cachedAtVersion9)
 	<-core.updates
 	<-targets
-	answers <- `{"version":8,"full":false,"servers":[` + testServer + `]}`
+	answers <- `{"version":8,"full":false,"servers":[` + testEndpointJSON + `]}`
 	if got := <-targets; got != "/registry/instances?" || len(core.updates) != 0 {
 		t.Errorf("request target after an older version = %q, want the complete list; %d updates, want 0",
 			got, len(core.updates))
 	}
-	indented := strings.ReplaceAll(testServer, ",", ",\n      ")
+	indented := strings.ReplaceAll(testEndpointJSON, ",", ",\n      ")
 	answers <- "{\r\n  \"version\": 4,\n\t\"full\": true,\n  \"servers\": [\n    " + indented + "\n  ]\n}\n"
 	if update := <-core.updates; update.Mode != routing.UpdateFull || len(update.Endpoints) != 1 {
 		t.Errorf("update = %+v, want a full one with 1 endpoint", update)
@@ -107,7 +107,7 @@
 			targets, answers := make(chan string, 1), make(chan string)
 			defer close(answers)
 			core := newFakeCoreWithDeadlines()
-			w := newTestWatcher(startAgent(t, targets, answers), core)
+			w := newTestWatcher(startTestAgent(t, targets, answers), core)
 			stop := runWatcher(t, w, cached)
 			deadline := <-core.armed
 			if deadline.at > 9*time.Second {
--- a/internal/discovery/wire_golden_test.go
+++ b/internal/discovery/wire_golden_test.go
@@ -30,28 +30,28 @@
 	goldenSecond = Endpoint{ID: "s-2", Addr: "[::1]:7002", Zone: "ebene", Kind: "m2", Cell: 5, State: "in_service", Weight: 1,
 		StartedMS: 7}
 
-	goldenFirstMember = coordinator.Endpoint{Name: "s-5be2a07c", Addr: "127.0.0.1:7001", Endpoint: routing.Endpoint{
+	goldenFirstConverted = coordinator.Endpoint{Name: "s-5be2a07c", Addr: "127.0.0.1:7001", Endpoint: routing.Endpoint{
 		Server: 0xace623f1fdc27c8a, Zone: 1, Kind: 1, Cell: 3, State: routing.Ready, Weight: 1.5, StartedAt: 1700000000123 * time.Millisecond}}
-	goldenSecondMember = coordinator.Endpoint{Name: "s-2", Addr: "[::1]:7002", Endpoint: routing.Endpoint{
+	goldenSecondConverted = coordinator.Endpoint{Name: "s-2", Addr: "[::1]:7002", Endpoint: routing.Endpoint{
 		Server: 0x817cdd195c3fc43d, Cell: 5, State: routing.Ready, Weight: 1, StartedAt: 7 * time.Millisecond}}
 )
 
 func goldenLists() []goldenList {
 	draining, removed := goldenFirst, Endpoint{ID: "s-2", State: "terminated"}
 	draining.State = "terminating"
-	drainingMember := goldenFirstMember
-	drainingMember.State = routing.Draining
-	removedMember := coordinator.Endpoint{Name: "s-2", Endpoint: routing.Endpoint{Server: goldenSecondMember.Server, State: routing.Removed}}
+	drainingConverted := goldenFirstConverted
+	drainingConverted.State = routing.Draining
+	removedConverted := coordinator.Endpoint{Name: "s-2", Endpoint: routing.Endpoint{Server: goldenSecondConverted.Server, State: routing.Removed}}
 	full := EndpointList{Version: 41, Full: true, Endpoints: []Endpoint{goldenFirst, goldenSecond}}
-	members := []coordinator.Endpoint{goldenFirstMember, goldenSecondMember}
+	converted := []coordinator.Endpoint{goldenFirstConverted, goldenSecondConverted}
 	return []goldenList{
-		{"full.json", full, coordinator.EndpointUpdate{Mode: routing.UpdateFull, Endpoints: members}},
-		{"full_indented.json", full, coordinator.EndpointUpdate{Mode: routing.UpdateFull, Endpoints: members}},
+		{"full.json", full, coordinator.EndpointUpdate{Mode: routing.UpdateFull, Endpoints: converted}},
+		{"full_indented.json", full, coordinator.EndpointUpdate{Mode: routing.UpdateFull, Endpoints: converted}},
 		{"full_empty.json", EndpointList{Version: 1, Full: true, Endpoints: []Endpoint{}}, coordinator.EndpointUpdate{Mode: routing.UpdateFull}},
 		{"delta.json", EndpointList{Version: 42, Endpoints: []Endpoint{goldenSecond}},
-			coordinator.EndpointUpdate{Mode: routing.UpdateDelta, Endpoints: members[1:]}},
+			coordinator.EndpointUpdate{Mode: routing.UpdateDelta, Endpoints: converted[1:]}},
 		{"delta_draining.json", EndpointList{Version: 43, Endpoints: []Endpoint{draining, removed}},
-			coordinator.EndpointUpdate{Mode: routing.UpdateDelta, Endpoints: []coordinator.Endpoint{drainingMember, removedMember}}},
+			coordinator.EndpointUpdate{Mode: routing.UpdateDelta, Endpoints: []coordinator.Endpoint{drainingConverted, removedConverted}}},
 		{"delta_empty.json", EndpointList{Version: 43, Endpoints: []Endpoint{}}, coordinator.EndpointUpdate{Mode: routing.UpdateDelta}},
 	}
 }
@@ -86,7 +86,7 @@
 }
 
 // Lists are encoded, too: an old process passes its cached list to the new one.
-func TestListGoldenWritten(t *testing.T) {
+func TestListGoldenEncoding(t *testing.T) {
 	var got []goldentest.Entry
 	for _, c := range goldenLists() {
 		data, err := json.Marshal(c.list)
@@ -98,7 +98,7 @@
 	goldentest.CheckEntries(t, "lists_written.txt", got)
 }
 
-func TestListGoldenInvalid(t *testing.T) {
+func TestInvalidListGoldenIsRejected(t *testing.T) {
 	for name, data := range goldentest.ReadEntries(t, "lists_unusable.txt") {
 		t.Run(name, func(t *testing.T) {
 			list, err := Parse([]byte(data))
@@ -128,7 +128,7 @@
 			data, _ := io.ReadAll(server)
 			done <- string(data)
 		}()
-		conn := &discoveryConn{client, http1.NewReader(failedRead{}, maxListBytes)}
+		conn := &discoveryConn{client, http1.NewReader(endedReader{}, maxListBytes)}
 		if _, err := conn.roundTrip("127.0.0.1:9400", c.request); err == nil {
 			t.Errorf("%s: got a response, want an error, as there is no server", c.name)
 		}
@@ -138,10 +138,10 @@
 	goldentest.CheckEntries(t, "requests.txt", got)
 }
 
-// failedRead is the read side of a connection that ends without a response.
-type failedRead struct{}
+// endedReader is the read side of a connection that ends without a response.
+type endedReader struct{}
 
-func (failedRead) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+func (endedReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
 // receive returns the next value of a channel. It fails the test if there is none for 10 s.
 func receive[T any](t *testing.T, c <-chan T) (v T) {
@@ -156,11 +156,11 @@
 
 // A watch that starts from a cached list and receives the golden lists passes the expected updates to the core and
 // sends the golden requests.
-func TestWatchGolden(t *testing.T) {
+func TestWatchGoldenListsAndRequests(t *testing.T) {
 	targets, answers := make(chan string, 16), make(chan string, 16)
 	defer close(answers)
 	core := &fakeCore{updates: make(chan coordinator.EndpointUpdate, 16)}
-	w := NewWatcher(startAgent(t, targets, answers), newGoldenConverter(), core, metrics.NewCounters())
+	w := NewWatcher(startTestAgent(t, targets, answers), newGoldenConverter(), core, metrics.NewCounters())
 	cached, err := Parse(readList(t, "full.json"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/endpoints/broadcast.go
+++ b/internal/endpoints/broadcast.go
@@ -12,8 +12,8 @@
 // broadcastTimeout limits one call of a BroadcastFunc.
 const broadcastTimeout = 300 * time.Millisecond
 
-// toBroadcast returns the requests that the other instances must receive: the pending and the recent ones.
-func (r *Registry) toBroadcast() []restriction.Request {
+// requestsToBroadcast returns the requests that the other instances must receive: the pending and the recent ones.
+func (r *Registry) requestsToBroadcast() []restriction.Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.recent.appendTo(r.pending.List())
@@ -23,28 +23,28 @@
 // ids of the given requests that the instance has received, and no others.
 func (r *Registry) broadcast(ctx context.Context, id string, send BroadcastFunc, requests []restriction.Request,
 	acknowledged map[restriction.ID]bool) {
-	var unacknowledged, known []restriction.Request
+	var unacknowledged, delivered []restriction.Request
 	for _, request := range requests {
 		if acknowledged[request.ID] {
-			known = append(known, request)
+			delivered = append(delivered, request)
 		} else {
 			unacknowledged = append(unacknowledged, request)
 		}
 	}
 	if len(unacknowledged) > 0 {
-		if err := sendWithin(ctx, broadcastTimeout, send, unacknowledged); err != nil {
+		if err := sendWithTimeout(ctx, broadcastTimeout, send, unacknowledged); err != nil {
 			r.cfg.Counters.Add("restrictions_unacknowledged_"+id, 1)
 		} else {
-			known = append(known, unacknowledged...)
+			delivered = append(delivered, unacknowledged...)
 		}
 	}
 	clear(acknowledged)
-	for _, request := range known {
+	for _, request := range delivered {
 		acknowledged[request.ID] = true
 	}
 }
 
-func sendWithin(ctx context.Context, timeout time.Duration, send BroadcastFunc, requests []restriction.Request) error {
+func sendWithTimeout(ctx context.Context, timeout time.Duration, send BroadcastFunc, requests []restriction.Request) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return send(ctx, requests)
--- a/internal/endpoints/network_test.go
+++ b/internal/endpoints/network_test.go
@@ -17,25 +17,25 @@
 )
 
 const (
-	instances = 3
-	servers   = 8
+	instanceCount = 3
+	serverCount   = 8
 )
 
-var errLost = errors.New("lost")
+var errMessageLost = errors.New("lost")
 
 // network simulates three instances and the links between them. Messages are lost, delayed, repeated and reordered at
 // random, from a seed; a link may be blocked in one direction only. The log is a single list. Its leader is the first
 // instance, which can commit while it reaches another instance in both directions.
 type network struct {
-	nodes [instances]*Registry
+	nodes [instanceCount]*Registry
 
-	mu        sync.Mutex                       // guards the fields below
-	rng       *rand.Rand                       // draws the blocked links and the instance that issues a drain
-	links     [instances][instances]*rand.Rand // one for each direction, so that its draws do not depend on other links
-	blocked   [instances][instances]bool
+	mu        sync.Mutex                               // guards the fields below
+	rng       *rand.Rand                               // draws the blocked links and the instance that issues a drain
+	links     [instanceCount][instanceCount]*rand.Rand // one for each direction, so that draws are independent
+	blocked   [instanceCount][instanceCount]bool
 	log       []config.Command
-	states    [instances]*config.State
-	endpoints [instances]map[string]routing.EndpointState
+	states    [instanceCount]*config.State
+	endpoints [instanceCount]map[string]routing.EndpointState
 }
 
 func newNetwork(seed uint64) *network {
@@ -43,7 +43,7 @@
 		rng: rand.New(rand.NewPCG(seed, 3)),
 		log: []config.Command{{Kind: config.ReplaceSettings, Payload: []byte("{}")}},
 	}
-	for i := range instances {
+	for i := range instanceCount {
 		n.addNode(seed, i)
 	}
 	return n
@@ -54,7 +54,7 @@
 	n.states[i], _ = config.NewState(&searchconfig.Config{}).Apply(n.log[0])
 	n.endpoints[i] = map[string]routing.EndpointState{}
 	broadcast := map[string]BroadcastFunc{}
-	for j := range instances {
+	for j := range instanceCount {
 		n.links[i][j] = rand.New(rand.NewPCG(seed, uint64(10*i+j)))
 		if j != i {
 			broadcast[fmt.Sprint("n", j)] = n.send(i, j)
@@ -72,7 +72,7 @@
 	})
 	n.nodes[i].Attach(nodeLog{n, i})
 	update := coordinator.EndpointUpdate{Mode: routing.UpdateFull}
-	for s := range servers {
+	for s := range serverCount {
 		entry := routing.Endpoint{State: routing.Ready}
 		update.Endpoints = append(update.Endpoints, coordinator.Endpoint{Name: fmt.Sprint("s", s), Endpoint: entry})
 	}
@@ -95,21 +95,21 @@
 }
 
 // blockLinks blocks links at random, and picks an instance at random.
-func (n *network) blockLinks() (at int, blocked [instances][instances]bool) {
+func (n *network) blockLinks() (at int, blocked [instanceCount][instanceCount]bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for i := range instances {
-		for j := range instances {
+	for i := range instanceCount {
+		for j := range instanceCount {
 			n.blocked[i][j] = i != j && n.rng.Float64() < 0.4
 		}
 	}
-	return n.rng.IntN(instances), n.blocked
+	return n.rng.IntN(instanceCount), n.blocked
 }
 
 func (n *network) unblockLinks() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.blocked = [instances][instances]bool{}
+	n.blocked = [instanceCount][instanceCount]bool{}
 }
 
 func (n *network) connected(i, j int) bool {
@@ -144,7 +144,7 @@
 			return err
 		}
 		if !n.connected(j, i) || n.chance(i, j, 0.2) {
-			return errLost // the requests were received, but the acknowledgement is lost
+			return errMessageLost // the requests were received, but the acknowledgement is lost
 		}
 		return nil
 	}
@@ -157,7 +157,7 @@
 		return ctx.Err()
 	}
 	if !n.connected(i, j) || n.chance(i, j, 0.3) {
-		return errLost
+		return errMessageLost
 	}
 	return n.nodes[j].ReceiveRestrictions(fmt.Sprint("n", i), requests)
 }
@@ -166,7 +166,7 @@
 // the leader.
 func (n *network) replicate() config.Result {
 	var last config.Result
-	for i := range instances {
+	for i := range instanceCount {
 		if i != 0 && !(n.connected(0, i) && n.connected(i, 0)) {
 			continue
 		}
@@ -194,13 +194,13 @@
 func (n *network) commit(c config.Command) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for j := 1; j < instances; j++ {
+	for j := 1; j < instanceCount; j++ {
 		if !n.blocked[0][j] && !n.blocked[j][0] {
 			n.log = append(n.log, c)
 			return nil
 		}
 	}
-	return errLost
+	return errMessageLost
 }
 
 // nodeLog is the ReplicatedLog of one instance.
--- a/internal/endpoints/recent_requests.go
+++ b/internal/endpoints/recent_requests.go
@@ -7,11 +7,13 @@
 	"linkpass/internal/config/restriction"
 )
 
-// recentFor is how long after its issue or receipt a request is broadcast even if the log has settled it here.
-const recentFor = 10 * time.Second
+// recentRequestRetention is how long after its issue or receipt a request is broadcast even if the log has settled it
+// here.
+const recentRequestRetention = 10 * time.Second
 
-// recentRequests has the requests that were issued or received in the last recentFor. They are broadcast even after
-// the log has settled them here, because another instance may be reachable and yet be far behind in the log.
+// recentRequests has the requests that were issued or received in the last recentRequestRetention. They are broadcast
+// even after the log has settled them here, because another instance may be reachable and yet be far behind in the
+// log.
 type recentRequests map[restriction.ID]recentRequest
 
 type recentRequest struct {
@@ -25,7 +27,7 @@
 	now := time.Now()
 	maps.DeleteFunc(r, func(_ restriction.ID, recent recentRequest) bool { return recent.until.Before(now) })
 	if len(r) < restriction.MaxPending {
-		r[request.ID] = recentRequest{request: request, until: now.Add(recentFor)}
+		r[request.ID] = recentRequest{request: request, until: now.Add(recentRequestRetention)}
 	}
 }
 
--- a/internal/endpoints/registry.go
+++ b/internal/endpoints/registry.go
@@ -19,12 +19,12 @@
 	broadcasters []*worker // one for each other instance
 	proposer     *worker
 
-	mu        sync.Mutex // guards the fields below, and orders the calls of OnUpdate
-	pending   *restriction.PendingSet
-	merger    *endpointmerge.Merger
-	log       ReplicatedLog                     // nil until Attach
-	announced map[string]endpointmerge.Override // by server: those last given to the merger, without empty ones
-	recent    recentRequests
+	mu                 sync.Mutex // guards the fields below, and orders the calls of OnUpdate
+	pending            *restriction.PendingSet
+	merger             *endpointmerge.Merger
+	log                ReplicatedLog                     // nil until Attach
+	publishedOverrides map[string]endpointmerge.Override // by server: those last given to the merger, without empty ones
+	recent             recentRequests
 }
 
 // New returns a Registry without endpoints. It accepts restrictions once Attach has been called, and broadcasts and
@@ -32,18 +32,18 @@
 func New(c Config) *Registry {
 	origin := restriction.Origin{Instance: c.InstanceID, Incarnation: c.Incarnation}
 	r := &Registry{
-		cfg:       c,
-		pending:   restriction.NewPendingSet(origin),
-		merger:    endpointmerge.New(),
-		announced: map[string]endpointmerge.Override{},
-		recent:    recentRequests{},
+		cfg:                c,
+		pending:            restriction.NewPendingSet(origin),
+		merger:             endpointmerge.New(),
+		publishedOverrides: map[string]endpointmerge.Override{},
+		recent:             recentRequests{},
 	}
 	for id, send := range c.Broadcast {
 		acknowledged := map[restriction.ID]bool{}
 		handle := func(ctx context.Context, requests []restriction.Request) {
 			r.broadcast(ctx, id, send, requests, acknowledged)
 		}
-		r.broadcasters = append(r.broadcasters, newWorker(r.toBroadcast, handle))
+		r.broadcasters = append(r.broadcasters, newWorker(r.requestsToBroadcast, handle))
 	}
 	r.proposer = newWorker(r.PendingRestrictions, r.propose)
 	return r
@@ -66,7 +66,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.log = log
-	r.announce(log.State().RemovedIDs())
+	r.publishOverrides(log.State().RemovedIDs())
 }
 
 // UpdateEndpoints applies an update of discovery.
@@ -85,7 +85,7 @@
 		return
 	}
 	r.pending.DropSettled(r.log.State())
-	r.announce(nil)
+	r.publishOverrides(nil)
 }
 
 // Restrict takes a server out of service: at this instance at once, at the others as soon as they receive the request,
@@ -112,7 +112,7 @@
 	r.cfg.Counters.Add("restrictions_issued", 1)
 	eventlog.RestrictionReceived.Log(request.ID, request.Server, request.Level, "an operator")
 	r.recent.add(request)
-	r.announce(nil)
+	r.publishOverrides(nil)
 	r.wakeWorkers()
 	return request, nil
 }
@@ -150,7 +150,7 @@
 		r.recent.add(request)
 	}
 	if len(added) > 0 {
-		r.announce(nil)
+		r.publishOverrides(nil)
 		r.wakeWorkers()
 	}
 	return nil
@@ -170,27 +170,27 @@
 	r.proposer.notify()
 }
 
-// announce passes the overrides that have changed to the merger, and the update that results to OnUpdate. It looks at
-// the named servers and at all that have an override or had one. The caller must hold the mutex.
-func (r *Registry) announce(names []string) {
+// publishOverrides passes the overrides that have changed to the merger, and the update that results to OnUpdate. It
+// looks at the named servers and at all that have an override or had one. The caller must hold the mutex.
+func (r *Registry) publishOverrides(names []string) {
 	state := r.log.State()
 	names = append(names, state.ServerIDs()...)
 	for _, request := range r.pending.List() {
 		names = append(names, request.Server)
 	}
-	for name := range r.announced {
+	for name := range r.publishedOverrides {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	changed := map[string]endpointmerge.Override{}
 	for _, name := range slices.Compact(names) {
 		override := r.override(state, name)
-		if !r.announced[name].Equal(override) {
+		if !r.publishedOverrides[name].Equal(override) {
 			changed[name] = override
-			r.announced[name] = override
+			r.publishedOverrides[name] = override
 		}
 		if override == (endpointmerge.Override{}) {
-			delete(r.announced, name)
+			delete(r.publishedOverrides, name)
 		}
 	}
 	if update := r.merger.ApplyOverrides(changed); len(update.Endpoints) > 0 {
--- a/internal/endpoints/registry_test.go
+++ b/internal/endpoints/registry_test.go
@@ -28,7 +28,7 @@
 				for _, node := range n.nodes {
 					running.Go(func() { node.Run(ctx) })
 				}
-				for s := range servers {
+				for s := range serverCount {
 					checkDrain(t, n, fmt.Sprint("s", s))
 				}
 				n.unblockLinks()
@@ -53,7 +53,7 @@
 		t.Fatalf("%s is not draining at n%d, where the drain was issued", server, at)
 	}
 	time.Sleep(time.Second)
-	for j := range instances {
+	for j := range instanceCount {
 		if !blocked[at][j] && n.serverState(j, server) != routing.Draining {
 			t.Errorf("n%d, which is reachable from n%d, does not drain %s 1 s after the drain was issued", j, at, server)
 		}
@@ -78,7 +78,7 @@
 		} else if hash != first {
 			t.Errorf("state hash of n%d = %s, want %s, that of n0", i, hash, first)
 		}
-		for s := range servers {
+		for s := range serverCount {
 			if server := fmt.Sprint("s", s); n.serverState(i, server) != routing.Draining {
 				t.Errorf("%s is not draining at n%d after the links have recovered", server, i)
 			}
--- a/internal/endpoints/wire_golden_test.go
+++ b/internal/endpoints/wire_golden_test.go
@@ -23,8 +23,9 @@
 	panic("Propose called on a follower")
 }
 
-// newInstance returns the registry of an instance that is not the leader and has two servers in its replicated state.
-func newInstance(t *testing.T, name string, incarnation uint64) *Registry {
+// newFollowerRegistry returns the registry of an instance that is not the leader and has two servers in its
+// replicated state.
+func newFollowerRegistry(t *testing.T, name string, incarnation uint64) *Registry {
 	t.Helper()
 	state, r := config.NewState(&searchconfig.Config{}).Apply(config.Command{
 		Kind:    config.ReplaceSettings,
@@ -78,7 +79,7 @@
 
 // The restrictions that an instance issues are broadcast in the format of the golden file.
 func TestBroadcastRequestsGolden(t *testing.T) {
-	a := newInstance(t, goldenOrigin.Instance, goldenOrigin.Incarnation)
+	a := newFollowerRegistry(t, goldenOrigin.Instance, goldenOrigin.Incarnation)
 	for _, request := range goldenRequests {
 		if _, err := a.Restrict(request.Server, request.Level, request.Force); err != nil {
 			t.Fatal(err)
@@ -90,7 +91,7 @@
 		goldentest.Encodes(t, "orders_request.json", requests)
 		return nil
 	}
-	a.broadcast(context.Background(), "b", send, a.toBroadcast(), map[restriction.ID]bool{})
+	a.broadcast(context.Background(), "b", send, a.requestsToBroadcast(), map[restriction.ID]bool{})
 	if calls != 1 {
 		t.Errorf("%d calls of the broadcast function, want 1", calls)
 	}
@@ -98,7 +99,7 @@
 
 // An instance that receives the requests of the golden file has all of them pending.
 func TestReceiveGoldenRequests(t *testing.T) {
-	b := newInstance(t, "b", 5)
+	b := newFollowerRegistry(t, "b", 5)
 	var requests []restriction.Request
 	if err := json.Unmarshal(goldentest.Read(t, "orders_request.json"), &requests); err != nil {
 		t.Fatal(err)
--- a/internal/endpoints/worker.go
+++ b/internal/endpoints/worker.go
@@ -7,12 +7,12 @@
 	"linkpass/internal/config/restriction"
 )
 
-// The pause between two attempts of a worker. It is short after the first shortAttempts, because a drain must reach the
-// other instances within a second, and long after later ones, because a partition may last for hours.
+// The interval between two attempts of a worker. It is short after the first initialAttempts attempts, because a drain
+// must reach the other instances within a second, and long after later ones, because a partition may last for hours.
 const (
-	shortPause    = 25 * time.Millisecond
-	longPause     = 400 * time.Millisecond
-	shortAttempts = 20
+	initialRetryInterval = 25 * time.Millisecond
+	laterRetryInterval   = 400 * time.Millisecond
+	initialAttempts      = 20
 )
 
 // worker calls handle repeatedly while there are requests, and waits for notify while there are none.
@@ -26,8 +26,8 @@
 	return &worker{wake: make(chan struct{}, 1), requests: requests, handle: handle}
 }
 
-// notify wakes the worker and makes its pauses short again. It does not block: if a wake-up is pending already, another
-// one is not needed.
+// notify wakes the worker and makes its retry interval short again. It does not block: if a wake-up is pending already,
+// another one is not needed.
 func (w *worker) notify() {
 	select {
 	case w.wake <- struct{}{}:
@@ -41,7 +41,7 @@
 		var retry <-chan time.Time
 		if requests := w.requests(); len(requests) > 0 {
 			w.handle(ctx, requests)
-			retry = time.After(pauseAfter(attempts))
+			retry = time.After(retryInterval(attempts))
 		}
 		select {
 		case <-ctx.Done():
@@ -53,9 +53,10 @@
 	}
 }
 
-func pauseAfter(attempts int) time.Duration {
-	if attempts < shortAttempts {
-		return shortPause
+// retryInterval returns how long a worker waits after an attempt; attempts counts those since it was last woken.
+func retryInterval(attempts int) time.Duration {
+	if attempts < initialAttempts {
+		return initialRetryInterval
 	}
-	return longPause
+	return laterRetryInterval
 }
--- a/internal/handover/follower.go
+++ b/internal/handover/follower.go
@@ -14,7 +14,7 @@
 	g.wg.Go(func() {
 		g.receiveShares(leader)
 		_ = leader.Close()
-		if err := g.enter(); err != nil {
+		if err := g.followOrLead(); err != nil {
 			eventlog.HandoverFailed.Log(err)
 		}
 	})
--- a/internal/handover/group.go
+++ b/internal/handover/group.go
@@ -22,13 +22,13 @@
 	maxOpen int    // limit of all processes together on queries and shard requests in flight; 0 or less: no limit
 	onShare func(Share)
 
-	mu        sync.Mutex        // guards the fields below
-	listener  net.Listener      // nil while this process is a follower
-	leader    net.Conn          // connection to the leader; nil while this process is the leader
-	followers map[net.Conn]bool // connections to the followers; empty while this process is a follower
-	retiring  bool              // this process accepts no more queries
-	retained  int               // queries and shard requests in flight when it began to retire
-	closed    bool
+	mu               sync.Mutex        // guards the fields below
+	listener         net.Listener      // nil while this process is a follower
+	leader           net.Conn          // connection to the leader; nil while this process is the leader
+	followers        map[net.Conn]bool // connections to the followers; empty while this process is a follower
+	retiring         bool              // this process accepts no more queries
+	inFlightAtRetire int               // queries and shard requests in flight when it began to retire
+	closed           bool
 
 	wg sync.WaitGroup // of all goroutines
 }
@@ -44,11 +44,11 @@
 		onShare:   onShare,
 		followers: map[net.Conn]bool{},
 	}
-	return g, g.enter()
+	return g, g.followOrLead()
 }
 
-// enter makes this process a follower of the group's leader, or the leader if there is none.
-func (g *Group) enter() error {
+// followOrLead makes this process a follower of the group's leader, or the leader if there is none.
+func (g *Group) followOrLead() error {
 	unlock, err := lockFile(g.path + ".lock") // of two processes that start at once, the second finds the first listening
 	if err != nil {
 		return fmt.Errorf("handover: join %s: %w", g.path, err)
@@ -104,7 +104,7 @@
 func (g *Group) Retire(inFlight int) {
 	g.update(func() {
 		g.retiring = true
-		g.retained = inFlight
+		g.inFlightAtRetire = inFlight
 	})
 }
 
--- a/internal/handover/leader.go
+++ b/internal/handover/leader.go
@@ -44,8 +44,8 @@
 	unlimited := g.maxOpen <= 0
 	if g.retiring && n > 1 && !unlimited {
 		// Shares of at least 1, because 0 means no limit.
-		own.MaxOpen = max(1, g.retained)
-		others.MaxOpen = max(1, (g.maxOpen-g.retained)/(n-1))
+		own.MaxOpen = max(1, g.inFlightAtRetire)
+		others.MaxOpen = max(1, (g.maxOpen-g.inFlightAtRetire)/(n-1))
 	}
 	return own, others
 }
--- a/internal/handover/leader_test.go
+++ b/internal/handover/leader_test.go
@@ -7,24 +7,24 @@
 
 func TestLeaderShares(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		maxOpen     int
-		followers   int
-		retiring    bool
-		retained    int
-		own, others Share
+		name             string
+		maxOpen          int
+		followers        int
+		retiring         bool
+		inFlightAtRetire int
+		own, others      Share
 	}{
 		{name: "alone", maxOpen: 160, own: Share{1, 160}, others: Share{1, 160}},
 		{name: "one follower", maxOpen: 160, followers: 1, own: Share{2, 80}, others: Share{2, 80}},
 		{name: "two followers", maxOpen: 160, followers: 2, own: Share{3, 53}, others: Share{3, 53}},
-		{name: "retiring alone", maxOpen: 160, retiring: true, retained: 30, own: Share{1, 160}, others: Share{1, 160}},
-		{name: "retiring", maxOpen: 160, followers: 2, retiring: true, retained: 30, own: Share{3, 30}, others: Share{3, 65}},
+		{name: "retiring alone", maxOpen: 160, retiring: true, inFlightAtRetire: 30, own: Share{1, 160}, others: Share{1, 160}},
+		{name: "retiring", maxOpen: 160, followers: 2, retiring: true, inFlightAtRetire: 30, own: Share{3, 30}, others: Share{3, 65}},
 		{name: "retiring idle", maxOpen: 160, followers: 1, retiring: true, own: Share{2, 1}, others: Share{2, 160}},
-		{name: "retiring full", maxOpen: 160, followers: 1, retiring: true, retained: 160, own: Share{2, 160}, others: Share{2, 1}},
-		{name: "retiring unlimited", followers: 1, retiring: true, retained: 30, own: Share{2, 0}, others: Share{2, 0}},
+		{name: "retiring full", maxOpen: 160, followers: 1, retiring: true, inFlightAtRetire: 160, own: Share{2, 160}, others: Share{2, 1}},
+		{name: "retiring unlimited", followers: 1, retiring: true, inFlightAtRetire: 30, own: Share{2, 0}, others: Share{2, 0}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g := &Group{maxOpen: c.maxOpen, retiring: c.retiring, retained: c.retained, followers: map[net.Conn]bool{}}
+			g := &Group{maxOpen: c.maxOpen, retiring: c.retiring, inFlightAtRetire: c.inFlightAtRetire, followers: map[net.Conn]bool{}}
 			for range c.followers {
 				g.followers[&net.UnixConn{}] = true
 			}
--- a/internal/lifecycle/group.go
+++ b/internal/lifecycle/group.go
@@ -12,7 +12,7 @@
 
 // Group is the ordered list of a program's components. It is not safe for concurrent use.
 type Group struct {
-	components []*running
+	components []*managedComponent
 	running    bool            // Run was called, and Stop has not been called since
 	ctx        context.Context // given to Run; a component that starts later runs under it too
 }
@@ -30,13 +30,13 @@
 				return nil, fmt.Errorf("component %s depends on %s, which does not precede it", c.Name, name)
 			}
 		}
-		g.components = append(g.components, &running{Component: c})
+		g.components = append(g.components, &managedComponent{Component: c})
 	}
 	return g, nil
 }
 
-func (g *Group) find(name string) *running {
-	i := slices.IndexFunc(g.components, func(r *running) bool { return r.Name == name })
+func (g *Group) find(name string) *managedComponent {
+	i := slices.IndexFunc(g.components, func(r *managedComponent) bool { return r.Name == name })
 	if i < 0 {
 		return nil
 	}
@@ -47,7 +47,7 @@
 // fails to start, those that this call has started are stopped in reverse order, and the error names the one that
 // failed.
 func (g *Group) Start(deferred bool) error {
-	var started []*running
+	var started []*managedComponent
 	for _, r := range g.components {
 		if r.started || r.Deferred && !deferred {
 			continue
--- a/internal/lifecycle/group_test.go
+++ b/internal/lifecycle/group_test.go
@@ -19,10 +19,10 @@
 func TestStartRollsBackAndStopReverses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 8).Draw(t, "components")
-		fails := rapid.IntRange(0, n).Draw(t, "fails") // n: none
+		failing := rapid.IntRange(0, n).Draw(t, "fails") // the index of the component; n: none
 		firstDeferred := rapid.IntRange(0, n).Draw(t, "first deferred")
 		var log, want []string
-		var list []Component
+		var components []Component
 		for i := range n {
 			name := fmt.Sprint("p", i)
 			p := Component{Name: name, Deferred: i >= firstDeferred}
@@ -32,16 +32,16 @@
 				}
 			}
 			p.Start = func() error {
-				if i == fails {
+				if i == failing {
 					return errors.New("no room")
 				}
 				log = append(log, "+"+name)
 				return nil
 			}
 			p.Stop = func() error { log = append(log, "-"+name); return nil }
-			list = append(list, p)
+			components = append(components, p)
 		}
-		g, err := New(list...)
+		g, err := New(components...)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -49,18 +49,18 @@
 		if err == nil {
 			err = g.Start(true)
 		}
-		stop := g.Stop()
-		opened := min(fails, n)
-		for i := range opened {
+		stopErr := g.Stop()
+		startedCount := min(failing, n)
+		for i := range startedCount {
 			want = append(want, fmt.Sprint("+p", i))
 		}
-		for i := opened - 1; i >= 0; i-- {
+		for i := startedCount - 1; i >= 0; i-- {
 			want = append(want, fmt.Sprint("-p", i))
 		}
-		if !slices.Equal(log, want) || stop != nil || (err != nil) != (fails < n) ||
-			err != nil && err.Error() != fmt.Sprintf("p%d: no room", fails) {
+		if !slices.Equal(log, want) || stopErr != nil || (err != nil) != (failing < n) ||
+			err != nil && err.Error() != fmt.Sprintf("p%d: no room", failing) {
 			t.Fatalf("starts and stops = %v, want %v; Start error = %v with p%d of %d components failing; "+
-				"Stop error = %v, want nil", log, want, err, fails, n, stop)
+				"Stop error = %v, want nil", log, want, err, failing, n, stopErr)
 		}
 	})
 }
--- a/internal/lifecycle/running.go
+++ b/internal/lifecycle/running.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// running is a component and its state within a group.
-type running struct {
+// managedComponent is a component and its state within a group.
+type managedComponent struct {
 	Component
 	started bool
 	cancel  context.CancelFunc
@@ -15,7 +15,7 @@
 }
 
 // start starts the component, and runs it if the group is running already. It fails if a dependency is not started.
-func (r *running) start(g *Group) error {
+func (r *managedComponent) start(g *Group) error {
 	for _, name := range r.DependsOn {
 		if !g.find(name).started {
 			return fmt.Errorf("depends on %s, which is not started", name)
@@ -34,7 +34,7 @@
 }
 
 // run calls the component's Run in a goroutine. The method stop waits for its end.
-func (r *running) run(parent context.Context) {
+func (r *managedComponent) run(parent context.Context) {
 	if r.Run == nil {
 		return
 	}
@@ -48,7 +48,7 @@
 
 // stop cancels Run, waits for its return and calls Stop, all within StopTimeout. If Run does not return in time, Stop
 // is not called.
-func (r *running) stop() error {
+func (r *managedComponent) stop() error {
 	r.started = false
 	limit := r.StopTimeout
 	if limit <= 0 {
