--- a/internal/daemon/discovery_watcher.go
+++ b/internal/daemon/discovery_watcher.go
@@ -44,10 +44,10 @@
 // newListReader parses discovery's documents as this coordinator is set up.
 func newListReader(p *process, core *queryCore) *discovery.Converter {
 	return &discovery.Converter{
-		Zones: p.cfg.host.Zones,
-		Kinds: p.cfg.host.Kinds,
-		Cells: p.cfg.module.Cells,
-		Clock: core.core.FromUnixMilli,
+		Zones:      p.cfg.host.Zones,
+		Kinds:      p.cfg.host.Kinds,
+		Cells:      p.cfg.module.Cells,
+		ToCoreTime: core.core.FromUnixMilli,
 	}
 }
 
--- a/internal/discovery/converter.go
+++ b/internal/discovery/converter.go
@@ -16,7 +16,7 @@
 type Converter struct {
 	Zones, Kinds []string                         // the core identifies a zone or kind by its index here
 	Cells        int                              // number of cells; a cell is from 0 to Cells-1
-	Clock        func(unixMS int64) time.Duration // converts milliseconds of Unix time to the core's clock; required
+	ToCoreTime   func(unixMS int64) time.Duration // converts milliseconds of Unix time to the core's clock; required
 }
 
 // Convert converts a list to an update. If an endpoint can't be used, it rejects the whole list with an
@@ -51,7 +51,7 @@
 		Cell:      e.Cell,
 		State:     state,
 		Weight:    e.Weight,
-		StartedAt: c.Clock(e.StartedMS),
+		StartedAt: c.ToCoreTime(e.StartedMS),
 	}}, nil
 }
 
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -50,10 +50,10 @@
 
 func newTestConverter() *Converter {
 	return &Converter{
-		Zones: []string{"ebene", "port-louis"},
-		Kinds: []string{"m2"},
-		Cells: 6,
-		Clock: func(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond },
+		Zones:      []string{"ebene", "port-louis"},
+		Kinds:      []string{"m2"},
+		Cells:      6,
+		ToCoreTime: func(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond },
 	}
 }
 
--- a/internal/discovery/wire_golden_test.go
+++ b/internal/discovery/wire_golden_test.go
@@ -58,7 +58,7 @@
 
 func newGoldenConverter() *Converter {
 	return &Converter{Zones: []string{"ebene", "port-louis"}, Kinds: []string{"m2", "m4"}, Cells: 6,
-		Clock: func(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }}
+		ToCoreTime: func(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }}
 }
 
 func readList(t *testing.T, file string) []byte {
