--- a/internal/config/codec.go
+++ b/internal/config/codec.go
@@ -7,18 +7,19 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// formatVersion is the first byte of an entry and of a snapshot. A format that an older program cannot read
-// gets the next number.
+// formatVersion is the first byte of a log entry and of a snapshot. A format that older versions of the program cannot
+// read gets the next number.
 const formatVersion = 1
 
-// ErrUnknownFormat means that an entry or a snapshot was written by a later version of the program. An instance that
-// skipped it would diverge, so it must stop.
+// ErrUnknownFormat is returned for an entry or a snapshot that this version of the program cannot decode, usually
+// because a later version wrote it. An instance must then stop applying the log: if it skipped the entry, its state
+// would diverge from that of other instances.
 var ErrUnknownFormat = errors.New("config: unknown format, written by a later version")
 
-// Limits of the decoder on one entry or snapshot, far above what the state's own limits allow.
+// Limits that the decoder puts on one entry or snapshot. They are far above what the limits of the state allow.
 const (
-	maxNestedLevels = 32      // of arrays and maps within each other
-	maxElements     = 1 << 20 // of one array or map
+	maxNestedLevels = 32      // nesting depth of arrays and maps
+	maxElements     = 1 << 20 // elements of one array, or pairs of one map
 )
 
 var (
@@ -34,16 +35,16 @@
 
 func must[T any](v T, err error) T {
 	if err != nil {
-		panic(err) // unreachable: the options above are constants
+		panic(err) // unreachable: the options above are constant and valid
 	}
 	return v
 }
 
-// Encode encodes a command as an entry of the log.
+// Encode encodes a command as a log entry. It returns an error if the entry would exceed MaxEntryBytes.
 func Encode(c Command) ([]byte, error) {
 	data, err := encMode.Marshal(c)
 	if err == nil && len(data) >= MaxEntryBytes {
-		err = fmt.Errorf("%d bytes exceed the limit of %d", len(data), MaxEntryBytes)
+		err = fmt.Errorf("%d bytes of CBOR and a format byte exceed the limit of %d bytes", len(data), MaxEntryBytes)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("config: encode command: %w", err)
@@ -51,8 +52,8 @@
 	return append([]byte{formatVersion}, data...), nil
 }
 
-// Decode decodes an entry of the log. Data that is no entry, or one of a later version, gives ErrUnknownFormat;
-// the caller must then stop applying the log.
+// Decode decodes a log entry. It returns ErrUnknownFormat if the data is not a valid entry or was written by a later
+// version of the program; the caller must then stop applying the log.
 func Decode(data []byte) (Command, error) {
 	var c Command
 	if err := checkFormat("command", data); err != nil {
--- a/internal/config/endpointmerge/doc.go
+++ b/internal/config/endpointmerge/doc.go
@@ -1,6 +1,6 @@
-// Package endpointmerge merges the list of servers that discovery gives with the overrides that instances have
-// replicated: restrictions, weights and added servers. Its rules are in docs/design/raft.md.
+// Package endpointmerge merges the list of servers from discovery with the replicated overrides: restrictions, weights
+// and added servers. docs/design/raft.md describes the rules.
 //
-// The package owns the last state of both sources and of the merged list. It owns no I/O, clock or goroutine,
-// and decides no override: internal/config does.
+// The package keeps the latest state of both sources and of the merged list. It does no I/O, reads no clock and starts
+// no goroutine. Package config decides the overrides.
 package endpointmerge
--- a/internal/config/endpointmerge/merger.go
+++ b/internal/config/endpointmerge/merger.go
@@ -9,12 +9,12 @@
 	"linkpass/internal/routing"
 )
 
-// Merger merges both sources. It is not safe for concurrent use.
+// Merger merges the endpoints from discovery with the replicated overrides. It is not safe for concurrent use.
 type Merger struct {
 	discovered map[string]coordinator.Endpoint
 	overrides  map[string]Override
 	merged     map[string]coordinator.Endpoint
-	cached     bool // discovery has sent nothing newer than a list from before this process
+	cached     bool // discovery has sent nothing yet, or only a cached list from before this process
 }
 
 // New returns a Merger that has no endpoints and no overrides yet.
@@ -27,15 +27,16 @@
 	}
 }
 
-// ApplyDiscovery applies an update of discovery, and returns the update of the merged list. After a failure the
-// last list stays in effect; the failure itself is passed on. Of what is older than the present state, nothing
-// is applied.
+// ApplyDiscovery applies an update from discovery, and returns the update of the merged list. An UpdateFailed is
+// returned unchanged, and the last list stays in effect. Data that is older than the current state is ignored: a cached
+// list, which dates from before this process, after a newer one, and an endpoint of an earlier start of its server's
+// process.
 func (m *Merger) ApplyDiscovery(update coordinator.EndpointUpdate) coordinator.EndpointUpdate {
 	if update.Mode == routing.UpdateFailed {
 		return update
 	}
 	if update.Mode == routing.UpdateCached && !m.cached {
-		return coordinator.EndpointUpdate{Mode: routing.UpdateDelta} // a newer list is known
+		return coordinator.EndpointUpdate{Mode: routing.UpdateDelta} // no change: a newer list was received before
 	}
 	m.cached = update.Mode == routing.UpdateCached
 	if update.Mode == routing.UpdateDelta {
@@ -45,7 +46,8 @@
 	return coordinator.EndpointUpdate{Mode: update.Mode, Endpoints: m.endpoints()}
 }
 
-// applyDelta applies changes of single endpoints.
+// applyDelta applies changes of single endpoints. A change from an earlier start of a server's process is ignored,
+// unless it removes the server.
 func (m *Merger) applyDelta(endpoints []coordinator.Endpoint) coordinator.EndpointUpdate {
 	names := make([]string, 0, len(endpoints))
 	for _, e := range endpoints {
@@ -58,8 +60,8 @@
 	return m.refresh(names)
 }
 
-// replaceDiscovered replaces the whole list of discovery. An endpoint of an earlier start of a server's process
-// does not replace the one that is known.
+// replaceDiscovered replaces the complete list from discovery. An endpoint of an earlier start of a server's process
+// does not replace the known one.
 func (m *Merger) replaceDiscovered(endpoints []coordinator.Endpoint) {
 	previous := m.discovered
 	m.discovered = map[string]coordinator.Endpoint{}
@@ -76,6 +78,7 @@
 	m.refresh(names)
 }
 
+// setDiscovered stores or removes an endpoint from discovery. It ignores an endpoint without a name.
 func (m *Merger) setDiscovered(e coordinator.Endpoint) {
 	switch {
 	case e.Name == "":
@@ -86,8 +89,8 @@
 	}
 }
 
-// ApplyOverrides applies overrides by server, and returns the update of the merged list. A restriction is in
-// that very update, whatever discovery says.
+// ApplyOverrides applies overrides by server name, and returns the update of the merged list. A zero Override removes
+// the server's previous one. The returned update already includes a new restriction, whatever discovery reports.
 func (m *Merger) ApplyOverrides(overrides map[string]Override) coordinator.EndpointUpdate {
 	names := make([]string, 0, len(overrides))
 	for name, override := range overrides {
@@ -101,7 +104,7 @@
 	return m.refresh(names)
 }
 
-// refresh merges some servers again, and returns what has changed.
+// refresh merges the named servers again, and returns the changes of the merged list.
 func (m *Merger) refresh(names []string) coordinator.EndpointUpdate {
 	slices.Sort(names)
 	update := coordinator.EndpointUpdate{Mode: routing.UpdateDelta}
@@ -121,7 +124,7 @@
 	return update
 }
 
-// merge returns the merged endpoint of a server, and whether it is listed at all.
+// merge returns the merged endpoint of a server, and whether the merged list contains the server.
 func (m *Merger) merge(name string) (coordinator.Endpoint, bool) {
 	endpoint, listed := m.discovered[name]
 	override := m.overrides[name]
@@ -140,7 +143,7 @@
 	return endpoint, true
 }
 
-// endpoints lists the merged endpoints by name.
+// endpoints returns the merged endpoints, sorted by name.
 func (m *Merger) endpoints() []coordinator.Endpoint {
 	endpoints := make([]coordinator.Endpoint, 0, len(m.merged))
 	for _, name := range slices.Sorted(maps.Keys(m.merged)) {
--- a/internal/config/endpointmerge/merger_test.go
+++ b/internal/config/endpointmerge/merger_test.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// model is what both sources said last, and the list that the merger's updates add up to.
+// model is a reference for a Merger: the latest data from both sources, and the list that results from the Merger's
+// updates.
 type model struct {
 	merger     *Merger
 	discovered map[string]coordinator.Endpoint
@@ -44,7 +45,7 @@
 	}
 }
 
-// apply applies an update of the merger to the list.
+// apply applies an update returned by the Merger to the list.
 func (m *model) apply(update coordinator.EndpointUpdate) {
 	if update.Mode == routing.UpdateFailed {
 		return
@@ -103,7 +104,7 @@
 	m.apply(m.merger.ApplyOverrides(map[string]Override{name: override}))
 }
 
-// want is the list by the rules of docs/design/raft.md.
+// want returns the expected list according to the rules of docs/design/raft.md.
 func (m *model) want() map[string]coordinator.Endpoint {
 	want := map[string]coordinator.Endpoint{}
 	for _, name := range serverNames {
@@ -126,9 +127,9 @@
 	return want
 }
 
-// Whatever both sources send, in any order, the updates add up to the list that the rules make of the last
-// state of both; a restriction is in effect in the very update that brings it, and stays while either source
-// has it.
+// Whatever both sources send and in whatever order, the updates result in the list that the rules produce from the
+// latest data of both. A restriction is in effect in the first update after it arrives, and stays in effect while
+// either source has it.
 func TestMergedListFollowsRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel()
@@ -139,15 +140,15 @@
 			"override": m.override,
 			"": func(t *rapid.T) {
 				if want := m.want(); !maps.Equal(m.list, want) {
-					t.Fatalf("%v, want %v", m.list, want)
+					t.Fatalf("merged list = %v, want %v", m.list, want)
 				}
 			},
 		})
 	})
 }
 
-// Outdated endpoints change nothing: neither a list from before this process, nor an earlier start of a
-// server's process.
+// Outdated endpoints change nothing. An endpoint is outdated if it comes from an earlier start of the server's process,
+// or from a cached list, which dates from before this process, after a newer list was received.
 func TestApplyDiscoveryIgnoresOutdatedEndpoints(t *testing.T) {
 	m := New()
 	entry := routing.Endpoint{State: routing.Draining, StartedAt: 20}
@@ -166,7 +167,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			m.ApplyDiscovery(coordinator.EndpointUpdate{Mode: c.mode, Endpoints: []coordinator.Endpoint{outdated}})
 			if got := m.endpoints(); !slices.Equal(got, []coordinator.Endpoint{current}) {
-				t.Errorf("%+v, want %+v", got, current)
+				t.Errorf("endpoints = %+v, want only %+v", got, current)
 			}
 		})
 	}
@@ -174,6 +175,6 @@
 	next.StartedAt, next.State = 30, routing.Ready
 	update := m.ApplyDiscovery(coordinator.EndpointUpdate{Mode: routing.UpdateDelta, Endpoints: []coordinator.Endpoint{next}})
 	if !slices.Contains(update.Endpoints, next) {
-		t.Errorf("a later start: %+v", update)
+		t.Errorf("update after a later start = %+v, want it to contain %+v", update, next)
 	}
 }
--- a/internal/config/endpointmerge/override.go
+++ b/internal/config/endpointmerge/override.go
@@ -5,18 +5,19 @@
 	"linkpass/internal/coordinator"
 )
 
-// Override is what instances have replicated about a server, as it is in effect here. The zero value overrides
+// Override is the replicated configuration of a server as it is in effect at this instance. The zero value overrides
 // nothing.
 type Override struct {
+	// Restriction drains the server, or removes it from the merged list.
 	Restriction restriction.Level
-	// Weight replaces discovery's, unless it is 0.
+	// Weight replaces the weight from discovery, unless it is 0.
 	Weight float64
-	// Added is the endpoint of a server that a command added, used where discovery does not list the server;
-	// nil: none.
+	// Added is the endpoint of a server that a command added. It is used while discovery does not list the server;
+	// nil: no command added the server.
 	Added *coordinator.Endpoint
 }
 
-// Equal tells whether two overrides have the same effect.
+// Equal reports whether two overrides have the same effect.
 func (o Override) Equal(other Override) bool {
 	if o.Restriction != other.Restriction || o.Weight != other.Weight {
 		return false
--- a/internal/config/restriction.go
+++ b/internal/config/restriction.go
@@ -9,15 +9,16 @@
 	"linkpass/internal/shardmap"
 )
 
-// RejectedRestriction is a restriction request that the log rejected, or that an undrain withdrew.
+// RejectedRestriction is a restriction request that was rejected when its log entry was applied, or that an
+// UndrainServer command withdrew.
 type RejectedRestriction struct {
 	Request restriction.Request `cbor:"1,keyasint" json:"order"`
 	Reason  Reason              `cbor:"2,keyasint" json:"why"`
-	// Version is that of the state after the command that decided it.
+	// Version is the version of the state after the command that rejected or withdrew the request.
 	Version uint64 `cbor:"3,keyasint" json:"at"`
 }
 
-// applyRestriction applies RestrictServer. The request is settled whether it is accepted or rejected: no
+// applyRestriction applies RestrictServer. The request is settled whether it is accepted or rejected, so that no
 // instance proposes it again.
 func (s *State) applyRestriction(c Command) Result {
 	request := c.Restriction
@@ -35,18 +36,20 @@
 	return r
 }
 
+// validRestriction reports whether a request has an id, a server and a valid level.
 func validRestriction(r restriction.Request) bool {
 	return r.Server != "" && len(r.Server) <= MaxNameBytes &&
 		r.ID.Seq != 0 &&
 		r.Level != restriction.None && r.Level <= restriction.Removed
 }
 
-// restrictServer accepts a restriction, or rejects it where it would leave a shard without a replica.
+// restrictServer applies a restriction. Unless the request has Force set, it rejects one that would leave a shard or a
+// cell without a replica in service.
 func (s *State) restrictServer(request restriction.Request) Result {
 	server, known := s.servers[request.Server]
 	if s.removed[request.Server] {
 		if request.Level == restriction.Removed {
-			return Result{} // already in the requested state
+			return Result{} // the server is already removed
 		}
 		return reject(ServerIDRetired, "%s", request.Server)
 	}
@@ -71,6 +74,7 @@
 	return Result{UncoveredShards: reported}
 }
 
+// removeServer deletes a server's configuration and retires its id.
 func (s *State) removeServer(id string) {
 	s.servers = maps.Clone(s.servers)
 	delete(s.servers, id)
@@ -78,6 +82,7 @@
 	s.removed[id] = true
 }
 
+// recordRejection appends a rejected restriction and drops the oldest ones above MaxRejectedRestrictions.
 func (s *State) recordRejection(request restriction.Request, reason Reason) {
 	rejection := RejectedRestriction{Request: request, Reason: reason, Version: s.version + 1}
 	s.rejected = append(slices.Clone(s.rejected), rejection)
@@ -86,8 +91,8 @@
 	}
 }
 
-// applyUndrain applies UndrainServer. It also withdraws the pending restrictions that the operator saw: they
-// would drain the server again as soon as they were proposed.
+// applyUndrain applies UndrainServer. It also withdraws the pending restrictions that the operator saw, because they
+// would drain the server again as soon as an instance proposed them.
 func (s *State) applyUndrain(c Command) Result {
 	server, r := s.lookupServer(c)
 	if r.Reason != Applied {
@@ -112,8 +117,9 @@
 	return Result{}
 }
 
-// uncoveredWithout lists what has a replica in service now and would have none if a server were restricted: shards by
-// their replicas, cells by the servers that commands added. Cells that only discovery lists are not known here.
+// uncoveredWithout lists the shards and cells that have a replica in service now and would have none if a server were
+// restricted. Shards are judged by the replicas in the shard maps, and cells by the servers that commands added: the
+// state does not contain the cells that only discovery lists.
 func (s *State) uncoveredWithout(server string) []string {
 	if s.Restriction(server) != restriction.None {
 		return nil // the server is out of service already
@@ -137,6 +143,7 @@
 	return uncovered
 }
 
+// uncoveredShards lists the shards that have server as a replica and no replica for which inService returns true.
 func uncoveredShards(m *shardmap.Map, server string, inService func(id string) bool) []shardmap.ShardID {
 	var uncovered []shardmap.ShardID
 	for _, shard := range m.Shards() {
@@ -147,7 +154,7 @@
 	return uncovered
 }
 
-// cellServed tells whether an added server of a cell is in service.
+// cellServed reports whether a server that a command added to a cell is in service.
 func (s *State) cellServed(cell int, inService func(id string) bool) bool {
 	for id, server := range s.servers {
 		if server.Spec != nil && server.Spec.Cell == cell && inService(id) {
--- a/internal/config/restriction/cluster_test.go
+++ b/internal/config/restriction/cluster_test.go
@@ -9,21 +9,22 @@
 	. "linkpass/internal/config/restriction"
 )
 
-// cluster is one state of three instances and of the log that a majority has committed.
+// cluster is a state of three simulated instances and of the log that a majority of them has committed.
 type cluster struct {
 	log        []config.Command
 	nodes      [3]node
-	isolated   int // the instance that reaches no other; -1: none
-	partitions int // partitions so far
-	issued     int // commands of the script that were issued
+	isolated   int // index of the instance that can reach no other; -1: none
+	partitions int // number of partitions so far
+	issued     int // number of script commands issued so far
 }
 
 type node struct {
-	requests []Request // all that were ever received, in that order
-	prefix   int       // entries of the log that were applied
+	requests []Request // all requests ever received, in the order of receipt
+	prefix   int       // number of log entries applied
 }
 
-// key identifies a state. Received requests count as a set: that their order does not matter is tested by itself.
+// key identifies a state. It treats the received requests as a set; another test checks that their order does not
+// matter.
 func (cl *cluster) key() string {
 	var b strings.Builder
 	for _, c := range cl.log {
@@ -60,10 +61,10 @@
 
 func (cl *cluster) connected(i, j int) bool { return i != cl.isolated && j != cl.isolated }
 
-// majority tells whether an instance reaches a majority.
+// majority reports whether an instance can reach a majority.
 func (cl *cluster) majority(i int) bool { return i != cl.isolated }
 
-// receive adds a request at an instance, and tells whether it was new there.
+// receive adds a request at an instance, and reports whether it was new there.
 func (cl *cluster) receive(i int, r Request) bool {
 	known := func(other Request) bool { return other.ID == r.ID }
 	if slices.ContainsFunc(cl.nodes[i].requests, known) {
@@ -73,7 +74,7 @@
 	return true
 }
 
-// propose commits a request.
+// propose appends a request to the committed log.
 func (cl *cluster) propose(r Request) {
 	cl.log = append(cl.log, config.Command{Kind: config.RestrictServer, Restriction: &r})
 }
--- a/internal/config/restriction/explorer_test.go
+++ b/internal/config/restriction/explorer_test.go
@@ -11,26 +11,27 @@
 	"linkpass/internal/searchconfig"
 )
 
-// maxLog bounds the entries that an explored log may have.
+// maxLog is the maximum number of log entries in an explored state.
 const maxLog = 3
 
-// command is a step of a script at an instance; it tells whether it was possible there.
+// command is a step of a script. It changes the cluster at instance i, and reports whether that was possible.
 type command func(cl *cluster, i int) bool
 
-// explorer visits every state that a cluster can reach from a script of commands, and checks each.
+// explorer visits every state that a cluster can reach with the commands of a script, and checks each state.
 type explorer struct {
-	fault  string // planted; "": none
+	fault  string // the injected fault; "": none
 	script []command
-	// coarse makes an instance apply all of the log in one step, and a request reach all connected instances in one.
+	// coarse reduces the number of states: an instance applies the whole log in one step, and a broadcast reaches all
+	// connected instances in one step.
 	coarse bool
 
 	states    map[string]bool
-	recovered map[string]string // violation after recovery, by the state that it depends on
-	views     map[string]*view  // by the history that led to them
+	recovered map[string]string // violation after recovery, by the key of the state that recovery starts from
+	views     map[string]*view  // cached views, by the received requests and the applied log
 	violation string            // the first one found
 }
 
-// view is an instance as the code under test computes it.
+// view is the state of an instance as the code under test computes it.
 type view struct {
 	pending   []Request
 	effective map[string]Level
@@ -38,8 +39,8 @@
 	state     *config.State
 }
 
-// view returns the view of an instance that received its requests, in that order, and applied its part of the
-// log. Equal histories are computed once.
+// view returns the view of an instance after it received its requests, in that order, and applied its prefix of the
+// log. Views are cached by requests and prefix.
 func (x *explorer) view(cl *cluster, i int) *view {
 	n := cl.nodes[i]
 	var b strings.Builder
@@ -67,7 +68,7 @@
 		state, _ = state.Apply(c)
 		set.DropSettled(state)
 	}
-	set.Receive(state, n.requests...) // late copies must change nothing
+	set.Receive(state, n.requests...) // repeated delivery must change nothing
 	hash, err := state.Hash()
 	if err != nil {
 		panic(err)
@@ -76,16 +77,16 @@
 	return &view{pending: set.List(), effective: effective, hash: hash, state: state}
 }
 
-// effective is the restriction of a server at an instance.
+// effective returns the restriction of a server at an instance.
 func (x *explorer) effective(cl *cluster, i int, server string) Level {
 	v := x.view(cl, i)
-	if x.fault == "lapse" && cl.isolated >= 0 { // a request that is not committed lapses in a partition
+	if x.fault == "lapse" && cl.isolated >= 0 { // injected fault: uncommitted requests have no effect in a partition
 		return v.state.Restriction(server)
 	}
 	return v.effective[server]
 }
 
-// restrict issues a restriction at an instance, beside the log.
+// restrict issues a restriction request at an instance, without the log.
 func restrict(server string, level Level) command {
 	return func(cl *cluster, i int) bool {
 		origin := Origin{Instance: fmt.Sprint("n", i), Incarnation: 1}
@@ -94,7 +95,8 @@
 	}
 }
 
-// undrain commits an undrain at an instance that reaches a majority, with the requests that the instance knows.
+// undrain commits an UndrainServer command that withdraws the requests for the server that the instance knows. The
+// instance must reach a majority and have applied the whole log.
 func undrain(server string) command {
 	return func(cl *cluster, i int) bool {
 		if !cl.majority(i) || cl.nodes[i].prefix != len(cl.log) {
@@ -111,7 +113,7 @@
 	}
 }
 
-// steps returns all states that can come next.
+// steps returns all possible successor states.
 func (x *explorer) steps(cl *cluster) []*cluster {
 	var next []*cluster
 	add := func(step func(*cluster) bool) {
@@ -142,8 +144,8 @@
 	return next
 }
 
-// addCommand adds the next command of the script. Instances are alike, so the first command goes to the first
-// one only.
+// addCommand adds the state after the next command of the script at instance i. All instances are alike at the start,
+// so the first command is tried at instance 0 only.
 func (x *explorer) addCommand(cl *cluster, i int, add func(func(*cluster) bool)) {
 	if cl.issued == len(x.script) || cl.issued == 0 && i != 0 {
 		return
@@ -155,7 +157,7 @@
 	})
 }
 
-// addBroadcasts adds the messages that carry an instance's pending requests, in any order.
+// addBroadcasts adds the states after an instance's pending requests are delivered to others, one request at a time.
 func (x *explorer) addBroadcasts(cl *cluster, i int, add func(func(*cluster) bool)) {
 	for _, r := range x.view(cl, i).pending {
 		if x.coarse {
@@ -178,7 +180,7 @@
 	}
 }
 
-// addLogSteps adds an instance's proposals, and that it applies more of the log.
+// addLogSteps adds the states after an instance proposes a pending request, and after it applies more of the log.
 func (x *explorer) addLogSteps(cl *cluster, i int, add func(func(*cluster) bool)) {
 	for _, r := range x.view(cl, i).pending {
 		add(func(c *cluster) bool {
@@ -195,7 +197,7 @@
 	})
 }
 
-// explore visits the states until one violates an invariant, and returns how many it has seen.
+// explore visits all reachable states until one violates an invariant, and returns the number of states found.
 func (x *explorer) explore() int {
 	x.views = map[string]*view{}
 	x.states = map[string]bool{}
@@ -227,9 +229,9 @@
 	"drain, undrain": {restrict("s", Draining), undrain("s")},
 }
 
-// Every interleaving of three instances, two commands and one partition keeps the claims of
-// docs/design/raft.md. With LINKPASS_EXPLORE=all each request is received and each entry applied one at a time,
-// and more pairs of commands are tried, which takes half a minute without the race detector.
+// The invariants in docs/design/raft.md hold in every interleaving of three instances, two commands and one partition.
+// By default the test runs one script with coarse steps. With LINKPASS_EXPLORE=all it runs all scripts, and each
+// request is received and each entry applied in a step of its own; this takes half a minute without the race detector.
 func TestInterleavingsKeepInvariants(t *testing.T) {
 	all := os.Getenv("LINKPASS_EXPLORE") == "all"
 	total := 0
@@ -248,17 +250,18 @@
 		})
 	}
 	if total < 1_000 {
-		t.Errorf("only %d states", total)
+		t.Errorf("explored %d states, want at least 1000", total)
 	}
 }
 
-// The same search finds planted faults: drains that lapse in a partition, and requests that nobody proposes.
+// The exploration detects injected faults: "lapse" ignores uncommitted drains in a partition, and "mute" proposes no
+// requests during recovery.
 func TestExplorerFindsPlantedFaults(t *testing.T) {
 	for fault, want := range map[string]string{"lapse": "it is not in effect there", "mute": "still has"} {
 		t.Run(fault, func(t *testing.T) {
 			x := &explorer{script: scripts["drain, undrain"], fault: fault}
 			if x.explore(); !strings.Contains(x.violation, want) {
-				t.Errorf("found %q, want %q", x.violation, want)
+				t.Errorf("violation = %q, want one that contains %q", x.violation, want)
 			}
 		})
 	}
--- a/internal/config/restriction/invariants_test.go
+++ b/internal/config/restriction/invariants_test.go
@@ -7,7 +7,7 @@
 	. "linkpass/internal/config/restriction"
 )
 
-// check returns the invariant that a state violates, or "".
+// check returns a description of an invariant that a state violates, or "".
 func (x *explorer) check(cl *cluster) string {
 	end := cluster{log: cl.log}
 	end.nodes[0].prefix = len(cl.log)
@@ -17,20 +17,19 @@
 			return violation
 		}
 	}
-	// Every request is known to an instance that has not settled it, or decided by the log: accepted, or
-	// rejected on record.
+	// No request is lost: each is pending at an instance, or the log accepted it, or the log recorded its rejection.
 	for i := range cl.nodes {
 		for _, r := range cl.nodes[i].requests {
 			if final.Settled().Contains(r.ID) && final.Restriction(r.Server) < r.Level && !cl.recorded(final, r) {
-				return fmt.Sprintf("%v was lost by %v", r, cl.log)
+				return fmt.Sprintf("request %v was lost, log %v", r, cl.log)
 			}
 		}
 	}
 	return ""
 }
 
-// checkNode checks that pending requests are in effect at an instance, and that one with no pending request
-// that has applied the whole log is where the log is.
+// checkNode checks that pending requests are in effect at an instance. If the instance has no pending request and has
+// applied the whole log, its restrictions must equal those of the log.
 func (x *explorer) checkNode(cl *cluster, i int, final *config.State) string {
 	v := x.view(cl, i)
 	for _, r := range cl.nodes[i].requests {
@@ -43,13 +42,14 @@
 	}
 	for _, server := range []string{"s", "t"} {
 		if got, want := x.effective(cl, i, server), final.Restriction(server); got != want {
-			return fmt.Sprintf("n%d applied the whole log and has %s for %s, the log has %s", i, got, server, want)
+			return fmt.Sprintf("n%d applied the whole log: restriction of %s = %s, want %s", i, server, got, want)
 		}
 	}
 	return ""
 }
 
-// recorded tells whether a request that is not in effect was rejected on record, or undone by an undrain after it.
+// recorded reports whether a request that is not in effect was recorded as rejected, or was accepted and then undone by
+// an undrain.
 func (cl *cluster) recorded(final *config.State, r Request) bool {
 	for _, rejected := range final.RejectedRestrictions() {
 		if rejected.Request.ID == r.ID {
@@ -68,8 +68,8 @@
 	return false
 }
 
-// checkRecovery returns what is wrong after the partition heals and no further command is issued: all instances
-// must come to the same state with no request pending.
+// checkRecovery returns a violation after the partition ends and no further command is issued, or "". All instances
+// must reach the same state without pending requests.
 func (x *explorer) checkRecovery(cl *cluster) string {
 	cl = cl.clone()
 	cl.isolated = -1
@@ -87,6 +87,7 @@
 	return violation
 }
 
+// recover lets all instances exchange their requests and apply the log, and checks the resulting state.
 func (x *explorer) recover(cl *cluster) string {
 	for range 2 {
 		for i := range cl.nodes {
@@ -97,14 +98,15 @@
 	for i := range cl.nodes {
 		v := x.view(cl, i)
 		if len(v.pending) > 0 || hash != "" && v.hash != hash {
-			return fmt.Sprintf("after recovery, n%d still has %v pending, or another state", i, v.pending)
+			return fmt.Sprintf("after recovery, n%d still has pending requests %v, or hash %s differs from previous %q",
+				i, v.pending, v.hash, hash)
 		}
 		hash = v.hash
 	}
 	return x.check(cl)
 }
 
-// exchange broadcasts and proposes an instance's requests, and lets all apply the log.
+// exchange broadcasts and proposes the requests of an instance, and lets all instances apply the whole log.
 func (x *explorer) exchange(cl *cluster, i int) {
 	for j := range cl.nodes {
 		for _, r := range cl.nodes[i].requests {
--- a/internal/config/restriction/level.go
+++ b/internal/config/restriction/level.go
@@ -2,14 +2,15 @@
 
 import "fmt"
 
-// Level is how far a server is out of service. A stricter level is larger, so that the join of two is their maximum.
+// Level is the degree to which a server is out of service. A stricter level has a larger value, so two levels are
+// combined by taking the maximum.
 type Level uint8
 
-// The levels.
+// The restriction levels.
 const (
-	None Level = iota
-	Draining
-	Removed
+	None     Level = iota // in service
+	Draining              // gets no new requests
+	Removed               // no longer listed; its id is never reused
 )
 
 var levelNames = [...]string{None: "none", Draining: "draining", Removed: "removed"}
@@ -22,7 +23,7 @@
 // MarshalText implements encoding.TextMarshaler with the level's name.
 func (l Level) MarshalText() ([]byte, error) { return []byte(l.String()), nil }
 
-// UnmarshalText implements encoding.TextUnmarshaler.
+// UnmarshalText implements encoding.TextUnmarshaler. It returns an error for an unknown name.
 func (l *Level) UnmarshalText(text []byte) error {
 	for level, name := range levelNames {
 		if name == string(text) {
--- a/internal/config/restriction/pending_set.go
+++ b/internal/config/restriction/pending_set.go
@@ -8,38 +8,40 @@
 )
 
 const (
-	// MaxPendingOwn bounds the pending requests that one process issued; past it, Issue fails.
+	// MaxPendingOwn is the maximum number of pending requests that one process issued. At the limit, Issue fails.
 	MaxPendingOwn = 64
-	// MaxPending bounds the pending requests of all origins at one instance.
+	// MaxPending is the maximum number of pending requests of all origins at one instance.
 	MaxPending = 1024
 )
 
-// ErrTooManyPending means that no further request can be issued before the log has settled some.
+// ErrTooManyPending is returned by Issue if too many requests are pending. No further request can be issued before the
+// log has settled some of them.
 var ErrTooManyPending = errors.New("restriction: too many pending requests")
 
 // Replicated is the part of the replicated state that an instance has applied so far.
 type Replicated interface {
-	// Settled returns the requests that the log has decided.
+	// Settled returns the requests that the log has settled.
 	Settled() SettledSet
 	// Restriction returns a server's restriction according to the log.
 	Restriction(server string) Level
 }
 
-// PendingSet is the set of requests that an instance knows and the log has not settled. It is not safe for
+// PendingSet is the set of requests that an instance knows and that the log has not settled. It is not safe for
 // concurrent use.
 type PendingSet struct {
 	origin  Origin
-	lastSeq uint64 // of the latest own request
+	lastSeq uint64 // sequence number of the latest request of this process; 0: none
 	pending map[ID]Request
 }
 
-// NewPendingSet returns an empty set for a process. No other process, of this instance or another, may have the
-// same origin.
+// NewPendingSet returns an empty set for a process. No other process, of this instance or another, may have the same
+// origin: request ids would be used twice.
 func NewPendingSet(origin Origin) *PendingSet {
 	return &PendingSet{origin: origin, pending: map[ID]Request{}}
 }
 
-// Issue creates a request of this process, which takes effect here at once. It fails with ErrTooManyPending.
+// Issue creates a request of this process, which takes effect at this instance at once. It returns ErrTooManyPending at
+// the limits MaxPendingOwn and MaxPending.
 func (p *PendingSet) Issue(server string, level Level, force bool) (Request, error) {
 	own := 0
 	for id := range p.pending {
@@ -48,7 +50,8 @@
 		}
 	}
 	if own >= MaxPendingOwn || len(p.pending) >= MaxPending {
-		return Request{}, fmt.Errorf("%w: %d of this process, %d in all", ErrTooManyPending, own, len(p.pending))
+		return Request{}, fmt.Errorf("%w: %d issued by this process (limit %d), %d in total (limit %d)",
+			ErrTooManyPending, own, MaxPendingOwn, len(p.pending), MaxPending)
 	}
 	p.lastSeq++
 	request := Request{
@@ -61,8 +64,8 @@
 	return request, nil
 }
 
-// Receive adds requests of other instances, in any order and any number of times, and returns those that were
-// new. What exceeds MaxPending is dropped: it still arrives through the log.
+// Receive adds requests of other instances, in any order and any number of times, and returns the new ones. Requests
+// above MaxPending are dropped: they still take effect here when the log accepts them.
 func (p *PendingSet) Receive(log Replicated, requests ...Request) []Request {
 	settled := log.Settled()
 	var added []Request
@@ -82,19 +85,19 @@
 	return added
 }
 
-// DropSettled drops the requests that the log has settled.
+// DropSettled removes the requests that the log has settled.
 func (p *PendingSet) DropSettled(log Replicated) {
 	settled := log.Settled()
 	maps.DeleteFunc(p.pending, func(id ID, _ Request) bool { return settled.Contains(id) })
 }
 
-// List returns the pending requests, sorted by origin and age.
+// List returns the pending requests, sorted by origin and sequence number.
 func (p *PendingSet) List() []Request {
 	return slices.SortedFunc(maps.Values(p.pending), func(a, b Request) int { return compareIDs(a.ID, b.ID) })
 }
 
-// Effective returns the restriction of a server at this instance: the log's, joined with the requests that are
-// pending.
+// Effective returns the restriction of a server at this instance: the strictest level among the log's restriction and
+// the pending requests.
 func (p *PendingSet) Effective(log Replicated, server string) Level {
 	level := log.Restriction(server)
 	settled := log.Settled()
--- a/internal/config/restriction/pending_set_test.go
+++ b/internal/config/restriction/pending_set_test.go
@@ -11,7 +11,7 @@
 	_ "linkpass/internal/testrand"
 )
 
-// settledLog is a replicated state that settled some requests and restricts no server.
+// settledLog is a replicated state in which some requests are settled and no server is restricted.
 type settledLog struct{ settled SettledSet }
 
 func (l settledLog) Settled() SettledSet    { return l.settled }
@@ -29,9 +29,9 @@
 	return rapid.SliceOfN(request, 0, 20).Draw(t, "requests")
 }
 
-// The pending requests do not depend on the order, the repetition or the interleaving with the log in which
-// requests are received; what was settled stays settled, however late a copy is; and a settled set survives its
-// stored form.
+// The pending requests do not depend on the order in which requests are received, on repeated delivery, or on how
+// requests interleave with the log. A settled request stays settled even if a copy of it arrives later. A settled set
+// is unchanged after it is stored and restored.
 func TestReceiveIsIndependentOfOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := drawRequests(t)
@@ -49,16 +49,17 @@
 		one.Receive(l, all...)
 		a, b := fmt.Sprint(pendingIDs(one)), fmt.Sprint(pendingIDs(other))
 		if a != b || one.Effective(l, "s") != other.Effective(l, "s") {
-			t.Fatalf("%s, %s", a, b)
+			t.Fatalf("pending %s with restriction %s, in another order %s with %s",
+				a, one.Effective(l, "s"), b, other.Effective(l, "s"))
 		}
 		for _, r := range one.List() {
 			if l.settled.Contains(r.ID) {
-				t.Fatalf("%v is settled and pending", r)
+				t.Fatalf("request %v is pending, but the log has settled it", r)
 			}
 		}
 		restored := NewSettledSet(l.settled.Intervals())
 		if fmt.Sprint(restored.Intervals()) != fmt.Sprint(l.settled.Intervals()) {
-			t.Fatal("a restored settled set differs")
+			t.Fatalf("restored settled set = %v, want %v", restored.Intervals(), l.settled.Intervals())
 		}
 	})
 }
@@ -79,7 +80,8 @@
 	return ids
 }
 
-// A settled set grows neither with requests nor with incarnations; a pending set is bounded, whatever others send.
+// The size of a settled set depends neither on the number of requests nor on that of incarnations. The size of a
+// pending set is bounded, whatever other instances send.
 func TestSetsAreBounded(t *testing.T) {
 	var l settledLog
 	for incarnation := uint64(1); incarnation <= 100; incarnation++ {
@@ -88,18 +90,19 @@
 		}
 	}
 	if intervals := l.settled.Intervals(); len(intervals) != MaxIncarnations || len(intervals[0].Above) != 0 {
-		t.Errorf("%d incarnations, %+v", len(intervals), intervals[0])
+		t.Errorf("%d intervals, the first is %+v; want %d intervals with an empty Above",
+			len(intervals), intervals[0], MaxIncarnations)
 	}
 	for _, c := range []struct {
 		id   ID
 		want bool
 	}{
-		{ID{Origin{"n", 1}, 7}, true}, // forgotten: it must not come back
+		{ID{Origin{"n", 1}, 7}, true}, // no longer kept: it must not become pending again
 		{ID{Origin{"n", 101}, 1}, false},
 		{ID{Origin{"other", 1}, 1}, false},
 	} {
 		if got := l.settled.Contains(c.id); got != c.want {
-			t.Errorf("%s settled: %t, want %t", c.id, got, c.want)
+			t.Errorf("Contains(%s) = %t, want %t", c.id, got, c.want)
 		}
 	}
 	p := NewPendingSet(Origin{"me", 1})
@@ -117,6 +120,6 @@
 		p.Receive(l, Request{ID: ID{Origin{"other", 1}, seq + 1}, Server: "s", Level: Draining})
 	}
 	if issued != MaxPendingOwn || len(p.List()) != MaxPending {
-		t.Errorf("%d issued, %d pending", issued, len(p.List()))
+		t.Errorf("%d issued and %d pending, want %d and %d", issued, len(p.List()), MaxPendingOwn, MaxPending)
 	}
 }
--- a/internal/config/restriction/request.go
+++ b/internal/config/restriction/request.go
@@ -5,16 +5,17 @@
 	"fmt"
 )
 
-// Origin is the process that issued a request: an instance, and an incarnation that grows with each of its restarts.
+// Origin identifies the process that issued a request.
 type Origin struct {
-	Instance    string `cbor:"1,keyasint" json:"instance"`
+	Instance string `cbor:"1,keyasint" json:"instance"`
+	// Incarnation increases with each restart of the instance.
 	Incarnation uint64 `cbor:"2,keyasint" json:"boot"`
 }
 
-// ID identifies a request. It is never used twice.
+// ID identifies a request. No two requests have the same ID.
 type ID struct {
 	Origin Origin `cbor:"1,keyasint" json:"origin"`
-	// Seq counts the requests of an origin, from 1.
+	// Seq numbers the requests of an origin, starting at 1.
 	Seq uint64 `cbor:"2,keyasint" json:"seq"`
 }
 
@@ -36,6 +37,6 @@
 	ID     ID     `cbor:"1,keyasint" json:"id"`
 	Server string `cbor:"2,keyasint" json:"server"`
 	Level  Level  `cbor:"3,keyasint" json:"kind"`
-	// Force restricts the server even if that leaves a shard without a replica.
+	// Force restricts the server even if that leaves a shard or a cell without a replica in service.
 	Force bool `cbor:"4,keyasint,omitempty" json:"force,omitempty"`
 }
--- a/internal/config/restriction/settled_set.go
+++ b/internal/config/restriction/settled_set.go
@@ -5,18 +5,19 @@
 	"slices"
 )
 
-// MaxIncarnations bounds the incarnations of an instance that a SettledSet tells apart.
+// MaxIncarnations is the maximum number of incarnations of one instance that a SettledSet keeps, the latest ones.
 const MaxIncarnations = 8
 
-// SettledSet is the set of requests that the log has decided. It is immutable, and the zero value is empty.
+// SettledSet is the set of requests that the log has accepted, rejected or withdrawn. It is immutable. The zero value
+// is an empty set.
 type SettledSet struct {
 	origins map[Origin]sequences
 }
 
-// sequences is a set of sequence numbers: all up to upTo, and some above it.
+// sequences is a set of sequence numbers: all from 1 to upTo, and those listed in above.
 type sequences struct {
 	upTo  uint64
-	above []uint64 // sorted
+	above []uint64 // sorted; each is greater than upTo+1, because with extends upTo over adjacent numbers
 }
 
 func (s sequences) contains(seq uint64) bool {
@@ -24,7 +25,7 @@
 	return seq <= s.upTo || found
 }
 
-// with returns the set with one number more; the old one is not changed.
+// with returns the set with seq added, which it must not contain yet. It does not change the receiver.
 func (s sequences) with(seq uint64) sequences {
 	at, _ := slices.BinarySearch(s.above, seq)
 	s.above = slices.Insert(slices.Clone(s.above), at, seq)
@@ -35,14 +36,16 @@
 	return s
 }
 
-// Interval is the part of a settled set that belongs to one origin, in its stored form.
+// Interval is the stored form of the part of a SettledSet that belongs to one origin.
 type Interval struct {
-	Origin Origin   `cbor:"1,keyasint"`
-	UpTo   uint64   `cbor:"2,keyasint"`
-	Above  []uint64 `cbor:"3,keyasint,omitempty"`
+	Origin Origin `cbor:"1,keyasint"`
+	// UpTo is the end of the contiguous range of settled sequence numbers, which starts at 1; 0: the range is empty.
+	UpTo uint64 `cbor:"2,keyasint"`
+	// Above lists the settled sequence numbers above UpTo, sorted.
+	Above []uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// NewSettledSet returns the set that Intervals described.
+// NewSettledSet returns the set that a result of Intervals describes.
 func NewSettledSet(intervals []Interval) SettledSet {
 	s := SettledSet{origins: map[Origin]sequences{}}
 	for _, i := range intervals {
@@ -51,7 +54,7 @@
 	return s
 }
 
-// Intervals describes the set; equal sets give equal lists.
+// Intervals returns the stored form of the set, sorted by origin. Equal sets have equal intervals.
 func (s SettledSet) Intervals() []Interval {
 	intervals := make([]Interval, 0, len(s.origins))
 	for origin, settled := range s.origins {
@@ -61,8 +64,8 @@
 	return intervals
 }
 
-// Contains tells whether the log has decided a request. Requests of an incarnation that is older than the latest
-// MaxIncarnations count as decided, because nothing is remembered of them.
+// Contains reports whether the log has settled a request. The set keeps nothing about incarnations that are older than
+// the latest MaxIncarnations of an instance, so their requests count as settled.
 func (s SettledSet) Contains(id ID) bool {
 	if settled, known := s.origins[id.Origin]; known {
 		return settled.contains(id.Seq)
@@ -71,7 +74,7 @@
 	return len(incarnations) >= MaxIncarnations && id.Origin.Incarnation < incarnations[0]
 }
 
-// With returns the set with one request more; the receiver is not changed.
+// With returns the set with a request added. It does not change the receiver.
 func (s SettledSet) With(id ID) SettledSet {
 	if s.Contains(id) {
 		return s
@@ -87,7 +90,7 @@
 	return next
 }
 
-// incarnations lists the known incarnations of an instance, sorted.
+// incarnations lists the incarnations of an instance that the set keeps, sorted.
 func (s SettledSet) incarnations(instance string) []uint64 {
 	var incarnations []uint64
 	for origin := range s.origins {
--- a/internal/config/result.go
+++ b/internal/config/result.go
@@ -2,10 +2,11 @@
 
 import "fmt"
 
-// Reason says why a command was rejected. It is replicated, so its texts are the same at every instance and version.
+// Reason tells why a command was rejected. Reasons are replicated, so their texts must be the same at every instance
+// and in every version of the program.
 type Reason string
 
-// The reasons. Applied means that the command was not rejected.
+// The reasons for a rejection. The zero value, Applied, means that the command was not rejected.
 const (
 	Applied         Reason = ""
 	Conflict        Reason = "another change came first"
@@ -20,22 +21,26 @@
 	Invalid         Reason = "it cannot be used"
 )
 
-// reasonUndrained is recorded for a pending restriction that an undrain withdrew.
+// reasonUndrained is recorded for a pending restriction that an UndrainServer command withdrew.
 const reasonUndrained Reason = "undrained"
 
 // Result is the outcome of a command.
 //
-// The whole of it is replicated: it lies in the client sessions of the state and so counts in the state's hash.
-// A changed text would make instances of two versions diverge; TestResultDetailGolden holds them.
+// All of it is replicated: the state keeps it in the client sessions, so it is part of the state's hash. If a version
+// of the program changed a text, its instances would diverge from those of earlier versions. TestResultDetailGolden
+// checks the texts.
 type Result struct {
 	Reason Reason `cbor:"1,keyasint,omitempty" json:"reason,omitempty"`
+	// Detail explains a rejection to a person; it is empty if the command was applied.
 	Detail string `cbor:"2,keyasint,omitempty" json:"detail,omitempty"`
-	// Version is that of the state after the command that gave this result first.
+	// Version is the version of the state after the command was first applied. A repeated command returns the same.
 	Version uint64 `cbor:"3,keyasint" json:"version"`
-	// UncoveredShards are shards that a forced command left without a replica, or that a rejected one would have.
+	// UncoveredShards lists the shards and cells that a forced restriction left without a replica in service, or that
+	// a rejected one would have left without one; at most MaxReportedShards of them.
 	UncoveredShards []string `cbor:"4,keyasint,omitempty" json:"bare,omitempty"`
 }
 
+// reject returns the result of a rejected command. Its texts are replicated and must not change.
 func reject(reason Reason, format string, args ...any) Result {
 	return Result{Reason: reason, Detail: fmt.Sprintf(format, args...)}
 }
--- a/internal/config/result_golden_test.go
+++ b/internal/config/result_golden_test.go
@@ -10,7 +10,7 @@
 	"linkpass/internal/shardmap"
 )
 
-// goldenState has two servers that were added, one that was removed, a settled request and one member's address.
+// goldenState returns a state with two added servers, a removed server, a settled request and a member address.
 func goldenState(t *testing.T) *State {
 	t.Helper()
 	s := initializedState(t)
@@ -22,7 +22,7 @@
 	} {
 		var r Result
 		if s, r = s.Apply(c); r.Reason != Applied {
-			t.Fatal(r)
+			t.Fatalf("kind %d: result = %+v, want Applied", c.Kind, r)
 		}
 	}
 	return s
@@ -33,7 +33,7 @@
 	return &restriction.Request{ID: id, Server: server, Level: level}
 }
 
-// resultCase is a command that a state rejects.
+// resultCase is a command that a state rejects, with the expected result.
 type resultCase struct {
 	name            string
 	state           *State
@@ -49,7 +49,7 @@
 // goldenLongName is one byte longer than a name may be.
 var goldenLongName = strings.Repeat("x", MaxNameBytes+1)
 
-// stateWithMaxServers is a copy of a state that has as many servers as there may be.
+// stateWithMaxServers returns a copy of a state with MaxServers servers.
 func stateWithMaxServers(s *State) *State {
 	full := *s
 	full.servers = map[string]Server{}
@@ -59,7 +59,7 @@
 	return &full
 }
 
-// stateWithMaxRemovedIDs is a copy of a state that has as many removed ids as there may be.
+// stateWithMaxRemovedIDs returns a copy of a state with MaxRemovedIDs removed ids.
 func stateWithMaxRemovedIDs(s *State) *State {
 	full := *s
 	full.removed = map[string]bool{}
@@ -69,7 +69,7 @@
 	return &full
 }
 
-// stateWithMaxMemberAddresses is a copy of a state that has as many members' addresses as there may be.
+// stateWithMaxMemberAddresses returns a copy of a state with MaxMemberAddresses member addresses.
 func stateWithMaxMemberAddresses(s *State) *State {
 	full := *s
 	full.memberAddresses = map[string]string{}
@@ -79,12 +79,12 @@
 	return &full
 }
 
-// restrictServer is the command of a restriction by the golden state's instance.
+// restrictServer returns a RestrictServer command whose request has the origin of the golden state.
 func restrictServer(seq uint64, server string, level restriction.Level) Command {
 	return Command{Kind: RestrictServer, Restriction: goldenRequest(seq, server, level)}
 }
 
-// rejectedServerCommands are commands on servers, and commands that name nothing valid.
+// rejectedServerCommands returns rejected commands that concern servers, and commands with an invalid name or kind.
 func rejectedServerCommands(t *testing.T, s *State) []resultCase {
 	t.Helper()
 	uninitialized := NewState(testSettings(t))
@@ -117,13 +117,13 @@
 	}
 }
 
-// rejectedRestrictionCommands are commands that restrict servers or undrain them.
+// rejectedRestrictionCommands returns rejected commands that restrict or undrain servers.
 func rejectedRestrictionCommands(t *testing.T, s *State) []resultCase {
 	t.Helper()
 	fullServers, fullRemoved := stateWithMaxServers(s), stateWithMaxRemovedIDs(s)
 	drained, r := s.Apply(restrictServer(2, "a", restriction.Draining))
 	if r.Reason != Applied {
-		t.Fatal(r)
+		t.Fatalf("drain of a: result = %+v, want Applied", r)
 	}
 	tooManyIDs := make([]restriction.ID, restriction.MaxPending+1)
 	return []resultCase{
@@ -146,7 +146,7 @@
 	}
 }
 
-// rejectedSettingsCommands are commands on members' addresses, settings and shard maps.
+// rejectedSettingsCommands returns rejected commands that concern member addresses, settings and shard maps.
 func rejectedSettingsCommands(s *State) []resultCase {
 	split := &shardmap.Command{Request: &shardmap.PlanRequest{
 		Kind:   shardmap.Split,
@@ -174,8 +174,8 @@
 	}
 }
 
-// A rejected command's detail is kept in the client sessions of the replicated state, and so in its hash: instances of
-// two versions in one store must produce the same text.
+// The replicated state keeps the detail of a rejected command in a client session, so the state's hash depends on it.
+// Instances of two versions in one store must produce the same text; otherwise their states diverge.
 func TestResultDetailGolden(t *testing.T) {
 	s := goldenState(t)
 	cases := slices.Concat(
@@ -198,7 +198,7 @@
 	}
 }
 
-// The reason of a request that an undrain withdrew is replicated too.
+// The reason that is recorded for a withdrawn request is replicated too, so it must not change either.
 func TestWithdrawnReasonGolden(t *testing.T) {
 	request := goldenRequest(3, "a", restriction.Draining)
 	s, r := goldenState(t).Apply(Command{
@@ -207,10 +207,10 @@
 		WithdrawnIDs: []restriction.ID{request.ID},
 	})
 	if r.Reason != Applied {
-		t.Fatal(r)
+		t.Fatalf("undrain: result = %+v, want Applied", r)
 	}
 	want := RejectedRestriction{Request: *request, Reason: "undrained", Version: s.Version()}
 	if got := s.RejectedRestrictions(); len(got) != 1 || got[0] != want {
-		t.Errorf("rejected %+v, want %+v", got, want)
+		t.Errorf("rejected restrictions = %+v, want only %+v", got, want)
 	}
 }
--- a/internal/config/rollback/detector.go
+++ b/internal/config/rollback/detector.go
@@ -5,33 +5,33 @@
 	"fmt"
 )
 
-// ErrRolledBack means that an instance's disk is older than what the instance was seen to have, or that two
-// processes use copies of one disk.
+// ErrRolledBack means that the disk of an instance is older than an earlier report of the instance, or that two
+// processes use copies of one disk. docs/raft.md quotes its text.
 var ErrRolledBack = errors.New("the disk of this instance is an old one, or another process runs on a copy of it")
 
-// MaxInstances bounds the instances that a Detector remembers.
+// MaxInstances is the maximum number of instances that a Detector keeps a history of.
 const MaxInstances = 32
 
-// Detector compares the reports of other instances with their earlier ones. Its memory ends with the process.
-// It is not safe for concurrent use.
+// Detector compares the reports of other instances with their earlier reports. It keeps its history in memory only, so
+// a restart of the process clears it. It is not safe for concurrent use.
 type Detector struct {
 	instances map[string]history
 }
 
-// history is what was seen of an instance.
+// history summarizes the reports of an instance.
 type history struct {
-	incarnation uint64
+	incarnation uint64 // the latest reported one
 	nonce       uint64
-	current     Position // reached by this incarnation
-	previous    Position // reached by those before it
+	current     Position // furthest position reported by this incarnation
+	previous    Position // furthest position reported by earlier incarnations
 }
 
-// NewDetector returns a Detector that has seen no report.
+// NewDetector returns a Detector without any history.
 func NewDetector() *Detector {
 	return &Detector{instances: map[string]history{}}
 }
 
-// Retain forgets all instances but these.
+// Retain drops the histories of all instances except those with the given ids.
 func (d *Detector) Retain(ids []string) {
 	retained := map[string]history{}
 	for _, id := range ids {
@@ -42,23 +42,24 @@
 	d.instances = retained
 }
 
-// Observe records a report. It returns ErrRolledBack if the instance was seen further than its disk was at its
-// start. A late report that follows one of a later incarnation is rejected as well: its process has ended and
-// does not see the answer.
+// Observe records a report. It returns ErrRolledBack if an earlier process of the instance reported a position that the
+// disk of this process lacked at its start, or if another process reported the same incarnation. A delayed report that
+// arrives after one of a later incarnation is rejected as well: the process that sent it has ended and does not see the
+// answer. Observe does not record new instances above MaxInstances, and returns nil for them.
 func (d *Detector) Observe(r Report) error {
 	h, known := d.instances[r.ID]
 	switch {
 	case !known && len(d.instances) >= MaxInstances:
-		return nil // not remembered: nothing to compare with
+		return nil // not recorded: there is no earlier report to compare with
 	case known && r.Incarnation < h.incarnation:
-		return fmt.Errorf("%w: it is at start %d, start %d was reported", ErrRolledBack, r.Incarnation, h.incarnation)
+		return fmt.Errorf("%w: it reports incarnation %d after %d", ErrRolledBack, r.Incarnation, h.incarnation)
 	case known && r.Incarnation == h.incarnation && r.Nonce != h.nonce:
-		return fmt.Errorf("%w: start %d was reported by another process", ErrRolledBack, r.Incarnation)
+		return fmt.Errorf("%w: another process reported the same incarnation %d", ErrRolledBack, r.Incarnation)
 	case !known || r.Incarnation > h.incarnation:
 		h = history{incarnation: r.Incarnation, nonce: r.Nonce, previous: h.previous.max(h.current)}
 	}
 	if r.AtStart.Behind(h.previous) {
-		return fmt.Errorf("%w: it had term %d and entry %d, and started with %d and %d", ErrRolledBack,
+		return fmt.Errorf("%w: it reported term %d and index %d, then started at term %d and index %d", ErrRolledBack,
 			h.previous.Term, h.previous.Index, r.AtStart.Term, r.AtStart.Index)
 	}
 	h.current = h.current.max(r.AtStart).max(r.Current)
--- a/internal/config/rollback/report_test.go
+++ b/internal/config/rollback/report_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A report goes to instances of other versions: its JSON names stay.
+// Reports are sent to instances of other versions, so their JSON keys must not change.
 func TestReportJSONIsStable(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -19,11 +19,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			data, err := json.Marshal(c.report)
 			if err != nil || string(data) != c.text {
-				t.Errorf("%s, %v; want %s", data, err, c.text)
+				t.Errorf("encoded as %s, %v; want %s", data, err, c.text)
 			}
 			var got Report
 			if err := json.Unmarshal([]byte(c.text), &got); err != nil || got != c.report {
-				t.Errorf("%+v, %v; want %+v", got, err, c.report)
+				t.Errorf("decoded as %+v, %v; want %+v", got, err, c.report)
 			}
 		})
 	}
--- a/internal/config/server.go
+++ b/internal/config/server.go
@@ -12,21 +12,23 @@
 	Addr string `cbor:"1,keyasint" json:"addr"`
 	Zone string `cbor:"2,keyasint" json:"zone,omitempty"`
 	Kind string `cbor:"3,keyasint" json:"kind,omitempty"`
-	Cell int    `cbor:"4,keyasint" json:"cell"`
+	// Cell is the number of the server's replica placement group, from 0.
+	Cell int `cbor:"4,keyasint" json:"cell"`
 }
 
-// Server is the replicated configuration of a server. One that only discovery lists has no Spec, but may have a
-// weight or a restriction.
+// Server is the replicated configuration of a server.
 type Server struct {
-	// Version is that of the state at the server's last change.
-	Version uint64      `cbor:"1,keyasint" json:"version"`
-	Spec    *ServerSpec `cbor:"2,keyasint,omitempty" json:"spec,omitempty"`
-	// Weight overrides the weight that discovery gives, unless it is 0.
+	// Version is the version of the state at the server's latest change.
+	Version uint64 `cbor:"1,keyasint" json:"version"`
+	// Spec is nil for a server that no command added; such a server may still have a weight or a restriction.
+	Spec *ServerSpec `cbor:"2,keyasint,omitempty" json:"spec,omitempty"`
+	// Weight overrides the weight that discovery reports, unless it is 0.
 	Weight      float64           `cbor:"3,keyasint,omitempty" json:"weight,omitempty"`
 	Restriction restriction.Level `cbor:"4,keyasint,omitempty" json:"restriction,omitempty"`
 }
 
-// lookupServer returns the server that a command names, after checking the version that the command expects.
+// lookupServer returns the server that a command names. It rejects a command that names no server, a removed one, a
+// version other than the current one, or an additional server above MaxServers.
 func (s *State) lookupServer(c Command) (Server, Result) {
 	server, known := s.servers[c.Server]
 	switch {
@@ -43,7 +45,7 @@
 	return server, Result{}
 }
 
-// putServer stores a server under the version of the command that is being applied.
+// putServer stores a server with the version that the state has after the current command.
 func (s *State) putServer(id string, server Server) {
 	server.Version = s.version + 1
 	s.servers = maps.Clone(s.servers)
--- a/internal/config/session.go
+++ b/internal/config/session.go
@@ -5,15 +5,16 @@
 	"math"
 )
 
-// clientSession is the last command of a client and its result, which a repeated command is answered with.
+// clientSession records the latest command of a client. A repeated command is answered with the recorded result.
 type clientSession struct {
 	Seq    uint64 `cbor:"1,keyasint"`
 	Result Result `cbor:"2,keyasint"`
-	// Version is that of the state after the command.
+	// Version is the version of the state after the command.
 	Version uint64 `cbor:"3,keyasint"`
 }
 
-// recordCommand counts a command that was applied for the first time, and remembers its result for the client.
+// recordCommand returns the state with its version incremented and with the result of a new command recorded for its
+// client. Above MaxClients, it drops the session whose latest command is the oldest.
 func (s *State) recordCommand(c Command, r Result) *State {
 	next := s.countCommand()
 	if c.ClientID == "" {
@@ -27,15 +28,15 @@
 	return next
 }
 
-// countCommand counts a command that changes nothing else.
+// countCommand returns a copy of the state whose version counts one more command.
 func (s *State) countCommand() *State {
 	next := *s
 	next.version++
 	return &next
 }
 
-// oldestSession returns the client whose last command is the oldest. No two sessions have the same version, so every
-// instance makes the same choice.
+// oldestSession returns the client whose latest command is the oldest. No two sessions have the same version, because
+// every command increments it, so all instances choose the same client.
 func oldestSession(sessions map[string]clientSession) string {
 	oldest, oldestVersion := "", uint64(math.MaxUint64)
 	for client, session := range sessions {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -10,13 +10,13 @@
 	}
 	next, err := s.parseSettings(c)
 	if err != nil {
-		// The text becomes part of the replicated result: searchconfig must not change it.
+		// The error text becomes part of the replicated result, so the error texts of searchconfig must not change.
 		return reject(Invalid, "%s", err)
 	}
 	return s.installSettings(next)
 }
 
-// parseSettings returns the settings that a command produces, and checks that they may follow the present ones.
+// parseSettings returns the settings that a command produces, and checks that they may replace the current ones.
 func (s *State) parseSettings(c Command) (*searchconfig.Config, error) {
 	parse := func() (*searchconfig.Config, error) { return s.settings.Patch(c.Payload) }
 	if c.Kind == ReplaceSettings {
@@ -27,12 +27,12 @@
 		return nil, err
 	}
 	if s.settingsVersion == 0 {
-		return next, nil // an instance's own file does not bind the first replicated document
+		return next, nil // the first replicated document does not have to follow from an instance's own settings file
 	}
 	return next, next.ValidateTransition(s.settings)
 }
 
-// installSettings stores settings under the next revision.
+// installSettings stores a copy of the settings with the next revision.
 func (s *State) installSettings(next *searchconfig.Config) Result {
 	installed := *next
 	installed.Revision = 1
@@ -44,7 +44,7 @@
 	return Result{}
 }
 
-// applyShardMap applies AdvanceShardMap. A shard map checks for itself the version that its command was made on.
+// applyShardMap applies AdvanceShardMap. The shard map itself checks the version that its command expects.
 func (s *State) applyShardMap(c Command) Result {
 	current := s.settings.ShardMap(c.Index)
 	if current == nil || c.ShardMapCommand == nil {
@@ -52,7 +52,7 @@
 	}
 	next, err := current.Apply(*c.ShardMapCommand)
 	if err != nil {
-		// The text becomes part of the replicated result: shardmap must not change it.
+		// The error text becomes part of the replicated result, so the error texts of shardmap must not change.
 		return reject(Conflict, "%s", err)
 	}
 	if next == current {
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -12,7 +12,7 @@
 	"linkpass/internal/searchconfig"
 )
 
-// hashBytes is how much of the sum a state's hash shows.
+// hashBytes is the number of bytes of the BLAKE3 sum that a state's hash contains.
 const hashBytes = 16
 
 // snapshotDocument is the stored form of a state under formatVersion.
@@ -28,7 +28,7 @@
 	MemberAddresses      map[string]string        `cbor:"9,keyasint,omitempty"`
 }
 
-// Snapshot encodes the state. Equal states give equal bytes.
+// Snapshot encodes the state. Equal states have equal encodings, byte for byte.
 func (s *State) Snapshot() ([]byte, error) {
 	settings, err := json.Marshal(s.settings)
 	if err != nil {
@@ -51,7 +51,7 @@
 	return append([]byte{formatVersion}, data...), nil
 }
 
-// Restore decodes a snapshot. One of a later version gives ErrUnknownFormat.
+// Restore decodes a snapshot. It returns ErrUnknownFormat if the snapshot is empty or has another formatVersion.
 func Restore(data []byte) (*State, error) {
 	if err := checkFormat("snapshot", data); err != nil {
 		return nil, err
@@ -78,7 +78,7 @@
 	return s, nil
 }
 
-// Hash returns a checksum of the state, by which instances are compared.
+// Hash returns a checksum of the state in hexadecimal. Instances with equal states have equal hashes.
 func (s *State) Hash() (string, error) {
 	data, err := s.Snapshot()
 	if err != nil {
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -8,18 +8,18 @@
 	"linkpass/internal/searchconfig"
 )
 
-// State is the replicated state. It is immutable once published: Apply returns a new one, which shares with the
-// old one what the command did not change.
+// State is the replicated state. It is immutable once published: Apply returns a new state, which shares all data that
+// the command did not change with the old one.
 type State struct {
-	version         uint64 // commands applied so far
+	version         uint64 // number of commands applied so far, rejected ones included
 	servers         map[string]Server
-	removed         map[string]bool // ids that are never used again
+	removed         map[string]bool // ids of removed servers; they are never reused
 	sessions        map[string]clientSession
 	settled         restriction.SettledSet
 	rejected        []RejectedRestriction // oldest first
 	memberAddresses map[string]string     // client addresses of members that joined while the cluster was running
 	settings        *searchconfig.Config
-	settingsVersion uint64 // version at the last change of the settings; 0: they are the file's
+	settingsVersion uint64 // version at the latest change of the settings; 0: they come from the instance's own file
 }
 
 // NewState returns the state before the first command, with the settings of the instance's own file.
@@ -33,19 +33,19 @@
 	}
 }
 
-// Initialized tells whether the settings are replicated. Until then each instance has those of its own file.
+// Initialized reports whether the settings are replicated. Until then each instance uses the settings of its own file.
 func (s *State) Initialized() bool { return s.settingsVersion != 0 }
 
-// Version counts the commands applied so far, rejected ones included.
+// Version is the number of commands applied so far, rejected ones included.
 func (s *State) Version() uint64 { return s.version }
 
 // Settings returns the settings in force. The caller must not change them.
 func (s *State) Settings() *searchconfig.Config { return s.settings }
 
-// SettingsVersion is the version at which the settings last changed.
+// SettingsVersion is the version at which the settings last changed; 0 before the first replicated document.
 func (s *State) SettingsVersion() uint64 { return s.settingsVersion }
 
-// Server returns the replicated configuration of a server.
+// Server returns the replicated configuration of a server, and whether the server has one.
 func (s *State) Server(id string) (Server, bool) {
 	server, known := s.servers[id]
 	return server, known
@@ -54,7 +54,7 @@
 // ServerIDs lists the servers that have a replicated configuration, sorted.
 func (s *State) ServerIDs() []string { return slices.Sorted(maps.Keys(s.servers)) }
 
-// RemovedIDs lists the ids of removed servers, sorted. They are never used again.
+// RemovedIDs lists the ids of removed servers, sorted. They are never reused.
 func (s *State) RemovedIDs() []string { return slices.Sorted(maps.Keys(s.removed)) }
 
 // MemberAddress returns the client address of a member that joined while the cluster was running.
@@ -63,10 +63,10 @@
 	return addr, ok
 }
 
-// Settled returns the restriction requests that the log has decided.
+// Settled returns the set of restriction requests that the log has accepted, rejected or withdrawn.
 func (s *State) Settled() restriction.SettledSet { return s.settled }
 
-// Restriction returns a server's restriction according to the log.
+// Restriction returns the restriction of a server according to the log; None if the server is unknown.
 func (s *State) Restriction(id string) restriction.Level {
 	if s.removed[id] {
 		return restriction.Removed
@@ -74,5 +74,6 @@
 	return s.servers[id].Restriction
 }
 
-// RejectedRestrictions returns the latest restriction requests that the log rejected, oldest first.
+// RejectedRestrictions returns the latest restriction requests that the log rejected or withdrew, oldest first; at most
+// MaxRejectedRestrictions of them.
 func (s *State) RejectedRestrictions() []RejectedRestriction { return slices.Clone(s.rejected) }
--- a/internal/config/state_test.go
+++ b/internal/config/state_test.go
@@ -16,7 +16,7 @@
 	_ "linkpass/internal/testrand"
 )
 
-// testSettings have an index of two shards with the replicas a and b, and c.
+// testSettings returns settings with one index of two shards: the first has the replicas a and b, the second has c.
 func testSettings(t rapid.TB) *searchconfig.Config {
 	t.Helper()
 	c, err := searchconfig.Parse([]byte(`{"indices":{"players":{"class":"lookup","spread":{"slices":2,"sets":[["a","b"],["c"]]}}}}`))
@@ -26,7 +26,7 @@
 	return c
 }
 
-// initializedState is the state after the first replicated settings.
+// initializedState returns the state after the first replicated settings document.
 func initializedState(t rapid.TB) *State {
 	t.Helper()
 	doc, err := json.Marshal(testSettings(t))
@@ -35,14 +35,14 @@
 	}
 	s, r := NewState(&searchconfig.Config{}).Apply(Command{Kind: ReplaceSettings, Payload: doc})
 	if r.Reason != Applied {
-		t.Fatal(r)
+		t.Fatalf("first document: result = %+v, want Applied", r)
 	}
 	return s
 }
 
 var serverIDs = []string{"a", "b", "c", "d", "e"}
 
-// drawCommand draws a command that may or may not be valid, made on a version that may be the current one.
+// drawCommand draws a command that may be invalid and may expect a version other than the current one.
 func drawCommand(t *rapid.T, s *State, n int) Command {
 	c := Command{
 		Kind:   CommandKind(rapid.IntRange(1, int(commandKindLimit)-1).Draw(t, "kind")),
@@ -94,10 +94,10 @@
 	}
 }
 
-// Whatever commands are applied: the old state is unchanged; a removed id is never used again; no shard loses
-// its last replica in service unless the command was forced and its result says so; a repeated command gives
-// its first result and changes nothing but the version; and the encoded log, replayed from any snapshot, gives
-// the same state byte for byte.
+// For any sequence of commands: Apply does not change the old state. A removed id is never reused. No shard loses its
+// last replica in service, unless the command was forced and its result reports the shard. A repeated command returns
+// its first result and changes only the version. Replaying the encoded log from any snapshot produces the same state,
+// byte for byte.
 func TestApplyKeepsInvariantsUnderRandomCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := initializedState(t)
@@ -132,22 +132,23 @@
 			replayed, _ = replayed.Apply(c)
 		}
 		if !bytes.Equal(encodeState(t, replayed), encodeState(t, s)) {
-			t.Fatal("the replayed log gives another state")
+			t.Fatal("the snapshot after replaying the log differs from that of the original state")
 		}
 	})
 }
 
-// checkedApply applies a command and checks the invariants of one step.
+// checkedApply applies a command, and checks the invariants that must hold after each command.
 func checkedApply(t *rapid.T, s *State, c Command) *State {
 	t.Helper()
 	before := encodeState(t, s)
 	next, r := s.Apply(c)
 	if !bytes.Equal(encodeState(t, s), before) {
-		t.Fatalf("%+v changed the state that it was applied to", c)
+		t.Fatalf("command %+v changed the state that it was applied to", c)
 	}
 	for _, id := range s.RemovedIDs() {
 		if _, known := next.Server(id); known || next.Restriction(id) != restriction.Removed {
-			t.Fatalf("removed server %s is in use again", id)
+			t.Fatalf("removed server %s: configured = %t, restriction = %s, want false and %s",
+				id, known, next.Restriction(id), restriction.Removed)
 		}
 	}
 	checkCoverage(t, s, next, c, r)
@@ -157,7 +158,7 @@
 	return next
 }
 
-// checkRepeat checks that a repeated command gives the first result and changes nothing but the version.
+// checkRepeat checks that a repeated command returns the first result and changes only the version.
 func checkRepeat(t *rapid.T, s *State, c Command, first Result) {
 	t.Helper()
 	next, r := s.Apply(c)
@@ -165,7 +166,7 @@
 		next.Version() != s.Version()+1 ||
 		next.SettingsVersion() != s.SettingsVersion() ||
 		!slices.Equal(next.ServerIDs(), s.ServerIDs()) {
-		t.Fatalf("%+v: result %+v, then %+v", c, first, r)
+		t.Fatalf("command %+v: repeated result = %+v, want %+v and no change but the version", c, r, first)
 	}
 }
 
@@ -178,8 +179,8 @@
 	return data
 }
 
-// checkCoverage checks by the replicas of each shard, not by the code under test, that none lost its last one
-// unnoticed.
+// checkCoverage checks that no shard lost its last replica in service unless the result reports it. It uses the replica
+// lists of the shards instead of the code under test.
 func checkCoverage(t *rapid.T, before, after *State, c Command, r Result) {
 	t.Helper()
 	covered := func(s *State, replicas []string) bool {
@@ -188,12 +189,13 @@
 	reported := c.Restriction != nil && c.Restriction.Force && len(r.UncoveredShards) > 0
 	for _, shard := range after.Settings().ShardMap("players").Shards() {
 		if covered(before, shard.Replicas) && !covered(after, shard.Replicas) && !reported {
-			t.Fatalf("%+v left shard %d without a replica: %+v", c, shard.ID, r)
+			t.Fatalf("command %+v left shard %d without a replica in service, result = %+v", c, shard.ID, r)
 		}
 	}
 }
 
-// An entry that is truncated, damaged, or of a later version is an error, never a panic or half a command.
+// Decoding an entry that is truncated, damaged or from a later version returns an error. It never panics and never
+// returns part of a command.
 func TestDecodeRejectsUnknownAndDamagedEntries(t *testing.T) {
 	entry, err := Encode(Command{Kind: SetServerWeight, Server: "a", Weight: 1})
 	if err != nil {
@@ -210,13 +212,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if c, err := Decode(data); !errors.Is(err, ErrUnknownFormat) {
-				t.Errorf("%+v, %v", c, err)
+				t.Errorf("decoded %+v, error = %v, want ErrUnknownFormat", c, err)
 			}
 		})
 	}
 	for i := range entry {
 		if _, err := Decode(entry[:i]); !errors.Is(err, ErrUnknownFormat) {
-			t.Errorf("truncated to %d bytes: %v", i, err)
+			t.Errorf("truncated to %d of %d bytes: error = %v, want ErrUnknownFormat", i, len(entry), err)
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
@@ -226,12 +228,13 @@
 			initializedState(t).Apply(c)
 		}
 		if _, err := Restore(data); err == nil {
-			t.Fatal("an entry was restored as a snapshot")
+			t.Fatal("Restore accepted a log entry as a snapshot")
 		}
 	})
 }
 
-// Instances whose files differ are equal from the first replicated settings on, and reject every command before it.
+// Instances with different settings files reject every command before the first replicated settings document, and have
+// equal states after it.
 func TestStatesConvergeAfterFirstDocument(t *testing.T) {
 	one := NewState(testSettings(t))
 	other := NewState(&searchconfig.Config{Search: searchconfig.Defaults{MaxResultWindow: 7}})
@@ -248,17 +251,19 @@
 		one, r = one.Apply(c)
 		other, r2 = other.Apply(c)
 		if r.Reason != r2.Reason || (r.Reason == NotInitialized) != (i == 0) {
-			t.Errorf("command %d: %+v, %+v", i, r, r2)
+			t.Errorf("command %d: results %+v and %+v, want equal reasons, and NotInitialized only for command 0",
+				i, r, r2)
 		}
 	}
 	a, err := one.Hash()
 	b, err2 := other.Hash()
 	if a != b || err != nil || err2 != nil {
-		t.Errorf("hashes %s and %s, %v, %v", a, b, err, err2)
+		t.Errorf("hashes %s and %s, want equal ones; errors %v and %v", a, b, err, err2)
 	}
 }
 
-// The records of clients and of rejected restrictions are bounded, by the same choice at every instance.
+// The numbers of client sessions and of rejected restrictions are bounded. All instances drop the same records: the
+// oldest ones.
 func TestRetainedRecordsAreBounded(t *testing.T) {
 	s := initializedState(t)
 	origin := restriction.Origin{Instance: "n", Incarnation: 1}
@@ -287,6 +292,6 @@
 		t.Errorf("%d settled intervals, want 1", n)
 	}
 	if _, ok := s.sessions["client0"]; ok {
-		t.Error("the oldest client is remembered")
+		t.Error("the session of the oldest client was kept")
 	}
 }
--- a/internal/config/stored_fields_test.go
+++ b/internal/config/stored_fields_test.go
@@ -11,7 +11,7 @@
 	"linkpass/internal/shardmap"
 )
 
-// setFields are the indices of the fields that are set, by struct type.
+// setFields holds the indices of the fields that are not zero, by struct type.
 type setFields map[reflect.Type]map[int]bool
 
 // markSetFields records which fields of each struct type are not zero in a value.
@@ -49,7 +49,7 @@
 	}
 }
 
-// fixtureFields are the fields that the fixtures set between them.
+// fixtureFields returns the fields that are set in at least one fixture.
 func fixtureFields(t *testing.T) setFields {
 	t.Helper()
 	set := setFields{}
@@ -75,7 +75,7 @@
 	return set
 }
 
-// storedTypes are the types of stored records.
+// storedTypes lists a value of each type of stored record.
 var storedTypes = []any{
 	Command{},
 	ServerSpec{},
@@ -102,7 +102,7 @@
 	searchconfig.Server{},
 }
 
-// A field that is zero in all fixtures could change its stored form unnoticed.
+// If a field were zero in all fixtures, a change of its stored form would not be detected.
 func TestStoredFixturesSetEveryField(t *testing.T) {
 	set := fixtureFields(t)
 	for typ, fields := range set {
--- a/internal/config/stored_fixture_test.go
+++ b/internal/config/stored_fixture_test.go
@@ -12,13 +12,13 @@
 	"linkpass/internal/shardmap"
 )
 
-// writeStored adds fixtures that are missing. One that exists is never written again: it stands for the data that
-// earlier versions left on disk, and a change of the format gets a fixture of its own.
+// writeStored creates missing fixtures. An existing fixture is never overwritten, because it represents data that
+// earlier versions left on disk. A change of the format gets a new fixture.
 var writeStored = flag.Bool("write-stored", false, "write the stored-data fixtures that are missing")
 
 const storedDir = "testdata/stored"
 
-// readFixture returns a fixture's bytes. With -write-stored, a fixture that does not exist is written first.
+// readFixture returns the contents of a fixture. With -write-stored, a missing fixture is created first.
 func readFixture(t *testing.T, name string, create func() []byte) []byte {
 	t.Helper()
 	path := filepath.Join(storedDir, name)
@@ -71,7 +71,7 @@
 	storedAbandon = &shardmap.Abandon{Plan: 7, Reason: "the target is down"}
 )
 
-// storedCommands are the commands that the entry fixtures hold, by the fixture's name.
+// storedCommands returns the commands in the entry fixtures, by the name of the fixture.
 func storedCommands() map[string]Command {
 	commands := map[string]Command{
 		"patch": {
@@ -129,7 +129,7 @@
 	return commands
 }
 
-// storedZeroCommand has every optional record, each with zero fields.
+// storedZeroCommand returns a command with every optional record, each of them with zero fields.
 func storedZeroCommand() Command {
 	return Command{
 		Kind:         AdvanceShardMap,
@@ -144,7 +144,7 @@
 	}
 }
 
-// storedFullCommand has every field set.
+// storedFullCommand returns a command with every field set.
 func storedFullCommand() Command {
 	return Command{
 		Kind:            AdvanceShardMap,
--- a/internal/config/stored_state_test.go
+++ b/internal/config/stored_state_test.go
@@ -9,7 +9,7 @@
 	"linkpass/internal/shardmap"
 )
 
-// storedSettings are the settings of the snapshot fixture.
+// storedSettings returns the settings in the snapshot fixture.
 func storedSettings() *searchconfig.Config {
 	partial := false
 	return &searchconfig.Config{
@@ -36,7 +36,7 @@
 // storedFirstID is the id of the stored shard map's first shard.
 const storedFirstID = shardmap.FirstDynamicID
 
-// storedShardMap has two open plans, one that is retired and one that was abandoned.
+// storedShardMap returns a shard map with two open plans, a retired plan and an abandoned plan.
 func storedShardMap() *shardmap.Document {
 	return &shardmap.Document{
 		Version:   9,
@@ -131,7 +131,8 @@
 		}}
 }
 
-// storedState is the state of the snapshot fixture. No two numbers of a record are equal, so that swapped fields show.
+// storedState returns the state in the snapshot fixture. No two numbers of a record are equal, so that a test detects
+// swapped fields.
 func storedState(t *testing.T) *State {
 	t.Helper()
 	settings := storedSettings()
@@ -170,7 +171,7 @@
 	return s
 }
 
-// storedRejections are two restrictions that the log rejected.
+// storedRejections returns a rejected and a withdrawn restriction.
 func storedRejections(origin restriction.Origin) []RejectedRestriction {
 	return []RejectedRestriction{
 		{
@@ -195,7 +196,7 @@
 	}
 }
 
-// requireState compares two states whole: of the settings the exported fields and the shard maps.
+// requireState compares all fields of two states. Of the settings it compares the exported fields and the shard maps.
 func requireState(t *testing.T, got, want *State) {
 	t.Helper()
 	gotRest, wantRest := *got, *want
@@ -216,13 +217,13 @@
 			continue
 		}
 		if !reflect.DeepEqual(gotValue.Field(i).Interface(), wantValue.Field(i).Interface()) {
-			t.Errorf("settings, %s:\n%+v\nwant:\n%+v", field.Name, gotValue.Field(i), wantValue.Field(i))
+			t.Errorf("settings field %s:\n%+v\nwant:\n%+v", field.Name, gotValue.Field(i), wantValue.Field(i))
 		}
 	}
 	for name, index := range want.Indices {
 		shardMap := got.ShardMap(name)
 		if (shardMap != nil) != (index.ShardMap != nil) {
-			t.Errorf("index %s: has a shard map: %t", name, shardMap != nil)
+			t.Errorf("index %s: has a shard map = %t, want %t", name, shardMap != nil, index.ShardMap != nil)
 		} else if shardMap != nil && !reflect.DeepEqual(shardMap.Document(), *index.ShardMap) {
 			t.Errorf("index %s: shard map\n%+v\nwant:\n%+v", name, shardMap.Document(), *index.ShardMap)
 		}
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -11,6 +11,7 @@
 	"linkpass/internal/searchconfig"
 )
 
+// Entries that were stored in the first format are still decoded, and encoding them again gives the same bytes.
 func TestStoredEntryReadsFirstFormat(t *testing.T) {
 	for name, want := range storedCommands() {
 		t.Run(name, func(t *testing.T) {
@@ -29,7 +30,7 @@
 				t.Errorf("decoded\n%+v\nwant\n%+v", got, want)
 			}
 			if again, err := Encode(got); err != nil || !bytes.Equal(again, entry) {
-				t.Errorf("encoded again: %x, %v\nwant %x", again, err, entry)
+				t.Errorf("encoded again as %x, error %v\nwant %x", again, err, entry)
 			}
 		})
 	}
@@ -40,7 +41,7 @@
 	commands := storedCommands()
 	files, err := filepath.Glob(filepath.Join(storedDir, "entry_*.cbor"))
 	if err != nil || len(files) != len(commands) {
-		t.Errorf("%d entry fixtures, %d commands, %v", len(files), len(commands), err)
+		t.Errorf("%d entry fixtures, want one for each of %d commands; error %v", len(files), len(commands), err)
 	}
 	seen := map[CommandKind]bool{}
 	for _, c := range commands {
@@ -48,11 +49,13 @@
 	}
 	for k := CommandKind(1); k < commandKindLimit; k++ {
 		if !seen[k] {
-			t.Errorf("no entry of kind %d", k)
+			t.Errorf("no entry fixture has kind %d", k)
 		}
 	}
 }
 
+// A snapshot that was stored in the first format is still restored, and encoding it again gives the same bytes and the
+// same hash.
 func TestStoredSnapshotReadsFirstFormat(t *testing.T) {
 	data := readFixture(t, "snapshot.cbor", func() []byte { return mustSnapshot(t, storedState(t)) })
 	got, err := Restore(data)
@@ -73,7 +76,7 @@
 	}
 }
 
-// Records whose fields are all zero show how empty fields are encoded.
+// The fixture has records whose fields are all zero. It covers the encoding of empty fields.
 func TestStoredSnapshotOfZeroRecordsReadsFirstFormat(t *testing.T) {
 	want := NewState(&searchconfig.Config{})
 	if err := want.settings.Validate(); err != nil {
@@ -94,7 +97,7 @@
 	}
 }
 
-// A state without any content shows how empty maps and lists are encoded.
+// The fixture has no records. It covers the encoding of empty maps and lists.
 func TestStoredEmptySnapshotReadsFirstFormat(t *testing.T) {
 	data := readFixture(t, "snapshot_empty.cbor", func() []byte {
 		return mustSnapshot(t, NewState(&searchconfig.Config{}))
@@ -106,14 +109,14 @@
 	records := len(got.ServerIDs()) + len(got.RemovedIDs()) + len(got.sessions) +
 		len(got.RejectedRestrictions()) + len(got.memberAddresses) + len(got.Settled().Intervals())
 	if got.Version() != 0 || got.Initialized() || records != 0 {
-		t.Errorf("state %+v", got)
+		t.Errorf("state = %+v, want an empty one that is not initialized", got)
 	}
 	if again := mustSnapshot(t, got); !bytes.Equal(again, data) {
 		t.Errorf("snapshot again: %q\nwant %q", again, data)
 	}
 }
 
-// The log holds a client's document unchanged; applying it gives the settings that the snapshot holds.
+// The log stores the document of a client unchanged. Applying it must produce the settings in the snapshot fixture.
 func TestStoredDocumentEntryAppliesAsFirstFormat(t *testing.T) {
 	entry := readFixture(t, "entry_document.cbor", nil)
 	c, err := Decode(entry)
@@ -122,7 +125,7 @@
 	}
 	s, r := NewState(&searchconfig.Config{}).Apply(c)
 	if r.Reason != Applied {
-		t.Fatalf("result %+v", r)
+		t.Fatalf("result = %+v, want Applied", r)
 	}
 	got := mustSnapshot(t, s)
 	if want := readFixture(t, "snapshot_of_document.cbor", func() []byte { return got }); !bytes.Equal(got, want) {
@@ -130,7 +133,7 @@
 	}
 }
 
-// storedRecords are the records that the JSON fixtures hold, by the fixture's name.
+// storedRecords returns the records in the JSON fixtures, by the name of the fixture.
 func storedRecords(t *testing.T) map[string][]any {
 	t.Helper()
 	state := storedState(t)
@@ -157,8 +160,8 @@
 	}
 }
 
-// The admin API and messages between instances carry these records as JSON, whose keys are not those of the stored
-// form.
+// The admin API and the messages between instances contain these records as JSON. The JSON keys differ from the keys of
+// the stored form, so they are tested separately.
 func TestStoredRecordsKeepJSONForm(t *testing.T) {
 	for name, records := range storedRecords(t) {
 		t.Run(name, func(t *testing.T) {
@@ -173,13 +176,13 @@
 			}
 			var raw []json.RawMessage
 			if err := json.Unmarshal(want, &raw); err != nil || len(raw) != len(records) {
-				t.Fatal(len(raw), err)
+				t.Fatalf("%d records in the fixture, want %d; error %v", len(raw), len(records), err)
 			}
 			for i, text := range raw {
 				read := reflect.New(reflect.TypeOf(records[i]))
 				err := json.Unmarshal(text, read.Interface())
 				if err != nil || !reflect.DeepEqual(read.Elem().Interface(), records[i]) {
-					t.Errorf("%s read as %+v, %v; want %+v", text, read.Elem(), err, records[i])
+					t.Errorf("%s decoded as %+v, error %v; want %+v", text, read.Elem(), err, records[i])
 				}
 			}
 		})
--- a/internal/config/stored_truncated_test.go
+++ b/internal/config/stored_truncated_test.go
@@ -14,11 +14,12 @@
 			entry := readFixture(t, "entry_"+name+".cbor", nil)
 			for n := range entry {
 				if c, err := Decode(entry[:n]); !errors.Is(err, ErrUnknownFormat) {
-					t.Errorf("first %d of %d bytes: %+v, %v", n, len(entry), c, err)
+					t.Errorf("first %d of %d bytes: decoded %+v, error = %v, want ErrUnknownFormat",
+						n, len(entry), c, err)
 				}
 			}
 			if c, err := Decode(append(entry, 0)); !errors.Is(err, ErrUnknownFormat) {
-				t.Errorf("a byte too many: %+v, %v", c, err)
+				t.Errorf("one extra byte: decoded %+v, error = %v, want ErrUnknownFormat", c, err)
 			}
 		})
 	}
@@ -34,18 +35,19 @@
 		t.Run(name, func(t *testing.T) {
 			data := readFixture(t, name, nil)
 			if s, err := Restore(nil); !errors.Is(err, ErrUnknownFormat) || s != nil {
-				t.Errorf("no bytes: %v, %v", s, err)
+				t.Errorf("no bytes: state = %v, error = %v, want nil and ErrUnknownFormat", s, err)
 			}
 			for n := 1; n < len(data); n++ {
 				s, err := Restore(data[:n])
 				endsEarly := errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF)
 				if s != nil || errors.Is(err, ErrUnknownFormat) || !endsEarly {
-					t.Errorf("first %d of %d bytes: %v, %v", n, len(data), s, err)
+					t.Errorf("first %d of %d bytes: state = %v, error = %v, want nil and EOF or ErrUnexpectedEOF",
+						n, len(data), s, err)
 				}
 			}
 			var extra *cbor.ExtraneousDataError
 			if s, err := Restore(append(data, 0)); !errors.As(err, &extra) || s != nil {
-				t.Errorf("a byte too many: %v, %v", s, err)
+				t.Errorf("one extra byte: state = %v, error = %v, want nil and an ExtraneousDataError", s, err)
 			}
 		})
 	}
--- a/internal/searchconfig/config_test.go
+++ b/internal/searchconfig/config_test.go
@@ -28,26 +28,28 @@
 	return c
 }
 
-// mustReject checks that a patch is rejected as invalid.
+// mustReject checks that Patch rejects a patch with ErrInvalid.
 func mustReject(t *testing.T, c *Config, patch string) {
 	t.Helper()
 	if _, err := c.Patch([]byte(patch)); !errors.Is(err, ErrInvalid) {
-		t.Errorf("accepted %s: %v", patch, err)
+		t.Errorf("patch %s: error = %v, want ErrInvalid", patch, err)
 	}
 }
 
+// A patch changes the fields that it names and nothing else, leaves the published document unchanged, and is rejected
+// if the patched document is invalid.
 func TestConfigPatch(t *testing.T) {
 	c := mustParse(t, validDocument)
 	if c.Timeout() != 500*time.Millisecond || c.Protocol("s-1") != ProtocolSearch ||
 		c.Protocol("s-2") != ProtocolPlain || c.MaxResultWindow() != 10000 || !c.AllowPartial() {
-		t.Fatalf("%+v", c)
+		t.Fatalf("parsed document = %+v, want the values of validDocument and the defaults", c)
 	}
 	next, err := c.Patch([]byte(`{"servers":{"s-1":null},"indices.players.slices":[2],
 		"search":{"default_allow_partial_results":false}}`))
 	if err != nil || next.Protocol("s-1") != ProtocolPlain || next.Indices["players"].Shards[0] != 2 ||
 		next.Indices["players"].Class != "team-lookup" || next.AllowPartial() ||
 		next.Timeout() != 500*time.Millisecond {
-		t.Errorf("%+v %v", next, err)
+		t.Errorf("patched document = %+v, error = %v, want the patched fields changed and the others kept", next, err)
 	}
 	if c.Protocol("s-1") != ProtocolSearch || !c.AllowPartial() {
 		t.Error("the patch changed a published document")
@@ -78,40 +80,41 @@
 	} {
 		t.Run("valid "+text, func(t *testing.T) {
 			if got, err := ParseDuration(text); err != nil || got != want {
-				t.Errorf("%q: %v %v", text, got, err)
+				t.Errorf("ParseDuration(%q) = %v, %v, want %v", text, got, err, want)
 			}
 		})
 	}
 	for _, text := range []string{"5", "0s", "-2s", "1.5s", "s", "99999999999d"} {
 		t.Run("invalid "+text, func(t *testing.T) {
 			if _, err := ParseDuration(text); err == nil {
-				t.Errorf("accepted %q", text)
+				t.Errorf("ParseDuration(%q) accepted an invalid time value", text)
 			}
 		})
 	}
 }
 
-// Arbitrary patches and durations must not panic either.
+// Parse rejects a document that was cut off at any length. In addition, arbitrary patches and durations must not cause
+// a panic.
 func TestParseRejectsTruncatedDocument(t *testing.T) {
 	base := &Config{}
 	rapid.Check(t, func(t *rapid.T) {
 		length := rapid.IntRange(0, len(validDocument)-1).Draw(t, "length")
 		if _, err := Parse([]byte(validDocument[:length])); err == nil {
-			t.Fatal("accepted a truncated document")
+			t.Fatalf("Parse accepted a document truncated to %d of %d bytes", length, len(validDocument))
 		}
 		_, _ = base.Patch(rapid.SliceOf(rapid.Byte()).Draw(t, "garbage"))
 		_, _ = ParseDuration(rapid.String().Draw(t, "time"))
 	})
 }
 
-// Shard maps follow the document: generated once, shared where they did not change,
-// reported as changes, and changed by commands only.
+// A shard map is generated once from the initial sharding, shared with the earlier document while it does not change,
+// listed by ShardMapChanges when it changes, and never changed by a patch.
 func TestShardMapsOfDocument(t *testing.T) {
 	first := mustParse(t, `{"search":{},"indices":{
 		"a":{"class":"x","spread":{"slices":3,"sets":[["s"]]}},
 		"b":{"class":"x","spread":{"slices":1,"sets":[["t"]]}}}}`)
 	if changes := first.ShardMapChanges(nil); len(changes) != 2 || len(changes[0].Added) != 3 {
-		t.Errorf("without an earlier document: %+v", changes)
+		t.Errorf("changes without an earlier document = %+v, want 2 with 3 added shards in the first", changes)
 	}
 	split := &shardmap.PlanRequest{
 		Kind: shardmap.Split, Shards: []shardmap.ShardID{shardmap.FirstDynamicID}, Pieces: 2,
@@ -129,11 +132,11 @@
 	parsed, err := ParseUpdate(data, first)
 	if err != nil || parsed.ShardMap("b") != first.ShardMap("b") || parsed.ShardMap("a").Version() != 2 ||
 		first.ShardMap("a").Version() != 1 {
-		t.Errorf("parsed again: %v", err)
+		t.Errorf("ParseUpdate error = %v, want nil, the same shard map for b and version 2 of that for a", err)
 	}
 	changes := parsed.ShardMapChanges(first)
 	if len(changes) != 1 || changes[0].Collection != "a" || len(changes[0].Added)+len(changes[0].Removed) != 0 {
-		t.Errorf("a plan that has not switched adds and removes no shard: %+v", changes)
+		t.Errorf("changes by an open plan = %+v, want one for a without added or removed shards", changes)
 	}
 	removed, err := parsed.Patch([]byte(`{"indices":{"b":null}}`))
 	if err != nil {
@@ -141,7 +144,7 @@
 	}
 	changes = removed.ShardMapChanges(parsed)
 	if len(changes) != 1 || changes[0].Map != nil || len(changes[0].Removed) != 1 {
-		t.Errorf("after an index was removed: %+v", changes)
+		t.Errorf("changes after an index was removed = %+v, want one without a map and with one removed shard", changes)
 	}
 	for name, patch := range map[string]string{
 		"shard map version": `{"indices":{"a":{"layout":{"version":9}}}}`,
--- a/internal/searchconfig/duration.go
+++ b/internal/searchconfig/duration.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// maxDuration bounds what ParseDuration accepts.
+// maxDuration is the longest duration that ParseDuration accepts.
 const maxDuration = 30 * 24 * time.Hour
 
-// timeUnits are the suffixes of OpenSearch's time values. A suffix that ends in another
-// one comes before it.
+// timeUnits lists the suffixes of OpenSearch's time values. ParseDuration takes the first
+// suffix that matches, so "ms" and the like precede "s", in which they end.
 var timeUnits = []struct {
 	suffix string
 	unit   time.Duration
@@ -25,8 +25,8 @@
 	{"d", 24 * time.Hour},
 }
 
-// ParseDuration parses a time value such as 500ms. An empty value and -1 give 0, which
-// stands for no timeout.
+// ParseDuration parses an OpenSearch time value such as 500ms: a positive integer and a
+// unit. An empty value and -1 return 0, which stands for no timeout.
 func ParseDuration(s string) (time.Duration, error) {
 	if s == "" || s == "-1" {
 		return 0, nil
--- a/internal/searchconfig/parse.go
+++ b/internal/searchconfig/parse.go
@@ -8,11 +8,12 @@
 	"io"
 )
 
-// Parse parses a complete document. Unknown keys are rejected.
+// Parse parses and validates a complete document. Unknown keys are rejected with
+// ErrInvalid.
 func Parse(data []byte) (*Config, error) { return ParseUpdate(data, nil) }
 
-// ParseUpdate parses a complete document that follows an earlier one, and shares the
-// memory of what did not change with it.
+// ParseUpdate parses a complete document that follows an earlier one. Data that did not
+// change is shared with the earlier document; nil: there is none.
 func ParseUpdate(data []byte, earlier *Config) (*Config, error) {
 	c := &Config{}
 	if err := decode(data, c, true); err != nil {
@@ -27,7 +28,7 @@
 	return c, nil
 }
 
-// decode decodes exactly one JSON value; strict rejects unknown keys.
+// decode decodes exactly one JSON value. If strict is set, unknown keys are rejected.
 func decode(data []byte, into any, strict bool) error {
 	d := json.NewDecoder(bytes.NewReader(data))
 	if strict {
--- a/internal/searchconfig/patch.go
+++ b/internal/searchconfig/patch.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// Patch returns the document after a merge patch (RFC 7396). Dotted keys at the top
-// level of the patch stand for nested ones. The receiver is not changed.
+// Patch returns the document after a JSON merge patch (RFC 7396). A dotted key at the top
+// level of the patch stands for nested objects. The receiver is not changed.
 func (c *Config) Patch(patch []byte) (*Config, error) {
 	changes := map[string]any{}
 	if err := decode(patch, &changes, false); err != nil {
@@ -30,7 +30,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// A shard map changes by validated commands only; a patch would bypass their checks.
+	// Only commands may change a shard map: they check the change, and a patch would bypass
+	// these checks.
 	for name, before := range c.shardMaps {
 		now := next.shardMaps[name]
 		if now != nil && now.Version() != before.Version() {
@@ -40,7 +41,7 @@
 	return next, nil
 }
 
-// tree is the document as generic JSON.
+// tree returns the document as generic JSON.
 func (c *Config) tree() (map[string]any, error) {
 	data, err := json.Marshal(c)
 	if err != nil {
@@ -53,7 +54,7 @@
 	return tree, nil
 }
 
-// expandDottedKey turns a.b.c and a value into nested objects.
+// expandDottedKey turns a key such as a.b.c and its value into nested objects.
 func expandDottedKey(key string, value any) map[string]any {
 	path := strings.Split(key, ".")
 	for _, element := range slices.Backward(path[1:]) {
@@ -62,7 +63,7 @@
 	return map[string]any{path[0]: value}
 }
 
-// mergePatch applies a merge patch to tree in place.
+// mergePatch applies a JSON merge patch to tree in place.
 func mergePatch(tree, patch map[string]any) {
 	for key, v := range patch {
 		object, nested := v.(map[string]any)
--- a/internal/searchconfig/shardmaps.go
+++ b/internal/searchconfig/shardmaps.go
@@ -8,10 +8,11 @@
 	"linkpass/internal/shardmap"
 )
 
-// ShardMap is the shard map of an index; nil if the index has none, as its shards are fixed.
+// ShardMap returns the shard map of an index. It is nil if the index is not configured or
+// has fixed shards.
 func (c *Config) ShardMap(index string) *shardmap.Map { return c.shardMaps[index] }
 
-// WithShardMap returns a copy of the document with another shard map for an index.
+// WithShardMap returns a copy of the document in which an index has shard map m.
 func (c *Config) WithShardMap(index string, m *shardmap.Map) *Config {
 	out := *c
 	out.Indices = maps.Clone(c.Indices)
@@ -24,8 +25,8 @@
 	return &out
 }
 
-// ShardMapChanges lists what changed in the shard maps since an earlier document, by
-// index name. With a nil earlier document everything is a change.
+// ShardMapChanges lists the changes of the shard maps since an earlier document, sorted by
+// index name. If earlier is nil, every shard map is a change.
 func (c *Config) ShardMapChanges(earlier *Config) (changes []shardmap.Change) {
 	var earlierMaps map[string]*shardmap.Map
 	if earlier != nil {
@@ -46,8 +47,8 @@
 	return changes
 }
 
-// ValidateTransition checks that the document may follow an earlier one: the version of
-// a shard map never decreases.
+// ValidateTransition checks that the document may follow an earlier one: the version of a
+// shard map must not decrease. It returns ErrInvalid otherwise.
 func (c *Config) ValidateTransition(earlier *Config) error {
 	for name, before := range earlier.shardMaps {
 		now := c.shardMaps[name]
@@ -59,8 +60,8 @@
 	return nil
 }
 
-// loadShardMaps builds the shard maps of all indices. Memory of what did not change
-// since an earlier document is shared with it.
+// loadShardMaps builds the shard maps of all indices. Data that did not change since an
+// earlier document is shared with it.
 func (c *Config) loadShardMaps(earlier *Config) error {
 	c.shardMaps = map[string]*shardmap.Map{}
 	for _, name := range slices.Sorted(maps.Keys(c.Indices)) {
@@ -103,7 +104,8 @@
 
 // loadShardMap builds the shard map of one index.
 func (c *Config) loadShardMap(name string, doc *shardmap.Document, before *shardmap.Map) (*shardmap.Map, error) {
-	// In a replicated document a version is never made twice: the same version is the same map.
+	// In a replicated document, each change of a shard map gets a new version, so equal
+	// versions have equal contents.
 	if before != nil && before.Version() == doc.Version && c.Revision > 0 {
 		return before, nil
 	}
--- a/internal/searchconfig/validate.go
+++ b/internal/searchconfig/validate.go
@@ -10,8 +10,8 @@
 // maxNameBytes is OpenSearch's limit on the length of an index name.
 const maxNameBytes = 255
 
-// Validate checks whether the document can be used, and builds its shard maps. The
-// result depends on the document alone, so that every instance reaches the same one.
+// Validate checks the document and builds its shard maps; its errors wrap ErrInvalid. The
+// result depends on the document alone, so all instances get the same result.
 func (c *Config) Validate() error {
 	if err := c.validateFields(); err != nil {
 		return err
@@ -19,8 +19,8 @@
 	return c.loadShardMaps(nil)
 }
 
-// validateFields checks everything but the contents of the shard maps. Names are
-// visited in order, so that every instance reports the same error.
+// validateFields checks everything except the contents of the shard maps. It visits names
+// in sorted order, so that all instances report the same error.
 func (c *Config) validateFields() error {
 	if err := c.Search.validate(); err != nil {
 		return err
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// validIndexName follows OpenSearch's rules for index names.
+// validIndexName reports whether a name follows OpenSearch's rules for index names.
 func validIndexName(name string) bool {
 	if name == "" || name == "." || name == ".." || len(name) > maxNameBytes {
 		return false
--- a/internal/searchconfig/wire_golden_test.go
+++ b/internal/searchconfig/wire_golden_test.go
@@ -12,7 +12,7 @@
 	"linkpass/internal/shardmap"
 )
 
-// goldenConfig has an index with fixed shards and one with a shard map in the middle of a split.
+// goldenConfig returns a document with an index that has fixed shards, and one whose shard map has an open split.
 func goldenConfig(t *testing.T) Config {
 	t.Helper()
 	shardMap, err := shardmap.NewEven(2, [][]string{{"s-1", "s-2"}, {"s-3"}})
@@ -39,7 +39,8 @@
 	}
 }
 
-// A complete document. An index's initial sharding is read but not written: the shard map made from it replaces it.
+// The golden file is a complete document. It has no initial sharding, because that is read but not written: the shard
+// map generated from it replaces it.
 func TestConfigDocumentGolden(t *testing.T) {
 	want := goldenConfig(t)
 	goldentest.Encodes(t, "document.json", &want)
@@ -49,7 +50,7 @@
 	}
 	shardMap := got.ShardMap("movable")
 	if shardMap == nil || !reflect.DeepEqual(shardMap.Document(), *want.Indices["movable"].ShardMap) {
-		t.Errorf("shard map %+v", shardMap)
+		t.Errorf("shard map = %+v, want that of the golden document", shardMap)
 	}
 	got.shardMaps = nil
 	if !reflect.DeepEqual(*got, want) {
@@ -73,7 +74,7 @@
 
 func TestConfigTOMLGolden(t *testing.T) {
 	want := goldenConfig(t)
-	want.Revision = 0 // only the store counts it
+	want.Revision = 0 // TOML omits the revision, which only the store counts
 	want.Indices["spread"] = Index{
 		Class:           "team-lookup",
 		InitialSharding: &InitialSharding{Shards: 4, ReplicaSets: [][]string{{"s-1"}, {"s-2", "s-3"}}},
@@ -86,15 +87,15 @@
 	var got Config
 	meta, err := toml.Decode(string(goldentest.Read(t, "document.toml")), &got)
 	if err != nil || len(meta.Undecoded()) > 0 {
-		t.Fatal(err, meta.Undecoded())
+		t.Fatalf("error = %v, undecoded keys = %v, want none", err, meta.Undecoded())
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
 
-// patch_N.json merged into the golden document yields patched_N.json. What a patch does not name stays; the original is
-// not modified.
+// For each name, merging patch_<name> into the golden document produces patched_<name>. Fields that the patch does not
+// name stay, and the original document is not modified.
 func TestConfigMergePatchGolden(t *testing.T) {
 	for _, name := range []string{"nested.json", "dotted.json", "removed.json", "spread.json"} {
 		t.Run(name, func(t *testing.T) {
@@ -109,7 +110,7 @@
 			goldentest.Encodes(t, "patched_"+name, after)
 			unchanged, err := json.Marshal(before)
 			if err != nil || !bytes.Equal(unchanged, goldentest.Read(t, "document.json")) {
-				t.Errorf("the document before has changed: %s, %v", unchanged, err)
+				t.Errorf("Patch changed the original document to %s, error %v", unchanged, err)
 			}
 		})
 	}
