--- a/internal/config/apply.go
+++ b/internal/config/apply.go
@@ -5,10 +5,10 @@
 func (s *State) Apply(c Command) (*State, Result) {
 	if session, known := s.sessions[c.ClientID]; known && c.ClientID != "" {
 		if c.Seq == session.Seq {
-			return s.countCommand(), session.Result
+			return s.withNextVersion(), session.Result
 		}
 		if c.Seq < session.Seq {
-			return s.countCommand(), Result{Reason: StaleSequence, Version: s.version + 1}
+			return s.withNextVersion(), Result{Reason: StaleSequence, Version: s.version + 1}
 		}
 	}
 	next := *s
--- a/internal/config/endpointmerge/merger.go
+++ b/internal/config/endpointmerge/merger.go
@@ -14,7 +14,7 @@
 	discovered map[string]coordinator.Endpoint
 	overrides  map[string]Override
 	merged     map[string]coordinator.Endpoint
-	cached     bool // discovery has sent nothing yet, or only a cached list from before this process
+	onlyCached bool // discovery has sent nothing yet, or only a cached list from before this process
 }
 
 // New returns a Merger that has no endpoints and no overrides yet.
@@ -23,7 +23,7 @@
 		discovered: map[string]coordinator.Endpoint{},
 		overrides:  map[string]Override{},
 		merged:     map[string]coordinator.Endpoint{},
-		cached:     true,
+		onlyCached: true,
 	}
 }
 
@@ -35,10 +35,10 @@
 	if update.Mode == routing.UpdateFailed {
 		return update
 	}
-	if update.Mode == routing.UpdateCached && !m.cached {
+	if update.Mode == routing.UpdateCached && !m.onlyCached {
 		return coordinator.EndpointUpdate{Mode: routing.UpdateDelta} // no change: a newer list was received before
 	}
-	m.cached = update.Mode == routing.UpdateCached
+	m.onlyCached = update.Mode == routing.UpdateCached
 	if update.Mode == routing.UpdateDelta {
 		return m.applyDelta(update.Endpoints)
 	}
--- a/internal/config/endpointmerge/merger_test.go
+++ b/internal/config/endpointmerge/merger_test.go
@@ -130,7 +130,7 @@
 // Whatever both sources send and in whatever order, the updates result in the list that the rules produce from the
 // latest data of both. A restriction is in effect in the first update after it arrives, and stays in effect while
 // either source has it.
-func TestMergedListFollowsRules(t *testing.T) {
+func TestMergerUpdatesFollowRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel()
 		t.Repeat(map[string]func(*rapid.T){
--- a/internal/config/restriction.go
+++ b/internal/config/restriction.go
@@ -137,7 +137,7 @@
 			uncovered = append(uncovered, fmt.Sprintf("%s/%d", index, shard))
 		}
 	}
-	if spec := s.servers[server].Spec; spec != nil && !s.cellServed(spec.Cell, inService) {
+	if spec := s.servers[server].Spec; spec != nil && !s.cellCovered(spec.Cell, inService) {
 		uncovered = append(uncovered, fmt.Sprintf("cell %d", spec.Cell))
 	}
 	return uncovered
@@ -154,8 +154,8 @@
 	return uncovered
 }
 
-// cellServed reports whether a server that a command added to a cell is in service.
-func (s *State) cellServed(cell int, inService func(id string) bool) bool {
+// cellCovered reports whether a server that a command added to a cell is in service.
+func (s *State) cellCovered(cell int, inService func(id string) bool) bool {
 	for id, server := range s.servers {
 		if server.Spec != nil && server.Spec.Cell == cell && inService(id) {
 			return true
--- a/internal/config/restriction/cluster_test.go
+++ b/internal/config/restriction/cluster_test.go
@@ -23,9 +23,9 @@
 	prefix   int       // number of log entries applied
 }
 
-// key identifies a state. It treats the received requests as a set; another test checks that their order does not
+// stateKey identifies a state. It treats the received requests as a set; another test checks that their order does not
 // matter.
-func (cl *cluster) key() string {
+func (cl *cluster) stateKey() string {
 	var b strings.Builder
 	for _, c := range cl.log {
 		writeCommand(&b, c)
@@ -61,8 +61,8 @@
 
 func (cl *cluster) connected(i, j int) bool { return i != cl.isolated && j != cl.isolated }
 
-// majority reports whether an instance can reach a majority.
-func (cl *cluster) majority(i int) bool { return i != cl.isolated }
+// reachesMajority reports whether an instance can reach a majority.
+func (cl *cluster) reachesMajority(i int) bool { return i != cl.isolated }
 
 // receive adds a request at an instance, and reports whether it was new there.
 func (cl *cluster) receive(i int, r Request) bool {
--- a/internal/config/restriction/explorer_test.go
+++ b/internal/config/restriction/explorer_test.go
@@ -11,16 +11,16 @@
 	"linkpass/internal/searchconfig"
 )
 
-// maxLog is the maximum number of log entries in an explored state.
-const maxLog = 3
+// maxLogEntries is the maximum number of log entries in an explored state.
+const maxLogEntries = 3
 
-// command is a step of a script. It changes the cluster at instance i, and reports whether that was possible.
-type command func(cl *cluster, i int) bool
+// scriptCommand is a step of a script. It changes the cluster at instance i, and reports whether that was possible.
+type scriptCommand func(cl *cluster, i int) bool
 
 // explorer visits every state that a cluster can reach with the commands of a script, and checks each state.
 type explorer struct {
 	fault  string // the injected fault; "": none
-	script []command
+	script []scriptCommand
 	// coarse reduces the number of states: an instance applies the whole log in one step, and a broadcast reaches all
 	// connected instances in one step.
 	coarse bool
@@ -87,7 +87,7 @@
 }
 
 // restrict issues a restriction request at an instance, without the log.
-func restrict(server string, level Level) command {
+func restrict(server string, level Level) scriptCommand {
 	return func(cl *cluster, i int) bool {
 		origin := Origin{Instance: fmt.Sprint("n", i), Incarnation: 1}
 		id := ID{Origin: origin, Seq: uint64(cl.issued + 1)}
@@ -97,9 +97,9 @@
 
 // undrain commits an UndrainServer command that withdraws the requests for the server that the instance knows. The
 // instance must reach a majority and have applied the whole log.
-func undrain(server string) command {
+func undrain(server string) scriptCommand {
 	return func(cl *cluster, i int) bool {
-		if !cl.majority(i) || cl.nodes[i].prefix != len(cl.log) {
+		if !cl.reachesMajority(i) || cl.nodes[i].prefix != len(cl.log) {
 			return false
 		}
 		c := config.Command{Kind: config.UndrainServer, Server: server}
@@ -113,8 +113,8 @@
 	}
 }
 
-// steps returns all possible successor states.
-func (x *explorer) steps(cl *cluster) []*cluster {
+// successors returns all states that can follow a state directly.
+func (x *explorer) successors(cl *cluster) []*cluster {
 	var next []*cluster
 	add := func(step func(*cluster) bool) {
 		if c := cl.clone(); step(c) {
@@ -124,7 +124,7 @@
 	for i := range cl.nodes {
 		x.addCommand(cl, i, add)
 		x.addBroadcasts(cl, i, add)
-		if cl.majority(i) {
+		if cl.reachesMajority(i) {
 			x.addLogSteps(cl, i, add)
 		}
 		if cl.isolated < 0 && cl.partitions == 0 {
@@ -185,7 +185,7 @@
 	for _, r := range x.view(cl, i).pending {
 		add(func(c *cluster) bool {
 			c.propose(r)
-			return len(c.log) <= maxLog
+			return len(c.log) <= maxLogEntries
 		})
 	}
 	add(func(c *cluster) bool {
@@ -203,7 +203,7 @@
 	x.states = map[string]bool{}
 	x.recovered = map[string]string{}
 	first := &cluster{isolated: -1}
-	x.states[first.key()] = true
+	x.states[first.stateKey()] = true
 	for queue := []*cluster{first}; len(queue) > 0; {
 		cl := queue[0]
 		queue = queue[1:]
@@ -213,8 +213,8 @@
 		if x.violation != "" {
 			break
 		}
-		for _, next := range x.steps(cl) {
-			if key := next.key(); !x.states[key] {
+		for _, next := range x.successors(cl) {
+			if key := next.stateKey(); !x.states[key] {
 				x.states[key] = true
 				queue = append(queue, next)
 			}
@@ -223,7 +223,7 @@
 	return len(x.states)
 }
 
-var scripts = map[string][]command{
+var scripts = map[string][]scriptCommand{
 	"drain, remove":  {restrict("s", Draining), restrict("s", Removed)},
 	"drain, another": {restrict("s", Draining), restrict("t", Draining)},
 	"drain, undrain": {restrict("s", Draining), undrain("s")},
@@ -232,7 +232,7 @@
 // The invariants in docs/design/raft.md hold in every interleaving of three instances, two commands and one partition.
 // By default the test runs one script with coarse steps. With LINKPASS_EXPLORE=all it runs all scripts, and each
 // request is received and each entry applied in a step of its own; this takes half a minute without the race detector.
-func TestInterleavingsKeepInvariants(t *testing.T) {
+func TestRestrictionInvariantsHoldInAllInterleavings(t *testing.T) {
 	all := os.Getenv("LINKPASS_EXPLORE") == "all"
 	total := 0
 	for name, script := range scripts {
@@ -256,7 +256,7 @@
 
 // The exploration detects injected faults: "lapse" ignores uncommitted drains in a partition, and "mute" proposes no
 // requests during recovery.
-func TestExplorerFindsPlantedFaults(t *testing.T) {
+func TestExplorerDetectsInjectedFaults(t *testing.T) {
 	for fault, want := range map[string]string{"lapse": "it is not in effect there", "mute": "still has"} {
 		t.Run(fault, func(t *testing.T) {
 			x := &explorer{script: scripts["drain, undrain"], fault: fault}
--- a/internal/config/restriction/invariants_test.go
+++ b/internal/config/restriction/invariants_test.go
@@ -20,7 +20,7 @@
 	// No request is lost: each is pending at an instance, or the log accepted it, or the log recorded its rejection.
 	for i := range cl.nodes {
 		for _, r := range cl.nodes[i].requests {
-			if final.Settled().Contains(r.ID) && final.Restriction(r.Server) < r.Level && !cl.recorded(final, r) {
+			if final.Settled().Contains(r.ID) && final.Restriction(r.Server) < r.Level && !cl.overruled(final, r) {
 				return fmt.Sprintf("request %v was lost, log %v", r, cl.log)
 			}
 		}
@@ -48,9 +48,9 @@
 	return ""
 }
 
-// recorded reports whether a request that is not in effect was recorded as rejected, or was accepted and then undone by
-// an undrain.
-func (cl *cluster) recorded(final *config.State, r Request) bool {
+// overruled reports whether a request that is not in effect was recorded as rejected, or was accepted and then
+// undone by an undrain.
+func (cl *cluster) overruled(final *config.State, r Request) bool {
 	for _, rejected := range final.RejectedRestrictions() {
 		if rejected.Request.ID == r.ID {
 			return true
@@ -78,17 +78,17 @@
 	for i := range cl.nodes {
 		cl.nodes[i].prefix = 0
 	}
-	key := cl.key()
+	key := cl.stateKey()
 	violation, known := x.recovered[key]
 	if !known {
-		violation = x.recover(cl)
+		violation = x.recoverAndCheck(cl)
 		x.recovered[key] = violation
 	}
 	return violation
 }
 
-// recover lets all instances exchange their requests and apply the log, and checks the resulting state.
-func (x *explorer) recover(cl *cluster) string {
+// recoverAndCheck lets all instances exchange their requests and apply the log, and checks the resulting state.
+func (x *explorer) recoverAndCheck(cl *cluster) string {
 	for range 2 {
 		for i := range cl.nodes {
 			x.exchange(cl, i)
--- a/internal/config/restriction/pending_set_test.go
+++ b/internal/config/restriction/pending_set_test.go
@@ -32,7 +32,7 @@
 // The pending requests do not depend on the order in which requests are received, on repeated delivery, or on how
 // requests interleave with the log. A settled request stays settled even if a copy of it arrives later. A settled set
 // is unchanged after it is stored and restored.
-func TestReceiveIsIndependentOfOrder(t *testing.T) {
+func TestPendingSetReceiveIsIndependentOfOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := drawRequests(t)
 		var l settledLog
@@ -82,7 +82,7 @@
 
 // The size of a settled set depends neither on the number of requests nor on that of incarnations. The size of a
 // pending set is bounded, whatever other instances send.
-func TestSetsAreBounded(t *testing.T) {
+func TestSettledAndPendingSetsAreBounded(t *testing.T) {
 	var l settledLog
 	for incarnation := uint64(1); incarnation <= 100; incarnation++ {
 		for seq := uint64(1); seq <= 50; seq++ {
--- a/internal/config/restriction/settled_set.go
+++ b/internal/config/restriction/settled_set.go
@@ -11,22 +11,22 @@
 // SettledSet is the set of requests that the log has accepted, rejected or withdrawn. It is immutable. The zero value
 // is an empty set.
 type SettledSet struct {
-	origins map[Origin]sequences
+	origins map[Origin]sequenceSet
 }
 
-// sequences is a set of sequence numbers: all from 1 to upTo, and those listed in above.
-type sequences struct {
+// sequenceSet is a set of sequence numbers: all from 1 to upTo, and those listed in above.
+type sequenceSet struct {
 	upTo  uint64
 	above []uint64 // sorted; each is greater than upTo+1, because with extends upTo over adjacent numbers
 }
 
-func (s sequences) contains(seq uint64) bool {
+func (s sequenceSet) contains(seq uint64) bool {
 	_, found := slices.BinarySearch(s.above, seq)
 	return seq <= s.upTo || found
 }
 
 // with returns the set with seq added, which it must not contain yet. It does not change the receiver.
-func (s sequences) with(seq uint64) sequences {
+func (s sequenceSet) with(seq uint64) sequenceSet {
 	at, _ := slices.BinarySearch(s.above, seq)
 	s.above = slices.Insert(slices.Clone(s.above), at, seq)
 	for len(s.above) > 0 && s.above[0] == s.upTo+1 {
@@ -47,9 +47,9 @@
 
 // NewSettledSet returns the set that a result of Intervals describes.
 func NewSettledSet(intervals []Interval) SettledSet {
-	s := SettledSet{origins: map[Origin]sequences{}}
+	s := SettledSet{origins: map[Origin]sequenceSet{}}
 	for _, i := range intervals {
-		s.origins[i.Origin] = sequences{upTo: i.UpTo, above: i.Above}
+		s.origins[i.Origin] = sequenceSet{upTo: i.UpTo, above: i.Above}
 	}
 	return s
 }
@@ -81,7 +81,7 @@
 	}
 	next := SettledSet{origins: maps.Clone(s.origins)}
 	if next.origins == nil {
-		next.origins = map[Origin]sequences{}
+		next.origins = map[Origin]sequenceSet{}
 	}
 	next.origins[id.Origin] = next.origins[id.Origin].with(id.Seq)
 	if incarnations := next.incarnations(id.Origin.Instance); len(incarnations) > MaxIncarnations {
--- a/internal/config/rollback/detector_test.go
+++ b/internal/config/rollback/detector_test.go
@@ -100,12 +100,12 @@
 				t.Fatalf("seed %d: an instance whose disk was not rolled back is rejected: %v", seed, err)
 			}
 		}
-		lacks := i.image.position.Behind(i.observed.position) || i.image.incarnation < i.observed.incarnation
+		imageOutdated := i.image.position.Behind(i.observed.position) || i.image.incarnation < i.observed.incarnation
 		i.disk = i.image
 		i.start()
-		if err := i.detector.Observe(i.report()); lacks != errors.Is(err, ErrRolledBack) {
+		if err := i.detector.Observe(i.report()); imageOutdated != errors.Is(err, ErrRolledBack) {
 			t.Fatalf("seed %d: image %+v, observed %+v: error = %v, want ErrRolledBack: %t",
-				seed, i.image, i.observed, err, lacks)
+				seed, i.image, i.observed, err, imageOutdated)
 		}
 	}
 }
@@ -129,7 +129,7 @@
 }
 
 // Reports of unknown instances cannot exhaust memory, and Retain drops instances that are no longer members.
-func TestDetectorMemoryIsBounded(t *testing.T) {
+func TestDetectorBoundsInstances(t *testing.T) {
 	detector := NewDetector()
 	for i := range 3 * MaxInstances {
 		err := detector.Observe(Report{ID: fmt.Sprint(i), Incarnation: 9})
--- a/internal/config/rollback/report_test.go
+++ b/internal/config/rollback/report_test.go
@@ -6,7 +6,7 @@
 )
 
 // Reports are sent to instances of other versions, so their JSON keys must not change.
-func TestReportJSONIsStable(t *testing.T) {
+func TestReportJSONKeysAreStable(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		report Report
--- a/internal/config/session.go
+++ b/internal/config/session.go
@@ -16,7 +16,7 @@
 // recordCommand returns the state with its version incremented and with the result of a new command recorded for its
 // client. Above MaxClients, it drops the session whose latest command is the oldest.
 func (s *State) recordCommand(c Command, r Result) *State {
-	next := s.countCommand()
+	next := s.withNextVersion()
 	if c.ClientID == "" {
 		return next
 	}
@@ -28,8 +28,8 @@
 	return next
 }
 
-// countCommand returns a copy of the state whose version counts one more command.
-func (s *State) countCommand() *State {
+// withNextVersion returns a copy of the state whose version counts one more command.
+func (s *State) withNextVersion() *State {
 	next := *s
 	next.version++
 	return &next
--- a/internal/config/state_test.go
+++ b/internal/config/state_test.go
@@ -235,7 +235,7 @@
 
 // Instances with different settings files reject every command before the first replicated settings document, and have
 // equal states after it.
-func TestStatesConvergeAfterFirstDocument(t *testing.T) {
+func TestApplyConvergesAfterFirstDocument(t *testing.T) {
 	one := NewState(testSettings(t))
 	other := NewState(&searchconfig.Config{Search: searchconfig.Defaults{MaxResultWindow: 7}})
 	doc, err := json.Marshal(testSettings(t))
@@ -264,7 +264,7 @@
 
 // The numbers of client sessions and of rejected restrictions are bounded. All instances drop the same records: the
 // oldest ones.
-func TestRetainedRecordsAreBounded(t *testing.T) {
+func TestApplyBoundsSessionsAndRejections(t *testing.T) {
 	s := initializedState(t)
 	origin := restriction.Origin{Instance: "n", Incarnation: 1}
 	for i := range uint64(MaxClients + 50) {
--- a/internal/searchconfig/config_test.go
+++ b/internal/searchconfig/config_test.go
@@ -109,7 +109,7 @@
 
 // A shard map is generated once from the initial sharding, shared with the earlier document while it does not change,
 // listed by ShardMapChanges when it changes, and never changed by a patch.
-func TestShardMapsOfDocument(t *testing.T) {
+func TestConfigShardMapsFollowDocument(t *testing.T) {
 	first := mustParse(t, `{"search":{},"indices":{
 		"a":{"class":"x","spread":{"slices":3,"sets":[["s"]]}},
 		"b":{"class":"x","spread":{"slices":1,"sets":[["t"]]}}}}`)
--- a/internal/searchconfig/parse.go
+++ b/internal/searchconfig/parse.go
@@ -29,12 +29,12 @@
 }
 
 // decode decodes exactly one JSON value. If strict is set, unknown keys are rejected.
-func decode(data []byte, into any, strict bool) error {
+func decode(data []byte, target any, strict bool) error {
 	d := json.NewDecoder(bytes.NewReader(data))
 	if strict {
 		d.DisallowUnknownFields()
 	}
-	if err := d.Decode(into); err != nil {
+	if err := d.Decode(target); err != nil {
 		return fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
--- a/internal/searchconfig/patch.go
+++ b/internal/searchconfig/patch.go
@@ -15,7 +15,7 @@
 	if err := decode(patch, &changes, false); err != nil {
 		return nil, err
 	}
-	tree, err := c.tree()
+	tree, err := c.toMap()
 	if err != nil {
 		return nil, err
 	}
@@ -33,16 +33,16 @@
 	// Only commands may change a shard map: they check the change, and a patch would bypass
 	// these checks.
 	for name, before := range c.shardMaps {
-		now := next.shardMaps[name]
-		if now != nil && now.Version() != before.Version() {
+		after := next.shardMaps[name]
+		if after != nil && after.Version() != before.Version() {
 			return nil, fmt.Errorf("%w: the layout of index %q changes by POST /_cluster/reroute only", ErrInvalid, name)
 		}
 	}
 	return next, nil
 }
 
-// tree returns the document as generic JSON.
-func (c *Config) tree() (map[string]any, error) {
+// toMap returns the document as generic JSON.
+func (c *Config) toMap() (map[string]any, error) {
 	data, err := json.Marshal(c)
 	if err != nil {
 		return nil, fmt.Errorf("searchconfig: encode document: %w", err)
--- a/internal/searchconfig/shardmaps.go
+++ b/internal/searchconfig/shardmaps.go
@@ -51,10 +51,10 @@
 // shard map must not decrease. It returns ErrInvalid otherwise.
 func (c *Config) ValidateTransition(earlier *Config) error {
 	for name, before := range earlier.shardMaps {
-		now := c.shardMaps[name]
-		if now != nil && now.Version() < before.Version() {
+		after := c.shardMaps[name]
+		if after != nil && after.Version() < before.Version() {
 			return fmt.Errorf("%w: indices.%s.layout: version %d after %d",
-				ErrInvalid, name, now.Version(), before.Version())
+				ErrInvalid, name, after.Version(), before.Version())
 		}
 	}
 	return nil
