--- a/internal/config/restriction/pending_set.go
+++ b/internal/config/restriction/pending_set.go
@@ -18,8 +18,8 @@
 // log has settled some of them.
 var ErrTooManyPending = errors.New("restriction: too many pending requests")
 
-// Replicated is the part of the replicated state that an instance has applied so far.
-type Replicated interface {
+// ReplicatedState is the part of the replicated state that an instance has applied so far.
+type ReplicatedState interface {
 	// Settled returns the requests that the log has settled.
 	Settled() SettledSet
 	// Restriction returns a server's restriction according to the log.
@@ -66,7 +66,7 @@
 
 // Receive adds requests of other instances, in any order and any number of times, and returns the new ones. Requests
 // above MaxPending are dropped: they still take effect here when the log accepts them.
-func (p *PendingSet) Receive(log Replicated, requests ...Request) []Request {
+func (p *PendingSet) Receive(log ReplicatedState, requests ...Request) []Request {
 	settled := log.Settled()
 	var added []Request
 	for _, request := range requests {
@@ -86,7 +86,7 @@
 }
 
 // DropSettled removes the requests that the log has settled.
-func (p *PendingSet) DropSettled(log Replicated) {
+func (p *PendingSet) DropSettled(log ReplicatedState) {
 	settled := log.Settled()
 	maps.DeleteFunc(p.pending, func(id ID, _ Request) bool { return settled.Contains(id) })
 }
@@ -98,7 +98,7 @@
 
 // Effective returns the restriction of a server at this instance: the strictest level among the log's restriction and
 // the pending requests.
-func (p *PendingSet) Effective(log Replicated, server string) Level {
+func (p *PendingSet) Effective(log ReplicatedState, server string) Level {
 	level := log.Restriction(server)
 	settled := log.Settled()
 	for id, request := range p.pending {
