--- a/internal/config/restriction/cluster_test.go
+++ b/internal/config/restriction/cluster_test.go
@@ -18,6 +18,7 @@
 	issued     int // number of script commands issued so far
 }
 
+// node is a simulated instance.
 type node struct {
 	requests []Request // all requests ever received, in the order of receipt
 	prefix   int       // number of log entries applied
@@ -42,6 +43,7 @@
 	return b.String()
 }
 
+// writeCommand writes a log entry as part of a state's key.
 func writeCommand(b *strings.Builder, c config.Command) {
 	if c.Kind == config.RestrictServer {
 		fmt.Fprintf(b, "%v ", c.Restriction.ID)
@@ -59,6 +61,7 @@
 	return &next
 }
 
+// connected reports whether two instances can reach each other.
 func (cl *cluster) connected(i, j int) bool { return i != cl.isolated && j != cl.isolated }
 
 // reachesMajority reports whether an instance can reach a majority.
--- a/internal/config/restriction/explorer_test.go
+++ b/internal/config/restriction/explorer_test.go
@@ -59,6 +59,8 @@
 	return v
 }
 
+// newView computes the view of an instance with a new state and a new pending set. It receives the requests before and
+// after the log is applied.
 func newView(n node, log []config.Command) *view {
 	initialize := config.Command{Kind: config.ReplaceSettings, Payload: []byte("{}")}
 	state, _ := config.NewState(&searchconfig.Config{}).Apply(initialize)
--- a/internal/config/session.go
+++ b/internal/config/session.go
@@ -28,7 +28,7 @@
 	return next
 }
 
-// withNextVersion returns a copy of the state whose version counts one more command.
+// withNextVersion returns a copy of the state with its version incremented.
 func (s *State) withNextVersion() *State {
 	next := *s
 	next.version++
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -27,7 +27,7 @@
 		return nil, err
 	}
 	if s.settingsVersion == 0 {
-		return next, nil // the first replicated document does not have to follow from an instance's own settings file
+		return next, nil // the settings file of an instance does not constrain the first replicated document
 	}
 	return next, next.ValidateTransition(s.settings)
 }
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// The fixture has records whose fields are all zero. It covers the encoding of empty fields.
+// The snapshot fixture has records whose fields are all zero. It covers the encoding of empty fields.
 func TestStoredSnapshotOfZeroRecordsReadsFirstFormat(t *testing.T) {
 	want := NewState(&searchconfig.Config{})
 	if err := want.settings.Validate(); err != nil {
@@ -97,7 +97,7 @@
 	}
 }
 
-// The fixture has no records. It covers the encoding of empty maps and lists.
+// The snapshot fixture has no records. It covers the encoding of empty maps and lists.
 func TestStoredEmptySnapshotReadsFirstFormat(t *testing.T) {
 	data := readFixture(t, "snapshot_empty.cbor", func() []byte {
 		return mustSnapshot(t, NewState(&searchconfig.Config{}))
--- a/internal/config/stored_truncated_test.go
+++ b/internal/config/stored_truncated_test.go
@@ -8,6 +8,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
+// A stored entry that is cut off or has an extra byte is rejected with ErrUnknownFormat, and never decoded in part.
 func TestStoredEntryTruncatedIsFormatError(t *testing.T) {
 	for name := range storedCommands() {
 		t.Run(name, func(t *testing.T) {
@@ -25,6 +26,8 @@
 	}
 }
 
+// A stored snapshot that is cut off or has an extra byte is rejected. Only an empty one is rejected with
+// ErrUnknownFormat: the format byte of the others is valid.
 func TestStoredSnapshotTruncatedIsError(t *testing.T) {
 	for _, name := range []string{
 		"snapshot.cbor",
