--- a/internal/bodystore/helpers_test.go
+++ b/internal/bodystore/helpers_test.go
@@ -11,17 +11,17 @@
 	"linkpass/internal/metrics"
 )
 
-var smallLimits = tier.Limits{Memory: 256 << 10, Files: 64 << 20, Largest: 128 << 10}
+var smallLimits = tier.Limits{Memory: 256 << 10, Files: 64 << 20, MaxMemoryBodySize: 128 << 10}
 
 func newStore(t testing.TB, l tier.Limits, fs FS) *Store {
 	t.Helper()
-	began := time.Now()
+	start := time.Now()
 	dir := ""
 	if l.Files > 0 {
 		dir = t.TempDir()
 	}
 	s := Open(Config{Limits: l, Classes: []string{"lookup", "table"}, Dir: dir, FS: fs, Counters: metrics.NewCounters(),
-		Now: func() time.Duration { return time.Since(began) }})
+		Now: func() time.Duration { return time.Since(start) }})
 	t.Cleanup(s.Close)
 	return s
 }
@@ -64,7 +64,7 @@
 func wantBody(t testing.TB, b *Body, data []byte) {
 	t.Helper()
 	if got, err := readBody(b); err != nil || !bytes.Equal(got, data) {
-		t.Fatalf("read %d bytes, %v, want %d", len(got), err, len(data))
+		t.Fatalf("read %d bytes, err = %v, want the %d bytes stored", len(got), err, len(data))
 	}
 }
 
@@ -84,15 +84,15 @@
 	}
 }
 
-// crash ends a store as SIGKILL would: its goroutine and its lock end, its files stay.
+// crash ends a store as SIGKILL would: its goroutine ends, its directory is unlocked and its files stay.
 func crash(s *Store) {
 	close(s.done)
 	s.wg.Wait()
 	_ = s.dirLock.Close()
 }
 
-// compactAll compacts the sparsest segment whether or not the disk needs it.
-func (s *Store) compactAll() {
+// compactSparsest compacts the sparsest segment, however much disk the segments use.
+func (s *Store) compactSparsest() {
 	for seg := s.log.sparsest(); seg != nil; seg = nil {
 		for _, e := range s.entriesIn(seg) {
 			s.compactEntry(e, seg)
--- a/internal/bodystore/model_test.go
+++ b/internal/bodystore/model_test.go
@@ -16,25 +16,25 @@
 	_ "linkpass/internal/testrand"
 )
 
-// modelRef is a reference to a body, and what it should read as.
+// modelRef is a reference to a body, with the data that it should read as.
 type modelRef struct {
 	body    *Body
 	data    []byte
 	evicted atomic.Bool
 }
 
-// storeModel plays random events on a store and on a list of references.
+// storeModel applies random events to a store and keeps a list of the references to its bodies.
 type storeModel struct {
 	t     *rapid.T
 	cfg   Config
 	fs    *faultyFS
 	store *Store
 	refs  []*modelRef
-	seen  map[string]int
+	seen  map[string]int // number of events by kind, in all runs
 }
 
-// Whatever arrives, is shared, moves, fails on the disk or is released: a body reads as it was written,
-// or its eviction is reported.
+// After any sequence of arrivals, shared bodies, moves, disk faults, crashes and releases, each body reads as it was
+// written, or its eviction has been reported.
 func TestStoreAgreesWithModel(t *testing.T) {
 	seen := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -56,22 +56,22 @@
 		m.releaseAll()
 	})
 	if seen["rejected"] == 0 || seen["evicted"] == 0 || seen["read"] == 0 || seen["crash"] == 0 {
-		t.Errorf("the runs show too little: %v", seen)
+		t.Errorf("events seen: %v, want at least one each of rejected, evicted, read, crash", seen)
 	}
 }
 
 func newStoreModel(t *rapid.T, dir string, now *atomic.Int64, seen map[string]int) *storeModel {
 	fs := newFaultyFS()
 	cfg := Config{
-		Limits: tier.Limits{Memory: 40 << 10, Files: 120 << 10, Largest: 24 << 10,
-			Classes: []tier.Class{{GuaranteedBytes: 8 << 10}, {}}},
+		Limits: tier.Limits{Memory: 40 << 10, Files: 120 << 10, MaxMemoryBodySize: 24 << 10,
+			Classes: []tier.ClassLimits{{GuaranteedBytes: 8 << 10}, {}}},
 		Classes: []string{"lookup", "table"}, Dir: dir, FS: fs, Counters: metrics.NewCounters(),
 		Now: func() time.Duration { return time.Duration(now.Load()) },
 	}
 	return &storeModel{t: t, cfg: cfg, fs: fs, store: Open(cfg), seen: seen}
 }
 
-// randomEvent plays an event; it returns false if that was a rejected body.
+// randomEvent applies a random event. It returns false if a body was rejected.
 func (m *storeModel) randomEvent() bool {
 	var ref *modelRef
 	if len(m.refs) > 0 {
@@ -91,7 +91,7 @@
 	case kind == 6:
 		m.fs.capacity.Store(rapid.SampledFrom([]int64{-1, 0, 30 << 10}).Draw(m.t, "capacity"))
 	case kind == 7:
-		m.store.compactAll()
+		m.store.compactSparsest()
 	case kind == 9 && rapid.IntRange(0, 2).Draw(m.t, "crash") == 0:
 		m.crash()
 	case kind == 8:
@@ -113,7 +113,7 @@
 	return true
 }
 
-// crash ends the process's store and starts the next process's.
+// crash ends the store as SIGKILL would and opens another one on the same directory, as the next process does.
 func (m *storeModel) crash() {
 	m.t.Helper()
 	crash(m.store)
@@ -121,30 +121,31 @@
 	m.store, m.refs = Open(m.cfg), nil
 	m.seen["crash"]++
 	if _, err := os.Stat(stale); !errors.Is(err, os.ErrNotExist) || m.store.log == nil {
-		m.t.Fatalf("directory of the crashed process: %v", err)
+		m.t.Fatalf("directory of the crashed process: Stat: err = %v, want %v; new store uses files: %t, want true",
+			err, os.ErrNotExist, m.store.log != nil)
 	}
 }
 
-// check reads all bodies and compares the limits.
+// check reads all bodies and checks the limits of memory and files.
 func (m *storeModel) check() {
 	m.t.Helper()
 	for _, ref := range m.refs {
 		got, err := readBody(ref.body)
 		switch {
 		case err == nil && !bytes.Equal(got, ref.data):
-			m.t.Fatalf("read %d other bytes than the %d written", len(got), len(ref.data))
+			m.t.Fatalf("read %d bytes that differ from the %d bytes stored", len(got), len(ref.data))
 		case err != nil && !ref.evicted.Load():
-			m.t.Fatalf("evicted without a callback: %v", err)
+			m.t.Fatalf("body can't be read (%v), but OnEvicted was not called", err)
 		case err == nil && ref.evicted.Load():
-			m.t.Fatal("reported as evicted and reads")
+			m.t.Fatal("body can be read, but OnEvicted was called")
 		case err != nil:
 			m.seen["evicted"]++
 		default:
 			m.seen["read"]++
 		}
 	}
-	if f := m.store.Totals(); f.Memory > 50<<10 || f.Files > 120<<10 {
-		m.t.Fatalf("%+v", f)
+	if totals := m.store.Totals(); totals.Memory > 50<<10 || totals.Files > 120<<10 {
+		m.t.Fatalf("totals = %+v, want at most %d bytes in memory and %d in files", totals, 50<<10, 120<<10)
 	}
 }
 
@@ -153,7 +154,7 @@
 	for _, ref := range m.refs {
 		ref.body.Release()
 	}
-	if f := m.store.Totals(); f.Bodies != 0 || f.Memory != 0 || f.Files != 0 {
-		m.t.Fatalf("after all were released: %+v", f)
+	if totals := m.store.Totals(); totals.Bodies != 0 || totals.Memory != 0 || totals.Files != 0 {
+		m.t.Fatalf("totals after all bodies were released = %+v, want 0 bodies and bytes", totals)
 	}
 }
--- a/internal/bodystore/process_dir.go
+++ b/internal/bodystore/process_dir.go
@@ -13,10 +13,10 @@
 	lockFile         = "lock"
 )
 
-// createProcessDir creates a directory for this process below dir, and removes those of processes that
-// have ended. A process locks its directory until it ends, so that old and new process during a change
-// of version don't remove each other's.
-func createProcessDir(dir string) (created string, lock *os.File, err error) {
+// createProcessDir creates a directory for this process in dir and removes the directories of processes that
+// have ended. A process keeps its directory locked until it ends, so that during an upgrade the old and the new
+// process don't remove each other's directory.
+func createProcessDir(dir string) (processDir string, lock *os.File, err error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return "", nil, fmt.Errorf("bodies: %w", err)
 	}
@@ -29,18 +29,18 @@
 			removeStaleDir(filepath.Join(dir, e.Name()))
 		}
 	}
-	if created, err = os.MkdirTemp(dir, processDirPrefix); err != nil {
+	if processDir, err = os.MkdirTemp(dir, processDirPrefix); err != nil {
 		return "", nil, fmt.Errorf("bodies: %w", err)
 	}
-	if lock, err = lockDir(created); err != nil {
-		_ = os.RemoveAll(created)
+	if lock, err = lockDir(processDir); err != nil {
+		_ = os.RemoveAll(processDir)
 		return "", nil, fmt.Errorf("bodies: %w", err)
 	}
-	return created, lock, nil
+	return processDir, lock, nil
 }
 
-// lockDir locks a process's directory; closing the file unlocks it. It fails if another process has the
-// lock.
+// lockDir locks a process's directory. Closing the returned file unlocks it. It fails if another process holds
+// the lock.
 func lockDir(dir string) (*os.File, error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockFile), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -53,10 +53,10 @@
 	return f, nil
 }
 
-// removeStaleDir removes the directory of a process that has ended.
+// removeStaleDir removes the directory of a process if its lock file is not locked: the process has ended.
 func removeStaleDir(dir string) {
 	if _, err := os.Stat(filepath.Join(dir, lockFile)); err != nil {
-		return // its process has yet to create the lock; a later start checks again
+		return // the process has yet to create the lock file; the next start checks again
 	}
 	f, err := lockDir(dir)
 	if err != nil {
--- a/internal/daemon/body_config.go
+++ b/internal/daemon/body_config.go
@@ -56,16 +56,16 @@
 func (b BodyConfig) limits(memoryMB int, classes []string) (tier.Limits, error) {
 	limit := int64(memoryMB) << 20
 	l := tier.Limits{
-		Memory:  b.MemoryKiB << 10,
-		Files:   b.FilesKiB << 10,
-		Largest: Keys.Int("bodies.largest_kib", b.LargestKiB) << 10,
-		Classes: make([]tier.Class, len(classes)),
+		Memory:            b.MemoryKiB << 10,
+		Files:             b.FilesKiB << 10,
+		MaxMemoryBodySize: Keys.Int("bodies.largest_kib", b.LargestKiB) << 10,
+		Classes:           make([]tier.ClassLimits, len(classes)),
 	}
 	if l.Memory == 0 {
 		l.Memory = cmp.Or(limit, assumedMemory) / defaultMemoryDivisor
 	}
 	if b.LargestKiB == 0 {
-		l.Largest = min(l.Largest, l.Memory)
+		l.MaxMemoryBodySize = min(l.MaxMemoryBodySize, l.Memory)
 	}
 	if limit > 0 && l.Memory > limit/minMemoryDivisor {
 		return l, fmt.Errorf("bodies.memory_kib: %d KiB is more than half of the limit of %d MB", l.Memory>>10, memoryMB)
@@ -80,13 +80,13 @@
 }
 
 // setClassLimits sets the limits of the classes by index in names.
-func (b BodyConfig) setClassLimits(limits []tier.Class, names []string) error {
+func (b BodyConfig) setClassLimits(limits []tier.ClassLimits, names []string) error {
 	for name, c := range b.Classes {
 		i := slices.Index(names, name)
 		if i < 0 {
 			return fmt.Errorf("bodies.classes.%s: no such class", name)
 		}
-		limits[i] = tier.Class{GuaranteedBytes: c.GuaranteedKiB << 10, MaxMemoryShare: c.MaxMemoryShare}
+		limits[i] = tier.ClassLimits{GuaranteedBytes: c.GuaranteedKiB << 10, MaxMemoryShare: c.MaxMemoryShare}
 	}
 	return nil
 }
--- a/internal/searchconfig/parse.go
+++ b/internal/searchconfig/parse.go
@@ -8,11 +8,12 @@
 	"io"
 )
 
-// Parse parses a complete document. Unknown keys are rejected.
+// Parse parses and validates a complete document. Unknown keys are rejected with
+// ErrInvalid.
 func Parse(data []byte) (*Config, error) { return ParseUpdate(data, nil) }
 
-// ParseUpdate parses a complete document that follows an earlier one, and shares the
-// memory of what did not change with it.
+// ParseUpdate parses a complete document that follows an earlier one. Data that did not
+// change is shared with the earlier document; nil: there is none.
 func ParseUpdate(data []byte, earlier *Config) (*Config, error) {
 	c := &Config{}
 	if err := decode(data, c, true); err != nil {
@@ -27,13 +28,13 @@
 	return c, nil
 }
 
-// decode decodes exactly one JSON value; strict rejects unknown keys.
-func decode(data []byte, into any, strict bool) error {
+// decode decodes exactly one JSON value. If strict is set, unknown keys are rejected.
+func decode(data []byte, target any, strict bool) error {
 	d := json.NewDecoder(bytes.NewReader(data))
 	if strict {
 		d.DisallowUnknownFields()
 	}
-	if err := d.Decode(into); err != nil {
+	if err := d.Decode(target); err != nil {
 		return fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
