--- a/internal/reshardexec/executor.go
+++ b/internal/reshardexec/executor.go
@@ -31,34 +31,35 @@
 	AdvanceShardMap(ctx context.Context, index string, c shardmap.Command) error
 }
 
-// Config is what an Executor is made of.
+// Config has the dependencies and settings of an Executor.
 type Config struct {
 	Store        Store
 	Limits       resharding.Limits
 	PollInterval time.Duration // between two rounds of polls
 	Timeout      time.Duration // of one poll
 	Now          func() time.Duration
-	QueryTotals  func() (ended, rejected int64) // since the start
+	QueryTotals  func() (ended, rejected int64) // since the start of the process
 	Counters     *metrics.Counters
 }
 
 // Thresholds of the overload detector.
 const (
-	overloadRejectionRatio = 0.02 // of the queries that ended
-	overloadRecoveryPolls  = 5
-	overloadMinSamples     = 20 // queries ended
+	overloadRejectionRatio = 0.02 // rejected to ended queries
+	overloadRecoveryPolls  = 5    // poll intervals
+	overloadMinSamples     = 20   // ended queries
 )
 
-// Executor executes the controller's actions. Run has one goroutine; the other methods are safe for concurrent use.
+// Executor executes the controller's actions. Only one goroutine may call Run; the other methods are safe for
+// concurrent use.
 type Executor struct {
 	cfg Config
 
 	mu            sync.Mutex // guards endpoints, limitsChanged, cfg.Limits and cfg.PollInterval
 	endpoints     map[string]coordinator.Endpoint
-	limitsChanged bool // and Run has not applied them
+	limitsChanged bool // SetLimits was called and Run has not applied the limits yet
 
 	// Owned by Run.
-	controller *resharding.Controller // nil: this instance does not lead
+	controller *resharding.Controller // nil while this instance does not lead
 	overload   resharding.OverloadDetector
 	poller     serverPoller
 	failures   eventlog.RateLimited // of polls and actions together
@@ -141,7 +142,7 @@
 		if newLimits, newInterval, changed := e.currentLimits(); changed {
 			ticker.Reset(newInterval)
 			limits = newLimits
-			e.controller = nil // its successor reads the plans from the shard maps, as after a change of leader
+			e.controller = nil // the next one continues from the shard maps, as after a change of leader
 		}
 		if !e.cfg.Store.IsLeader() {
 			e.stepDown()
@@ -156,7 +157,7 @@
 	}
 }
 
-// stepDown releases what only the leader needs.
+// stepDown releases the connections and the controller, which only the leader needs.
 func (e *Executor) stepDown() {
 	e.poller.closeConns()
 	e.controller = nil
@@ -200,7 +201,7 @@
 	return out
 }
 
-// controllerInput is what the controller decides on after a round of polls.
+// controllerInput returns the input for the controller's decisions after a round of polls.
 func (e *Executor) controllerInput(shardMaps map[string]*shardmap.Map,
 	endpoints map[string]coordinator.Endpoint) resharding.Input {
 	in := resharding.Input{
@@ -217,8 +218,8 @@
 	return in
 }
 
-// execute proposes one action to the store. An action on an outdated version is dropped: the next round decides on the
-// state as it is then.
+// execute proposes one action to the store. An action on an outdated version is dropped: the next round decides again,
+// on the current version.
 func (e *Executor) execute(ctx context.Context, action resharding.Action) {
 	plan, step := actionStep(action.Command)
 	err := e.cfg.Store.AdvanceShardMap(ctx, action.Index, action.Command)
--- a/internal/reshardexec/server_conn.go
+++ b/internal/reshardexec/server_conn.go
@@ -13,7 +13,7 @@
 // maxResponse bounds a response, in bytes; the status of 100,000 shards fits.
 const maxResponse = 16 << 20
 
-// serverConn is the connection to a server, reused between polls.
+// serverConn is a connection to a server, reused between polls. It is not safe for concurrent use.
 type serverConn struct {
 	addr   string
 	nc     net.Conn
@@ -40,7 +40,7 @@
 }
 
 func (c *serverConn) roundTrip(body []byte, timeout time.Duration) (response AssignmentResponse, err error) {
-	// The connection has a deadline of its own, so that background calls stay out of the queries' timers.
+	// A deadline on the connection itself keeps these background requests out of the timers of the queries.
 	if err := c.nc.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return response, err
 	}
@@ -52,13 +52,13 @@
 		return response, err
 	}
 	if res.Status != 200 {
-		return response, fmt.Errorf("status %d", res.Status)
+		return response, fmt.Errorf("unexpected status %d", res.Status)
 	}
 	err = json.Unmarshal(res.Body, &response)
 	return response, err
 }
 
-// close closes the connection; a nil one is closed already.
+// close closes the connection. On a nil connection it does nothing.
 func (c *serverConn) close() {
 	if c != nil {
 		_ = c.nc.Close()
--- a/internal/reshardexec/server_poller.go
+++ b/internal/reshardexec/server_poller.go
@@ -12,10 +12,10 @@
 	"linkpass/internal/shardmap/resharding"
 )
 
-// maxConcurrentPolls bounds the polls in flight.
+// maxConcurrentPolls bounds the number of polls in flight.
 const maxConcurrentPolls = 16
 
-// serverPoller sends servers their assignments and keeps their latest reports. One goroutine at a time uses it.
+// serverPoller sends servers their assignments and keeps their latest reports. It is not safe for concurrent use.
 type serverPoller struct {
 	timeout  time.Duration // of one poll
 	now      func() time.Duration
@@ -27,7 +27,7 @@
 	failing map[string]bool                         // servers whose latest poll failed
 }
 
-// pollResult is what came of one poll; conn is nil where no connection is left to reuse.
+// pollResult is the result of one poll. conn is the connection to reuse, nil if there is none.
 type pollResult struct {
 	server   string
 	conn     *serverConn
@@ -35,7 +35,7 @@
 	err      error
 }
 
-// resetReports forgets the reports, as after a change of leader.
+// resetReports discards all reports, as after a change of leader.
 func (p *serverPoller) resetReports() {
 	p.reports = map[string]map[string]resharding.Report{}
 	p.failing = map[string]bool{}
@@ -50,7 +50,7 @@
 }
 
 // pollAll polls every listed server once and returns when all polls have ended. A server without assignments is polled
-// too: it learns so that it may drop its shards.
+// too: the empty request tells it that it may drop its shards.
 func (p *serverPoller) pollAll(ctx context.Context, endpoints map[string]coordinator.Endpoint,
 	assignments map[string][]resharding.Assignment) {
 	p.forgetUnlisted(endpoints)
@@ -63,7 +63,7 @@
 			conn = nil
 		}
 		request := AssignmentRequest{Assignments: assignments[name]}
-		go func() { // its result is awaited below; the timeout bounds it
+		go func() { // ends within the timeout of a poll, once it has a slot; its result is received below
 			slots <- struct{}{}
 			defer func() { <-slots }()
 			conn, response, err := p.poll(ctx, conn, endpoint.Addr, request)
@@ -75,7 +75,7 @@
 	}
 }
 
-// forgetUnlisted drops what is known of servers that are no longer listed.
+// forgetUnlisted closes the connections of servers that are no longer listed and deletes their state.
 func (p *serverPoller) forgetUnlisted(endpoints map[string]coordinator.Endpoint) {
 	for name, conn := range p.conns {
 		if _, listed := endpoints[name]; listed {
@@ -108,8 +108,8 @@
 	return conn, response, nil
 }
 
-// record keeps the connection and the report of one poll. A failed poll leaves the report before it in place, whose age
-// the controller judges.
+// record stores the connection and the report of one poll. After a failed poll the previous report stays in place; the
+// controller checks its age.
 func (p *serverPoller) record(result pollResult) {
 	if result.conn == nil {
 		delete(p.conns, result.server)
--- a/internal/reshardexec/wire_golden_test.go
+++ b/internal/reshardexec/wire_golden_test.go
@@ -38,14 +38,14 @@
 )
 
 func TestAssignmentBodiesGolden(t *testing.T) {
-	t.Run("call", func(t *testing.T) { goldentest.JSON(t, "call.json", goldenRequest) })
-	t.Run("reply", func(t *testing.T) { goldentest.JSON(t, "reply.json", goldenResponse) })
-	t.Run("call without assignments", func(t *testing.T) {
+	t.Run("request", func(t *testing.T) { goldentest.JSON(t, "call.json", goldenRequest) })
+	t.Run("response", func(t *testing.T) { goldentest.JSON(t, "reply.json", goldenResponse) })
+	t.Run("request without assignments", func(t *testing.T) {
 		goldentest.Encodes(t, "call_empty.json", AssignmentRequest{})
 	})
 }
 
-// One poll of a server: the bytes of the request, and the response as it is decoded.
+// Polls a server once and checks the bytes of the request and the decoded response.
 func TestPollGolden(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -71,17 +71,17 @@
 	e := New(Config{Timeout: 10 * time.Second})
 	conn, response, err := e.poller.poll(context.Background(), nil, ln.Addr().String(), goldenRequest)
 	if err != nil || !reflect.DeepEqual(response, goldenResponse) {
-		t.Errorf("got %+v, %v; want %+v", response, err, goldenResponse)
+		t.Errorf("poll = %+v, error %v; want %+v", response, err, goldenResponse)
 	}
 	conn.close()
 	req := <-got
 	if req == nil {
-		t.Fatal("no request came")
+		t.Fatal("the server received no request")
 	}
 	goldentest.Bytes(t, "call.json", req.Body)
 	if head := strings.Join([]string{
 		req.Method, req.Path, req.Query, req.Header.Get("Host"),
 	}, " "); head != "PUT /_layout  league-server" {
-		t.Errorf("request %q", head)
+		t.Errorf("request = %q, want %q", head, "PUT /_layout  league-server")
 	}
 }
--- a/internal/shardmap/advance_plan.go
+++ b/internal/shardmap/advance_plan.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// advancePlan takes a plan to its next step.
+// advancePlan moves a plan to its next step. If the plan has reached that step already, it returns m itself.
 func (m *Map) advancePlan(a Advance) (*Map, error) {
 	i, err := m.openPlanIndex(a.Plan)
 	if err != nil {
@@ -16,7 +16,7 @@
 	}
 	p := m.plans[i]
 	if a.Step == p.Step || a.Step.Before(p.Step) && slices.Contains(planSteps, a.Step) {
-		return m, nil // carried out already
+		return m, nil // already applied
 	}
 	if !p.Step.precedes(a.Step) {
 		return nil, fmt.Errorf("%w: plan %d is at %s, asked to go to %s", ErrInvalidTransition, p.ID, p.Step, a.Step)
@@ -41,7 +41,8 @@
 	return out, nil
 }
 
-// advanceEndedPlan is no error if the plan passed the step before it ended.
+// advanceEndedPlan handles an Advance of a plan that has ended. It returns m itself if the plan reached the
+// step before it ended, and ErrInvalidTransition otherwise.
 func (m *Map) advanceEndedPlan(a Advance) (*Map, error) {
 	p, _ := m.Plan(a.Plan)
 	if p.Step == a.Step || p.Step == Retired && a.Step.Before(Retired) {
@@ -50,7 +51,8 @@
 	return nil, fmt.Errorf("%w: plan %d has ended", ErrInvalidTransition, a.Plan)
 }
 
-// switchShards makes the new shards of a plan serve in place of the old ones.
+// switchShards replaces the old shards of a plan with its new ones among the serving shards of m, which must be
+// a copy made by next. It checks that the plan's range is still covered.
 func (m *Map) switchShards(p Plan) error {
 	for _, s := range p.From {
 		m.remove(s)
@@ -62,8 +64,8 @@
 	return m.validateCoverage(p.Range())
 }
 
-// restrictReplicas leaves each shard the replicas that are listed for it. A shard
-// without any is an error.
+// restrictReplicas returns copies of the shards that keep only the replicas listed in complete for their id. It
+// fails with ErrNoReplica if a shard keeps none.
 func restrictReplicas(shards []Shard, complete map[ShardID][]string) ([]Shard, error) {
 	out := slices.Clone(shards)
 	for i := range out {
@@ -78,7 +80,7 @@
 	return out, nil
 }
 
-// abandonPlan ends a plan that has not switched.
+// abandonPlan ends a plan that has not reached Switched. If the plan was abandoned already, it returns m itself.
 func (m *Map) abandonPlan(a Abandon) (*Map, error) {
 	i, err := m.openPlanIndex(a.Plan)
 	if err != nil {
@@ -100,7 +102,8 @@
 	return out, nil
 }
 
-// openPlanIndex is the index of an open plan; -1 if the plan has ended.
+// openPlanIndex returns the index of an open plan in m.plans, or -1 if the plan is in the history. Any other id
+// is ErrNotFound.
 func (m *Map) openPlanIndex(id PlanID) (int, error) {
 	if i := indexOfPlan(m.plans, id); i >= 0 {
 		return i, nil
@@ -111,7 +114,7 @@
 	return -1, fmt.Errorf("%w: plan %d", ErrNotFound, id)
 }
 
-// endPlan moves a plan to the history, whose length is bounded.
+// endPlan moves the open plan at index i to the history, which keeps the last MaxPlanHistory plans.
 func (m *Map) endPlan(i int) {
 	history := append(slices.Clone(m.history), m.plans[i])
 	m.history = history[max(0, len(history)-MaxPlanHistory):]
--- a/internal/shardmap/change.go
+++ b/internal/shardmap/change.go
@@ -5,21 +5,21 @@
 	"slices"
 )
 
-// Change is the difference between two versions of the shard map of a collection, as
-// those need it who follow which shards have replicas with data.
+// Change is the difference between two versions of a collection's shard map, for callers that track which
+// shards have replicas with data.
 type Change struct {
 	Collection string
 	Map        *Map // the newer version; nil if the collection was removed
-	// Added and Removed are the shards that became resolvable and that are so no more
-	// (see Map.Resolve), by id. A shard whose replicas changed is in Added.
+	// Added has the shards that became resolvable (see Map.Resolve), Removed those that no longer are, both
+	// sorted by id. A shard whose replicas changed is in Added.
 	Added, Removed []Shard
 }
 
-// Diff compares two versions of a collection's shard map; either may be nil. It reports
-// false if they are the same version.
+// Diff compares two versions of a collection's shard map. Either may be nil: the collection has no shard map. It
+// reports false if both are the same version.
 //
-// A shard never changes while it is resolvable, except that the switch of its plan
-// narrows its replicas; such a shard counts as added.
+// A shard never changes while it is resolvable, except that the switch of its plan may reduce its replicas. Such
+// a shard counts as added.
 func Diff(collection string, old, now *Map) (Change, bool) {
 	if old == now {
 		return Change{}, false
@@ -43,7 +43,7 @@
 
 func compareByID(a, b Shard) int { return cmp.Compare(a.ID, b.ID) }
 
-// resolvable lists the shards that Resolve finds. The receiver may be nil.
+// resolvable returns the shards that Resolve finds, by id. The receiver may be nil.
 func (m *Map) resolvable() map[ShardID]Shard {
 	out := map[ShardID]Shard{}
 	if m == nil {
--- a/internal/shardmap/command.go
+++ b/internal/shardmap/command.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Command is one change of a shard map. Exactly one of Request, Advance and Abandon is
-// set. Commands are stored in the Raft log in CBOR, under the names in their tags.
+// Command is one change of a shard map. Exactly one of Request, Advance and Abandon is set. Commands are stored
+// in the Raft log as CBOR, under the names in their JSON tags.
 type Command struct {
-	ExpectedVersion uint64       `json:"At"` // the version that the command was made for; 0: any
+	ExpectedVersion uint64       `json:"At"` // the version of the map that the command was made for; 0 means any
 	Request         *PlanRequest `json:"Order"`
 	Advance         *Advance     `json:"Advance"`
 	Abandon         *Abandon     `json:"Abandon"`
@@ -14,17 +14,17 @@
 // PlanRequest asks for a new plan.
 type PlanRequest struct {
 	Kind        PlanKind   `json:"kind"`
-	Shards      []ShardID  `json:"slices"` // one to split or move; adjacent ones to merge
-	Pieces      int        `json:"into"`   // of a split
-	ReplicaSets [][]string `json:"to"`     // one for each new shard; a single one is for all; none: as before
+	Shards      []ShardID  `json:"slices"` // the shard to split or move, or the adjacent shards to merge
+	Pieces      int        `json:"into"`   // the number of new shards of a split; other kinds ignore it
+	ReplicaSets [][]string `json:"to"`     // one for each new shard, or one for all; empty: the first old shard's
 }
 
-// Advance takes a plan to its next step.
+// Advance moves a plan to its next step.
 type Advance struct {
 	Plan PlanID   `json:"Plan"`
 	Step PlanStep `json:"Step"`
-	// Replicas are the healthy servers that have a complete copy of each new shard. The
-	// steps Replicated and Switched need them.
+	// Replicas lists, for each new shard, the healthy servers that have a complete copy of it. The steps
+	// Replicated and Switched require it; the others ignore it.
 	Replicas map[ShardID][]string `json:"Holding"`
 }
 
@@ -34,8 +34,9 @@
 	Reason string `json:"Why"`
 }
 
-// Apply returns the version after a command. It is idempotent: a command that was
-// carried out already returns the receiver and no error.
+// Apply returns the version of the map after a command. Without an ExpectedVersion, Advance and Abandon are
+// idempotent: one that was applied already returns the receiver and no error. A repeated Request is an error
+// while its plan is open. Every error wraps one of the Err variables of this package.
 func (m *Map) Apply(c Command) (*Map, error) {
 	if c.ExpectedVersion != 0 && c.ExpectedVersion != m.version {
 		return nil, fmt.Errorf("%w: made on %d, now %d", ErrVersionConflict, c.ExpectedVersion, m.version)
--- a/internal/shardmap/coverage/range_set.go
+++ b/internal/shardmap/coverage/range_set.go
@@ -9,14 +9,14 @@
 
 // RangeSet is a set of keys, stored as ranges. The zero value is empty.
 type RangeSet struct {
-	ranges []shardmap.Range // in order, neither overlapping nor adjacent
+	ranges []shardmap.Range // sorted; no two overlap or are adjacent, since NewRangeSet and Add join those that do
 }
 
-// NewRangeSet is the union of ranges, which may overlap.
+// NewRangeSet returns the union of ranges, which may overlap and come in any order.
 func NewRangeSet(ranges ...shardmap.Range) RangeSet {
 	sorted := slices.Clone(ranges)
 	slices.SortFunc(sorted, func(a, b shardmap.Range) int { return cmp.Compare(a.First, b.First) })
-	merged := sorted[:0] // in place: never ahead of the range that is read
+	merged := sorted[:0] // reuses the array: the write position never passes the read position
 	for _, r := range sorted {
 		n := len(merged)
 		if n > 0 && (merged[n-1].Last >= r.First || merged[n-1].Last+1 == r.First) {
@@ -28,8 +28,8 @@
 	return RangeSet{ranges: merged}
 }
 
-// Add adds a range whose keys are all missing. It reports false and changes nothing if
-// the range is invalid or any of its keys is in the set.
+// Add adds a range of which the set has no key yet. It reports false and leaves the set unchanged if the range
+// is invalid or the set has any of its keys.
 func (s *RangeSet) Add(r shardmap.Range) bool {
 	i, found := s.search(r.First)
 	overlapsLeft := i > 0 && s.ranges[i-1].Last >= r.First
@@ -53,7 +53,8 @@
 	return true
 }
 
-// search finds the first range that begins at a key or after it.
+// search returns the index of the first range that begins at the key first or after it, and whether it begins at
+// that key.
 func (s *RangeSet) search(first uint64) (i int, found bool) {
 	return slices.BinarySearchFunc(s.ranges, first, func(r shardmap.Range, key uint64) int {
 		return cmp.Compare(r.First, key)
--- a/internal/shardmap/coverage/tracker_bench_test.go
+++ b/internal/shardmap/coverage/tracker_bench_test.go
@@ -7,8 +7,8 @@
 	"linkpass/internal/shardmap"
 )
 
-// BenchmarkTracker records the answers of one query over the whole key space, every
-// other one first, as they arrive out of order.
+// BenchmarkTracker records the answers of one query over the whole key space. They arrive out of order: every
+// second one first, then the others.
 func BenchmarkTracker(b *testing.B) {
 	for _, n := range []int{3, 80, 300} {
 		shards := shardmap.FullRange.Split(n)
@@ -19,12 +19,12 @@
 				for _, first := range []int{0, 1} {
 					for i := first; i < n; i += 2 {
 						if !tracker.Record(shards[i]) {
-							b.Fatal("answer rejected")
+							b.Fatalf("answer for %s rejected", shards[i])
 						}
 					}
 				}
 				if !tracker.Complete() {
-					b.Fatal("not complete")
+					b.Fatal("the query is not complete after all answers")
 				}
 			}
 		})
--- a/internal/shardmap/coverage/tracker_test.go
+++ b/internal/shardmap/coverage/tracker_test.go
@@ -12,7 +12,7 @@
 // modelKeys is the number of keys of the model.
 const modelKeys = 24
 
-// keyRange maps a key of the model to a range of real keys. The model spans the whole key
+// keyRange returns the range of real keys that stands for a key of the model. The model spans the whole key
 // space, so that the first and the last key are tested.
 func keyRange(i int) shardmap.Range {
 	return shardmap.FullRange.Split(modelKeys)[i]
@@ -27,12 +27,13 @@
 	return from, min(modelKeys-1, from+rapid.IntRange(0, 8).Draw(t, "n"))
 }
 
-// model tracks each key by itself.
+// model is a reference implementation of Tracker that records each key on its own.
 type model struct {
 	requested, answered [modelKeys]bool
 }
 
-// record reports whether the keys from one to another are all missing, and if so records them.
+// record records the keys from one to another, both included, if they are all missing. Otherwise it reports
+// false.
 func (m *model) record(from, to int) bool {
 	for i := from; i <= to; i++ {
 		if !m.requested[i] || m.answered[i] {
@@ -62,7 +63,7 @@
 			from, to := drawAnswer(t, tracker)
 			want := m.record(from, to)
 			if got := tracker.Record(rangeOver(from, to)); got != want {
-				t.Fatalf("recorded %d to %d: %v, want %v", from, to, got, want)
+				t.Fatalf("Record of the model's keys %d to %d = %v, want %v", from, to, got, want)
 			}
 		}
 		checkMatches(t, tracker, &m)
@@ -72,11 +73,11 @@
 		checkWeights(t, append(tracker.requested.Ranges(), shardmap.Range{First: 7, Last: 7}))
 	})
 	if complete == 0 {
-		t.Error("no run was complete")
+		t.Error("no run had a complete query")
 	}
 }
 
-// drawAnswer draws any span, or the first that is missing.
+// drawAnswer draws any span, or the first span that is missing.
 func drawAnswer(t *rapid.T, tracker *Tracker) (from, to int) {
 	from, to = drawSpan(t)
 	missing := tracker.Missing()
@@ -99,11 +100,12 @@
 	for i := range m.requested {
 		want := m.requested[i] && !m.answered[i]
 		if got := NewRangeSet(keyRange(i)).Subtract(missing).Empty(); got != want {
-			t.Fatalf("key %d missing: %v, want %v", i, got, want)
+			t.Fatalf("key %d of the model missing: got %v, want %v", i, got, want)
 		}
 	}
 	if want := m.requested == m.answered; tracker.Complete() != want {
-		t.Fatalf("complete: %v, requested %v, answered %v", tracker.Complete(), m.requested, m.answered)
+		t.Fatalf("Complete() = %v, want %v; requested %v, answered %v",
+			tracker.Complete(), want, m.requested, m.answered)
 	}
 }
 
@@ -115,10 +117,10 @@
 	for _, w := range weights {
 		sum += w
 		if w < total*minWeightShare/2 {
-			t.Fatalf("a weight of %v is too small", weights)
+			t.Fatalf("weight = %g in %v, want at least %g", w, weights, total*minWeightShare/2)
 		}
 	}
 	if sum < 0.499999 || sum > 0.500001 {
-		t.Fatalf("weights add up to %g", sum)
+		t.Fatalf("sum of weights = %g, want %g", sum, total)
 	}
 }
--- a/internal/shardmap/coverage/weight.go
+++ b/internal/shardmap/coverage/weight.go
@@ -2,13 +2,12 @@
 
 import "linkpass/internal/shardmap"
 
-// minWeightShare is the least share of the total weight that a range gets before the
-// shares are normalized. Without it a single key would be lost to rounding beside half of
-// the key space.
+// minWeightShare is the minimum share of the total weight for a range, applied before the shares are normalized.
+// Without it, the weight of a single key would be lost to rounding beside that of half the key space.
 const minWeightShare = 0.001
 
-// SplitWeight distributes a weight over ranges in proportion to their sizes, with a lower
-// bound for each. The result adds up to total.
+// SplitWeight distributes the weight total over ranges in proportion to their sizes, with a lower bound for each.
+// It returns one weight per range; they add up to total.
 func SplitWeight(total float64, ranges []shardmap.Range) []float64 {
 	size := 0.0
 	for _, r := range ranges {
--- a/internal/shardmap/document.go
+++ b/internal/shardmap/document.go
@@ -7,6 +7,9 @@
 )
 
 // Document is the serialized form of a shard map.
+//
+// A first version written by hand may leave out Version and NextPlan (each defaults to 1), NextShard (defaults to
+// the first id above those of Shards) and, if NextShard is left out, the shards' epochs (default to 1).
 type Document struct {
 	Version   uint64  `json:"version" toml:"version"`
 	NextShard ShardID `json:"next_slice,omitempty" toml:"next_slice"`
@@ -16,8 +19,8 @@
 	History   []Plan  `json:"past,omitempty" toml:"past"`
 }
 
-// NewEven makes a first version: n shards of equal size, assigned to the replica sets
-// round-robin.
+// NewEven returns a first version with n shards of equal size but for rounding, to which the replica sets are
+// assigned round-robin. It fails with ErrInvalidRequest if n is not in 1 to MaxShards or sets is empty.
 func NewEven(n int, sets [][]string) (*Map, error) {
 	if n < 1 || n > MaxShards || len(sets) == 0 {
 		return nil, fmt.Errorf("%w: %d slices over %d sets", ErrInvalidRequest, n, len(sets))
@@ -30,8 +33,7 @@
 	return d.Map(nil)
 }
 
-// Document is the serialized form of the version. It shares memory with the map and must
-// not be changed.
+// Document returns the serialized form of the version. It shares memory with the map and must not be modified.
 func (m *Map) Document() Document {
 	return Document{
 		Version:   m.version,
@@ -43,8 +45,8 @@
 	}
 }
 
-// Map builds and validates the shard map of a document. Memory of what did not change
-// since an earlier version is shared with it; earlier may be nil.
+// Map builds and validates the shard map of a document. Shards that are the same in an earlier version share
+// memory with it; earlier may be nil.
 func (d Document) Map(earlier *Map) (*Map, error) {
 	if len(d.Shards) > MaxShards || len(d.Plans) > MaxOpenPlans || len(d.History) > MaxPlanHistory {
 		return nil, fmt.Errorf("%w: %d slices, %d plans", ErrLimitExceeded, len(d.Shards), len(d.Plans))
@@ -57,7 +59,7 @@
 	out.history = slices.Clone(d.History)
 	slices.SortFunc(out.plans, func(a, b Plan) int { return cmp.Compare(a.ID, b.ID) })
 	for _, s := range d.Shards {
-		if d.NextShard == 0 { // a first version written by hand has no counters and may omit epochs
+		if d.NextShard == 0 { // a first version written by hand, which has no counters and may omit epochs
 			out.nextShardID = max(out.nextShardID, s.ID+1)
 			s.Epoch = max(1, s.Epoch)
 		}
@@ -74,7 +76,8 @@
 	return out, nil
 }
 
-// retained is a copy of an earlier version without the shards that the document lacks.
+// retained returns a copy of an earlier version without the shards that are not in the document, or an empty map
+// if earlier is nil.
 func (d Document) retained(earlier *Map) *Map {
 	if earlier == nil {
 		return &Map{}
--- a/internal/shardmap/map.go
+++ b/internal/shardmap/map.go
@@ -10,30 +10,30 @@
 // Limits of a shard map.
 const (
 	MaxShards      = 200_000
-	MaxReplicas    = 16 // of one shard
-	MaxOpenPlans   = 64 // open at a time
-	MaxPlanHistory = 32 // ended plans that are remembered
-	maxPieces      = 16 // of one split or merge
+	MaxReplicas    = 16 // per shard
+	MaxOpenPlans   = 64 // at a time
+	MaxPlanHistory = 32 // ended plans that are kept, the latest ones
+	maxPieces      = 16 // new shards of a split, old shards of a merge
 )
 
-// Map is one version of a shard map. It is immutable and safe for concurrent reads;
-// a query keeps the version that it was planned on.
+// Map is one version of a shard map. It is immutable and safe for concurrent use. A query keeps the version that
+// it was planned on. NewEven and Document.Map create a valid one; the zero value is not valid.
 type Map struct {
 	version     uint64
 	nextShardID ShardID
 	nextPlanID  PlanID
-	plans       []Plan // open, by id
+	plans       []Plan // open, sorted by id
 	history     []Plan // ended, oldest first
 
-	copyMu    sync.Mutex                 // guards the two trees while they are copied: Copy marks shared nodes in the original
-	serving   btree.Map[uint64, *Shard]  // serving shards by their first keys
-	firstByID btree.Map[ShardID, uint64] // the first keys of the serving shards
+	copyMu    sync.Mutex                 // guards both trees while next copies them: Copy marks shared nodes in m
+	serving   btree.Map[uint64, *Shard]  // serving shards by first key
+	firstByID btree.Map[ShardID, uint64] // first keys of the serving shards, by shard id
 }
 
-// Version is the version of the shard map; it only grows.
+// Version returns the version number. Each change increases it by one.
 func (m *Map) Version() uint64 { return m.version }
 
-// Len is the number of serving shards.
+// Len returns the number of serving shards.
 func (m *Map) Len() int { return m.serving.Len() }
 
 // Find returns the shard that serves a key.
@@ -75,9 +75,8 @@
 	return out
 }
 
-// Resolve returns a shard whose replicas still have its data: one that serves, or one
-// that a plan which is not yet retired has replaced. Queries planned before the switch
-// may still ask for the latter.
+// Resolve returns a shard whose replicas still have its data: a serving shard, or an old shard of a plan that has
+// switched and is not retired yet. Queries planned before the switch may still request the latter.
 func (m *Map) Resolve(id ShardID) (Shard, bool) {
 	if s, ok := m.Shard(id); ok {
 		return s, true
@@ -93,8 +92,7 @@
 	return Shard{}, false
 }
 
-// next returns a copy with the next version number, for the caller to change. The trees
-// are copied on write.
+// next returns a copy with the next version number, which the caller may modify. The trees are copied on write.
 func (m *Map) next() *Map {
 	m.copyMu.Lock()
 	defer m.copyMu.Unlock()
@@ -110,13 +108,14 @@
 	return out
 }
 
-// insert makes a shard serve.
+// insert adds a shard to the serving shards.
 func (m *Map) insert(s Shard) {
 	m.serving.Set(s.Range.First, &s)
 	m.firstByID.Set(s.ID, s.Range.First)
 }
 
-// remove makes a shard serve no more. Another shard may have taken its first key already.
+// remove removes a shard from the serving shards. Another shard may have replaced it at its first key already;
+// that shard stays.
 func (m *Map) remove(s Shard) {
 	if current, ok := m.serving.Get(s.Range.First); ok && current.ID == s.ID {
 		m.serving.Delete(s.Range.First)
--- a/internal/shardmap/map_test.go
+++ b/internal/shardmap/map_test.go
@@ -17,7 +17,7 @@
 	return rapid.SliceOfNDistinct(servers, 1, 3, rapid.ID[string]).Draw(t, "set")
 }
 
-// drawCommand draws any command: valid ones, repeated ones and invalid ones.
+// drawCommand draws a command, which may be valid, repeated or invalid.
 func drawCommand(t *rapid.T, m *Map) Command {
 	switch rapid.IntRange(0, 9).Draw(t, "command") {
 	case 0:
@@ -42,15 +42,15 @@
 	return Command{Advance: drawAdvance(t, m)}
 }
 
-// drawShardID draws the id of one serving shard, or rarely the id after it.
+// drawShardID draws the id of a serving shard or, in one of five cases, the id after it.
 func drawShardID(t *rapid.T, m *Map) []ShardID {
 	s := rapid.SampledFrom(m.Shards()).Draw(t, "shard")
 	offset := rapid.SampledFrom([]int{0, 0, 0, 0, 1}).Draw(t, "off")
 	return []ShardID{s.ID + ShardID(offset)}
 }
 
-// drawAdvance draws any step of any plan, often the next one of an open plan. Some
-// replicas are missing.
+// drawAdvance draws any step of any plan, often the next step of an open plan. Some of the plan's replicas are
+// left out.
 func drawAdvance(t *rapid.T, m *Map) *Advance {
 	a := &Advance{
 		Plan:     PlanID(rapid.IntRange(1, int(m.nextPlanID)).Draw(t, "plan")),
@@ -77,7 +77,7 @@
 	return a
 }
 
-// documentText is the JSON form of a version, to compare versions by.
+// documentText returns the JSON form of a version, by which versions are compared.
 func documentText(m *Map) string {
 	data, err := json.Marshal(m.Document())
 	if err != nil {
@@ -92,8 +92,8 @@
 	text string
 }
 
-// Any sequence of commands keeps every invariant: versions grow, earlier ones do not
-// change, repeating a command changes nothing, and a document parses to the same map.
+// Any sequence of commands keeps every invariant: version numbers grow, earlier versions do not change, repeating
+// an Advance changes nothing, and a document parses to the same map.
 func TestApplyKeepsInvariants(t *testing.T) {
 	reached := map[PlanStep]int{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -119,7 +119,7 @@
 		}
 		for _, s := range earlier {
 			if documentText(s.m) != s.text {
-				t.Fatalf("version %d changed", s.m.version)
+				t.Fatalf("a later command changed version %d", s.m.version)
 			}
 		}
 		base := m
@@ -138,16 +138,17 @@
 // checkApplied checks the version after a command, and that an Advance can be repeated.
 func checkApplied(t *rapid.T, before, after *Map, c Command) {
 	if err := after.Validate(); err != nil {
-		t.Fatalf("%+v: %v", c, err)
+		t.Fatalf("map invalid after %+v: %v", c, err)
 	}
 	if after != before && after.version != before.version+1 {
-		t.Fatalf("version %d after %d", after.version, before.version)
+		t.Fatalf("version = %d after a command on version %d, want %d",
+			after.version, before.version, before.version+1)
 	}
 	if c.Advance == nil {
 		return
 	}
 	if again, err := after.Apply(c); err != nil || again != after {
-		t.Fatalf("repeated %+v: %v", *c.Advance, err)
+		t.Fatalf("%+v repeated: got another map or an error: %v", *c.Advance, err)
 	}
 }
 
@@ -156,14 +157,14 @@
 func checkRangesUnchanged(t *rapid.T, m *Map, ranges map[ShardID]Range) {
 	for _, s := range m.Shards() {
 		if r, ok := ranges[s.ID]; ok && r != s.Range {
-			t.Fatalf("shard %d was %s and is %s", s.ID, r, s.Range)
+			t.Fatalf("range of shard %d changed from %s to %s", s.ID, r, s.Range)
 		}
 		ranges[s.ID] = s.Range
 	}
 }
 
-// checkParsesBack checks that the document of m gives m again, with and without an
-// earlier version to share memory with.
+// checkParsesBack checks that the document of m parses to the same map, with and without an earlier version to
+// share memory with.
 func checkParsesBack(t *rapid.T, m, earlier *Map) {
 	text := documentText(m)
 	var d Document
@@ -172,7 +173,7 @@
 	}
 	for _, base := range []*Map{nil, earlier} {
 		if parsed, err := d.Map(base); err != nil || documentText(parsed) != text {
-			t.Fatalf("parsed again: %v", err)
+			t.Fatalf("the document parsed to another map or an error: %v", err)
 		}
 	}
 }
@@ -186,16 +187,16 @@
 	return next
 }
 
-// mustFail checks that a command fails with an error.
+// mustFail checks that a command fails with the error want.
 func mustFail(t *testing.T, m *Map, c Command, want error) {
 	t.Helper()
 	if _, err := m.Apply(c); !errors.Is(err, want) {
-		t.Errorf("%+v: %v, want %v", c, err, want)
+		t.Errorf("Apply(%+v): error = %v, want %v", c, err, want)
 	}
 }
 
-// Of two plans requested at once the second is rejected while the first is open; the same
-// request on the version that both were made for is rejected whatever it touches.
+// Of two plans for the same range, the second is rejected while the first is open. A request made for an outdated
+// version is rejected whichever range it changes.
 func TestApplyRejectsConcurrentPlans(t *testing.T) {
 	m, err := NewEven(4, [][]string{{"a"}, {"b"}})
 	if err != nil {
@@ -214,7 +215,8 @@
 	})
 }
 
-// A replica lost between copy and switch is left out; without any other the switch fails.
+// A replica that is lost between copying and the switch is left out of the new shard. If no other replica is
+// complete, the switch fails.
 func TestSwitchNeedsCompleteReplica(t *testing.T) {
 	m, err := NewEven(2, [][]string{{"a"}})
 	if err != nil {
@@ -232,15 +234,15 @@
 	switched := mustApply(t, m, advanceTo(Switched, "c"))
 	s, ok := switched.Find(1)
 	if !ok || s.ID != to || !slices.Equal(s.Replicas, []string{"c"}) || s.Epoch != switched.Version() {
-		t.Errorf("serves %+v", s)
+		t.Errorf("shard of key 1 = %+v, found %v; want id %d, replicas [c], epoch %d", s, ok, to, switched.Version())
 	}
 	if _, ok := switched.Resolve(FirstDynamicID); !ok {
-		t.Error("the old shard cannot be resolved before the plan is retired")
+		t.Error("Resolve did not find the old shard before the plan was retired")
 	}
 	mustFail(t, switched, Command{Abandon: &Abandon{Plan: 1}}, ErrInvalidTransition)
 	retired := mustApply(t, switched, advanceTo(Retired))
 	if _, ok := retired.Resolve(FirstDynamicID); ok {
-		t.Error("the old shard can be resolved after the plan was retired")
+		t.Error("Resolve found the old shard after the plan was retired")
 	}
 }
 
@@ -256,15 +258,15 @@
 			for b.Loop() {
 				key = key*0x9e3779b97f4a7c15 + 1
 				if _, ok := m.Find(key); !ok {
-					b.Fatal("no shard")
+					b.Fatalf("no shard serves key %016x", key)
 				}
 			}
 		})
 	}
 }
 
-// The cost of a command grows with the depth of the tree, not with the number of shards:
-// versions share the rest.
+// BenchmarkApply applies a command to maps of several sizes. Its cost grows with the depth of the tree, not with
+// the number of shards, since versions share the nodes that did not change.
 func BenchmarkApply(b *testing.B) {
 	for _, n := range []int{10, 1000, 100_000} {
 		m, err := NewEven(n, [][]string{{"a", "b"}, {"c", "d"}})
--- a/internal/shardmap/open_plan.go
+++ b/internal/shardmap/open_plan.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// openPlan adds a plan to the map.
+// openPlan returns the next version, with a new plan at step Planned.
 func (m *Map) openPlan(req PlanRequest) (*Map, error) {
 	if len(m.plans) >= MaxOpenPlans {
 		return nil, fmt.Errorf("%w: %d plans are open", ErrLimitExceeded, len(m.plans))
@@ -35,7 +35,7 @@
 	return out, nil
 }
 
-// targetShards creates the shards that replace those of a plan, with ids from firstID on.
+// targetShards returns the new shards that replace the old ones of plan p, with ids from firstID on.
 func targetShards(req PlanRequest, p Plan, firstID ShardID) ([]Shard, error) {
 	ranges := []Range{p.Range()}
 	if req.Kind == Split {
@@ -98,8 +98,8 @@
 	return nil
 }
 
-// validateMergeSources checks that shards in key order are adjacent. A first key of 0
-// after another shard means that the same shard is named twice: the last key before it wrapped.
+// validateMergeSources checks that shards in key order are adjacent. If a shard owns the whole key space and is
+// named twice, its last key + 1 wraps to its first key, 0; the check for a first key of 0 rejects that.
 func validateMergeSources(from []Shard) error {
 	if len(from) < 2 || len(from) > maxPieces {
 		return fmt.Errorf("%w: a merge of %d slices; 2 to %d are allowed", ErrInvalidRequest, len(from), maxPieces)
--- a/internal/shardmap/plan.go
+++ b/internal/shardmap/plan.go
@@ -10,9 +10,9 @@
 
 // The kinds of plan.
 const (
-	Split PlanKind = "split"
-	Merge PlanKind = "merge"
-	Move  PlanKind = "move"
+	Split PlanKind = "split" // one shard into several
+	Merge PlanKind = "merge" // adjacent shards into one
+	Move  PlanKind = "move"  // one shard to other servers
 )
 
 // PlanStep is the state of a plan.
@@ -20,18 +20,19 @@
 
 // The steps of a plan, in order. A plan can be abandoned at any step before Switched.
 const (
-	Planned    PlanStep = "planned"
-	Copying    PlanStep = "copying"
-	Replicated PlanStep = "both_hold" // old and new replicas have the data
+	Planned    PlanStep = "planned"   // not started
+	Copying    PlanStep = "copying"   // the new replicas copy the data
+	Replicated PlanStep = "both_hold" // old and new replicas have the data; the old shards serve
 	Switched   PlanStep = "switched"  // the new shards serve; the old replicas keep their data
-	Retired    PlanStep = "retired"
-	Abandoned  PlanStep = "abandoned"
+	Retired    PlanStep = "retired"   // ended; the old replicas may drop their data
+	Abandoned  PlanStep = "abandoned" // ended before the switch; the old shards serve
 )
 
 // planSteps are the steps of a plan that is not abandoned, in order.
 var planSteps = []PlanStep{Planned, Copying, Replicated, Switched, Retired}
 
-// Before reports whether s comes before other in the course of a plan.
+// Before reports whether s comes before other in a plan that is not abandoned. Abandoned and unknown steps count
+// as before all others.
 func (s PlanStep) Before(other PlanStep) bool {
 	return slices.Index(planSteps, s) < slices.Index(planSteps, other)
 }
@@ -42,15 +43,14 @@
 	return i+1 < len(planSteps) && planSteps[i+1] == next
 }
 
-// Plan is a change under way: the shards From are replaced by those of To, which own the
-// same keys.
+// Plan is a change of the shard map: the shards To replace the shards From and own the same keys.
 type Plan struct {
 	ID      PlanID   `json:"id" toml:"id"`
 	Kind    PlanKind `json:"kind" toml:"kind"`
 	Step    PlanStep `json:"step" toml:"step"`
 	From    []Shard  `json:"from" toml:"from"`
 	To      []Shard  `json:"to" toml:"to"`
-	Version uint64   `json:"at" toml:"at"`                       // the version at which it reached its step
+	Version uint64   `json:"at" toml:"at"`                       // the map's version at which the plan reached Step
 	Reason  string   `json:"why,omitempty" toml:"why,omitempty"` // why it was abandoned
 }
 
@@ -64,13 +64,13 @@
 	return ok
 }
 
-// Plans lists the open plans by id.
+// Plans returns the open plans, sorted by id.
 func (m *Map) Plans() []Plan { return slices.Clone(m.plans) }
 
-// History lists the plans that ended last, oldest first.
+// History returns the last MaxPlanHistory plans that ended, oldest first.
 func (m *Map) History() []Plan { return slices.Clone(m.history) }
 
-// Plan returns a plan by its id, open or remembered.
+// Plan returns a plan by its id, open or in the history.
 func (m *Map) Plan(id PlanID) (Plan, bool) {
 	for _, plans := range [][]Plan{m.plans, m.history} {
 		if i := indexOfPlan(plans, id); i >= 0 {
--- a/internal/shardmap/range.go
+++ b/internal/shardmap/range.go
@@ -10,10 +10,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// HashKey maps a record to its place in the key space: the 64-bit xxHash of its id.
+// HashKey returns the key of the record with an id: the 64-bit xxHash of the id.
 func HashKey(id string) uint64 { return xxhash.Sum64String(id) }
 
-// Range is the range of keys from First to Last, both included.
+// Range is the range of keys from First to Last, both included. The zero value has one key, 0.
 type Range struct{ First, Last uint64 }
 
 // FullRange is the whole key space.
@@ -25,7 +25,7 @@
 // Contains reports whether a key lies in the range.
 func (r Range) Contains(key uint64) bool { return r.First <= key && key <= r.Last }
 
-// Covers reports whether all of o lies in r.
+// Covers reports whether every key of o is in r.
 func (r Range) Covers(o Range) bool { return r.First <= o.First && o.Last <= r.Last }
 
 // Intersect returns the keys that two ranges share; false if there are none.
@@ -37,14 +37,14 @@
 // Size is the number of keys, rounded to a float64.
 func (r Range) Size() float64 { return float64(r.Last-r.First) + 1 }
 
-// Split divides the range into n ranges of equal size but for rounding; nil if it has
-// fewer than n keys.
+// Split divides the range into n adjacent ranges of equal size but for rounding. It returns nil if n < 1 or the
+// range has fewer than n keys.
 func (r Range) Split(n int) []Range {
 	if n < 1 || uint64(n)-1 > r.Last-r.First {
 		return nil
 	}
 	step := (r.Last-r.First)/uint64(n) + 1
-	if step == 0 || uint64(n-1) > (r.Last-r.First)/step { // rounded up, too few keys are left for the last range
+	if step == 0 || uint64(n-1) > (r.Last-r.First)/step { // it overflowed, or rounding up leaves the last range no key
 		step = (r.Last - r.First) / uint64(n)
 	}
 	out := make([]Range, n)
@@ -56,13 +56,13 @@
 	return out
 }
 
-// String is the range as two hexadecimal numbers.
+// String formats the range as two hexadecimal numbers of 16 digits.
 func (r Range) String() string { return fmt.Sprintf("%016x-%016x", r.First, r.Last) }
 
-// ErrInvalidRange marks a text that is not a range.
+// ErrInvalidRange is the error of ParseRange for a text that is not a valid range.
 var ErrInvalidRange = errors.New("not a range such as 0000000000000000-7fffffffffffffff")
 
-// ParseRange parses what String formats; leading zeros may be missing.
+// ParseRange parses the format of String, in which leading zeros may be missing.
 func ParseRange(text string) (Range, error) {
 	first, last, ok := strings.Cut(text, "-")
 	var r Range
@@ -75,11 +75,11 @@
 	return r, nil
 }
 
-// MarshalText implements encoding.TextMarshaler. The range is a text in JSON and TOML, as
-// their numbers do not have 64 bits without a sign.
+// MarshalText implements encoding.TextMarshaler. A range is a string in JSON and TOML, since their numbers cannot
+// represent every unsigned 64-bit integer.
 func (r Range) MarshalText() ([]byte, error) { return []byte(r.String()), nil }
 
-// UnmarshalText implements encoding.TextUnmarshaler.
+// UnmarshalText implements encoding.TextUnmarshaler. On an error it sets the range to its zero value.
 func (r *Range) UnmarshalText(text []byte) error {
 	parsed, err := ParseRange(string(text))
 	*r = parsed
--- a/internal/shardmap/replan/change.go
+++ b/internal/shardmap/replan/change.go
@@ -6,15 +6,15 @@
 	"linkpass/internal/shardmap"
 )
 
-// Change is parts that are dropped and those that replace them. Both request the same
-// keys, each key once.
+// Change lists the parts to drop and the parts that replace them. Add requests every key that Drop leaves
+// unanswered, each key once.
 type Change struct {
-	Drop []int // indices of the parts given
+	Drop []int // indices into the parts that were passed in
 	Add  []Part
 }
 
-// mergeSibling drops a pending sibling, and lets a new part request its keys too, if all of
-// them are adjacent to the new part's and in the same shard.
+// mergeSibling drops a pending sibling and extends a new part by its keys, if these are adjacent to the new
+// part's keys and all in the new part's shard. Otherwise it changes nothing.
 func (c *Change) mergeSibling(m *shardmap.Map, index int, sibling Part) {
 	for i := range c.Add {
 		added := &c.Add[i]
--- a/internal/shardmap/replan/change_test.go
+++ b/internal/shardmap/replan/change_test.go
@@ -8,8 +8,8 @@
 	"linkpass/internal/shardmap"
 )
 
-// A pending sibling beside the replanned part is merged into it, and the rounds of both
-// count, so that merging cannot extend the bound on rounds.
+// A pending sibling adjacent to the replanned part is merged into it. The new part takes the higher number of
+// rounds of the two, so that merging cannot evade the limit on rounds.
 func TestReplanMergesPendingSibling(t *testing.T) {
 	m, err := shardmap.NewEven(1, [][]string{{"a"}})
 	if err != nil {
@@ -50,7 +50,7 @@
 			parts := []Part{{Shard: 1, Range: halves[0]}, c.sibling}
 			got, reason := Replan(m, parts, 0, time.Second, time.Millisecond)
 			if reason != Replanned || !reflect.DeepEqual(got, c.want) {
-				t.Errorf("got %+v, %q; want %+v", got, reason, c.want)
+				t.Errorf("Replan = %+v, reason %q; want %+v", got, reason, c.want)
 			}
 		})
 	}
--- a/internal/shardmap/replan/part.go
+++ b/internal/shardmap/replan/part.go
@@ -12,19 +12,20 @@
 	Answered
 )
 
-// Part is one part of a query, as it was planned: a request to one shard.
+// Part is one part of a query: a request to the shard that served its keys when it was planned.
 type Part struct {
 	Shard shardmap.ShardID
-	Range shardmap.Range // the keys that it requests: of the shard, or what remains of them
+	Range shardmap.Range // the keys that it requests: all that the query needs of the shard, or those still missing
 	Round int            // how many times its keys were replanned
 	State PartState
 }
 
-// Plan divides ranges that share no key into parts, one for each shard of a version and range.
+// Plan divides ranges into parts on a version of the shard map: one part for each range and each shard that
+// serves keys of it. The ranges must not share a key.
 func Plan(m *shardmap.Map, ranges []shardmap.Range) []Part {
 	parts := make([]Part, 0, len(ranges))
 	var requested shardmap.Range
-	// One closure for all ranges: one for each would be an allocation for each.
+	// All ranges share one closure, since one per range would cost an allocation each.
 	addPart := func(s shardmap.Shard) bool {
 		if common, ok := s.Range.Intersect(requested); ok {
 			parts = append(parts, Part{Shard: s.ID, Range: common})
@@ -37,7 +38,7 @@
 	return parts
 }
 
-// cover reports whether parts in key order request all of a range.
+// cover reports whether parts, given in key order, request every key of a range.
 func cover(parts []Part, r shardmap.Range) bool {
 	next := r.First
 	for _, p := range parts {
--- a/internal/shardmap/replan/replan.go
+++ b/internal/shardmap/replan/replan.go
@@ -9,12 +9,12 @@
 // MaxRounds is how many times the keys of a part may be replanned.
 const MaxRounds = 4
 
-// Reason is why a part was not replanned. Its values are parts of the names of counters.
+// Reason tells why a part was not replanned. Its values are part of counter names.
 type Reason string
 
 // The reasons.
 const (
-	Replanned        Reason = ""           // it was
+	Replanned        Reason = ""           // no reason: the part was replanned
 	AlreadyAnswered  Reason = "answered"   // there is nothing to request
 	NoNewerMap       Reason = "unknown"    // the index has no map, or none newer than the one the part was planned on
 	RoundsExhausted  Reason = "spent"      // it was replanned MaxRounds times
@@ -22,14 +22,13 @@
 	RangeNotServed   Reason = "incoherent" // the map has no shard for some of the keys
 )
 
-// Replan replaces the part at index i, given a version of the map in which its shard no
-// longer serves. remaining is the time that the query has left, required the least that an
-// attempt takes.
+// Replan replaces the part at index i on a version of the map in which its shard no longer serves. remaining is
+// the time that the query has left, required the minimum duration of an attempt.
 //
-// The range is divided along the shards that serve it now, which gives the least number of
-// parts. A pending sibling whose own keys now belong to the shard of an adjacent new part is
-// merged into it: one attempt instead of two. A sibling that is in flight or answered is
-// kept, since requesting its keys again costs an attempt and keeping it costs none.
+// The part's range is divided along the shards that serve it now, which gives the smallest number of parts. A
+// pending sibling is merged into an adjacent new part if the new part's shard now serves all of the sibling's
+// keys: one attempt instead of two. A sibling that is in flight or answered is kept, since requesting its keys
+// again costs an attempt and keeping it costs none.
 func Replan(m *shardmap.Map, parts []Part, i int, remaining, required time.Duration) (Change, Reason) {
 	p := parts[i]
 	if m != nil {
@@ -49,8 +48,8 @@
 	return change, Replanned
 }
 
-// Remaining replaces the part at index i by parts for what is missing of it, after a partial
-// answer or none. Its shard may still serve: another replica may have the rest.
+// Remaining replaces the part at index i by parts for the ranges of it that are missing, after a partial answer
+// or none. Its shard may still serve: another replica may have the rest. remaining and required are as in Replan.
 func Remaining(
 	m *shardmap.Map, parts []Part, i int, missing []shardmap.Range, remaining, required time.Duration,
 ) (Change, Reason) {
--- a/internal/shardmap/replan/replan_test.go
+++ b/internal/shardmap/replan/replan_test.go
@@ -13,7 +13,7 @@
 	_ "linkpass/internal/testrand"
 )
 
-// drawSwitchedPlan draws a plan and carries it through to its end.
+// drawSwitchedPlan draws a plan and returns the version in which it is retired.
 func drawSwitchedPlan(t *rapid.T, m *shardmap.Map) *shardmap.Map {
 	request := drawPlanRequest(t, m.Shards())
 	m, err := m.Apply(shardmap.Command{Request: &request})
@@ -51,9 +51,9 @@
 	return shardmap.PlanRequest{Kind: shardmap.Split, Shards: ids, Pieces: pieces}
 }
 
-// Whatever changes and whichever part is replanned first, the parts request every key
-// exactly once at all times, each of one shard, in bounded rounds, and never in more parts
-// than there are shards that serve what was replaced.
+// For any changes of the shard map and any states of the parts, the parts request every key exactly once at all
+// times. Each new part requests keys of one shard, the number of rounds is bounded, and a part is replaced by no
+// more parts than there are shards that serve its keys.
 func TestReplanRequestsEveryKeyOnce(t *testing.T) {
 	merged := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -85,7 +85,7 @@
 			}
 		}
 		if replanned > 200 {
-			t.Fatalf("replanned %d times", replanned)
+			t.Fatalf("replanned %d times, want at most 200", replanned)
 		}
 	})
 	if merged == 0 {
@@ -93,8 +93,8 @@
 	}
 }
 
-// replanAny replans the first part whose shard no longer serves its range and that has
-// rounds left; false if there is none.
+// replanAny replans the first part that is not answered, whose shard no longer serves its range and that has
+// rounds left. It reports false if there is none.
 func replanAny(t *rapid.T, m *shardmap.Map, parts []Part) (Change, bool) {
 	for i, p := range parts {
 		if s, ok := m.Shard(p.Shard); ok && s.Range.Covers(p.Range) || p.State == Answered {
@@ -105,7 +105,7 @@
 			continue
 		}
 		if reason != Replanned {
-			t.Fatalf("part %+v: %s", p, reason)
+			t.Fatalf("part %+v was not replanned: %s", p, reason)
 		}
 		serving := 0
 		m.ForEach(p.Range, func(shardmap.Shard) bool {
@@ -113,7 +113,7 @@
 			return true
 		})
 		if len(change.Add) != serving {
-			t.Fatalf("%d parts for %d shards", len(change.Add), serving)
+			t.Fatalf("%d new parts, want %d, one for each shard", len(change.Add), serving)
 		}
 		return change, true
 	}
@@ -133,11 +133,11 @@
 	tracker := coverage.NewTracker(requested)
 	for _, p := range parts {
 		if !tracker.Record(p.Range) {
-			t.Fatalf("%s is requested twice", p.Range)
+			t.Fatalf("keys of %s are requested twice or not needed", p.Range)
 		}
 	}
 	if !tracker.Complete() {
-		t.Fatalf("%v is not requested", tracker.Missing())
+		t.Fatalf("ranges %v are not requested", tracker.Missing())
 	}
 }
 
@@ -159,12 +159,12 @@
 		{"deadline", m, []Part{replaced}, time.Millisecond, time.Millisecond, DeadlineTooClose},
 		{"rounds", m, []Part{{Round: MaxRounds}}, time.Second, 0, RoundsExhausted},
 		{"answered", m, []Part{{State: Answered}}, time.Second, 0, AlreadyAnswered},
-		// A server may claim that there is a version which does not exist.
+		// A server may report a version that does not exist.
 		{"shard serves", m, serving, time.Second, 0, NoNewerMap},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if _, reason := Replan(c.m, c.parts, 0, c.remaining, c.required); reason != c.want {
-				t.Errorf("reason %q, want %q", reason, c.want)
+				t.Errorf("reason = %q, want %q", reason, c.want)
 			}
 		})
 	}
@@ -176,7 +176,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		var requested []shardmap.Range // eight keys, as a search with routing requests
+		var requested []shardmap.Range // eight single keys, as requested by a search with routing values
 		for i := range 8 {
 			k := shardmap.HashKey(fmt.Sprint(i))
 			requested = append(requested, shardmap.Range{First: k, Last: k})
@@ -185,7 +185,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if len(Plan(m, requested)) != 8 {
-					b.Fatal("a part is missing")
+					b.Fatal("Plan did not return 8 parts")
 				}
 			}
 		})
--- a/internal/shardmap/resharding/assignment.go
+++ b/internal/shardmap/resharding/assignment.go
@@ -7,29 +7,30 @@
 	"linkpass/internal/shardmap"
 )
 
-// Source is where a server may copy a range of keys from.
+// Source is a shard from whose replicas a server may copy a range of keys.
 type Source struct {
 	Range   shardmap.Range   `json:"range"`
 	Servers []string         `json:"servers"`
 	Shard   shardmap.ShardID `json:"slice"`
 }
 
-// Task is one shard that a server is to hold a replica of.
+// Task is one shard of which a server is to hold a replica, and the sources that it may copy from.
 type Task struct {
 	Shard   shardmap.ShardID `json:"slice"`
 	Range   shardmap.Range   `json:"range"`
 	Sources []Source         `json:"sources,omitempty"`
 }
 
-// Assignment is all that a server is to hold of one index. It may drop any other shard.
+// Assignment lists the shards of one index of which a server is to hold replicas. The server may drop its
+// replicas of all other shards.
 type Assignment struct {
 	Index   string `json:"index"`
 	Version uint64 `json:"version"`
 	Tasks   []Task `json:"tasks"`
 }
 
-// Assignments computes the assignments of an index by server: the shards that serve, those
-// that were replaced by a plan which is not retired yet, and those that open plans create.
+// Assignments returns the assignments for an index, by server: the shards that serve, the old shards of plans
+// that have switched and are not retired yet, and the new shards of plans that copy or wait for the switch.
 func Assignments(index string, m *shardmap.Map) map[string]Assignment {
 	out := map[string]Assignment{}
 	assign := func(s shardmap.Shard, sources func(server string) []Source) {
@@ -62,7 +63,7 @@
 	return out
 }
 
-// otherReplicas is the source for a server that lost its replica of an existing shard.
+// otherReplicas returns the source for a server that lost its replica of an existing shard: the other replicas.
 func otherReplicas(s shardmap.Shard, server string) []Source {
 	others := slices.DeleteFunc(slices.Clone(s.Replicas), func(name string) bool { return name == server })
 	if len(others) == 0 {
@@ -71,7 +72,7 @@
 	return []Source{{Range: s.Range, Servers: others, Shard: s.ID}}
 }
 
-// migrationSources are the old shards of a plan that have keys of a new one.
+// migrationSources returns a source for each old shard of a plan that has keys of the new shard s.
 func migrationSources(s shardmap.Shard, from []shardmap.Shard) (sources []Source) {
 	for _, old := range from {
 		if common, ok := old.Range.Intersect(s.Range); ok {
--- a/internal/shardmap/resharding/assignment_test.go
+++ b/internal/shardmap/resharding/assignment_test.go
@@ -7,8 +7,8 @@
 	"linkpass/internal/shardmap"
 )
 
-// Queries planned before the switch may still ask the old replicas, so these stay assigned
-// until the plan is retired.
+// Queries planned before the switch may still request the old replicas, so these stay assigned until the plan is
+// retired.
 func TestAssignmentsKeepOldShardUntilRetired(t *testing.T) {
 	f := newFleet(t, 2)
 	f.requestMove(t)
@@ -31,10 +31,10 @@
 		t.Run(string(c.step), func(t *testing.T) {
 			assignments := Assignments("i", f.m)
 			if got := hasTask(assignments["a"], shardmap.FirstDynamicID); got != c.old {
-				t.Errorf("old replica assigned: %v, want %v", got, c.old)
+				t.Errorf("old replica assigned: got %v, want %v", got, c.old)
 			}
 			if got := hasTask(assignments["e"], to); got != c.new {
-				t.Errorf("new replica assigned: %v, want %v", got, c.new)
+				t.Errorf("new replica assigned: got %v, want %v", got, c.new)
 			}
 		})
 	}
--- a/internal/shardmap/resharding/controller.go
+++ b/internal/shardmap/resharding/controller.go
@@ -9,53 +9,55 @@
 	"linkpass/internal/shardmap"
 )
 
-// noReplicaTimeoutDivisor shortens StallTimeout for a plan that no healthy server can
-// complete: waiting for one is less likely to help than waiting for a slow copy.
+// noReplicaTimeoutDivisor divides StallTimeout for a plan with a new shard that is assigned to no healthy server:
+// waiting for a healthy server is less likely to help than waiting for a slow copy.
 const noReplicaTimeoutDivisor = 4
 
-// Limits pace the changes.
+// Limits bounds the load of migrations and sets the controller's delays.
 type Limits struct {
-	MaxMigrations int           // plans that copy or wait for the switch at a time, in all
-	MaxPerServer  int           // the same, of one server
-	RetireDelay   time.Duration // from the switch until the old replicas may drop their data; covers the longest query and the propagation of the map
-	StallTimeout  time.Duration // a plan whose copies make no progress for so long is abandoned
-	ReportTTL     time.Duration // reports older than this are ignored
+	MaxMigrations int // plans that copy or wait for the switch at a time, over all indices
+	MaxPerServer  int // such plans that involve one server
+	// RetireDelay is the time from the switch until the old replicas may drop their data. It must cover the
+	// longest query and the propagation of the map.
+	RetireDelay  time.Duration
+	StallTimeout time.Duration // how long a plan may copy or wait for the switch without progress before it is abandoned
+	ReportTTL    time.Duration // a server's older report does not show that a copy is complete
 }
 
-// Action is a command that the controller wants executed, on the version that it names.
+// Action is a command that the controller wants executed on the version of the map that the command names.
 type Action struct {
 	Index   string
 	Command shardmap.Command
-	Reason  string // for the log and, of an abandoned plan, for its history
+	Reason  string // for the log; for an abandoned plan also for the map's history
 }
 
-// Controller decides on the steps of plans. It is not safe for concurrent use. What it
-// remembers is soft state: for how long each plan has waited.
+// Controller decides on the steps of plans. It is not safe for concurrent use. Its only state is how long each
+// plan has gone without progress; losing it only restarts these times.
 type Controller struct {
 	limits Limits
-	waits  map[planKey]progress
+	waits  map[planKey]progress // the last progress of each open plan
 }
 
-// planKey identifies a plan over all indices.
+// planKey identifies a plan among those of all indices.
 type planKey struct {
 	index string
 	plan  shardmap.PlanID
 }
 
-// progress is how far a plan was when it last advanced or copied anything.
+// progress is the state of a plan when it last advanced or copied a record.
 type progress struct {
 	step    shardmap.PlanStep
-	records int64
-	since   time.Duration
+	records int64         // copied, over all new replicas
+	since   time.Duration // when that was, on the clock of Input.Now
 }
 
-// New creates a controller.
+// New returns a controller that knows no plan yet.
 func New(l Limits) *Controller {
 	return &Controller{limits: l, waits: map[planKey]progress{}}
 }
 
-// NextActions returns the commands to execute now, at most one for each index: each names
-// the version that it was decided on, so the next decision needs the result.
+// NextActions returns the commands to execute now, at most one for each index: a command names the version that
+// it was decided on, so the next decision has to wait for its result.
 func (c *Controller) NextActions(in Input) []Action {
 	c.forgetEndedPlans(in)
 	load := newMigrationLoad(in.Maps)
@@ -76,7 +78,7 @@
 	return actions
 }
 
-// forgetEndedPlans drops what is remembered of plans that are no longer open.
+// forgetEndedPlans deletes the progress of plans that are no longer open.
 func (c *Controller) forgetEndedPlans(in Input) {
 	maps.DeleteFunc(c.waits, func(key planKey, _ progress) bool {
 		m := in.Maps[key.index]
@@ -84,7 +86,7 @@
 	})
 }
 
-// nextAction decides on the next step of a plan; false if it has to wait.
+// nextAction decides on the next step of a plan. It reports false if the plan has to wait.
 func (c *Controller) nextAction(in Input, index string, p shardmap.Plan, load *migrationLoad) (Action, bool) {
 	stalled := c.stalledFor(in, index, p)
 	switch p.Step {
@@ -100,7 +102,8 @@
 	return Action{}, false
 }
 
-// startMigration lets a planned change begin to copy, within the limits.
+// startMigration moves a planned plan to Copying if the fleet is not overloaded and the limits allow it. It
+// abandons a plan with a new shard that is assigned to no healthy server.
 func (c *Controller) startMigration(in Input, p shardmap.Plan, load *migrationLoad) (Action, bool) {
 	if shard, found := in.shardWithoutHealthyReplica(p); found {
 		return abandon(p, fmt.Sprintf("no sound server is to hold slice %d", shard)), true
@@ -111,7 +114,7 @@
 	return advance(p, shardmap.Copying, nil, "within the limits on migrations"), true
 }
 
-// continueMigration advances a change whose copies are complete, and abandons one that stalls.
+// continueMigration advances a plan whose copies are complete and abandons one that has stalled.
 func (c *Controller) continueMigration(
 	in Input, index string, p shardmap.Plan, stalled time.Duration,
 ) (Action, bool) {
@@ -137,15 +140,15 @@
 	return Action{Command: command, Reason: reason}
 }
 
-// abandon ends a plan. The reason is stored with the plan and returned in HTTP bodies, so
-// its texts stay the same from version to version.
+// abandon returns the action that ends a plan. The reason is stored with the plan and returned in HTTP bodies, so
+// its texts must not change between releases.
 func abandon(p shardmap.Plan, reason string) Action {
 	command := shardmap.Command{Abandon: &shardmap.Abandon{Plan: p.ID, Reason: reason}}
 	return Action{Command: command, Reason: reason}
 }
 
-// stalledFor is for how long a plan has been at its step without progress, as far as this
-// controller knows: one that has just taken over starts from 0.
+// stalledFor returns how long a plan has been at its step without progress since this controller first saw it: a
+// controller that has just taken over starts from 0.
 func (c *Controller) stalledFor(in Input, index string, p shardmap.Plan) time.Duration {
 	key := planKey{index, p.ID}
 	records := in.copiedRecords(index, p)
--- a/internal/shardmap/resharding/controller_test.go
+++ b/internal/shardmap/resharding/controller_test.go
@@ -12,8 +12,8 @@
 	_ "linkpass/internal/testrand"
 )
 
-// Every plan ends, whatever servers die and however often the controller is replaced. As
-// long as one healthy replica of each shard survives, every shard keeps a complete one.
+// Every plan ends, whichever servers die and however often the controller is replaced. As long as one healthy
+// replica of each shard survives, every shard has a complete replica.
 func TestControllerEndsEveryPlanWithoutLosingRange(t *testing.T) {
 	ended := map[shardmap.PlanStep]int{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -29,14 +29,14 @@
 			f.tick(t)
 		}
 		if open := f.m.Plans(); len(open) > 0 {
-			t.Fatalf("still open after five minutes: %+v", open)
+			t.Fatalf("plans still open after five minutes without further events: %+v", open)
 		}
 		for _, p := range f.m.History() {
 			ended[p.Step]++
 		}
 	})
 	if ended[shardmap.Retired] == 0 || ended[shardmap.Abandoned] == 0 {
-		t.Errorf("plans ended as %v", ended)
+		t.Errorf("ended plans by step = %v, want some retired and some abandoned", ended)
 	}
 }
 
@@ -59,7 +59,7 @@
 		f.controller = New(testLimits)
 	case 4:
 		f.overloaded = !f.overloaded
-	case 5: // one dies, unless a shard would be lost with it, or comes back empty
+	case 5: // a healthy server dies unless it has the last replica of a shard; a dead one comes back empty
 		server := rapid.SampledFrom([]string{"e", "f"}).Draw(t, "server")
 		if f.healthy[server] && !f.isLastReplica(server) {
 			f.kill(server)
@@ -74,7 +74,7 @@
 	for _, s := range f.m.Shards() {
 		complete := func(server string) bool { return f.hasComplete(server, s.ID) }
 		if !slices.ContainsFunc(s.Replicas, complete) {
-			t.Fatalf("version %d: no complete replica of shard %d on %v", f.m.Version(), s.ID, s.Replicas)
+			t.Fatalf("version %d: no complete replica of shard %d on any of %v", f.m.Version(), s.ID, s.Replicas)
 		}
 	}
 }
@@ -83,10 +83,12 @@
 	load := newMigrationLoad(f.input().Maps)
 	most := slices.Max(append([]int{0}, slices.Collect(maps.Values(load.byServer))...))
 	if load.total > testLimits.MaxMigrations || most > testLimits.MaxPerServer {
-		t.Fatalf("%d migrations, %v", load.total, load.byServer)
+		t.Fatalf("%d migrations, by server %v; want at most %d and %d per server",
+			load.total, load.byServer, testLimits.MaxMigrations, testLimits.MaxPerServer)
 	}
 }
 
+// A controller that takes over after any step of a plan continues it from the shard map.
 func TestControllerReplacedAfterEachStep(t *testing.T) {
 	f := newFleet(t, 2)
 	f.requestMove(t)
@@ -101,15 +103,15 @@
 		}
 	}
 	if want := "[copying both_hold switched retired]"; fmt.Sprint(steps) != want {
-		t.Errorf("steps %v, want %s", steps, want)
+		t.Errorf("steps = %v, want %s", steps, want)
 	}
 	if s, _ := f.m.Find(0); !slices.Equal(s.Replicas, []string{"e", "f"}) {
-		t.Errorf("serves %+v", s)
+		t.Errorf("shard of key 0 = %+v, want replicas [e f]", s)
 	}
 }
 
-// A replica that dies or is drained between copy and switch is left out of the new shard;
-// without any other the plan is abandoned and the old replicas keep serving.
+// A server that dies or is drained between copying and the switch is left out of the new shard's replicas. If no
+// other replica is left, the plan is abandoned and the old replicas keep serving.
 func TestControllerReplicaLostDuringMove(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -133,7 +135,7 @@
 			p, _ := f.m.Plan(1)
 			s, _ := f.m.Find(0)
 			if p.Step != c.step || !slices.Equal(s.Replicas, c.replicas) {
-				t.Errorf("%s, served by %v; want %s by %v", p.Step, s.Replicas, c.step, c.replicas)
+				t.Errorf("step = %s, replicas = %v; want %s, %v", p.Step, s.Replicas, c.step, c.replicas)
 			}
 		})
 	}
--- a/internal/shardmap/resharding/fleet_test.go
+++ b/internal/shardmap/resharding/fleet_test.go
@@ -7,8 +7,8 @@
 	"linkpass/internal/shardmap"
 )
 
-// completeRecords is how many records a complete replica of the model has; a server copies
-// one a second.
+// completeRecords is how many records a complete replica of the model has. A server copies one record of each
+// shard per second.
 const completeRecords = 3
 
 var testLimits = Limits{
@@ -19,15 +19,15 @@
 	ReportTTL:     3 * time.Second,
 }
 
-// failer is what *testing.T and *rapid.T share.
+// failer has the methods that *testing.T and *rapid.T share.
 type failer interface {
 	Helper()
 	Fatal(args ...any)
 	Fatalf(format string, args ...any)
 }
 
-// fleet is a model of servers that follow their assignments: they drop what is not
-// assigned, copy from complete replicas, and lose everything when they die.
+// fleet is a model of servers that carry out their assignments: they drop shards that are not assigned, copy from
+// complete replicas, and lose all records when they die.
 type fleet struct {
 	m          *shardmap.Map
 	controller *Controller
@@ -37,6 +37,7 @@
 	overloaded bool
 }
 
+// newFleet returns a fleet of six servers. The shards are complete on a and b or on c and d; e and f are empty.
 func newFleet(t failer, shards int) *fleet {
 	t.Helper()
 	m, err := shardmap.NewEven(shards, [][]string{{"a", "b"}, {"c", "d"}})
@@ -79,7 +80,7 @@
 		Shards:      []shardmap.ShardID{shardmap.FirstDynamicID},
 		ReplicaSets: [][]string{{"e", "f"}},
 	}) {
-		t.Fatal("the move was rejected")
+		t.Fatal("the shard map rejected the request to move the first shard")
 	}
 }
 
@@ -128,8 +129,7 @@
 	return in
 }
 
-// tick advances the clock by a second: servers follow their assignments, then the
-// controller decides.
+// tick advances the clock by a second: servers carry out their assignments, then the controller decides.
 func (f *fleet) tick(t failer) {
 	t.Helper()
 	f.now += time.Second
@@ -142,7 +142,7 @@
 	for _, action := range f.controller.NextActions(f.input()) {
 		next, err := f.m.Apply(action.Command)
 		if err != nil {
-			t.Fatalf("%+v: %v", action, err)
+			t.Fatalf("Apply of %+v: %v", action, err)
 		}
 		f.m = next
 	}
@@ -159,7 +159,7 @@
 	}
 	for _, task := range assignment.Tasks {
 		available := records[task.Shard] < completeRecords && len(task.Sources) > 0
-		for _, source := range task.Sources { // every range needs a complete replica
+		for _, source := range task.Sources { // each source needs a complete replica
 			available = available && slices.ContainsFunc(source.Servers, func(name string) bool {
 				return f.hasComplete(name, source.Shard)
 			})
--- a/internal/shardmap/resharding/input.go
+++ b/internal/shardmap/resharding/input.go
@@ -13,10 +13,10 @@
 	Records  int64            `json:"records"` // copied so far
 }
 
-// Report is a server's status of one index.
+// Report is what a server last reported on its shards of one index.
 type Report struct {
 	ReceivedAt time.Duration // on the clock of Input.Now
-	Version    uint64
+	Version    uint64        // of the shard map that the server knows
 	Shards     []ShardStatus
 }
 
@@ -25,11 +25,11 @@
 	Now        time.Duration
 	Maps       map[string]*shardmap.Map     // by index
 	Reports    map[string]map[string]Report // by server, by index
-	Healthy    map[string]bool              // servers that accept new work
+	Healthy    map[string]bool              // servers that accept new work, by name
 	Overloaded bool                         // queries are rejected for lack of capacity
 }
 
-// hasHealthyReplica reports whether any server assigned the shard accepts work.
+// hasHealthyReplica reports whether any server that is assigned the shard is healthy.
 func (in Input) hasHealthyReplica(s shardmap.Shard) bool {
 	for _, server := range s.Replicas {
 		if in.Healthy[server] {
@@ -39,7 +39,8 @@
 	return false
 }
 
-// shardWithoutHealthyReplica finds a new shard of a plan that no server can hold.
+// shardWithoutHealthyReplica returns a new shard of a plan that is assigned to no healthy server. It reports
+// false if there is none.
 func (in Input) shardWithoutHealthyReplica(p shardmap.Plan) (shardmap.ShardID, bool) {
 	for _, s := range p.To {
 		if !in.hasHealthyReplica(s) {
@@ -49,8 +50,8 @@
 	return 0, false
 }
 
-// isComplete reports whether a server has all records of a shard by a report that is not
-// older than ttl.
+// isComplete reports whether a server has all records of a shard, according to a report that is not older than
+// ttl.
 func (in Input) isComplete(server, index string, shard shardmap.ShardID, ttl time.Duration) bool {
 	r, ok := in.Reports[server][index]
 	if !ok || in.Now-r.ReceivedAt > ttl {
@@ -64,9 +65,9 @@
 	return false
 }
 
-// completeReplicas lists the healthy servers that have a complete copy of each new shard
-// of a plan. The plan is ready once every healthy server has, and each shard has such a
-// server.
+// completeReplicas returns, for each new shard of a plan, the healthy servers that have a complete copy. The plan
+// is ready once every healthy server that is assigned a new shard has a complete copy of it, and each new shard
+// has at least one such server.
 func (in Input) completeReplicas(index string, p shardmap.Plan, ttl time.Duration) (
 	complete map[shardmap.ShardID][]string, ready bool,
 ) {
@@ -87,7 +88,7 @@
 	return complete, ready
 }
 
-// copiedRecords is how many records of a plan's new shards have been copied, over all replicas.
+// copiedRecords returns how many records of a plan's new shards have been copied, over all replicas.
 func (in Input) copiedRecords(index string, p shardmap.Plan) (records int64) {
 	for _, s := range p.To {
 		for _, server := range s.Replicas {
--- a/internal/shardmap/resharding/migration_load.go
+++ b/internal/shardmap/resharding/migration_load.go
@@ -5,7 +5,7 @@
 // migrationLoad counts the plans that copy or wait for the switch.
 type migrationLoad struct {
 	total    int
-	byServer map[string]int
+	byServer map[string]int // plans that involve a server, by its name
 }
 
 // newMigrationLoad counts the migrations of all indices.
@@ -21,7 +21,7 @@
 	return load
 }
 
-// reserve counts a plan in, unless a limit is reached.
+// reserve adds a plan to the load. It reports false and adds nothing if a limit is reached.
 func (l *migrationLoad) reserve(p shardmap.Plan, limits Limits) bool {
 	if l.total >= limits.MaxMigrations {
 		return false
@@ -43,7 +43,7 @@
 	}
 }
 
-// involvedServers are the servers that a plan copies from or to.
+// involvedServers returns the servers that a plan copies from or to.
 func involvedServers(p shardmap.Plan) map[string]bool {
 	servers := map[string]bool{}
 	for _, shards := range [][]shardmap.Shard{p.From, p.To} {
--- a/internal/shardmap/resharding/overload_detector_test.go
+++ b/internal/shardmap/resharding/overload_detector_test.go
@@ -22,7 +22,7 @@
 		t.Run(sample.name, func(t *testing.T) {
 			now := time.Duration(2*i) * time.Second
 			if got := detector.Observe(now, sample.ended, sample.rejected); got != sample.overloaded {
-				t.Errorf("overloaded: %v, want %v", got, sample.overloaded)
+				t.Errorf("overloaded = %v, want %v", got, sample.overloaded)
 			}
 		})
 	}
--- a/internal/shardmap/resharding/wire_golden_test.go
+++ b/internal/shardmap/resharding/wire_golden_test.go
@@ -33,7 +33,7 @@
 	goldentest.Encodes(t, "holding_empty.json", ShardStatus{})
 }
 
-// The assignments of each server while a shard is split.
+// Checks the assignments of each server while a shard is split.
 func TestAssignmentsDuringSplitGolden(t *testing.T) {
 	m, err := shardmap.NewEven(2, [][]string{{"s-1"}, {"s-2"}})
 	if err != nil {
--- a/internal/shardmap/validate.go
+++ b/internal/shardmap/validate.go
@@ -2,7 +2,9 @@
 
 import "fmt"
 
-// Validate checks every invariant of the version. Apply checks only what a command changes.
+// Validate checks every invariant of the version: the serving shards cover the key space exactly once, no id is
+// used twice, open plans do not overlap, and each shard has valid replicas. Apply checks only what a command
+// changes.
 func (m *Map) Validate() error {
 	if err := m.validateCoverage(FullRange); err != nil {
 		return err
@@ -21,8 +23,8 @@
 	return nil
 }
 
-// validatePlan checks an open plan beside the plans before it. The ids of shards seen so
-// far are in ids, to which it adds.
+// validatePlan checks an open plan, which must not overlap an earlier one, and those of its shards that do not
+// serve. ids has the ids of the shards checked so far, to which it adds.
 func (m *Map) validatePlan(p Plan, earlier []Plan, ids map[ShardID]bool) error {
 	if p.ID >= m.nextPlanID {
 		return fmt.Errorf("%w: plan %d", ErrDuplicateID, p.ID)
@@ -44,7 +46,7 @@
 	return nil
 }
 
-// validateShard checks one shard and adds its id to ids.
+// validateShard checks one shard, whose id must not be in ids yet, and adds its id to ids.
 func (m *Map) validateShard(s Shard, ids map[ShardID]bool) error {
 	if ids[s.ID] || s.ID < FirstDynamicID || s.ID >= m.nextShardID {
 		return fmt.Errorf("%w: slice %d", ErrDuplicateID, s.ID)
@@ -56,7 +58,7 @@
 	return s.validateReplicas()
 }
 
-// validateCoverage checks that serving shards cover a range exactly once.
+// validateCoverage checks that the serving shards cover every key of a range exactly once.
 func (m *Map) validateCoverage(r Range) error {
 	next, complete := r.First, false
 	var err error
--- a/internal/shardmap/wire_golden_test.go
+++ b/internal/shardmap/wire_golden_test.go
@@ -12,7 +12,7 @@
 	"linkpass/internal/shardmap"
 )
 
-// mapWithPlans has an open plan of each kind and one that was abandoned.
+// mapWithPlans returns a map with an open plan of each kind and an abandoned one.
 func mapWithPlans(t *testing.T) *shardmap.Map {
 	t.Helper()
 	m, err := shardmap.NewEven(4, [][]string{{"s-1", "s-2"}, {"s-3", "s-4"}})
@@ -21,13 +21,13 @@
 	}
 	for _, c := range planCommands() {
 		if m, err = m.Apply(c); err != nil {
-			t.Fatalf("%+v: %v", c, err)
+			t.Fatalf("Apply(%+v): %v", c, err)
 		}
 	}
 	return m
 }
 
-// planCommands make the plans of mapWithPlans.
+// planCommands returns the commands that create the plans of mapWithPlans.
 func planCommands() []shardmap.Command {
 	const first = shardmap.FirstDynamicID
 	moved := map[shardmap.ShardID][]string{first + 7: {"s-8"}}
@@ -69,14 +69,14 @@
 		var got shardmap.Document
 		meta, err := toml.Decode(string(goldentest.Read(t, "layout.toml")), &got)
 		if err != nil || len(meta.Undecoded()) > 0 {
-			t.Fatal(err, meta.Undecoded())
+			t.Fatalf("decode layout.toml: error %v, undecoded keys %v", err, meta.Undecoded())
 		}
 		if !reflect.DeepEqual(got, want.Document()) {
 			t.Errorf("got %+v, want %+v", got, want.Document())
 		}
 		m, err := got.Map(nil)
 		if err != nil || !reflect.DeepEqual(m.Document(), want.Document()) {
-			t.Errorf("its shard map is %+v, %v", m, err)
+			t.Errorf("map of the decoded document = %+v, error %v; want the document %+v", m, err, want.Document())
 		}
 	})
 }
@@ -124,7 +124,7 @@
 	}
 }
 
-// The text of kinds and steps is part of documents, commands and _cat/shards.
+// The texts of kinds and steps are part of documents, commands and _cat/shards.
 func TestKindAndStepValues(t *testing.T) {
 	for _, c := range []struct{ got, want string }{
 		{string(shardmap.Split), "split"},
