--- a/internal/reshardexec/server_conn.go
+++ b/internal/reshardexec/server_conn.go
@@ -10,24 +10,24 @@
 	"linkpass/internal/http1"
 )
 
-// maxResponse bounds a response, in bytes; the status of 100,000 shards fits.
-const maxResponse = 16 << 20
+// maxResponseBytes bounds the size of a response. The status of 100,000 shards fits.
+const maxResponseBytes = 16 << 20
 
 // serverConn is a connection to a server, reused between polls. It is not safe for concurrent use.
 type serverConn struct {
-	addr   string
-	nc     net.Conn
-	reader *http1.Reader
+	addr    string
+	netConn net.Conn
+	reader  *http1.Reader
 }
 
 // dialServer connects to a server.
 func dialServer(ctx context.Context, addr string, timeout time.Duration) (*serverConn, error) {
 	dialer := net.Dialer{Timeout: timeout}
-	nc, err := dialer.DialContext(ctx, "tcp", addr)
+	netConn, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("poll %s: %w", addr, err)
 	}
-	return &serverConn{addr: addr, nc: nc, reader: http1.NewReader(nc, maxResponse)}, nil
+	return &serverConn{addr: addr, netConn: netConn, reader: http1.NewReader(netConn, maxResponseBytes)}, nil
 }
 
 // exchange sends one request and reads its response. After an error the connection cannot be reused.
@@ -41,10 +41,10 @@
 
 func (c *serverConn) roundTrip(body []byte, timeout time.Duration) (response AssignmentResponse, err error) {
 	// A deadline on the connection itself keeps these background requests out of the timers of the queries.
-	if err := c.nc.SetDeadline(time.Now().Add(timeout)); err != nil {
+	if err := c.netConn.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return response, err
 	}
-	if err := http1.WriteRequest(c.nc, "PUT", AssignmentsPath, "league-server", nil, body); err != nil {
+	if err := http1.WriteRequest(c.netConn, "PUT", AssignmentsPath, "league-server", nil, body); err != nil {
 		return response, err
 	}
 	res, err := c.reader.Response()
@@ -61,6 +61,6 @@
 // close closes the connection. On a nil connection it does nothing.
 func (c *serverConn) close() {
 	if c != nil {
-		_ = c.nc.Close()
+		_ = c.netConn.Close()
 	}
 }
--- a/internal/reshardexec/server_poller.go
+++ b/internal/reshardexec/server_poller.go
@@ -53,7 +53,7 @@
 // too: the empty request tells it that it may drop its shards.
 func (p *serverPoller) pollAll(ctx context.Context, endpoints map[string]coordinator.Endpoint,
 	assignments map[string][]resharding.Assignment) {
-	p.forgetUnlisted(endpoints)
+	p.removeUnlisted(endpoints)
 	results := make(chan pollResult, len(endpoints))
 	slots := make(chan struct{}, maxConcurrentPolls)
 	for name, endpoint := range endpoints {
@@ -75,8 +75,8 @@
 	}
 }
 
-// forgetUnlisted closes the connections of servers that are no longer listed and deletes their state.
-func (p *serverPoller) forgetUnlisted(endpoints map[string]coordinator.Endpoint) {
+// removeUnlisted closes the connections of servers that are no longer listed and deletes their state.
+func (p *serverPoller) removeUnlisted(endpoints map[string]coordinator.Endpoint) {
 	for name, conn := range p.conns {
 		if _, listed := endpoints[name]; listed {
 			continue
--- a/internal/reshardexec/wire_golden_test.go
+++ b/internal/reshardexec/wire_golden_test.go
@@ -52,21 +52,21 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	answer := goldentest.Read(t, "reply.json")
-	got := make(chan *http1.Request, 1)
+	responseBody := goldentest.Read(t, "reply.json")
+	requests := make(chan *http1.Request, 1)
 	go func() {
-		defer close(got)
-		nc, err := ln.Accept()
+		defer close(requests)
+		netConn, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		defer nc.Close()
-		req, err := http1.NewReader(nc, 1<<20).Request()
+		defer netConn.Close()
+		req, err := http1.NewReader(netConn, 1<<20).Request()
 		if err != nil {
 			return
 		}
-		got <- req
-		_ = http1.WriteResponse(nc, &http1.Response{Status: 200, Body: answer})
+		requests <- req
+		_ = http1.WriteResponse(netConn, &http1.Response{Status: 200, Body: responseBody})
 	}()
 	e := New(Config{Timeout: 10 * time.Second})
 	conn, response, err := e.poller.poll(context.Background(), nil, ln.Addr().String(), goldenRequest)
@@ -74,7 +74,7 @@
 		t.Errorf("poll = %+v, error %v; want %+v", response, err, goldenResponse)
 	}
 	conn.close()
-	req := <-got
+	req := <-requests
 	if req == nil {
 		t.Fatal("the server received no request")
 	}
--- a/internal/shardmap/change.go
+++ b/internal/shardmap/change.go
@@ -20,12 +20,12 @@
 //
 // A shard never changes while it is resolvable, except that the switch of its plan may reduce its replicas. Such
 // a shard counts as added.
-func Diff(collection string, old, now *Map) (Change, bool) {
-	if old == now {
+func Diff(collection string, old, current *Map) (Change, bool) {
+	if old == current {
 		return Change{}, false
 	}
-	change := Change{Collection: collection, Map: now}
-	before, after := old.resolvable(), now.resolvable()
+	change := Change{Collection: collection, Map: current}
+	before, after := old.resolvable(), current.resolvable()
 	for id, s := range after {
 		if earlier, ok := before[id]; !ok || !slices.Equal(earlier.Replicas, s.Replicas) {
 			change.Added = append(change.Added, s)
--- a/internal/shardmap/coverage/tracker_test.go
+++ b/internal/shardmap/coverage/tracker_test.go
@@ -66,7 +66,7 @@
 				t.Fatalf("Record of the model's keys %d to %d = %v, want %v", from, to, got, want)
 			}
 		}
-		checkMatches(t, tracker, &m)
+		checkMatchesModel(t, tracker, &m)
 		if tracker.Complete() {
 			complete++
 		}
@@ -95,7 +95,7 @@
 	return from, to
 }
 
-func checkMatches(t *rapid.T, tracker *Tracker, m *model) {
+func checkMatchesModel(t *rapid.T, tracker *Tracker, m *model) {
 	missing := NewRangeSet(tracker.Missing()...)
 	for i := range m.requested {
 		want := m.requested[i] && !m.answered[i]
--- a/internal/shardmap/document.go
+++ b/internal/shardmap/document.go
@@ -51,7 +51,7 @@
 	if len(d.Shards) > MaxShards || len(d.Plans) > MaxOpenPlans || len(d.History) > MaxPlanHistory {
 		return nil, fmt.Errorf("%w: %d slices, %d plans", ErrLimitExceeded, len(d.Shards), len(d.Plans))
 	}
-	out := d.retained(earlier)
+	out := d.copyRetained(earlier)
 	out.version = max(1, d.Version)
 	out.nextShardID = max(FirstDynamicID, d.NextShard)
 	out.nextPlanID = max(1, d.NextPlan)
@@ -76,9 +76,9 @@
 	return out, nil
 }
 
-// retained returns a copy of an earlier version without the shards that are not in the document, or an empty map
+// copyRetained returns a copy of an earlier version without the shards that are not in the document, or an empty map
 // if earlier is nil.
-func (d Document) retained(earlier *Map) *Map {
+func (d Document) copyRetained(earlier *Map) *Map {
 	if earlier == nil {
 		return &Map{}
 	}
--- a/internal/shardmap/map_test.go
+++ b/internal/shardmap/map_test.go
@@ -187,8 +187,8 @@
 	return next
 }
 
-// mustFail checks that a command fails with the error want.
-func mustFail(t *testing.T, m *Map, c Command, want error) {
+// mustFailWith checks that a command fails with the error want.
+func mustFailWith(t *testing.T, m *Map, c Command, want error) {
 	t.Helper()
 	if _, err := m.Apply(c); !errors.Is(err, want) {
 		t.Errorf("Apply(%+v): error = %v, want %v", c, err, want)
@@ -207,17 +207,17 @@
 	onVersion := Command{ExpectedVersion: m.Version(), Request: split}
 	open := mustApply(t, m, onVersion)
 	ended := mustApply(t, open, Command{Abandon: &Abandon{Plan: 1}})
-	t.Run("same version", func(t *testing.T) { mustFail(t, open, onVersion, ErrVersionConflict) })
-	t.Run("overlapping plan", func(t *testing.T) { mustFail(t, open, Command{Request: merge}, ErrPlanOverlap) })
+	t.Run("same version", func(t *testing.T) { mustFailWith(t, open, onVersion, ErrVersionConflict) })
+	t.Run("overlapping plan", func(t *testing.T) { mustFailWith(t, open, Command{Request: merge}, ErrPlanOverlap) })
 	t.Run("after abandonment", func(t *testing.T) { mustApply(t, ended, Command{Request: merge}) })
 	t.Run("advance of abandoned plan", func(t *testing.T) {
-		mustFail(t, ended, Command{Advance: &Advance{Plan: 1, Step: Copying}}, ErrInvalidTransition)
+		mustFailWith(t, ended, Command{Advance: &Advance{Plan: 1, Step: Copying}}, ErrInvalidTransition)
 	})
 }
 
 // A replica that is lost between copying and the switch is left out of the new shard. If no other replica is
 // complete, the switch fails.
-func TestSwitchNeedsCompleteReplica(t *testing.T) {
+func TestApplySwitchNeedsCompleteReplica(t *testing.T) {
 	m, err := NewEven(2, [][]string{{"a"}})
 	if err != nil {
 		t.Fatal(err)
@@ -230,7 +230,7 @@
 	}
 	m = mustApply(t, m, advanceTo(Copying))
 	m = mustApply(t, m, advanceTo(Replicated, "b", "c"))
-	mustFail(t, m, advanceTo(Switched, "x"), ErrNoReplica)
+	mustFailWith(t, m, advanceTo(Switched, "x"), ErrNoReplica)
 	switched := mustApply(t, m, advanceTo(Switched, "c"))
 	s, ok := switched.Find(1)
 	if !ok || s.ID != to || !slices.Equal(s.Replicas, []string{"c"}) || s.Epoch != switched.Version() {
@@ -239,7 +239,7 @@
 	if _, ok := switched.Resolve(FirstDynamicID); !ok {
 		t.Error("Resolve did not find the old shard before the plan was retired")
 	}
-	mustFail(t, switched, Command{Abandon: &Abandon{Plan: 1}}, ErrInvalidTransition)
+	mustFailWith(t, switched, Command{Abandon: &Abandon{Plan: 1}}, ErrInvalidTransition)
 	retired := mustApply(t, switched, advanceTo(Retired))
 	if _, ok := retired.Resolve(FirstDynamicID); ok {
 		t.Error("Resolve found the old shard after the plan was retired")
--- a/internal/shardmap/replan/part.go
+++ b/internal/shardmap/replan/part.go
@@ -38,17 +38,17 @@
 	return parts
 }
 
-// cover reports whether parts, given in key order, request every key of a range.
-func cover(parts []Part, r shardmap.Range) bool {
-	next := r.First
+// coversRange reports whether parts, given in key order, request every key of a range.
+func coversRange(parts []Part, r shardmap.Range) bool {
+	nextKey := r.First
 	for _, p := range parts {
-		if p.Range.First != next {
+		if p.Range.First != nextKey {
 			continue
 		}
 		if p.Range.Last == r.Last {
 			return true
 		}
-		next = p.Range.Last + 1
+		nextKey = p.Range.Last + 1
 	}
 	return false
 }
--- a/internal/shardmap/replan/replan.go
+++ b/internal/shardmap/replan/replan.go
@@ -69,7 +69,7 @@
 		change.Add[k].Round = p.Round + 1
 	}
 	for _, r := range missing {
-		if !cover(change.Add, r) {
+		if !coversRange(change.Add, r) {
 			return Change{}, RangeNotServed
 		}
 	}
--- a/internal/shardmap/resharding/controller.go
+++ b/internal/shardmap/resharding/controller.go
@@ -17,10 +17,10 @@
 type Limits struct {
 	MaxMigrations int // plans that copy or wait for the switch at a time, over all indices
 	MaxPerServer  int // such plans that involve one server
-	// RetireDelay is the time from the switch until the old replicas may drop their data. It must cover the
-	// longest query and the propagation of the map.
+	// RetireDelay is the time from the switch until the old replicas may drop their data. It covers the longest
+	// query and the propagation of the map.
 	RetireDelay  time.Duration
-	StallTimeout time.Duration // how long a plan may copy or wait for the switch without progress before it is abandoned
+	StallTimeout time.Duration // how long a plan may copy or wait for the switch without progress; then it is abandoned
 	ReportTTL    time.Duration // a server's older report does not show that a copy is complete
 }
 
@@ -34,8 +34,8 @@
 // Controller decides on the steps of plans. It is not safe for concurrent use. Its only state is how long each
 // plan has gone without progress; losing it only restarts these times.
 type Controller struct {
-	limits Limits
-	waits  map[planKey]progress // the last progress of each open plan
+	limits       Limits
+	lastProgress map[planKey]progress // the last progress of each open plan
 }
 
 // planKey identifies a plan among those of all indices.
@@ -53,13 +53,13 @@
 
 // New returns a controller that knows no plan yet.
 func New(l Limits) *Controller {
-	return &Controller{limits: l, waits: map[planKey]progress{}}
+	return &Controller{limits: l, lastProgress: map[planKey]progress{}}
 }
 
 // NextActions returns the commands to execute now, at most one for each index: a command names the version that
 // it was decided on, so the next decision has to wait for its result.
 func (c *Controller) NextActions(in Input) []Action {
-	c.forgetEndedPlans(in)
+	c.removeEndedPlans(in)
 	load := newMigrationLoad(in.Maps)
 	var actions []Action
 	for _, index := range slices.Sorted(maps.Keys(in.Maps)) {
@@ -78,9 +78,9 @@
 	return actions
 }
 
-// forgetEndedPlans deletes the progress of plans that are no longer open.
-func (c *Controller) forgetEndedPlans(in Input) {
-	maps.DeleteFunc(c.waits, func(key planKey, _ progress) bool {
+// removeEndedPlans deletes the progress of plans that are no longer open.
+func (c *Controller) removeEndedPlans(in Input) {
+	maps.DeleteFunc(c.lastProgress, func(key planKey, _ progress) bool {
 		m := in.Maps[key.index]
 		return m == nil || !slices.ContainsFunc(m.Plans(), func(p shardmap.Plan) bool { return p.ID == key.plan })
 	})
@@ -152,10 +152,10 @@
 func (c *Controller) stalledFor(in Input, index string, p shardmap.Plan) time.Duration {
 	key := planKey{index, p.ID}
 	records := in.copiedRecords(index, p)
-	last, known := c.waits[key]
+	last, known := c.lastProgress[key]
 	copied := records > last.records && p.Step != shardmap.Switched
 	if !known || last.step != p.Step || copied {
-		c.waits[key] = progress{step: p.Step, records: records, since: in.Now}
+		c.lastProgress[key] = progress{step: p.Step, records: records, since: in.Now}
 		return 0
 	}
 	return in.Now - last.since
--- a/internal/shardmap/resharding/controller_test.go
+++ b/internal/shardmap/resharding/controller_test.go
@@ -14,7 +14,7 @@
 
 // Every plan ends, whichever servers die and however often the controller is replaced. As long as one healthy
 // replica of each shard survives, every shard has a complete replica.
-func TestControllerEndsEveryPlanWithoutLosingRange(t *testing.T) {
+func TestControllerEndsEveryPlanAndKeepsReplicas(t *testing.T) {
 	ended := map[shardmap.PlanStep]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(t, 4)
@@ -89,7 +89,7 @@
 }
 
 // A controller that takes over after any step of a plan continues it from the shard map.
-func TestControllerReplacedAfterEachStep(t *testing.T) {
+func TestControllerContinuesPlanAfterReplacement(t *testing.T) {
 	f := newFleet(t, 2)
 	f.requestMove(t)
 	var steps []shardmap.PlanStep
@@ -112,7 +112,7 @@
 
 // A server that dies or is drained between copying and the switch is left out of the new shard's replicas. If no
 // other replica is left, the plan is abandoned and the old replicas keep serving.
-func TestControllerReplicaLostDuringMove(t *testing.T) {
+func TestControllerReplicaLostBeforeSwitch(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		healthyF bool
--- a/internal/shardmap/resharding/fleet_test.go
+++ b/internal/shardmap/resharding/fleet_test.go
@@ -19,8 +19,8 @@
 	ReportTTL:     3 * time.Second,
 }
 
-// failer has the methods that *testing.T and *rapid.T share.
-type failer interface {
+// testingT has the methods that *testing.T and *rapid.T share.
+type testingT interface {
 	Helper()
 	Fatal(args ...any)
 	Fatalf(format string, args ...any)
@@ -38,7 +38,7 @@
 }
 
 // newFleet returns a fleet of six servers. The shards are complete on a and b or on c and d; e and f are empty.
-func newFleet(t failer, shards int) *fleet {
+func newFleet(t testingT, shards int) *fleet {
 	t.Helper()
 	m, err := shardmap.NewEven(shards, [][]string{{"a", "b"}, {"c", "d"}})
 	if err != nil {
@@ -73,7 +73,7 @@
 }
 
 // requestMove moves the first shard to e and f.
-func (f *fleet) requestMove(t failer) {
+func (f *fleet) requestMove(t testingT) {
 	t.Helper()
 	if !f.request(shardmap.PlanRequest{
 		Kind:        shardmap.Move,
@@ -130,13 +130,13 @@
 }
 
 // tick advances the clock by a second: servers carry out their assignments, then the controller decides.
-func (f *fleet) tick(t failer) {
+func (f *fleet) tick(t testingT) {
 	t.Helper()
 	f.now += time.Second
 	assignments := Assignments("i", f.m)
 	for server := range f.records {
 		if f.healthy[server] {
-			f.follow(server, assignments[server])
+			f.applyAssignment(server, assignments[server])
 		}
 	}
 	for _, action := range f.controller.NextActions(f.input()) {
@@ -148,8 +148,8 @@
 	}
 }
 
-// follow drops the shards that are not assigned and copies a record of each incomplete one.
-func (f *fleet) follow(server string, assignment Assignment) {
+// applyAssignment drops the shards that are not assigned and copies a record of each incomplete one.
+func (f *fleet) applyAssignment(server string, assignment Assignment) {
 	records := f.records[server]
 	for id := range records {
 		assigned := func(task Task) bool { return task.Shard == id }
--- a/internal/shardmap/validate.go
+++ b/internal/shardmap/validate.go
@@ -60,21 +60,21 @@
 
 // validateCoverage checks that the serving shards cover every key of a range exactly once.
 func (m *Map) validateCoverage(r Range) error {
-	next, complete := r.First, false
+	nextKey, complete := r.First, false
 	var err error
 	m.ForEach(r, func(s Shard) bool {
-		gap := s.Range.First > next
-		overlap := s.Range.First < next && s.Range.First > r.First
+		gap := s.Range.First > nextKey
+		overlap := s.Range.First < nextKey && s.Range.First > r.First
 		if !s.Range.Valid() || complete || gap || overlap {
-			err = fmt.Errorf("%w: slice %d owns %s, expected from %016x", ErrIncompleteCoverage, s.ID, s.Range, next)
+			err = fmt.Errorf("%w: slice %d owns %s, expected from %016x", ErrIncompleteCoverage, s.ID, s.Range, nextKey)
 			return false
 		}
 		complete = s.Range.Last >= r.Last
-		next = s.Range.Last + 1
+		nextKey = s.Range.Last + 1
 		return true
 	})
 	if err == nil && !complete {
-		err = fmt.Errorf("%w: nothing from %016x on", ErrIncompleteCoverage, next)
+		err = fmt.Errorf("%w: nothing from %016x on", ErrIncompleteCoverage, nextKey)
 	}
 	return err
 }
