--- a/internal/coordinator/replan.go
+++ b/internal/coordinator/replan.go
@@ -77,7 +77,7 @@
 	if remaining == nil {
 		return replan.Replan(current, parts, index, timeLeft, minTimeLeft)
 	}
-	return replan.Remaining(current, parts, index, remaining, timeLeft, minTimeLeft)
+	return replan.ReplaceMissing(current, parts, index, remaining, timeLeft, minTimeLeft)
 }
 
 // partsForReplan converts the parts of p's query to the types of package replan. index is the position of p.
--- a/internal/shardmap/replan/replan.go
+++ b/internal/shardmap/replan/replan.go
@@ -36,7 +36,7 @@
 			return Change{}, NoNewerMap
 		}
 	}
-	change, reason := Remaining(m, parts, i, []shardmap.Range{p.Range}, remaining, required)
+	change, reason := ReplaceMissing(m, parts, i, []shardmap.Range{p.Range}, remaining, required)
 	if reason != Replanned {
 		return Change{}, reason
 	}
@@ -48,9 +48,9 @@
 	return change, Replanned
 }
 
-// Remaining replaces the part at index i by parts for the ranges of it that are missing, after a partial answer
+// ReplaceMissing replaces the part at index i by parts for the ranges of it that are missing, after a partial answer
 // or none. Its shard may still serve: another replica may have the rest. remaining and required are as in Replan.
-func Remaining(
+func ReplaceMissing(
 	m *shardmap.Map, parts []Part, i int, missing []shardmap.Range, remaining, required time.Duration,
 ) (Change, Reason) {
 	p := parts[i]
