--- a/internal/reshardexec/assignment_request.go
+++ b/internal/reshardexec/assignment_request.go
@@ -2,7 +2,7 @@
 
 import "linkpass/internal/shardmap/resharding"
 
-// AssignmentsPath is where a league server accepts its assignments and reports its shards.
+// AssignmentsPath is the HTTP path at which a league server accepts its assignments and reports its shards.
 const AssignmentsPath = "/_layout"
 
 // AssignmentRequest is the body of a poll: all shards that the server is to store. A poll is idempotent.
--- a/internal/reshardexec/executor.go
+++ b/internal/reshardexec/executor.go
@@ -24,10 +24,13 @@
 	"linkpass/internal/store"
 )
 
-// Store is the replicated store, as far as the executor uses it.
+// Store is the part of the replicated store that the executor uses.
 type Store interface {
+	// Settings returns the settings as this instance has applied them. They have the shard maps.
 	Settings() *searchconfig.Config
+	// IsLeader reports whether this instance leads the store, as far as it knows.
 	IsLeader() bool
+	// AdvanceShardMap applies a command to the shard map of an index.
 	AdvanceShardMap(ctx context.Context, index string, c shardmap.Command) error
 }
 
@@ -35,9 +38,9 @@
 type Config struct {
 	Store        Store
 	Limits       resharding.Limits
-	PollInterval time.Duration // between two rounds of polls
-	Timeout      time.Duration // of one poll
-	Now          func() time.Duration
+	PollInterval time.Duration                  // between two rounds of polls
+	Timeout      time.Duration                  // of one poll
+	Now          func() time.Duration           // the clock of resharding.Input.Now
 	QueryTotals  func() (ended, rejected int64) // since the start of the process
 	Counters     *metrics.Counters
 }
@@ -127,7 +130,8 @@
 	return maps.Clone(e.endpoints)
 }
 
-// Run polls and acts until the context ends.
+// Run polls the servers and executes the controller's actions once per poll interval while this instance leads the
+// store. It returns when the context ends.
 func (e *Executor) Run(ctx context.Context) {
 	limits, pollInterval, _ := e.currentLimits()
 	ticker := time.NewTicker(pollInterval)
--- a/internal/shardmap/coverage/tracker_test.go
+++ b/internal/shardmap/coverage/tracker_test.go
@@ -18,10 +18,12 @@
 	return shardmap.FullRange.Split(modelKeys)[i]
 }
 
+// rangeOver returns the range of real keys that stands for the model's keys from one to another, both included.
 func rangeOver(from, to int) shardmap.Range {
 	return shardmap.Range{First: keyRange(from).First, Last: keyRange(to).Last}
 }
 
+// drawSpan draws the first and the last of one to nine adjacent keys of the model.
 func drawSpan(t *rapid.T) (from, to int) {
 	from = rapid.IntRange(0, modelKeys-1).Draw(t, "from")
 	return from, min(modelKeys-1, from+rapid.IntRange(0, 8).Draw(t, "n"))
--- a/internal/shardmap/resharding/assignment.go
+++ b/internal/shardmap/resharding/assignment.go
@@ -9,8 +9,8 @@
 
 // Source is a shard from whose replicas a server may copy a range of keys.
 type Source struct {
-	Range   shardmap.Range   `json:"range"`
-	Servers []string         `json:"servers"`
+	Range   shardmap.Range   `json:"range"`   // the keys to copy
+	Servers []string         `json:"servers"` // those with a replica of Shard
 	Shard   shardmap.ShardID `json:"slice"`
 }
 
@@ -18,14 +18,14 @@
 type Task struct {
 	Shard   shardmap.ShardID `json:"slice"`
 	Range   shardmap.Range   `json:"range"`
-	Sources []Source         `json:"sources,omitempty"`
+	Sources []Source         `json:"sources,omitempty"` // empty: no other server has a replica
 }
 
 // Assignment lists the shards of one index of which a server is to hold replicas. The server may drop its
 // replicas of all other shards.
 type Assignment struct {
 	Index   string `json:"index"`
-	Version uint64 `json:"version"`
+	Version uint64 `json:"version"` // of the shard map
 	Tasks   []Task `json:"tasks"`
 }
 
--- a/internal/shardmap/resharding/migration_load.go
+++ b/internal/shardmap/resharding/migration_load.go
@@ -9,9 +9,9 @@
 }
 
 // newMigrationLoad counts the migrations of all indices.
-func newMigrationLoad(maps map[string]*shardmap.Map) *migrationLoad {
+func newMigrationLoad(shardMaps map[string]*shardmap.Map) *migrationLoad {
 	load := &migrationLoad{byServer: map[string]int{}}
-	for _, m := range maps {
+	for _, m := range shardMaps {
 		for _, p := range m.Plans() {
 			if p.Step == shardmap.Copying || p.Step == shardmap.Replicated {
 				load.add(involvedServers(p))
