--- a/internal/http1/bench_test.go
+++ b/internal/http1/bench_test.go
@@ -13,19 +13,19 @@
 	"linkpass/internal/metrics"
 )
 
-// stoppedClock stands at 0; its deadlines are never due.
+// stoppedClock is a Clock that always returns 0 and never fires a deadline.
 type stoppedClock struct{}
 
 func (stoppedClock) Now() time.Duration               { return 0 }
 func (stoppedClock) Arm(time.Duration, func()) func() { return func() {} }
 
-// discardSink drops what it receives.
+// discardSink is a BodySink that discards what is written to it.
 type discardSink struct{}
 
 func (discardSink) Write(p []byte) (int, error) { return len(p), nil }
 func (discardSink) Abort()                      {}
 
-// A request and its response over a connection that is kept alive, both ends counted.
+// BenchmarkServer measures one request and its response on a connection that is kept alive, including the client side.
 func BenchmarkServer(b *testing.B) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -51,7 +51,7 @@
 	for b.Loop() {
 		_ = http1.WriteRequest(conn, "POST", "/checkout", "x", nil, body)
 		if res, err := reader.Response(); err != nil || res.Status != 200 {
-			b.Fatalf("%+v %v", res, err)
+			b.Fatalf("response = %+v, error = %v, want status 200", res, err)
 		}
 	}
 	_ = conn.Close()
@@ -60,7 +60,7 @@
 	s.Stop()
 }
 
-// One request read from memory, by the form of its body.
+// BenchmarkReadRequest measures reading one request from memory, for each form of its body.
 func BenchmarkReadRequest(b *testing.B) {
 	const head = "POST /checkout HTTP/1.1\r\nHost: x\r\n"
 	large := strings.Repeat("x", 40_000)
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// readRequestBody reads a request's body, into its BodySink where it is large.
+// readRequestBody reads the body of req. A large body goes to req.BodySink if NewBodySink provides one; the returned
+// bytes are nil then. If the body cannot be read completely, the sink is aborted and removed from req.
 func (r *Reader) readRequestBody(req *Request) ([]byte, error) {
 	if r.NewBodySink == nil {
 		return r.readBody(req.Header, false, nil)
@@ -20,20 +21,21 @@
 	return body, err
 }
 
-// readBody reads a body. One that is neither sized nor chunked is empty; where untilEOF is set (in a response) it lasts
-// until the stream ends. Guards against two readers that see different ends of a message: more than one length, or a
-// length beside a transfer encoding, is rejected.
+// readBody reads the body that follows header. A message with neither Content-Length nor Transfer-Encoding has no body,
+// unless untilEOF is set (for responses): then the body extends to the end of the stream. Messages with more than one
+// Content-Length, or with Content-Length and Transfer-Encoding, are rejected: two readers of such a message may
+// disagree on where it ends.
 func (r *Reader) readBody(header textproto.MIMEHeader, untilEOF bool, sink *sinkSelector) ([]byte, error) {
 	encodings, lengths := header[headerTransferEncoding], header[headerContentLength]
 	switch {
 	case len(encodings) > 0 && len(lengths) > 0:
-		return nil, malformed(statusBadRequest, "both sized and chunked")
+		return nil, malformed(statusBadRequest, "both Content-Length and Transfer-Encoding are given")
 	case len(encodings) > 1 || len(encodings) == 1 && !strings.EqualFold(encodings[0], encodingChunked):
-		return nil, malformed(statusNotImplemented, "transfer encoding %q", encodings)
+		return nil, malformed(statusNotImplemented, "unsupported Transfer-Encoding %q", encodings)
 	case len(encodings) == 1:
 		return r.readChunked(sink)
 	case len(lengths) > 1:
-		return nil, malformed(statusBadRequest, "several lengths")
+		return nil, malformed(statusBadRequest, "more than one Content-Length")
 	case len(lengths) == 1:
 		return r.readSized(lengths[0], sink)
 	case untilEOF:
@@ -42,14 +44,14 @@
 	return nil, nil
 }
 
-// readSized reads a body of the length that the header names.
+// readSized reads a body whose length in bytes is the given Content-Length value.
 func (r *Reader) readSized(length string, sink *sinkSelector) ([]byte, error) {
 	size, err := strconv.ParseUint(length, 10, 63)
 	if err != nil {
-		return nil, malformed(statusBadRequest, "bad length")
+		return nil, malformed(statusBadRequest, "invalid Content-Length")
 	}
 	if int64(size) > r.maxBody {
-		return nil, malformed(statusContentTooLarge, "body of %d bytes", size)
+		return nil, malformed(statusContentTooLarge, "body too large: %d bytes, limit %d", size, r.maxBody)
 	}
 	r.bounded.N = int64(size)
 	if sink.selects(int64(size)) {
@@ -62,12 +64,12 @@
 	return body, nil
 }
 
-// readUntilEOF reads a body that ends with the stream.
+// readUntilEOF reads a body that extends to the end of the stream.
 func (r *Reader) readUntilEOF() ([]byte, error) {
 	r.bounded.N = r.maxBody + 1
 	body, err := io.ReadAll(r.buf)
 	if int64(len(body)) > r.maxBody {
-		return nil, malformed(statusContentTooLarge, "body without an end")
+		return nil, malformed(statusContentTooLarge, "body too large: no length given, limit %d bytes", r.maxBody)
 	}
 	return body, err
 }
--- a/internal/http1/body_sink.go
+++ b/internal/http1/body_sink.go
@@ -3,17 +3,18 @@
 import "io"
 
 const (
-	sinkThreshold  = 4 << 10  // bytes; a larger body goes to a sink, where there is one
-	sinkWriteBytes = 16 << 10 // bytes of a body that lie in memory at a time
+	sinkThreshold  = 4 << 10  // bytes; a larger body is written to a sink if there is one
+	sinkWriteBytes = 16 << 10 // bytes of a body that are in memory at a time, and the largest write to a sink
 )
 
-// sinkSelector decides whether a request's body goes to a sink. Nil selects none.
+// sinkSelector decides whether the body of a request goes to a sink. A nil sinkSelector never selects one.
 type sinkSelector struct {
 	request *Request
 	newSink func(*Request) BodySink
 }
 
-// selects reports whether a body of a size goes to a sink, which is in the request's BodySink from then on.
+// selects reports whether a body of size bytes goes to a sink. If so, the request's BodySink is set; the first call
+// that selects a sink creates it.
 func (s *sinkSelector) selects(size int64) bool {
 	if s == nil || size <= sinkThreshold {
 		return false
@@ -24,7 +25,7 @@
 	return s.request.BodySink != nil
 }
 
-// copyToSink moves a number of bytes from the connection to a sink.
+// copyToSink copies size bytes of the body to sink, in writes of at most sinkWriteBytes.
 func (r *Reader) copyToSink(sink BodySink, size int64) error {
 	buf := make([]byte, min(size, sinkWriteBytes))
 	for size > 0 {
--- a/internal/http1/body_sink_test.go
+++ b/internal/http1/body_sink_test.go
@@ -15,7 +15,8 @@
 	_ "linkpass/internal/testrand"
 )
 
-// Guards against a sink that receives another body than memory would have, or writes of unbounded size.
+// A body that goes to a sink must have the same bytes as one that is read into memory, whatever its framing, and must
+// be written in pieces of at most sinkWriteBytes.
 func TestBodySinkReceivesSameBody(t *testing.T) {
 	sinkUsed := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -46,15 +47,16 @@
 			got = append(sink.data, got...)
 		}
 		if !bytes.Equal(got, body) || (req.BodySink != nil) != (len(body) > sinkThreshold) || sink.largest > sinkWriteBytes {
-			t.Fatalf("%d bytes of %d, with sink: %v, a write of %d", len(got), len(body), req.BodySink != nil, sink.largest)
+			t.Fatalf("got %d bytes, want the %d bytes that were sent; sink used: %v, largest write: %d bytes",
+				len(got), len(body), req.BodySink != nil, sink.largest)
 		}
 	})
 	if sinkUsed == 0 {
-		t.Error("no body went to a sink")
+		t.Error("no body went to a sink, want at least one")
 	}
 }
 
-// A sink is aborted where its body stays incomplete, and a client that is still connected is answered.
+// If a body stays incomplete, its sink must be aborted, and a client that is still connected must get a response.
 func TestBodySinkAbortedOnIncompleteBody(t *testing.T) {
 	for name, c := range map[string]struct {
 		capacity, status int
@@ -79,13 +81,13 @@
 				return
 			}
 			if err != nil || res.Status != c.status || !res.Close || c.status == 429 && res.Header.Get("Retry-After") != "0.5" {
-				t.Errorf("%+v %v", res, err)
+				t.Errorf("response = %+v, error = %v, want a last response with status %d", res, err, c.status)
 			}
 		})
 	}
 }
 
-// A sink that the handler does not use is aborted once it has answered.
+// A sink that the handler has not used must be aborted after the handler has answered.
 func TestBodySinkAbortedWhenUnused(t *testing.T) {
 	sink := newFakeSink(1 << 20)
 	_, addr := startServer(t, func(_ context.Context, _ time.Duration, req *Request) *Response {
@@ -99,12 +101,12 @@
 		t.Fatal(err)
 	}
 	if res, err := r.Response(); err != nil || res.Status != 200 {
-		t.Errorf("%+v %v", res, err)
+		t.Errorf("response = %+v, error = %v, want status 200", res, err)
 	}
 	<-sink.aborted
 }
 
-// fakeSink keeps what is written, up to a capacity in bytes.
+// fakeSink stores what is written to it, up to a capacity in bytes. A write beyond the capacity fails with status 429.
 type fakeSink struct {
 	mu       sync.Mutex
 	data     []byte
--- a/internal/http1/chunked_body.go
+++ b/internal/http1/chunked_body.go
@@ -7,9 +7,10 @@
 	"strings"
 )
 
+// chunkEnd terminates the data of each chunk.
 const chunkEnd = "\r\n"
 
-// readChunked reads a chunked body and its trailers, which are dropped.
+// readChunked reads a chunked body and its trailer fields, which are discarded.
 func (r *Reader) readChunked(sink *sinkSelector) ([]byte, error) {
 	var body []byte
 	var total int64
@@ -19,7 +20,7 @@
 			return nil, err
 		}
 		if total += size; total > r.maxBody {
-			return nil, malformed(statusContentTooLarge, "chunks over %d bytes", r.maxBody)
+			return nil, malformed(statusContentTooLarge, "chunked body too large: limit %d bytes", r.maxBody)
 		}
 		if size == 0 {
 			return r.endChunked(body)
@@ -37,7 +38,7 @@
 	}
 }
 
-// readChunkSize reads a chunk's first line; extensions are ignored.
+// readChunkSize reads the first line of a chunk and returns the chunk's size in bytes. Chunk extensions are ignored.
 func (r *Reader) readChunkSize() (int64, error) {
 	r.bounded.N = MaxHeader
 	line, err := r.text.ReadLine()
@@ -47,12 +48,12 @@
 	digits, _, _ := strings.Cut(line, ";")
 	size, err := strconv.ParseUint(strings.TrimRight(digits, " \t"), 16, 62)
 	if err != nil {
-		return 0, malformed(statusBadRequest, "bad chunk length")
+		return 0, malformed(statusBadRequest, "invalid chunk size")
 	}
 	return int64(size), nil
 }
 
-// endChunked reads the trailers of a body and returns it.
+// endChunked reads and discards the trailer fields that follow body, and returns body.
 func (r *Reader) endChunked(body []byte) ([]byte, error) {
 	r.bounded.N = MaxHeader
 	if _, err := r.readHeader(); err != nil {
@@ -61,7 +62,7 @@
 	return body, nil
 }
 
-// appendChunk reads a chunk of a size to the end of body.
+// appendChunk reads a chunk of size bytes and appends its data to body.
 func (r *Reader) appendChunk(body []byte, size int64) ([]byte, error) {
 	start := len(body)
 	body = append(body, make([]byte, int(size)+len(chunkEnd))...)
@@ -69,12 +70,13 @@
 		return nil, bodyError(err)
 	}
 	if !bytes.HasSuffix(body, []byte(chunkEnd)) {
-		return nil, malformed(statusBadRequest, "chunk without an end")
+		return nil, malformed(statusBadRequest, "chunk data is not followed by CRLF")
 	}
 	return body[:len(body)-len(chunkEnd)], nil
 }
 
-// copyChunkToSink moves a chunk to a sink, after the bytes that were read before the sink was selected.
+// copyChunkToSink copies a chunk of size bytes to sink. It first writes before, the chunks that were read into memory
+// before the sink was selected.
 func (r *Reader) copyChunkToSink(sink BodySink, before []byte, size int64) error {
 	if len(before) > 0 {
 		if _, err := sink.Write(before); err != nil {
@@ -89,7 +91,7 @@
 		return bodyError(err)
 	}
 	if string(end[:]) != chunkEnd {
-		return malformed(statusBadRequest, "chunk without an end")
+		return malformed(statusBadRequest, "chunk data is not followed by CRLF")
 	}
 	return nil
 }
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -12,23 +12,26 @@
 	"linkpass/internal/eventlog"
 )
 
-// conn is one connection. Its goroutine, started by Server.Serve, reads, responds and closes it. Others may only
-// interrupt its wait for bytes, or close it: once it lingers to evict it, at any time in Server.Close.
+// conn is one connection of a Server. Its own goroutine, started by Server.Serve, reads requests, writes responses and
+// closes the connection. Other goroutines may interrupt its wait for bytes at any time. They may close it only in three
+// cases: to evict it while it lingers, after WriteTimeout, and in Server.Close in any state.
 type conn struct {
 	net.Conn
 	server    *Server
 	readAhead readAhead
 
-	// Guarded by the server's mutex. Only the connection's goroutine leaves a state, but for stateEvicted.
+	// The following fields are guarded by server.mu. Only the connection's goroutine changes the state, except to
+	// stateEvicted, which the evicting goroutine sets.
 	state      connState
-	stateSince time.Duration
-	stateSeq   int // counts the states; a deadline armed for an earlier one is void
+	stateSince time.Duration // when the state was entered, on the server's clock
+	stateSeq   int           // number of state changes; a deadline armed before the latest change has no effect
 }
 
-// interruptRead ends the wait for bytes; it never blocks. Whether the connection is then closed is up to its goroutine.
+// interruptRead makes reads fail with os.ErrDeadlineExceeded until the read deadline is reset. It never blocks. The
+// connection's goroutine decides whether the connection is then closed.
 func (c *conn) interruptRead() { _ = c.SetReadDeadline(time.Unix(1, 0)) }
 
-// hasUnreadBytes reports whether the socket holds bytes that were not read yet.
+// hasUnreadBytes reports whether the socket's receive buffer holds bytes that have not been read.
 func (c *conn) hasUnreadBytes() (unread bool) {
 	raw, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -46,7 +49,7 @@
 	return unread
 }
 
-// serve reads and answers requests one after another, and closes the connection.
+// serve reads and answers requests one after another until the connection ends, and then closes it.
 func (c *conn) serve() {
 	defer c.release()
 	reader := NewReader(&c.readAhead, c.server.MaxBody)
@@ -55,7 +58,7 @@
 	}
 }
 
-// release closes the connection and takes it off its server.
+// release closes the connection and removes it from its server.
 func (c *conn) release() {
 	s := c.server
 	_ = c.Close()
@@ -67,7 +70,9 @@
 	s.running.Done()
 }
 
-// serveNext reads and answers one request, and reports whether the connection may carry another.
+// serveNext reads and answers one request, and reports whether the connection may carry another. The first request must
+// be complete FirstRequestTimeout after connecting; a later one may start within IdleTimeout and must then be complete
+// within RequestTimeout.
 func (c *conn) serveNext(reader *Reader, first bool) bool {
 	s := c.server
 	timeout := IdleTimeout
@@ -102,8 +107,9 @@
 	return s.setState(c, stateIdle)
 }
 
-// awaitRequest waits for a request's first byte. Bytes that have arrived when the wait is interrupted are a request:
-// guards one that crosses the end of its connection.
+// awaitRequest waits until the deadline for the first byte of a request. If bytes have arrived when the wait is
+// interrupted, they count as a request, so that a request that arrives just as the connection is to be closed is
+// served.
 func (c *conn) awaitRequest(reader *Reader, deadline time.Duration) error {
 	disarm := c.armReadTimeout(deadline)
 	defer disarm()
@@ -115,13 +121,15 @@
 	return err
 }
 
+// readRequest reads a request, which must be complete by the deadline.
 func (c *conn) readRequest(reader *Reader, deadline time.Duration) (*Request, error) {
 	disarm := c.armReadTimeout(deadline)
 	defer disarm()
 	return reader.Request()
 }
 
-// respond serves one request and reports whether the connection may carry another.
+// respond passes a request to the handler, writes the response and reports whether the connection may carry another
+// request. If the client disconnects before the handler has answered, the response is not written.
 func (c *conn) respond(began time.Duration, req *Request) (reusable bool) {
 	s := c.server
 	ctx, cancel := context.WithCancel(context.Background())
@@ -142,8 +150,8 @@
 	return reusable
 }
 
-// startReadAhead reads what the client sends meanwhile, and calls onDisconnect once it has disconnected. done is closed
-// when its goroutine has ended, which interruptRead brings about.
+// startReadAhead starts a goroutine that buffers what the client sends while its request is served, and calls
+// onDisconnect if the client disconnects. interruptRead ends the goroutine; done is closed when it has ended.
 func (c *conn) startReadAhead(onDisconnect func()) (done <-chan struct{}) {
 	ended := make(chan struct{})
 	go func() {
@@ -155,7 +163,8 @@
 	return ended
 }
 
-// write writes a response, and reports whether it was written. The connection is closed after WriteTimeout.
+// write writes a response and reports whether it succeeded. If that takes longer than WriteTimeout, the connection is
+// closed and the write fails.
 func (c *conn) write(res *Response) bool {
 	s := c.server
 	disarm := s.Clock.Arm(s.Clock.Now()+WriteTimeout, func() { _ = c.Close() })
@@ -168,12 +177,12 @@
 	return true
 }
 
-// rejectRequest answers a request that is malformed or took too long, and ends the connection, whose framing is lost.
-// One that was cut short is not answered.
+// rejectRequest answers a request that is malformed or timed out. It ends the connection, because the start of the next
+// request is unknown. A request that ended early because the client disconnected is not answered.
 func (c *conn) rejectRequest(err error) {
 	var rejected *Error
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		rejected = &Error{Status: statusRequestTimeout, Reason: "the request took too long to come"}
+		rejected = &Error{Status: statusRequestTimeout, Reason: "request timed out before it was complete"}
 	} else if !errors.As(err, &rejected) {
 		return
 	}
--- a/internal/http1/conn_state.go
+++ b/internal/http1/conn_state.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// connState is what a connection is doing.
+// connState is the state of a connection.
 type connState uint8
 
 const (
-	stateNew       connState = iota // nothing has been received yet
-	stateIdle                       // between two requests
-	stateReading                    // a request has begun to arrive
+	stateNew       connState = iota // no byte has been received yet
+	stateIdle                       // waiting for the next request
+	stateReading                    // part of a request has been received
 	stateServing                    // a request is being served
-	stateLingering                  // no further request is read; what still arrives is dropped
-	stateEvicted                    // lingered, and was closed by another goroutine
+	stateLingering                  // no further request is read; bytes that still arrive are discarded
+	stateEvicted                    // was lingering and has been closed by another goroutine
 )
 
-// awaitsRequest reports whether no part of a request has been read.
+// awaitsRequest reports whether the connection waits for the first byte of a request.
 func (s connState) awaitsRequest() bool { return s == stateNew || s == stateIdle }
 
-// setState enters a state, unless the connection was evicted; it reports whether the connection goes on. What would
-// have interrupted the state before is void from here on.
+// setState moves c to a state. It returns false, and changes nothing, if c has been evicted. Interrupts and deadlines
+// of the previous state have no effect on the new one.
 func (s *Server) setState(c *conn, to connState) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,14 +29,14 @@
 	c.stateSeq++
 	s.stateChanged.Broadcast()
 	_ = c.SetReadDeadline(time.Time{})
-	if to == stateIdle && s.stopped { // Guards against a connection that becomes idle after Stop has looked at it.
+	if to == stateIdle && s.stopped { // Stop interrupts only the connections that are idle when it is called.
 		c.interruptRead()
 	}
 	return true
 }
 
-// armReadTimeout interrupts the state that a connection is in at a time. Guards the next state against a deadline that
-// fires as the state ends: clocks may fire after they were disarmed.
+// armReadTimeout interrupts reads at the given time if the connection is still in its current state. The state is
+// checked because a clock may fire a deadline after it was disarmed, which would interrupt the next state.
 func (c *conn) armReadTimeout(at time.Duration) (disarm func()) {
 	seq := c.stateSeq
 	return c.server.Clock.Arm(at, func() {
--- a/internal/http1/conn_test.go
+++ b/internal/http1/conn_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// An incomplete request is answered in time, and a silent connection closed.
+// After FirstRequestTimeout, a connection with an incomplete request must get status 408, and one that has sent nothing
+// must be closed.
 func TestConnTimesOutSlowAndSilentClients(t *testing.T) {
 	s, addr := startServer(t, answerOK, 9)
 	half, halfReader := dial(t, addr)
@@ -20,14 +21,15 @@
 	}
 	s.Clock.(*fakeClock).advance(FirstRequestTimeout)
 	if res, err := halfReader.Response(); err != nil || res.Status != 408 || !res.Close {
-		t.Errorf("half a request: %+v %v", res, err)
+		t.Errorf("incomplete request: response = %+v, error = %v, want a last response with status 408", res, err)
 	}
 	if err := silent.Wait(); !errors.Is(err, io.EOF) {
-		t.Errorf("the silent connection stayed: %v", err)
+		t.Errorf("silent connection: error = %v, want EOF", err)
 	}
 }
 
-// Crossing: a state's deadline fires after the next state has begun. Guards the request that is served then.
+// A deadline that was armed for one state of a connection may fire after the next state has begun, because the clock
+// may fire disarmed deadlines. It must not interrupt the request that is served by then.
 func TestConnIgnoresLateDeadline(t *testing.T) {
 	release := make(chan struct{})
 	n, h := newCountingHandler(release)
@@ -35,20 +37,21 @@
 	client, r := dial(t, addr)
 	_ = WriteRequest(client, "POST", "/", "x", nil, []byte("hello"))
 	waitUntil(t, "the request", func() bool { return n.Load() == 1 })
-	s.Clock.(*fakeClock).advance(FirstRequestTimeout) // of the wait and of the request, both disarmed
+	s.Clock.(*fakeClock).advance(FirstRequestTimeout) // fires the deadlines of the wait and the read, both disarmed
 	release <- struct{}{}
 	if res, err := r.Response(); err != nil || res.Status != 200 || res.Close {
-		t.Fatalf("%+v %v", res, err)
+		t.Fatalf("response = %+v, error = %v, want status 200 on a connection that stays open", res, err)
 	}
 	waitUntil(t, "an idle connection", func() bool { return s.hasConnIn(stateIdle) })
 	_ = WriteRequest(client, "POST", "/", "x", nil, nil)
 	release <- struct{}{}
 	if res, err := r.Response(); err != nil || res.Status != 200 {
-		t.Errorf("the next request: %+v %v", res, err)
+		t.Errorf("next request: response = %+v, error = %v, want status 200", res, err)
 	}
 }
 
-// Crossing: a client disconnects behind bytes that it has sent.
+// A client that disconnects while its request is served must be noticed even if it has sent more bytes after that
+// request: the end of the stream is only seen once those bytes have been read.
 func TestConnCancelsOnDisconnectBehindUnreadBytes(t *testing.T) {
 	canceled := make(chan struct{}, 9)
 	_, addr := startServer(t, func(ctx context.Context, _ time.Duration, _ *Request) *Response {
@@ -72,16 +75,16 @@
 			select {
 			case <-canceled:
 			case <-time.After(10 * time.Second):
-				t.Errorf("not canceled with %d bytes behind the request", len(behind))
+				t.Errorf("context not canceled within 10 s, with %d bytes sent after the request", len(behind))
 			}
 		})
 	}
 }
 
-// A client that never reads its response is disconnected after WriteTimeout.
+// A client that does not read its response must be disconnected after WriteTimeout.
 func TestConnTimesOutClientThatNeverReads(t *testing.T) {
 	s, addr := startServer(t, func(context.Context, time.Duration, *Request) *Response {
-		return &Response{Status: 200, Body: make([]byte, 64<<20)} // more than a socket buffers
+		return &Response{Status: 200, Body: make([]byte, 64<<20)} // more than the socket buffers hold
 	}, 9)
 	client, _ := dial(t, addr)
 	_, _ = io.WriteString(client, sizedRequest)
@@ -89,6 +92,6 @@
 	s.Clock.(*fakeClock).advance(WriteTimeout)
 	waitUntil(t, "the close", func() bool { return s.connCount() == 0 })
 	if s.Counters.Get("test_write_failed") != 1 {
-		t.Error(s.Counters)
+		t.Errorf("counters: %v, want test_write_failed = 1", s.Counters)
 	}
 }
--- a/internal/http1/drain.go
+++ b/internal/http1/drain.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Drain makes every response the last of its connection. New connections are still served; those that stay idle are
-// closed after drainIdleGrace.
+// Drain closes each connection after its next response, and closes idle connections after drainIdleGrace. New
+// connections are still accepted and served. Resume ends draining.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -12,7 +12,7 @@
 	s.sweepAfter(drainIdleGrace, s.drainGeneration)
 }
 
-// Resume ends draining: connections are kept alive again, unless the server was stopped.
+// Resume ends draining, so that connections are kept alive again. It has no effect on a server that has been stopped.
 func (s *Server) Resume() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -20,14 +20,15 @@
 	s.drainGeneration++
 }
 
-// Draining reports whether the server drains or was stopped.
+// Draining reports whether the server is draining or has been stopped.
 func (s *Server) Draining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.draining
 }
 
-// sweepAfter arms the next sweep of a draining server. The clock's owner runs it.
+// sweepAfter schedules a sweep after the given wait; each sweep schedules the next. It does nothing more once Drain or
+// Resume has changed the generation, or the server has been stopped. Sweeps run on the clock's goroutine.
 func (s *Server) sweepAfter(wait time.Duration, generation int) {
 	s.Clock.Arm(s.Clock.Now()+wait, func() {
 		s.mu.Lock()
@@ -39,7 +40,8 @@
 	})
 }
 
-// sweep interrupts idle connections, silent ones and stuck requests. It is called with the mutex locked.
+// sweep interrupts connections that are idle, that have sent nothing for drainIdleGrace, or whose request has been
+// incomplete for stuckRequestAge. s.mu must be held.
 func (s *Server) sweep() {
 	now := s.Clock.Now()
 	for c := range s.conns {
@@ -52,8 +54,8 @@
 	}
 }
 
-// Stop waits until all connections have ended, each after the response to the request that it has begun to send.
-// Serve must have returned.
+// Stop ends all connections and waits for them. A connection on which a request has begun to arrive ends after the
+// response to that request. Serve must have returned.
 func (s *Server) Stop() {
 	s.mu.Lock()
 	s.draining, s.stopped = true, true
@@ -66,8 +68,8 @@
 	s.running.Wait()
 }
 
-// Close closes all connections in any state, and waits until they have ended. Serve must have returned. It does not
-// need the clock.
+// Close closes all connections at once, whatever their state, and waits until their goroutines have ended. Serve must
+// have returned. Close works even if the clock no longer fires deadlines.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.draining, s.stopped = true, true
--- a/internal/http1/drain_test.go
+++ b/internal/http1/drain_test.go
@@ -27,7 +27,7 @@
 	send := func(path string) {
 		_ = WriteRequest(client, "POST", path, "x", nil, []byte("hello"))
 		if got := <-entered; got != path {
-			t.Fatalf("entered %q", got)
+			t.Fatalf("handler got path %q, want %q", got, path)
 		}
 	}
 	for i := range 2 {
@@ -35,7 +35,7 @@
 		send(path)
 		release[path] <- struct{}{}
 		if res, err := r.Response(); err != nil || string(res.Body) != "hello" || res.Close {
-			t.Fatalf("%+v %v", res, err)
+			t.Fatalf("response = %+v, error = %v, want body \"hello\" on a connection that stays open", res, err)
 		}
 	}
 	send("/last")
@@ -44,7 +44,7 @@
 	<-entered
 	rejected, rejectedReader := dial(t, addr)
 	if res, err := rejectedReader.Response(); err != nil || res.Status != 503 || !res.Close {
-		t.Errorf("beyond MaxConns: %+v %v", res, err)
+		t.Errorf("beyond MaxConns: response = %+v, error = %v, want a last response with status 503", res, err)
 	}
 	_ = rejected.Close()
 	release["/last"] <- struct{}{}
@@ -55,35 +55,35 @@
 		time.Sleep(time.Millisecond)
 	}
 	s.Drain()
-	s.Resume() // the first drain's deadline is void
+	s.Resume() // the sweep of the first drain must have no effect
 	s.Clock.(*fakeClock).advance(drainIdleGrace)
 	s.Drain()
-	s.Clock.(*fakeClock).advance(drainIdleGrace - 1) // an idle connection may be used once more
+	s.Clock.(*fakeClock).advance(drainIdleGrace - 1) // an idle connection may carry one more request
 	send("/last")
 	release["/last"] <- struct{}{}
 	if res, err := r.Response(); err != nil || res.Status != 200 || !res.Close {
-		t.Errorf("within the drain: %+v %v", res, err)
+		t.Errorf("request during the drain: response = %+v, error = %v, want a last response with status 200", res, err)
 	}
 	_ = client.Close()
 	for s.connCount() > 1 { // the server lingers until the client closes
 		time.Sleep(time.Millisecond)
 	}
-	client, r = dial(t, addr) // a silent connection is closed by a sweep
+	client, r = dial(t, addr) // a connection that sends nothing must be closed by a sweep
 	for !s.hasConnIn(stateNew) {
 		time.Sleep(time.Millisecond)
 	}
 	s.Clock.(*fakeClock).advance(drainIdleGrace)
 	s.Clock.(*fakeClock).advance(drainSweepInterval)
 	if err := r.Wait(); !errors.Is(err, io.EOF) {
-		t.Errorf("the idle connection stayed: %v", err)
+		t.Errorf("silent connection: error = %v, want EOF", err)
 	}
-	release["/other"] <- struct{}{} // a request read before the drain gets the last response
+	release["/other"] <- struct{}{} // its request was read before the drain
 	if res, err := busyReader.Response(); err != nil || res.Status != 200 || !res.Close {
-		t.Errorf("after the drain: %+v %v", res, err)
+		t.Errorf("read before the drain: response = %+v, error = %v, want a last response with status 200", res, err)
 	}
 }
 
-// Guards a request that arrives as its connection is closed as idle.
+// A request that has arrived when its connection is interrupted by a drain must still be served.
 func TestDrainServesRequestThatHasArrived(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -106,19 +106,19 @@
 	s.Drain()
 	c.interruptRead()
 	if !s.admit(c) {
-		t.Fatal("not admitted")
+		t.Fatal("admit = false, want true")
 	}
 	done := make(chan struct{})
 	go func() { defer close(done); c.serve() }()
 	if res, err := r.Response(); err != nil || res.Status != 200 || !res.Close {
-		t.Errorf("%+v %v", res, err)
+		t.Errorf("response = %+v, error = %v, want a last response with status 200", res, err)
 	}
 	_ = client.Close()
 	<-done
 }
 
-// Crossing: bytes arrive before, with and after the close of an idle connection. A request that has arrived when the
-// wait ends is served; later bytes are dropped, and the client sees the end without a reset.
+// Bytes may arrive before, during and after the close of an idle connection. A request that has begun to arrive when
+// the wait ends must be served; later bytes must be discarded, and the client must see the end without a reset.
 func TestDrainWithBytesAroundIdleClose(t *testing.T) {
 	n, h := newCountingHandler(closedChan())
 	s, addr := startServer(t, h, 9)
@@ -126,7 +126,7 @@
 		client, r := dial(t, addr)
 		_ = WriteRequest(client, "POST", "/", "x", nil, nil)
 		if res, err := r.Response(); err != nil || res.Close {
-			t.Fatalf("%+v %v", res, err)
+			t.Fatalf("response = %+v, error = %v, want a connection that stays open", res, err)
 		}
 		return client, r
 	}
@@ -137,20 +137,20 @@
 	waitUntil(t, "the end of the connection", func() bool { return s.hasConnIn(stateLingering) })
 	_, _ = io.WriteString(after, sizedRequest)
 	if err := afterReader.Wait(); !errors.Is(err, io.EOF) {
-		t.Errorf("ended with %v", err)
+		t.Errorf("connection ended with %v, want EOF", err)
 	}
 	_ = after.Close()
 	waitUntil(t, "the close", func() bool { return s.connCount() == 0 })
 	if n.Load() != 1 {
-		t.Errorf("%d requests were served, want 1: one after the shutdown", n.Load())
+		t.Errorf("%d requests were served, want 1: the request after the shutdown must be discarded", n.Load())
 	}
 	s.Resume()
 	half, halfReader := idleConn()
-	_, _ = io.WriteString(half, sizedRequest[:len(sizedRequest)-1]) // but for the last byte
+	_, _ = io.WriteString(half, sizedRequest[:len(sizedRequest)-1]) // without the last byte
 	waitUntil(t, "half a request", func() bool { return s.hasConnIn(stateReading) })
 	s.Drain()
 	s.Clock.(*fakeClock).advance(drainIdleGrace)
-	_, _ = io.WriteString(half, sizedRequest[len(sizedRequest)-1:]+sizedRequest) // and another request behind
+	_, _ = io.WriteString(half, sizedRequest[len(sizedRequest)-1:]+sizedRequest) // the rest, and another request
 	expectLastResponse(t, halfReader, 200)
 	_ = half.Close()
 	s.Resume()
@@ -165,16 +165,17 @@
 	}
 }
 
-// Crossing: the server stops while a response is written whose connection was to be kept alive.
+// Stop interrupts idle connections only once. A connection whose response is being written at that time must end too
+// when it becomes idle.
 func TestStopEndsConnThatBecomesIdle(t *testing.T) {
 	s := &Server{Name: "test", Clock: new(fakeClock), stopped: true}
 	serverSide, clientSide := net.Pipe()
 	defer clientSide.Close()
 	c := &conn{Conn: serverSide, server: s, state: stateServing, readAhead: readAhead{Reader: serverSide}}
 	if !s.setState(c, stateIdle) {
-		t.Fatal("the connection was evicted")
+		t.Fatal("setState = false, want true: the connection was not evicted")
 	}
 	if err := c.awaitRequest(NewReader(&c.readAhead, 0), IdleTimeout); err == nil {
-		t.Error("it awaits a request after Stop")
+		t.Error("awaitRequest returned no error after Stop")
 	}
 }
--- a/internal/http1/errors.go
+++ b/internal/http1/errors.go
@@ -7,25 +7,28 @@
 	"net/textproto"
 )
 
-// Error is a message that is rejected. A server answers with Status and Reason.
+// Error is the reason why a message is rejected. A server answers a rejected request with Status, with Reason as the
+// body.
 type Error struct {
-	Status     int // of HTTP
+	Status     int // HTTP status code
 	Reason     string
-	RetryAfter string // seconds; "": the response has no Retry-After
+	RetryAfter string // value of the Retry-After header, in seconds; if empty, the header is omitted
 }
 
-// Error names the reason and the status.
+// Error returns the reason and the status.
 func (e *Error) Error() string { return fmt.Sprintf("http1: %s (%d)", e.Reason, e.Status) }
 
+// malformed returns an *Error with a status and a formatted reason.
 func malformed(status int, format string, args ...any) error {
 	return &Error{Status: status, Reason: fmt.Sprintf(format, args...)}
 }
 
-// readError is the error of a start line or header that could not be read: an *Error with tooLongStatus where the size
-// limit was reached, io.ErrUnexpectedEOF where the stream ended early.
+// readError converts the error of reading a start line, a chunk size or header fields: to an *Error with tooLongStatus
+// if the size limit was reached, to io.ErrUnexpectedEOF if the stream ended early, and to an *Error with status 400 if
+// the input is malformed. Other errors stay as they are.
 func (r *Reader) readError(err error, tooLongStatus int) error {
 	if r.bounded.N <= 0 {
-		return malformed(tooLongStatus, "message too long")
+		return malformed(tooLongStatus, "line or header too large")
 	}
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -37,7 +40,8 @@
 	return err
 }
 
-// bodyError is the error of a body that could not be read: io.ErrUnexpectedEOF where the stream ended early.
+// bodyError converts the error of reading a body: to io.ErrUnexpectedEOF if the stream ended early. Other errors stay
+// as they are.
 func bodyError(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
--- a/internal/http1/eviction.go
+++ b/internal/http1/eviction.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// evictionRank orders connections by how well they can be spared; the highest is evicted first.
+// evictionRank orders connections for eviction; the connection with the highest rank is evicted first.
 type evictionRank uint8
 
 const (
-	rankNotEvictable evictionRank = iota // a request has arrived
-	rankStuckRequest                     // a request has been incomplete for stuckRequestAge
-	rankNew
-	rankIdle
-	rankSilent // a new connection has sent nothing for silentConnAge
-	rankLingering
+	rankNotEvictable evictionRank = iota // a request has arrived, completely or in part
+	rankStuckRequest                     // a request has been incomplete for at least stuckRequestAge
+	rankNew                              // connected less than silentConnAge ago, and has sent nothing
+	rankIdle                             // waits for its next request
+	rankSilent                           // has sent nothing for at least silentConnAge since it connected
+	rankLingering                        // reads no further request
 )
 
-// evictionRankOf is called with the mutex locked.
+// evictionRankOf returns the rank of c. The server's mutex must be held.
 func evictionRankOf(c *conn, now time.Duration) evictionRank {
 	switch age := now - c.stateSince; {
 	case c.state == stateLingering:
@@ -37,8 +37,8 @@
 	return rankNotEvictable
 }
 
-// evictionVictim is the connection of the highest rank, and among equals that which has been in its state for longest.
-// Nil: none is evictable. It is called with the mutex locked.
+// evictionVictim returns the connection with the highest rank; among equal ranks, the one that has been in its state
+// for the longest time. It returns nil if no connection is evictable. s.mu must be held.
 func (s *Server) evictionVictim() *conn {
 	now := s.Clock.Now()
 	var victim *conn
@@ -52,9 +52,9 @@
 	return victim
 }
 
-// evictOne evicts the connection that can best be spared, and reports whether there is one. A lingering connection is
-// closed here. Any other is interrupted and decides at once: one that has received a request by then serves it.
-// It is called with the mutex locked.
+// evictOne evicts the connection that evictionVictim returns, and reports whether there is one. A lingering connection
+// is closed here. Any other connection is interrupted, and evictOne waits until it changes its state or ends: if a
+// request has arrived by then, the connection serves it and is not evicted. s.mu must be held.
 func (s *Server) evictOne() bool {
 	victim := s.evictionVictim()
 	if victim == nil {
@@ -76,8 +76,8 @@
 	return true
 }
 
-// SetMaxConns sets how many connections there may be. Beyond it, connections that await a request are closed, that in
-// its state for longest first.
+// SetMaxConns sets the largest number of connections. If there are more at present, connections that wait for a request
+// are closed, as many as exceed the limit, those that have waited longest first.
 func (s *Server) SetMaxConns(maxConns int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/http1/eviction_test.go
+++ b/internal/http1/eviction_test.go
@@ -8,14 +8,15 @@
 	"time"
 )
 
-// Guards against clients that only connect, or stay idle, and keep others out.
+// Clients that only connect, or that stay idle, must not keep out clients that send requests: their connections are
+// evicted when MaxConns is reached.
 func TestServerEvictsIdleAndSilentConns(t *testing.T) {
 	s, addr := startServer(t, answerOK, 2)
 	send := func(client net.Conn, r *Reader) {
 		t.Helper()
 		_ = WriteRequest(client, "POST", "/", "x", nil, nil)
 		if res, err := r.Response(); err != nil || res.Status != 200 {
-			t.Fatalf("%+v %v", res, err)
+			t.Fatalf("response = %+v, error = %v, want status 200", res, err)
 		}
 		for s.hasConnIn(stateServing) {
 			time.Sleep(time.Millisecond)
@@ -30,25 +31,26 @@
 	s.Clock.(*fakeClock).advance(silentConnAge)
 	send(dial(t, addr))
 	if err := silent.Wait(); !errors.Is(err, io.EOF) {
-		t.Errorf("the silent connection stayed: %v", err)
+		t.Errorf("silent connection: error = %v, want EOF", err)
 	}
-	send(kept, keptReader) // has been idle for less time than the third
+	send(kept, keptReader) // from now on idle for less time than the third connection
 	send(dial(t, addr))
 	send(dial(t, addr))
 	_, other := dial(t, addr)
 	for !s.hasConnIn(stateNew) {
 		time.Sleep(time.Millisecond)
 	}
-	s.SetMaxConns(0) // connections that await a request are closed
+	s.SetMaxConns(0) // closes the connections that wait for a request
 	if err := other.Wait(); !errors.Is(err, io.EOF) {
-		t.Errorf("a connection beyond the limit stayed: %v", err)
+		t.Errorf("connection beyond the limit: error = %v, want EOF", err)
 	}
 	if n := s.Counters.Get("test_conns_evicted"); n != 4 || s.Counters.Get("test_conns_over") != 0 {
-		t.Error(s.Counters)
+		t.Errorf("counters: %v, want test_conns_evicted = 4 and test_conns_over = 0", s.Counters)
 	}
 }
 
-// Crossing: an idle connection is chosen for eviction after its next request was read off the socket.
+// An idle connection may be chosen for eviction after its next request has been read from the socket, but before its
+// state has changed. The request must be served.
 func TestEvictionSparesRequestAlreadyRead(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -60,7 +62,7 @@
 	client, r := dial(t, addr)
 	_ = WriteRequest(client, "POST", "/", "x", nil, nil)
 	if res, err := r.Response(); err != nil || res.Status != 200 {
-		t.Fatalf("%+v %v", res, err)
+		t.Fatalf("response = %+v, error = %v, want status 200", res, err)
 	}
 	waitUntil(t, "an idle connection", func() bool { return s.hasConnIn(stateIdle) })
 	for len(interrupted) > 0 {
@@ -71,26 +73,26 @@
 	c.hold = hold
 	c.mu.Unlock()
 	_, _ = io.WriteString(client, sizedRequest)
-	<-hold // the request is read, its deadline not yet disarmed
+	<-hold // the request has been read and its deadline is about to be disarmed
 	other, otherReader := dial(t, addr)
-	<-interrupted // it is chosen for eviction
+	<-interrupted // the connection has been chosen for eviction
 	c.mu.Lock()
 	c.hold = nil
 	c.mu.Unlock()
 	hold <- struct{}{}
 	if res, err := r.Response(); err != nil || res.Status != 200 {
-		t.Errorf("the request that was read: %+v %v", res, err)
+		t.Errorf("request that had been read: response = %+v, error = %v, want status 200", res, err)
 	}
 	_ = WriteRequest(other, "POST", "/", "x", nil, nil)
-	if _, err := otherReader.Response(); err != nil { // either status
-		t.Error(err)
+	if _, err := otherReader.Response(); err != nil { // status 200 or 503
+		t.Errorf("second connection: error = %v, want a response", err)
 	}
 	if n.Load() < 2 {
-		t.Errorf("%d requests were served", n.Load())
+		t.Errorf("%d requests were served, want at least 2", n.Load())
 	}
 }
 
-// interruptListener accepts connections that report when their wait is interrupted, or they are closed.
+// interruptListener accepts connections that send on interrupted when a read deadline is set or when they are closed.
 type interruptListener struct {
 	net.Listener
 	interrupted chan struct{}
--- a/internal/http1/header.go
+++ b/internal/http1/header.go
@@ -18,13 +18,13 @@
 	encodingChunked     = "chunked"
 )
 
-// parseRequestLine parses a request's first line; minor is that of the version HTTP/1.minor.
+// parseRequestLine parses the first line of a request. minor is the minor version: 0 for HTTP/1.0, 1 for HTTP/1.1.
 func parseRequestLine(line string) (req *Request, minor int, err error) {
 	method, rest, hasTarget := strings.Cut(line, " ")
 	target, version, hasVersion := strings.Cut(rest, " ")
 	if !hasTarget || !hasVersion || !isToken(method) ||
 		!strings.HasPrefix(target, "/") || strings.ContainsAny(target, " \t") {
-		return nil, 0, malformed(statusBadRequest, "bad request line")
+		return nil, 0, malformed(statusBadRequest, "malformed request line")
 	}
 	if minor, err = parseVersion(version); err != nil {
 		return nil, 0, err
@@ -34,11 +34,12 @@
 	return req, minor, nil
 }
 
-// isToken reports whether s can be a method.
+// isToken reports whether s is accepted as a method: one or more letters or hyphens.
 func isToken(s string) bool {
 	return s != "" && strings.Trim(s, "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz-") == ""
 }
 
+// parseVersion returns the minor version of HTTP/1.0 or HTTP/1.1; other versions are an error.
 func parseVersion(version string) (minor int, err error) {
 	switch version {
 	case "HTTP/1.1":
@@ -47,12 +48,13 @@
 		return 0, nil
 	}
 	if strings.HasPrefix(version, "HTTP/") {
-		return 0, malformed(statusVersionNotSupported, "version %q", version)
+		return 0, malformed(statusVersionNotSupported, "unsupported HTTP version %q", version)
 	}
-	return 0, malformed(statusBadRequest, "no HTTP version")
+	return 0, malformed(statusBadRequest, "missing or malformed HTTP version")
 }
 
-// closesConn reports whether a message is the last of its connection: where it does not say, one of HTTP/1.0 is.
+// closesConn reports whether a message is the last one of its connection. If its Connection header has neither close
+// nor keep-alive, an HTTP/1.0 message is the last one and an HTTP/1.1 message is not.
 func closesConn(header textproto.MIMEHeader, minor int) bool {
 	for _, value := range header[headerConnection] {
 		for item := range strings.SplitSeq(value, ",") {
--- a/internal/http1/helpers_test.go
+++ b/internal/http1/helpers_test.go
@@ -18,19 +18,19 @@
 	chunkedRequest = "POST /a?b=c HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nhe\r\n3\r\nllo\r\n0\r\nT: v\r\n\r\n"
 )
 
-// waitUntil polls a condition, and fails the test after 20 s.
+// waitUntil polls a condition until it is true, and fails the test after 20 s.
 func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for limit := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
-			t.Fatal("timed out waiting for " + what)
+			t.Fatal("timed out after 20 s waiting for " + what)
 		}
 	}
 }
 
 func answerOK(context.Context, time.Duration, *Request) *Response { return &Response{Status: 200} }
 
-// newCountingHandler counts requests, and answers each after a receive from release.
+// newCountingHandler returns a handler that counts requests and answers each one after a receive from release.
 func newCountingHandler(release <-chan struct{}) (*atomic.Int64, HandlerFunc) {
 	n := new(atomic.Int64)
 	return n, func(context.Context, time.Duration, *Request) *Response {
@@ -46,18 +46,19 @@
 	return c
 }
 
-// expectLastResponse reads the last response of a connection, and its end without a reset.
+// expectLastResponse checks that the next response has the given status and is the last one of the connection, and that
+// the connection then ends without a reset.
 func expectLastResponse(t *testing.T, r *Reader, status int) {
 	t.Helper()
 	if res, err := r.Response(); err != nil || res.Status != status || !res.Close {
-		t.Errorf("%+v %v, want a last %d", res, err, status)
+		t.Errorf("response = %+v, error = %v, want a last response with status %d", res, err, status)
 	}
 	if err := r.Wait(); !errors.Is(err, io.EOF) {
-		t.Errorf("the connection ended with %v", err)
+		t.Errorf("connection ended with %v, want EOF", err)
 	}
 }
 
-// hasConnIn reports whether a connection is in a state.
+// hasConnIn reports whether any connection is in the given state.
 func (s *Server) hasConnIn(state connState) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,13 +76,13 @@
 	return len(s.conns)
 }
 
-// fakeClock stands still until a test advances it; deadlines that are due then fire.
+// fakeClock is a Clock whose time changes only in advance, which fires the deadlines that are due.
 type fakeClock struct {
 	mu        sync.Mutex
 	now       time.Duration
-	late      bool // disarmed deadlines fire all the same
+	late      bool // deadlines fire even after they were disarmed
 	deadlines map[*time.Duration]func()
-	hold      chan struct{} // not nil: disarming sends on it, and then receives from it
+	hold      chan struct{} // if not nil, disarming a deadline sends on it and then receives from it
 }
 
 func (c *fakeClock) Now() time.Duration { c.mu.Lock(); defer c.mu.Unlock(); return c.now }
@@ -131,7 +132,7 @@
 	}
 }
 
-// startServer runs a server until the test ends.
+// startServer runs a server on a local port until the test ends. changes are applied before it starts.
 func startServer(t *testing.T, h HandlerFunc, maxConns int, changes ...func(*Server)) (s *Server, addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -141,6 +142,7 @@
 	return startServerOn(t, ln, h, maxConns, changes...)
 }
 
+// startServerOn is startServer on a given listener.
 func startServerOn(
 	t *testing.T, ln net.Listener, h HandlerFunc, maxConns int, changes ...func(*Server),
 ) (s *Server, addr string) {
@@ -155,7 +157,7 @@
 	return s, ln.Addr().String()
 }
 
-// dial connects a client until the test ends.
+// dial connects a client, whose connection is closed when the test ends.
 func dial(t *testing.T, addr string) (net.Conn, *Reader) {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
--- a/internal/http1/linger.go
+++ b/internal/http1/linger.go
@@ -2,15 +2,17 @@
 
 import "io"
 
-// shutdown ends a connection gracefully. Nothing that is read from here on is a request.
+// shutdown stops serving requests on the connection and lingers, so that the last response is delivered. Bytes that
+// still arrive are discarded. The caller closes the connection.
 func (c *conn) shutdown() {
 	if c.server.setState(c, stateLingering) {
 		c.linger()
 	}
 }
 
-// linger half-closes and reads on before the close, for at most lingerTimeout and maxLingerBytes. Guards the last
-// response: a connection that is closed over unread bytes is reset, and the client may lose what was written.
+// linger closes the writing side of the connection and discards what the client still sends, until the client closes
+// its side, for at most lingerTimeout and maxLingerBytes. Closing a socket with unread bytes resets the connection, and
+// the client may then lose the last response.
 func (c *conn) linger() {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
--- a/internal/http1/linger_test.go
+++ b/internal/http1/linger_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// Crossing: the last response of a connection is written while the socket holds unread bytes.
+// The last response of a connection may be written while the socket holds unread bytes. It must reach the client:
+// closing the socket at once would reset the connection.
 func TestLingerDeliversLastResponseOverUnreadBytes(t *testing.T) {
 	release := make(chan struct{})
 	n, h := newCountingHandler(release)
@@ -29,7 +30,7 @@
 	}
 }
 
-// The same for a connection beyond MaxConns.
+// The same holds for the response 503 to a connection beyond MaxConns.
 func TestLingerDeliversRejectionOverUnreadBytes(t *testing.T) {
 	release := make(chan struct{})
 	n, h := newCountingHandler(release)
@@ -41,16 +42,16 @@
 		client, r := dial(t, addr)
 		_, _ = io.WriteString(client, sizedRequest)
 		if res, err := r.Response(); err != nil || res.Status != 503 {
-			t.Errorf("%+v %v", res, err)
+			t.Errorf("response = %+v, error = %v, want status 503", res, err)
 		}
-		_, _ = io.WriteString(client, sizedRequest) // meets a reset without lingering
+		_, _ = io.WriteString(client, sizedRequest) // would cause a reset if the server did not linger
 		if err := r.Wait(); !errors.Is(err, io.EOF) {
-			t.Errorf("ended with %v", err)
+			t.Errorf("connection ended with %v, want EOF", err)
 		}
 	}
-	next, r := dial(t, addr) // does not linger: as many do as may
+	next, r := dial(t, addr) // does not linger: maxLingeringRejected connections already do
 	if res, err := r.Response(); err != nil || res.Status != 503 {
-		t.Errorf("%+v %v", res, err)
+		t.Errorf("response = %+v, error = %v, want status 503", res, err)
 	}
 	_ = next.Close()
 	s.Clock.(*fakeClock).advance(lingerTimeout)
@@ -58,20 +59,20 @@
 	close(release)
 }
 
-// Crossing: rejected connections linger as the server is closed, and the clock has stopped.
+// Close must end rejected connections that linger, even if the clock has stopped and lingerTimeout never passes.
 func TestCloseEndsRejectedConns(t *testing.T) {
 	s, addr := startServer(t, func(context.Context, time.Duration, *Request) *Response { return nil }, 0)
 	client, r := dial(t, addr)
 	_, _ = io.WriteString(client, sizedRequest)
 	if res, err := r.Response(); err != nil || res.Status != 503 {
-		t.Fatalf("%+v %v", res, err)
+		t.Fatalf("response = %+v, error = %v, want status 503", res, err)
 	}
 	done := make(chan struct{})
 	go func() { defer close(done); s.Close() }()
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Error("Close waits for a client that stays connected")
+		t.Error("Close did not return within 10 s while a client stayed connected")
 	}
 	_ = client.Close()
 }
--- a/internal/http1/main_test.go
+++ b/internal/http1/main_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// Guards against a goroutine of a connection that outlives Server.Stop.
+// TestMain fails if a goroutine of a connection is still running after Server.Stop.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -2,33 +2,34 @@
 
 import "net/textproto"
 
-// Limits on what is read, in bytes.
+// Size limits of the messages that are read, in bytes.
 const (
-	MaxHeader = 16 << 10 // of a start line, and of the header fields
-	MaxBody   = 64 << 10 // where NewReader is given no other limit
+	MaxHeader = 16 << 10 // of the start line and the header fields together
+	MaxBody   = 64 << 10 // default limit of a body, used if NewReader is given none
 )
 
-// Request is one request.
+// Request is an HTTP request. Query is the part of the request target after the question mark.
 type Request struct {
 	Method, Path, Query string
 	Header              textproto.MIMEHeader
 	Body                []byte
-	BodySink            BodySink // of a large body, in place of Body; nil: there is none
-	Close               bool     // the sender wants the connection closed
+	BodySink            BodySink // holds a large body instead of Body; nil if the body is in Body
+	Close               bool     // the client expects the connection to be closed after the response
 }
 
-// Response is one response.
+// Response is an HTTP response.
 type Response struct {
 	Status int
 	Header textproto.MIMEHeader
 	Body   []byte
-	Close  bool // it is the last of its connection
+	Close  bool // the connection is closed after this response
 }
 
-// BodySink receives a large body while it arrives.
+// BodySink receives the bytes of a large request body as they arrive.
 type BodySink interface {
-	// Write receives the next bytes, and must not keep p. An error that is an *Error is sent to the client.
+	// Write receives the next bytes of the body, and must not retain p. If it returns an *Error, the server answers the
+	// request with it.
 	Write(p []byte) (int, error)
-	// Abort discards what was written, unless a handler has made use of it.
+	// Abort discards what was written, unless a handler has already used it.
 	Abort()
 }
--- a/internal/http1/readahead.go
+++ b/internal/http1/readahead.go
@@ -2,17 +2,19 @@
 
 import "io"
 
-const readAheadBlockBytes = 512
+const readAheadBlockBytes = 512 // size of one read while a request is served
 
-// readAhead reads a connection. While a request is served it reads on, up to maxReadAheadBytes, so that a client that
-// disconnects is seen also behind bytes that it sent before. It belongs to one goroutine at a time.
+// readAhead reads from a connection. While a request is served, fill buffers up to maxReadAheadBytes of what follows:
+// a disconnect is only detected after all bytes sent before it have been read. A readAhead must be used by one
+// goroutine at a time.
 type readAhead struct {
 	io.Reader
-	buffered []byte // read ahead, and not yet returned by Read
+	buffered []byte // bytes that fill has read and Read has not yet returned
 	block    [readAheadBlockBytes]byte
 }
 
-// fill reads on until an error, or nil where the limit is reached.
+// fill reads into the buffer until the connection returns an error, or until the buffer holds maxReadAheadBytes; it
+// returns nil then.
 func (a *readAhead) fill() error {
 	for len(a.buffered) < maxReadAheadBytes {
 		n, err := a.Reader.Read(a.block[:min(len(a.block), maxReadAheadBytes-len(a.buffered))])
@@ -24,7 +26,7 @@
 	return nil
 }
 
-// Read returns what was read ahead first. The error is the connection's.
+// Read returns the buffered bytes first, and then reads from the connection. Errors are those of the connection.
 func (a *readAhead) Read(p []byte) (int, error) {
 	if len(a.buffered) == 0 {
 		return a.Reader.Read(p)
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -8,22 +8,24 @@
 	"strings"
 )
 
-const readBufferBytes = 4 << 10
+const readBufferBytes = 4 << 10 // size of the buffer of a Reader
 
-// Reader reads messages off one connection. It belongs to one goroutine.
+// Reader reads HTTP messages from one connection. It is not safe for concurrent use.
 //
-// The error of a message that is rejected is an *Error; of a stream that ends within a message it is
-// io.ErrUnexpectedEOF; others are those of the connection.
+// Its methods return an *Error for a message that is rejected, io.ErrUnexpectedEOF for a stream that ends within a
+// message, and otherwise the errors of the connection.
 type Reader struct {
-	bounded *io.LimitedReader // bounds what is read of the part of a message that is next
+	bounded *io.LimitedReader // N is set to the size limit of each part of a message before that part is read
 	buf     *bufio.Reader
 	text    *textproto.Reader
 	maxBody int64 // bytes
-	// NewBodySink creates the sink of a large request body. If it is nil or returns nil, the body lies in Body.
+	// NewBodySink creates the sink of a large request body. If it is nil or returns nil, the body is read into
+	// Request.Body.
 	NewBodySink func(*Request) BodySink
 }
 
-// NewReader reads from r. A body has at most maxBody bytes; 0 or less stands for MaxBody.
+// NewReader returns a Reader that reads from r. A body may have at most maxBody bytes; if maxBody is 0 or less, the
+// limit is MaxBody.
 func NewReader(r io.Reader, maxBody int64) *Reader {
 	if maxBody <= 0 {
 		maxBody = MaxBody
@@ -33,14 +35,14 @@
 	return &Reader{bounded: bounded, buf: buf, text: textproto.NewReader(buf), maxBody: maxBody}
 }
 
-// Wait waits for the first byte of the next message. The error is the connection's.
+// Wait waits for the first byte of the next message. Its error is that of the connection.
 func (r *Reader) Wait() error {
 	r.bounded.N = MaxHeader
 	_, err := r.buf.Peek(1)
 	return err
 }
 
-// Request reads a request.
+// Request reads the next request.
 func (r *Reader) Request() (*Request, error) {
 	line, err := r.readStartLine()
 	if err != nil {
@@ -54,14 +56,14 @@
 		return nil, err
 	}
 	if hosts := req.Header[headerHost]; minor == 1 && len(hosts) != 1 {
-		return nil, malformed(statusBadRequest, "need one Host header")
+		return nil, malformed(statusBadRequest, "request must have exactly one Host header")
 	}
 	req.Close = closesConn(req.Header, minor)
 	req.Body, err = r.readRequestBody(req)
 	return req, err
 }
 
-// Response reads a response to a request that was not HEAD. Interim responses are skipped.
+// Response reads the next response, skipping interim (1xx) responses. The request must not have been a HEAD request.
 func (r *Reader) Response() (*Response, error) {
 	for {
 		res, minor, err := r.readResponseHead()
@@ -79,7 +81,7 @@
 	}
 }
 
-// readResponseHead reads a status line and the header; minor is that of the version HTTP/1.minor.
+// readResponseHead reads a status line and the header fields. minor is the minor version, as parseVersion returns it.
 func (r *Reader) readResponseHead() (res *Response, minor int, err error) {
 	line, err := r.readStartLine()
 	if err != nil {
@@ -92,7 +94,7 @@
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
 	if err != nil || len(code) != 3 || status < 100 {
-		return nil, 0, malformed(statusBadGateway, "bad status line %q", line)
+		return nil, 0, malformed(statusBadGateway, "malformed status line %q", line)
 	}
 	res = &Response{Status: status}
 	if res.Header, err = r.readHeader(); err != nil {
@@ -101,7 +103,7 @@
 	return res, minor, nil
 }
 
-// readStartLine reads a request's or response's first line.
+// readStartLine reads the first line of a request or response.
 func (r *Reader) readStartLine() (string, error) {
 	r.bounded.N = MaxHeader
 	line, err := r.text.ReadLine()
@@ -111,7 +113,7 @@
 	return line, nil
 }
 
-// readHeader reads header fields. They share the limit of the line before them.
+// readHeader reads header fields. Their size counts against the same limit as the line before them.
 func (r *Reader) readHeader() (textproto.MIMEHeader, error) {
 	header, err := r.text.ReadMIMEHeader()
 	if err != nil {
--- a/internal/http1/reader_test.go
+++ b/internal/http1/reader_test.go
@@ -19,7 +19,7 @@
 		req, err := r.Request()
 		if err != nil || req.Method != "POST" || req.Path != "/a" || req.Query != "b=c" ||
 			string(req.Body) != "hello" || req.Close {
-			t.Fatalf("%+v %v", req, err)
+			t.Fatalf("request = %+v, error = %v, want the request that was sent, with Close unset", req, err)
 		}
 	}
 }
@@ -49,7 +49,7 @@
 			_, err := NewReader(strings.NewReader(c.text), 0).Request()
 			var rejected *Error
 			if !errors.As(err, &rejected) || rejected.Status != c.status {
-				t.Errorf("%.60q: %v, want %d", c.text, err, c.status)
+				t.Errorf("request %.60q: error = %v, want status %d", c.text, err, c.status)
 			}
 		})
 	}
@@ -63,11 +63,11 @@
 	res, err := NewReader(io.MultiReader(strings.NewReader("HTTP/1.1 100 Continue\r\n\r\n"), &b), 0).Response()
 	if err != nil || res.Status != 429 || res.Header.Get("Retry-After") != "0.25" ||
 		string(res.Body) != "no" || !res.Close {
-		t.Fatalf("%+v %v", res, err)
+		t.Fatalf("response = %+v, error = %v, want the written one, with status 429", res, err)
 	}
 	res, err = NewReader(strings.NewReader("HTTP/1.0 200 OK\r\n\r\nuntil the end"), 0).Response()
 	if err != nil || string(res.Body) != "until the end" {
-		t.Errorf("%+v %v", res, err)
+		t.Errorf("response = %+v, error = %v, want body \"until the end\"", res, err)
 	}
 }
 
@@ -76,7 +76,7 @@
 		message := rapid.SampledFrom([]string{sizedRequest, chunkedRequest}).Draw(t, "message")
 		truncated := message[:rapid.IntRange(0, len(message)-1).Draw(t, "at")]
 		if req, err := NewReader(strings.NewReader(truncated), 0).Request(); err == nil {
-			t.Fatalf("accepted the truncated %q as %+v", truncated, req)
+			t.Fatalf("truncated request %q was accepted as %+v, want an error", truncated, req)
 		}
 		arbitrary := rapid.SliceOf(rapid.Byte()).Draw(t, "arbitrary")
 		_, _ = NewReader(bytes.NewReader(arbitrary), 0).Request()
@@ -86,7 +86,8 @@
 	})
 }
 
-// Guards against a reset taken for the end of a response without a length, and against one that never ends.
+// A response without a length ends with the stream. A reset must be an error and not count as that end, and a response
+// that never ends must be rejected at the size limit.
 func TestResponseWithoutLength(t *testing.T) {
 	for name, c := range map[string]struct {
 		end func(*net.TCPConn)
@@ -117,7 +118,7 @@
 				<-done
 			}
 			if res, err := r.Response(); (err == nil) != c.ok {
-				t.Errorf("%+v %v", res, err)
+				t.Errorf("response = %+v, error = %v, want success: %v", res, err, c.ok)
 			}
 			_ = client.Close()
 			<-done
@@ -125,6 +126,7 @@
 	}
 }
 
+// endlessReader is a stream of zero bytes without an end.
 type endlessReader struct{}
 
 func (endlessReader) Read(p []byte) (int, error) { return len(p), nil }
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -12,13 +12,14 @@
 	"linkpass/internal/metrics"
 )
 
-// Handler answers requests. began is when the request's first byte was received, on the Server's clock; ctx ends when
-// the client has disconnected. One response is written for each request.
+// Handler answers requests. began is the time on the Server's clock at which the first byte of the request was
+// received. ctx is canceled when the client disconnects. Serve returns the only response that is written for the
+// request; it must not be nil.
 type Handler interface {
 	Serve(ctx context.Context, began time.Duration, req *Request) *Response
 }
 
-// HandlerFunc is a function that answers requests.
+// HandlerFunc is a function that implements Handler.
 type HandlerFunc func(ctx context.Context, began time.Duration, req *Request) *Response
 
 // Serve calls f.
@@ -26,35 +27,39 @@
 	return f(ctx, began, req)
 }
 
-// Clock is the clock of all deadlines. fire may still be called after disarm.
+// Clock supplies the time and the deadlines of a Server.
 type Clock interface {
+	// Now returns the time since the clock's start.
 	Now() time.Duration
+	// Arm calls fire at the given time, unless disarm is called before. fire may still be called after disarm.
 	Arm(at time.Duration, fire func()) (disarm func())
 }
 
-// Server serves one listener. It owns a goroutine for each connection; Stop and Close wait for all of them.
+// Server serves the connections of one listener, each on a goroutine of its own; Stop and Close wait for all of them.
+// The exported fields must be set before Serve is called.
 type Server struct {
-	Name        string // of the front, for the log and the counters
+	Name        string // of the front, in the log and in the names of the counters
 	Handler     Handler
 	Clock       Clock
 	Counters    *metrics.Counters
-	MaxConns    int                     // SetMaxConns changes it while the server runs
-	MaxBody     int64                   // bytes of a request's body; 0: the package's MaxBody
-	NewBodySink func(*Request) BodySink // of large bodies; nil: they lie in memory
+	MaxConns    int                     // largest number of connections; SetMaxConns changes it while the server runs
+	MaxBody     int64                   // largest request body in bytes; 0 stands for the constant MaxBody
+	NewBodySink func(*Request) BodySink // creates the sinks of large request bodies; if nil, bodies are held in memory
 
 	malformedLog eventlog.RateLimited
-	running      sync.WaitGroup // the connections' goroutines
+	running      sync.WaitGroup // goroutines of conns and rejected
 
-	mu              sync.Mutex // guards what follows, MaxConns, and the connections' states
-	stateChanged    sync.Cond  // on mu: a connection has left its state, or ended
-	conns           map[*conn]bool
-	rejected        map[*conn]bool // connections beyond MaxConns that linger
-	draining        bool
-	drainGeneration int // counts Drain and Resume; a sweep armed for an earlier one is void
-	stopped         bool
+	mu              sync.Mutex     // guards the fields below, MaxConns, and the states of the connections
+	stateChanged    sync.Cond      // with mu; signals that a connection has changed its state or has ended
+	conns           map[*conn]bool // admitted connections
+	rejected        map[*conn]bool // lingering connections that were rejected because of MaxConns
+	draining        bool           // also true once the server has been stopped
+	drainGeneration int            // calls of Drain and Resume; a sweep armed before the latest one does nothing
+	stopped         bool           // Stop or Close has been called
 }
 
-// Serve accepts until the listener is closed or its deadline has passed, and returns nil then.
+// Serve accepts connections until the listener is closed or its deadline has passed, and then returns nil. Other accept
+// errors are logged, and Serve tries again after acceptRetryDelay.
 func (s *Server) Serve(ln net.Listener) error {
 	for {
 		nc, err := ln.Accept()
@@ -62,7 +67,7 @@
 			return nil
 		}
 		if err != nil {
-			// Guards against a shortage of descriptors, which passes: the listener stays.
+			// Errors such as a lack of file descriptors are temporary, so the listener stays open.
 			eventlog.AcceptFailed.Log(s.Name, err)
 			s.Counters.Add(s.Name+"_accept_failed", 1)
 			time.Sleep(acceptRetryDelay)
@@ -80,8 +85,8 @@
 	}
 }
 
-// admit adds a connection. Where MaxConns is reached another is evicted: guards clients that send requests against
-// those that only connect, or stay idle.
+// admit adds a connection. If MaxConns is reached, it evicts another one, so that clients that only connect or stay
+// idle do not keep out clients that send requests. It returns false if no connection can be evicted.
 func (s *Server) admit(c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,10 +103,11 @@
 	return true
 }
 
-// reject answers a connection beyond MaxConns with status 503. Its request has most likely arrived already, so that it
-// lingers, unless too many do.
+// reject answers a connection that exceeds MaxConns with status 503. Its request has most likely arrived already, and
+// is not read. The connection therefore lingers, so that the response is not lost, unless maxLingeringRejected others
+// do.
 func (s *Server) reject(c *conn) {
-	_ = WriteResponse(c, &Response{Status: statusServiceUnavailable, Close: true}) // a new socket's buffer holds it
+	_ = WriteResponse(c, &Response{Status: statusServiceUnavailable, Close: true}) // fits into a new socket's buffer
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.rejected) == maxLingeringRejected || s.stopped {
@@ -116,6 +122,7 @@
 	go s.lingerRejected(c)
 }
 
+// lingerRejected lingers on a rejected connection, closes it and removes it from the server.
 func (s *Server) lingerRejected(c *conn) {
 	c.linger()
 	_ = c.Close()
--- a/internal/http1/server_test.go
+++ b/internal/http1/server_test.go
@@ -19,13 +19,13 @@
 	client, r := dial(t, addr)
 	_, _ = io.WriteString(client, "nonsense\r\n\r\n")
 	if res, err := r.Response(); err != nil || res.Status != 400 || !res.Close {
-		t.Errorf("%+v %v", res, err)
+		t.Errorf("response = %+v, error = %v, want a last response with status 400", res, err)
 	}
 	if err := r.Wait(); err == nil {
-		t.Error("the connection stayed open though its framing is lost")
+		t.Error("connection stayed open after a malformed request, want it closed")
 	}
 	if s.Counters.Get("test_malformed") != 1 {
-		t.Error(s.Counters)
+		t.Errorf("counters: %v, want test_malformed = 1", s.Counters)
 	}
 	client, _ = dial(t, addr)
 	_ = WriteRequest(client, "POST", "/", "x", nil, nil)
@@ -33,7 +33,8 @@
 	<-canceled
 }
 
-// Guards small responses against a reset while they wait for more bytes.
+// Without TCP_NODELAY, a small response may wait in the socket for more bytes, and a reset during that time discards
+// it.
 func TestServerSetsNoDelay(t *testing.T) {
 	_, h := newCountingHandler(closedChan())
 	s, addr := startServer(t, h, 9)
--- a/internal/http1/status.go
+++ b/internal/http1/status.go
@@ -1,8 +1,8 @@
 package http1
 
-// Status codes that this package answers with or distinguishes.
+// Status codes that this package sends or handles specially.
 const (
-	statusFirstFinal          = 200 // below are interim responses
+	statusFirstFinal          = 200 // lowest status of a final response; lower ones are interim
 	statusNoContent           = 204
 	statusNotModified         = 304
 	statusBadRequest          = 400
@@ -15,7 +15,7 @@
 	statusVersionNotSupported = 505
 )
 
-// reasonPhrases by status code, of those in use.
+// reasonPhrases maps the status codes in use to their reason phrases.
 var reasonPhrases = map[int]string{
 	200:                       "OK",
 	307:                       "Temporary Redirect",
@@ -35,7 +35,7 @@
 	statusVersionNotSupported: "HTTP Version Not Supported",
 }
 
-// reasonPhrase is the text beside a status code; that of a code not in use is "Status".
+// reasonPhrase returns the reason phrase of a status code, or "Status" if the code is not in reasonPhrases.
 func reasonPhrase(status int) string {
 	if phrase := reasonPhrases[status]; phrase != "" {
 		return phrase
--- a/internal/http1/timeouts.go
+++ b/internal/http1/timeouts.go
@@ -2,34 +2,35 @@
 
 import "time"
 
-// Time limits of a connection. They bound clients that connect and send nothing, or send slowly, whatever they send.
+// Time limits of a connection. They hold for all clients, also for those that connect and send nothing or send slowly.
 const (
 	FirstRequestTimeout = 2500 * time.Millisecond // from connecting to the last byte of the first request
-	RequestTimeout      = 2 * time.Second         // from a later request's first byte to its last
-	IdleTimeout         = 30 * time.Second        // between requests
-	WriteTimeout        = 5 * time.Second         // of one response
+	RequestTimeout      = 2 * time.Second         // from the first byte of a later request to its last byte
+	IdleTimeout         = 30 * time.Second        // from a response to the first byte of the next request
+	WriteTimeout        = 5 * time.Second         // for writing one response
 )
 
-// Limits on lingering: on reading after the last response, before the close.
+// Limits on lingering, that is, on discarding input between the last response and the close.
 const (
 	lingerTimeout        = 500 * time.Millisecond
 	maxLingerBytes       = 256 << 10
-	maxLingeringRejected = 8 // rejected connections that linger at a time
+	maxLingeringRejected = 8 // rejected connections that may linger at the same time
 )
 
-// maxReadAheadBytes is how much is read behind a request while it is served.
+// maxReadAheadBytes is the largest number of bytes that are read beyond a request while it is served.
 const maxReadAheadBytes = MaxHeader + MaxBody
 
-// How old a connection's state has to be to count against it when the connections are full.
+// Ages of a connection's state from which the connection is evictable, or is evicted before others, when MaxConns is
+// reached. The sweeps of a draining server use stuckRequestAge too.
 const (
 	silentConnAge   = 250 * time.Millisecond // of a new connection that has sent nothing
 	stuckRequestAge = time.Second            // of a request that is still incomplete
 )
 
-// While the server drains.
+// Time limits while the server is draining.
 const (
-	drainIdleGrace     = 400 * time.Millisecond // for idle connections to be used once more
-	drainSweepInterval = 200 * time.Millisecond // between two looks at idle, silent and stuck connections
+	drainIdleGrace     = 400 * time.Millisecond // during which an idle connection may carry one more request
+	drainSweepInterval = 200 * time.Millisecond // between two sweeps for idle, silent and stuck connections
 )
 
-const acceptRetryDelay = 20 * time.Millisecond
+const acceptRetryDelay = 20 * time.Millisecond // after an error of Accept
--- a/internal/platform/answer.go
+++ b/internal/platform/answer.go
@@ -9,7 +9,8 @@
 	"linkpass/internal/http1"
 )
 
-// encodeAnswer is the response to a query.
+// encodeAnswer returns the response for the answer to a query: status 200 for Answered, 503 for Rejected, and 500
+// otherwise.
 func encodeAnswer(a coordinator.Answer) *http1.Response {
 	switch a.Status {
 	case coordinator.Answered:
@@ -25,13 +26,14 @@
 	return &http1.Response{Status: 500, Body: []byte("failed\n" + evictionNotice(a))}
 }
 
+// encodeValues returns the response for a complete or partial answer, with the values as JSON.
 func encodeValues(a coordinator.Answer) *http1.Response {
 	out := answerBody{Complete: a.Complete, Values: []valueRow{}}
 	for _, v := range a.Values {
 		out.Values = append(out.Values, valueRow{Shard: v.Shard, Data: string(v.Data)})
 	}
 	data, err := json.Marshal(out)
-	if err != nil { // strings, numbers and a flag always encode
+	if err != nil { // cannot happen: strings, integers and booleans can always be encoded
 		return &http1.Response{Status: 500}
 	}
 	return &http1.Response{
@@ -41,7 +43,8 @@
 	}
 }
 
-// evictionNotice is a line for a query that could not be retried because its body was evicted; "" otherwise.
+// evictionNotice returns a line of text for the client if a part could not be retried because the query's body was
+// evicted from the body store, and "" otherwise.
 func evictionNotice(a coordinator.Answer) string {
 	for _, m := range a.Missing {
 		if m.BodyEvicted {
--- a/internal/platform/bench_test.go
+++ b/internal/platform/bench_test.go
@@ -10,7 +10,7 @@
 	"linkpass/internal/http1"
 )
 
-// immediateCore answers every query at once.
+// immediateCore is a Core that rejects every query at once.
 type immediateCore struct{}
 
 func (immediateCore) Submit(q coordinator.Query) func() {
@@ -18,7 +18,7 @@
 	return func() {}
 }
 
-// A query with a small payload through the front.
+// BenchmarkSmallQuery measures serving one query with a small payload, without the time that the core takes.
 func BenchmarkSmallQuery(b *testing.B) {
 	f := newFront(nil)
 	f.Core = immediateCore{}
@@ -35,7 +35,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if res := f.Serve(context.Background(), 0, req); res.Status != 503 {
-			b.Fatalf("%d %s", res.Status, res.Body)
+			b.Fatalf("status = %d, body = %s, want status 503", res.Status, res.Body)
 		}
 	}
 }
--- a/internal/platform/doc.go
+++ b/internal/platform/doc.go
@@ -1,10 +1,9 @@
-// Package platform serves the platform's clients over HTTP: a client posts a query that is already divided
-// into parts, one a shard, and gets one JSON answer.
+// Package platform is the HTTP front for the platform's clients. A client posts a query that is already divided into
+// parts, one for each shard, and receives one JSON answer.
 //
-// Front is the handler. The names of the protocol (paths, headers, JSON fields) are known to protocol.go
-// alone, which maps them to the terms of package coordinator; request.go decodes a request, answer.go
-// encodes the core's answer.
+// Front is the HTTP handler. The names of the protocol (paths, headers, JSON fields) are defined in protocol.go, which
+// maps them to the fields of package coordinator. request.go and parts.go decode a request, answer.go encodes the
+// answer.
 //
-// The package starts no goroutine. The channel on which a request waits for its answer belongs to
-// Front.await.
+// The package starts no goroutines. Front.await owns the channel on which a request waits for its answer.
 package platform
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -12,31 +12,32 @@
 	"linkpass/internal/metrics"
 )
 
-// Core takes queries.
+// Core runs queries; coordinator.Core implements it.
 type Core interface {
-	// Submit starts a query, whose Reply is called once. cancel ends it before its time.
+	// Submit starts a query. The query's Reply is called exactly once, also after cancel. cancel reports that the
+	// client has disconnected, which ends the query early.
 	Submit(coordinator.Query) (cancel func())
 }
 
-// Front answers the requests of the platform's clients. Its fields are set before the first request; its
-// methods may be called by several goroutines.
+// Front answers the requests of the platform's clients. Its exported fields must be set before the first request. Its
+// methods are safe for concurrent use.
 type Front struct {
 	Core            Core
-	Classes         []string // names, by number
-	Tenants         []string // names as the settings encode them, by number less one; nil: the site has none
-	Shards          int      // of the site; parts name them from 0 on
+	Classes         []string // names of the classes, indexed by class number
+	Tenants         []string // names as settings.EncodeName encodes them; tenant n is at index n-1; nil: no tenants
+	Shards          int      // number of shards of the site; parts refer to them by number, from 0
 	Counters        *metrics.Counters
-	Ready           func() bool
-	BodyStore       *bodystore.Store // of large payloads; nil: these stay in memory
-	PriorityWeights []float64        // of the classes, by number
-	RetryAfter      string           // seconds, for a client whose payload finds no capacity; "": no header
+	Ready           func() bool      // whether the readiness check succeeds
+	BodyStore       *bodystore.Store // holds large payloads; nil: all payloads are held in memory
+	PriorityWeights []float64        // weights of the classes, indexed by class number; used with BodyStore only
+	RetryAfter      string           // Retry-After in seconds, sent if BodyStore has no capacity; "": no such header
 
-	rejections eventlog.RateLimited // of invalid requests
-	openNames  nameSet              // of the queries in flight
+	rejections eventlog.RateLimited // log of invalid requests
+	openNames  nameSet              // names of the queries in flight
 }
 
-// Serve answers one request, which was received at startedAt on the core's clock. It returns when the query
-// has ended; ctx cancels the query.
+// Serve answers one request. startedAt is the time at which it was received, on the core's clock. Serve returns when
+// the query has ended; canceling ctx ends it early.
 func (f *Front) Serve(ctx context.Context, startedAt time.Duration, req *http1.Request) *http1.Response {
 	if req.Path == readinessPath {
 		return f.readiness()
@@ -64,7 +65,7 @@
 	return &http1.Response{Status: 503, Body: []byte("not ready\n")}
 }
 
-// reject answers a request that can't be served.
+// reject answers a request that cannot be served, and logs and counts it.
 func (f *Front) reject(err error) *http1.Response {
 	status := statusOf(err)
 	f.Counters.Add("platform_rejected", 1)
@@ -72,7 +73,7 @@
 	return &http1.Response{Status: status, Body: []byte(err.Error() + "\n")}
 }
 
-// rejectPayload answers a query whose payload finds no capacity.
+// rejectPayload answers a query whose payload the body store has no capacity for.
 func (f *Front) rejectPayload() *http1.Response {
 	f.Counters.Add("platform_no_room", 1)
 	res := &http1.Response{
@@ -86,9 +87,10 @@
 	return res
 }
 
-// await submits a query and waits for its answer. A query that ctx cancels is answered by the core too.
+// await submits a query and waits for its answer. If ctx is canceled, it cancels the query and still waits for the
+// answer, which the core gives to canceled queries too.
 func (f *Front) await(ctx context.Context, query coordinator.Query) coordinator.Answer {
-	answers := make(chan coordinator.Answer, 1) // buffered: the core's event loop never waits for this goroutine
+	answers := make(chan coordinator.Answer, 1) // buffered, so that Reply never blocks the core's event loop
 	query.Reply = func(a coordinator.Answer) { answers <- a }
 	cancel := f.Core.Submit(query)
 	select {
@@ -100,9 +102,10 @@
 	}
 }
 
-// storePayload moves a large payload to the body store. It is false where that has no capacity.
+// storePayload moves the query's payload to the body store if it is larger than bodystore.InlineLimit. It returns false
+// if the store has no capacity.
 func (f *Front) storePayload(q *coordinator.Query) bool {
-	payload := q.Parts[0].Payload // the same for all parts
+	payload := q.Parts[0].Payload // all parts have the same payload
 	if f.BodyStore == nil || len(payload) <= bodystore.InlineLimit {
 		return true
 	}
--- a/internal/platform/front_test.go
+++ b/internal/platform/front_test.go
@@ -14,7 +14,7 @@
 
 const validBody = `{"parts":[{"id":3,"w":0.5,"hint":9000},{"id":5,"w":0.5,"tag":"00000000000000ff"}],"expr":"c41e77d0"}`
 
-// fakeCore records the queries and gives each the same answer.
+// fakeCore is a Core that records the queries and gives each one the same answer.
 type fakeCore struct {
 	queries []coordinator.Query
 	answer  coordinator.Answer
@@ -30,7 +30,7 @@
 	return func() {}
 }
 
-// newRequest is a valid request but for its path, its body and the header lines, given as names and values.
+// newRequest returns a request with a valid header. header holds pairs of names and values that replace or extend it.
 func newRequest(path, body string, header ...string) *http1.Request {
 	r := &http1.Request{Method: "POST", Path: path, Body: []byte(body), Header: map[string][]string{
 		"X-Request-Id":     {"9b1f03aa5c7e2d41"},
@@ -64,52 +64,53 @@
 	f := newFront(c)
 	res := f.Serve(context.Background(), time.Second, newRequest("/checkout", validBody))
 	if res.Status != 200 || string(res.Body) != `{"exact":true,"rows":[{"id":3,"data":"5be2"}]}` {
-		t.Errorf("%d %s", res.Status, res.Body)
+		t.Errorf("status = %d, body = %s, want status 200 and one row", res.Status, res.Body)
 	}
 	q := c.queries[0]
 	if q.Name != "9b1f03aa5c7e2d41" || q.Class != 1 || q.Timeout != 480*time.Millisecond ||
 		q.StartedAt != time.Second || !q.IsRetry || len(q.Parts) != 2 ||
 		q.Parts[0].ExpectedWork != 9*time.Millisecond || q.Parts[1].Key != 255 ||
 		string(q.Parts[1].Payload) != "c41e77d0" {
-		t.Errorf("%+v", q)
+		t.Errorf("query = %+v, want the fields of the request", q)
 	}
 	c.answer = coordinator.Answer{Status: coordinator.Rejected, RetryAfter: 375 * time.Millisecond}
 	if res := serve(f, newRequest("/checkout", validBody)); res.Status != 503 || res.Header.Get("Retry-After") != "0.375" {
-		t.Errorf("%+v", res)
+		t.Errorf("response to a rejected query = %+v, want status 503 and Retry-After 0.375", res)
 	}
 	c.answer = coordinator.Answer{Status: coordinator.Failed}
 	if res := serve(f, newRequest("/checkout", validBody)); res.Status != 500 {
-		t.Errorf("%+v", res)
+		t.Errorf("response to a failed query = %+v, want status 500", res)
 	}
 	if res := serve(f, &http1.Request{Method: "GET", Path: "/health/ready"}); res.Status != 200 {
-		t.Errorf("%+v", res)
+		t.Errorf("readiness response = %+v, want status 200", res)
 	}
 	f.Ready = func() bool { return false }
 	if res := serve(f, &http1.Request{Method: "GET", Path: "/health/ready"}); res.Status != 503 {
-		t.Errorf("%+v", res)
+		t.Errorf("readiness response while not ready = %+v, want status 503", res)
 	}
 }
 
-// Guards against a query that counts against the quota of another tenant, or of any where it names none.
+// A query must count against the quota of the tenant that it names, and against no quota if it names none or the site
+// has no tenants.
 func TestServeNumbersTenants(t *testing.T) {
 	c := &fakeCore{}
 	f := newFront(c)
-	for name, want := range map[string]int{"north": 0, "": 0} { // the site has none
+	for name, want := range map[string]int{"north": 0, "": 0} { // the site has no tenants
 		serve(f, newRequest("/checkout", validBody, "X-Tenant-Id", name))
 		if q := c.queries[len(c.queries)-1]; q.Tenant != want {
-			t.Errorf("%q is tenant %d", name, q.Tenant)
+			t.Errorf("site without tenants: number of tenant %q = %d, want %d", name, q.Tenant, want)
 		}
 	}
 	f.Tenants = []string{"north", "south_coast"} // as the settings encode them
 	for name, want := range map[string]int{"north": 1, "south coast": 2, "": 0} {
 		serve(f, newRequest("/checkout", validBody, "X-Tenant-Id", name))
 		if q := c.queries[len(c.queries)-1]; q.Tenant != want {
-			t.Errorf("%q is tenant %d, want %d", name, q.Tenant, want)
+			t.Errorf("number of tenant %q = %d, want %d", name, q.Tenant, want)
 		}
 	}
 	res := serve(f, newRequest("/checkout", validBody, "X-Tenant-Id", "east"))
 	if res.Status != 400 || f.Counters.Get("platform_rejected") != 1 {
-		t.Errorf("an unknown tenant: %d", res.Status)
+		t.Errorf("unknown tenant: status = %d, want 400 and platform_rejected = 1", res.Status)
 	}
 }
 
@@ -139,12 +140,13 @@
 		{Method: "GET", Path: "/checkout"},
 	} {
 		if res := serve(f, r); res.Status < 400 || res.Status > 499 {
-			t.Errorf("%s %s %v: %d", r.Path, r.Body, r.Header, res.Status)
+			t.Errorf("request %s %s %v: status = %d, want 4xx", r.Path, r.Body, r.Header, res.Status)
 		}
 		rejected++
 	}
 	if len(c.queries) != 0 || f.Counters.Get("platform_rejected") != int64(rejected) {
-		t.Errorf("%d reached the core; %s", len(c.queries), f.Counters)
+		t.Errorf("%d queries reached the core, want 0; counters: %s; want platform_rejected = %d",
+			len(c.queries), f.Counters, rejected)
 	}
 }
 
@@ -154,15 +156,15 @@
 	c.during = func() {
 		c.during = nil
 		if res := serve(f, newRequest("/checkout", validBody)); res.Status != 409 {
-			t.Errorf("while it is in flight: %d", res.Status)
+			t.Errorf("request ID of a query in flight: status = %d, want 409", res.Status)
 		}
 	}
-	for range 2 { // the name is free once its query has ended
+	for range 2 { // the name can be used again after its query has ended
 		if res := serve(f, newRequest("/checkout", validBody)); res.Status != 200 {
-			t.Errorf("%d", res.Status)
+			t.Errorf("status = %d, want 200", res.Status)
 		}
 	}
 	if len(c.queries) != 2 {
-		t.Errorf("%d reached the core", len(c.queries))
+		t.Errorf("%d queries reached the core, want 2", len(c.queries))
 	}
 }
--- a/internal/platform/main_test.go
+++ b/internal/platform/main_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// Guards against a request that waits on after its query has ended.
+// TestMain fails if a goroutine still waits for an answer after all tests have ended.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/platform/name_set.go
+++ b/internal/platform/name_set.go
@@ -5,14 +5,15 @@
 	"sync"
 )
 
-// nameSet holds the names of the queries in flight. It guards a query against another client that takes its
-// name: the parts of the two could not be told apart on the connections to servers.
+// nameSet is the set of the names of the queries in flight. It ensures that the names are unique: the parts of two
+// queries with the same name could not be told apart on the connections to servers. The zero value is an empty set. It
+// is safe for concurrent use.
 type nameSet struct {
 	mu    sync.Mutex
 	names map[string]bool
 }
 
-// add is an error with status 409 for a name that is in use.
+// add adds a name. If it is in use already, add returns a requestError with status 409.
 func (s *nameSet) add(name string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -26,6 +27,7 @@
 	return nil
 }
 
+// remove removes a name, so that it can be used again.
 func (s *nameSet) remove(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/platform/parts.go
+++ b/internal/platform/parts.go
@@ -16,7 +16,8 @@
 	errInvalidShard   = errors.New("body: a part names no slice, an unknown one, or one twice")
 )
 
-// decodeParts reads a request's body, whose parts name shards below shardCount. The parts share one payload.
+// decodeParts decodes the body of a request. Each part must name a different shard from 0 to shardCount-1. All returned
+// parts share one payload.
 func decodeParts(data []byte, shardCount int) ([]coordinator.Part, error) {
 	var b body
 	if err := json.Unmarshal(data, &b); err != nil {
@@ -48,13 +49,13 @@
 			Payload:      payload,
 		})
 	}
-	if math.Abs(sum-1) > weightTolerance { // such weights could not say how much of an answer is missing
+	if math.Abs(sum-1) > weightTolerance { // the missing share of an answer is computed from weights that add up to 1
 		return nil, fmt.Errorf("body: the weights add up to %g", sum)
 	}
 	return parts, nil
 }
 
-// decodeKey is the key of a part; 0 where it names none.
+// decodeKey decodes the tag of a part, a hexadecimal number, to the part's key. The key is 0 if the tag is empty.
 func decodeKey(tag string) (uint64, error) {
 	if tag == "" {
 		return 0, nil
--- a/internal/platform/parts_test.go
+++ b/internal/platform/parts_test.go
@@ -12,16 +12,17 @@
 	rapid.Check(t, func(t *rapid.T) {
 		cut := rapid.IntRange(0, len(validBody)-1).Draw(t, "at")
 		if _, err := decodeParts([]byte(validBody[:cut]), shardCount); err == nil {
-			t.Fatal("took a cut body")
+			t.Fatal("truncated body was accepted, want an error")
 		}
 		parts, err := decodeParts(rapid.SliceOf(rapid.Byte()).Draw(t, "garbage"), shardCount)
 		if err == nil && len(parts) == 0 {
-			t.Fatal("took garbage")
+			t.Fatal("arbitrary bytes were accepted as a body without parts, want an error")
 		}
 	})
 }
 
-// Guards against a renamed Go type or field that changes what a client reads.
+// The errors of package json contain the names of Go types and fields. Renaming those must not change the texts that
+// clients receive.
 func TestDecodePartsErrorTexts(t *testing.T) {
 	const part = `struct { ID *int "json:\"id\""; W float64 "json:\"w\""; Hint float64 "json:\"hint\""; Tag string "json:\"tag\"" }`
 	for _, c := range []struct{ body, want string }{
--- a/internal/platform/protocol.go
+++ b/internal/platform/protocol.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// The names of the protocol and what they mean to the core:
+// The names of the protocol and the fields of package coordinator that they correspond to:
 //
-//	/{class}            coordinator.Query.Class, by the class's number
-//	X-Priority-Class    the same; a name that differs from the path's is refused
+//	/{class}            Query.Class, which is the number of the named class
+//	X-Priority-Class    the same, optional; a class that differs from that of the path is rejected
 //	X-Request-Id        Query.Name
 //	X-Timeout-Ms        Query.Timeout, in milliseconds
 //	X-Retried: 1        Query.IsRetry
-//	X-Tenant-Id         Query.Tenant, by the tenant's number
+//	X-Tenant-Id         Query.Tenant, which is the number of the named tenant
 //	expr                Part.Payload, the same for all parts
 //	parts[].id          Part.Shard
 //	parts[].w           Part.Weight, from 0 to 1; 0 if missing
@@ -34,13 +34,13 @@
 // Limits of a request.
 const (
 	maxRequestIDBytes = 128
-	maxTimeout        = 10 * time.Hour // guards sums of times against overflow
-	maxHint           = 1e12           // microseconds; guards ExpectedWork against overflow
-	weightTolerance   = 0.001          // of the sum of the weights, which clients write with few digits
+	maxTimeout        = 10 * time.Hour // prevents overflow when times are added
+	maxHint           = 1e12           // microseconds; prevents overflow of ExpectedWork
+	weightTolerance   = 0.001          // allowed error of the sum of the weights, which clients write with few digits
 )
 
-// body is the body of a request. Its name and its fields' names are part of the texts of errors that clients
-// get from package json, so they stay as they are.
+// body is the body of a request. Errors of package json that are sent to clients contain its name and the names of its
+// fields, so these must not be changed.
 type body struct {
 	Parts []struct {
 		ID   *int    `json:"id"`
@@ -51,7 +51,7 @@
 	Expr *string `json:"expr"`
 }
 
-// answerBody is the body of a response 200.
+// answerBody is the body of a response with status 200.
 type answerBody struct {
 	Complete bool       `json:"exact"`
 	Values   []valueRow `json:"rows"`
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -13,7 +13,8 @@
 	"linkpass/internal/settings"
 )
 
-// decodeQuery reads a request. The text of its error goes to the client, with the status of statusOf.
+// decodeQuery decodes a request to a query. The text of its error is sent to the client, with the status that statusOf
+// returns for it.
 func (f *Front) decodeQuery(req *http1.Request) (q coordinator.Query, err error) {
 	if q.Class, err = f.decodeClass(req); err != nil {
 		return q, err
@@ -32,7 +33,8 @@
 	return q, err
 }
 
-// decodeClass is the number of the class that the path names.
+// decodeClass returns the number of the class that the path names. If the class header is present, it must name the
+// same class.
 func (f *Front) decodeClass(req *http1.Request) (int, error) {
 	name, _, _ := strings.Cut(strings.TrimPrefix(req.Path, "/"), "/")
 	class := slices.Index(f.Classes, name)
@@ -51,7 +53,8 @@
 	return class, nil
 }
 
-// decodeRequestID is the query's name, which has to fit into a line of a frame.
+// decodeRequestID returns the query's name: 1 to maxRequestIDBytes printable ASCII characters without spaces, because
+// the name has to fit into a line of a frame.
 func decodeRequestID(header textproto.MIMEHeader) (string, error) {
 	id := header.Get(headerRequestID)
 	notPrintable := func(r rune) bool { return r <= ' ' || r > '~' }
@@ -61,6 +64,7 @@
 	return id, nil
 }
 
+// decodeTimeout returns the query's timeout, which must be positive and at most maxTimeout.
 func decodeTimeout(header textproto.MIMEHeader) (time.Duration, error) {
 	text := header.Get(headerTimeout)
 	ms, err := strconv.ParseInt(text, 10, 64)
@@ -70,8 +74,8 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// decodeTenant is a tenant's number, from 1 on; 0 where none is named or the site has none: such a query
-// counts against no tenant's quota.
+// decodeTenant returns the number of the named tenant, starting at 1. It returns 0 if no tenant is named or the site
+// has no tenants; such a query counts against no tenant's quota.
 func (f *Front) decodeTenant(name string) (int, error) {
 	if name == "" || len(f.Tenants) == 0 {
 		return 0, nil
--- a/internal/platform/request_golden_test.go
+++ b/internal/platform/request_golden_test.go
@@ -19,7 +19,7 @@
 	return f
 }
 
-// exchange serves a request given by its bytes and returns the response's bytes.
+// exchange serves the request with the given bytes and returns the bytes of the response.
 func exchange(t *testing.T, f *Front, wire string) string {
 	t.Helper()
 	req, err := http1.NewReader(strings.NewReader(wire), 0).Request()
@@ -37,21 +37,21 @@
 	requests := goldentest.ReadEntries(t, "requests.txt")
 	cases := goldenQueries()
 	if len(requests) != len(cases) {
-		t.Errorf("%d golden requests, %d cases", len(requests), len(cases))
+		t.Errorf("%d golden requests, want one for each of the %d cases", len(requests), len(cases))
 	}
 	for name, want := range cases {
 		t.Run(name, func(t *testing.T) {
 			wire, ok := requests[name]
 			if !ok {
-				t.Fatal("no golden request")
+				t.Fatal("requests.txt has no request of this name")
 			}
 			c := &fakeCore{}
 			exchange(t, goldenFront(c), wire)
 			if len(c.queries) != 1 {
-				t.Fatalf("%d queries", len(c.queries))
+				t.Fatalf("%d queries reached the core, want 1", len(c.queries))
 			}
 			got := c.queries[0]
-			got.Reply = nil // a function: not comparable
+			got.Reply = nil // a function, which cannot be compared
 			if !reflect.DeepEqual(got, want) {
 				t.Errorf("got  %+v\nwant %+v", got, want)
 			}
@@ -59,7 +59,7 @@
 	}
 }
 
-// goldenQueries are the queries that the golden requests decode to, by the name of the request.
+// goldenQueries returns the queries that the golden requests must decode to, by the name of the request.
 func goldenQueries() map[string]coordinator.Query {
 	payload := []byte("c41e77d0 \"quoted\" \u00e9\n")
 	return map[string]coordinator.Query{
--- a/internal/platform/response_golden_test.go
+++ b/internal/platform/response_golden_test.go
@@ -13,7 +13,7 @@
 	"linkpass/internal/outcome"
 )
 
-// requestCase is a golden response's name and the request that gets it.
+// requestCase is a request and the name of the golden response that it must get.
 type requestCase struct{ name, request string }
 
 func TestResponseGolden(t *testing.T) {
@@ -44,6 +44,7 @@
 	goldentest.CheckEntries(t, "responses.txt", got)
 }
 
+// answerCase is an answer of the core and the name of the golden response that it must be encoded to.
 type answerCase struct {
 	name   string
 	answer coordinator.Answer
@@ -103,23 +104,23 @@
 	}
 }
 
-// goldenRequest is the golden request that has every field.
+// goldenRequest returns the golden request that has every field.
 func goldenRequest(t *testing.T) string {
 	t.Helper()
 	return goldentest.ReadEntries(t, "requests.txt")["every field"]
 }
 
-// replaced is the golden request with a text in place of another.
+// replaced returns the golden request with old replaced by text.
 func replaced(t *testing.T, old, text string) string {
 	t.Helper()
 	request := goldenRequest(t)
 	if !strings.Contains(request, old) {
-		t.Fatalf("the golden request has no %q", old)
+		t.Fatalf("golden request does not contain %q", old)
 	}
 	return strings.Replace(request, old, text, 1)
 }
 
-// withBody is the golden request with another body.
+// withBody returns the golden request with another body.
 func withBody(t *testing.T, body string) string {
 	t.Helper()
 	head, _, _ := strings.Cut(goldenRequest(t), "Content-Length: ")
@@ -128,7 +129,7 @@
 
 func getRequest(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: router\r\n\r\n" }
 
-// frontWithFullStore is a front whose body store has no capacity for any large payload.
+// frontWithFullStore returns a front whose body store has no capacity for any large payload.
 func frontWithFullStore(t *testing.T, retryAfter string) *Front {
 	t.Helper()
 	f := goldenFront(&fakeCore{})
