--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -25,19 +25,19 @@
 // unless untilEOF is set (for responses): then the body extends to the end of the stream. Messages with more than one
 // Content-Length, or with Content-Length and Transfer-Encoding, are rejected: two readers of such a message may
 // disagree on where it ends.
-func (r *Reader) readBody(header textproto.MIMEHeader, untilEOF bool, sink *sinkSelector) ([]byte, error) {
+func (r *Reader) readBody(header textproto.MIMEHeader, untilEOF bool, selector *sinkSelector) ([]byte, error) {
 	encodings, lengths := header[headerTransferEncoding], header[headerContentLength]
 	switch {
 	case len(encodings) > 0 && len(lengths) > 0:
-		return nil, malformed(statusBadRequest, "both Content-Length and Transfer-Encoding are given")
+		return nil, errorf(statusBadRequest, "both Content-Length and Transfer-Encoding are given")
 	case len(encodings) > 1 || len(encodings) == 1 && !strings.EqualFold(encodings[0], encodingChunked):
-		return nil, malformed(statusNotImplemented, "unsupported Transfer-Encoding %q", encodings)
+		return nil, errorf(statusNotImplemented, "unsupported Transfer-Encoding %q", encodings)
 	case len(encodings) == 1:
-		return r.readChunked(sink)
+		return r.readChunked(selector)
 	case len(lengths) > 1:
-		return nil, malformed(statusBadRequest, "more than one Content-Length")
+		return nil, errorf(statusBadRequest, "more than one Content-Length")
 	case len(lengths) == 1:
-		return r.readSized(lengths[0], sink)
+		return r.readSized(lengths[0], selector)
 	case untilEOF:
 		return r.readUntilEOF()
 	}
@@ -45,17 +45,17 @@
 }
 
 // readSized reads a body whose length in bytes is the given Content-Length value.
-func (r *Reader) readSized(length string, sink *sinkSelector) ([]byte, error) {
+func (r *Reader) readSized(length string, selector *sinkSelector) ([]byte, error) {
 	size, err := strconv.ParseUint(length, 10, 63)
 	if err != nil {
-		return nil, malformed(statusBadRequest, "invalid Content-Length")
+		return nil, errorf(statusBadRequest, "invalid Content-Length")
 	}
 	if int64(size) > r.maxBody {
-		return nil, malformed(statusContentTooLarge, "body too large: %d bytes, limit %d", size, r.maxBody)
+		return nil, errorf(statusContentTooLarge, "body too large: %d bytes, limit %d", size, r.maxBody)
 	}
 	r.bounded.N = int64(size)
-	if sink.selects(int64(size)) {
-		return nil, r.copyToSink(sink.request.BodySink, int64(size))
+	if selector.selectSink(int64(size)) {
+		return nil, r.copyToSink(selector.request.BodySink, int64(size))
 	}
 	body := make([]byte, size)
 	if _, err := io.ReadFull(r.buf, body); err != nil {
@@ -69,7 +69,7 @@
 	r.bounded.N = r.maxBody + 1
 	body, err := io.ReadAll(r.buf)
 	if int64(len(body)) > r.maxBody {
-		return nil, malformed(statusContentTooLarge, "body too large: no length given, limit %d bytes", r.maxBody)
+		return nil, errorf(statusContentTooLarge, "body too large: no length given, limit %d bytes", r.maxBody)
 	}
 	return body, err
 }
--- a/internal/http1/body_sink.go
+++ b/internal/http1/body_sink.go
@@ -13,9 +13,9 @@
 	newSink func(*Request) BodySink
 }
 
-// selects reports whether a body of size bytes goes to a sink. If so, the request's BodySink is set; the first call
+// selectSink reports whether a body of size bytes goes to a sink. If so, the request's BodySink is set; the first call
 // that selects a sink creates it.
-func (s *sinkSelector) selects(size int64) bool {
+func (s *sinkSelector) selectSink(size int64) bool {
 	if s == nil || size <= sinkThreshold {
 		return false
 	}
--- a/internal/http1/body_sink_test.go
+++ b/internal/http1/body_sink_test.go
@@ -46,9 +46,9 @@
 			sinkUsed++
 			got = append(sink.data, got...)
 		}
-		if !bytes.Equal(got, body) || (req.BodySink != nil) != (len(body) > sinkThreshold) || sink.largest > sinkWriteBytes {
+		if !bytes.Equal(got, body) || (req.BodySink != nil) != (len(body) > sinkThreshold) || sink.largestWrite > sinkWriteBytes {
 			t.Fatalf("got %d bytes, want the %d bytes that were sent; sink used: %v, largest write: %d bytes",
-				len(got), len(body), req.BodySink != nil, sink.largest)
+				len(got), len(body), req.BodySink != nil, sink.largestWrite)
 		}
 	})
 	if sinkUsed == 0 {
@@ -60,7 +60,7 @@
 func TestBodySinkAbortedOnIncompleteBody(t *testing.T) {
 	for name, c := range map[string]struct {
 		capacity, status int
-		then             func(*Server, io.Closer)
+		afterSend        func(*Server, io.Closer)
 	}{
 		"disconnected": {1 << 20, 0, func(_ *Server, client io.Closer) { client.Close() }},
 		"slow":         {1 << 20, 408, func(s *Server, _ io.Closer) { s.Clock.(*fakeClock).advance(FirstRequestTimeout) }},
@@ -74,7 +74,7 @@
 			for c.capacity > 40_000 && sink.size() < 2*sinkWriteBytes {
 				time.Sleep(time.Millisecond)
 			}
-			c.then(s, client)
+			c.afterSend(s, client)
 			<-sink.aborted
 			res, err := r.Response()
 			if c.status == 0 {
@@ -108,11 +108,11 @@
 
 // fakeSink stores what is written to it, up to a capacity in bytes. A write beyond the capacity fails with status 429.
 type fakeSink struct {
-	mu       sync.Mutex
-	data     []byte
-	largest  int // bytes of the largest write
-	capacity int
-	aborted  chan struct{}
+	mu           sync.Mutex
+	data         []byte
+	largestWrite int // bytes of the largest write
+	capacity     int
+	aborted      chan struct{}
 }
 
 func newFakeSink(capacity int) *fakeSink {
@@ -124,7 +124,7 @@
 func (s *fakeSink) Write(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.largest = max(s.largest, len(p))
+	s.largestWrite = max(s.largestWrite, len(p))
 	if len(s.data)+len(p) > s.capacity {
 		return 0, &Error{Status: 429, Reason: "no room", RetryAfter: "0.5"}
 	}
--- a/internal/http1/chunked_body.go
+++ b/internal/http1/chunked_body.go
@@ -11,7 +11,7 @@
 const chunkEnd = "\r\n"
 
 // readChunked reads a chunked body and its trailer fields, which are discarded.
-func (r *Reader) readChunked(sink *sinkSelector) ([]byte, error) {
+func (r *Reader) readChunked(selector *sinkSelector) ([]byte, error) {
 	var body []byte
 	var total int64
 	for {
@@ -20,14 +20,14 @@
 			return nil, err
 		}
 		if total += size; total > r.maxBody {
-			return nil, malformed(statusContentTooLarge, "chunked body too large: limit %d bytes", r.maxBody)
+			return nil, errorf(statusContentTooLarge, "chunked body too large: limit %d bytes", r.maxBody)
 		}
 		if size == 0 {
-			return r.endChunked(body)
+			return r.readTrailers(body)
 		}
 		r.bounded.N = size + int64(len(chunkEnd))
-		if sink.selects(total) {
-			err = r.copyChunkToSink(sink.request.BodySink, body, size)
+		if selector.selectSink(total) {
+			err = r.copyChunkToSink(selector.request.BodySink, body, size)
 			body = nil
 		} else {
 			body, err = r.appendChunk(body, size)
@@ -48,13 +48,13 @@
 	digits, _, _ := strings.Cut(line, ";")
 	size, err := strconv.ParseUint(strings.TrimRight(digits, " \t"), 16, 62)
 	if err != nil {
-		return 0, malformed(statusBadRequest, "invalid chunk size")
+		return 0, errorf(statusBadRequest, "invalid chunk size")
 	}
 	return int64(size), nil
 }
 
-// endChunked reads and discards the trailer fields that follow body, and returns body.
-func (r *Reader) endChunked(body []byte) ([]byte, error) {
+// readTrailers reads and discards the trailer fields that follow body, and returns body.
+func (r *Reader) readTrailers(body []byte) ([]byte, error) {
 	r.bounded.N = MaxHeader
 	if _, err := r.readHeader(); err != nil {
 		return nil, err
@@ -70,7 +70,7 @@
 		return nil, bodyError(err)
 	}
 	if !bytes.HasSuffix(body, []byte(chunkEnd)) {
-		return nil, malformed(statusBadRequest, "chunk data is not followed by CRLF")
+		return nil, errorf(statusBadRequest, "chunk data is not followed by CRLF")
 	}
 	return body[:len(body)-len(chunkEnd)], nil
 }
@@ -91,7 +91,7 @@
 		return bodyError(err)
 	}
 	if string(end[:]) != chunkEnd {
-		return malformed(statusBadRequest, "chunk data is not followed by CRLF")
+		return errorf(statusBadRequest, "chunk data is not followed by CRLF")
 	}
 	return nil
 }
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -87,9 +87,9 @@
 	if !s.setState(c, stateReading) {
 		return false
 	}
-	began := s.Clock.Now()
+	startedAt := s.Clock.Now()
 	if !first {
-		deadline = began + RequestTimeout
+		deadline = startedAt + RequestTimeout
 	}
 	req, err := c.readRequest(reader, deadline)
 	if err != nil {
@@ -100,7 +100,7 @@
 		return false
 	}
 	s.Counters.Add(s.Name+"_requests", 1)
-	if !c.respond(began, req) {
+	if !c.respond(startedAt, req) {
 		c.shutdown()
 		return false
 	}
@@ -130,12 +130,12 @@
 
 // respond passes a request to the handler, writes the response and reports whether the connection may carry another
 // request. If the client disconnects before the handler has answered, the response is not written.
-func (c *conn) respond(began time.Duration, req *Request) (reusable bool) {
+func (c *conn) respond(startedAt time.Duration, req *Request) (reusable bool) {
 	s := c.server
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	readAheadDone := c.startReadAhead(cancel)
-	res := s.Handler.Serve(ctx, began, req)
+	res := s.Handler.Serve(ctx, startedAt, req)
 	if req.BodySink != nil {
 		req.BodySink.Abort()
 	}
--- a/internal/http1/conn_test.go
+++ b/internal/http1/conn_test.go
@@ -13,14 +13,14 @@
 // must be closed.
 func TestConnTimesOutSlowAndSilentClients(t *testing.T) {
 	s, addr := startServer(t, answerOK, 9)
-	half, halfReader := dial(t, addr)
+	incomplete, incompleteReader := dial(t, addr)
 	_, silent := dial(t, addr)
-	_, _ = io.WriteString(half, "POST / HTTP/1.1\r\nHost: x\r\n")
+	_, _ = io.WriteString(incomplete, "POST / HTTP/1.1\r\nHost: x\r\n")
 	for !s.hasConnIn(stateReading) || !s.hasConnIn(stateNew) {
 		time.Sleep(time.Millisecond)
 	}
 	s.Clock.(*fakeClock).advance(FirstRequestTimeout)
-	if res, err := halfReader.Response(); err != nil || res.Status != 408 || !res.Close {
+	if res, err := incompleteReader.Response(); err != nil || res.Status != 408 || !res.Close {
 		t.Errorf("incomplete request: response = %+v, error = %v, want a last response with status 408", res, err)
 	}
 	if err := silent.Wait(); !errors.Is(err, io.EOF) {
@@ -33,7 +33,7 @@
 func TestConnIgnoresLateDeadline(t *testing.T) {
 	release := make(chan struct{})
 	n, h := newCountingHandler(release)
-	s, addr := startServer(t, h, 9, func(s *Server) { s.Clock = &fakeClock{late: true} })
+	s, addr := startServer(t, h, 9, func(s *Server) { s.Clock = &fakeClock{fireDisarmed: true} })
 	client, r := dial(t, addr)
 	_ = WriteRequest(client, "POST", "/", "x", nil, []byte("hello"))
 	waitUntil(t, "the request", func() bool { return n.Load() == 1 })
--- a/internal/http1/drain.go
+++ b/internal/http1/drain.go
@@ -9,7 +9,7 @@
 	defer s.mu.Unlock()
 	s.draining = true
 	s.drainGeneration++
-	s.sweepAfter(drainIdleGrace, s.drainGeneration)
+	s.scheduleSweep(drainIdleGrace, s.drainGeneration)
 }
 
 // Resume ends draining, so that connections are kept alive again. It has no effect on a server that has been stopped.
@@ -27,15 +27,15 @@
 	return s.draining
 }
 
-// sweepAfter schedules a sweep after the given wait; each sweep schedules the next. It does nothing more once Drain or
-// Resume has changed the generation, or the server has been stopped. Sweeps run on the clock's goroutine.
-func (s *Server) sweepAfter(wait time.Duration, generation int) {
+// scheduleSweep schedules a sweep after the given wait; each sweep schedules the next. It does nothing more once Drain
+// or Resume has changed the generation, or the server has been stopped. Sweeps run on the clock's goroutine.
+func (s *Server) scheduleSweep(wait time.Duration, generation int) {
 	s.Clock.Arm(s.Clock.Now()+wait, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.drainGeneration == generation && !s.stopped {
 			s.sweep()
-			s.sweepAfter(drainSweepInterval, generation)
+			s.scheduleSweep(drainSweepInterval, generation)
 		}
 	})
 }
--- a/internal/http1/drain_test.go
+++ b/internal/http1/drain_test.go
@@ -145,18 +145,18 @@
 		t.Errorf("%d requests were served, want 1: the request after the shutdown must be discarded", n.Load())
 	}
 	s.Resume()
-	half, halfReader := idleConn()
-	_, _ = io.WriteString(half, sizedRequest[:len(sizedRequest)-1]) // without the last byte
-	waitUntil(t, "half a request", func() bool { return s.hasConnIn(stateReading) })
+	incomplete, incompleteReader := idleConn()
+	_, _ = io.WriteString(incomplete, sizedRequest[:len(sizedRequest)-1]) // without the last byte
+	waitUntil(t, "an incomplete request", func() bool { return s.hasConnIn(stateReading) })
 	s.Drain()
 	s.Clock.(*fakeClock).advance(drainIdleGrace)
-	_, _ = io.WriteString(half, sizedRequest[len(sizedRequest)-1:]+sizedRequest) // the rest, and another request
-	expectLastResponse(t, halfReader, 200)
-	_ = half.Close()
+	_, _ = io.WriteString(incomplete, sizedRequest[len(sizedRequest)-1:]+sizedRequest) // the rest, and another request
+	expectLastResponse(t, incompleteReader, 200)
+	_ = incomplete.Close()
 	s.Resume()
 	stuck, stuckReader := idleConn()
 	_, _ = io.WriteString(stuck, sizedRequest[:len(sizedRequest)-1])
-	waitUntil(t, "half a request", func() bool { return s.hasConnIn(stateReading) })
+	waitUntil(t, "an incomplete request", func() bool { return s.hasConnIn(stateReading) })
 	s.Drain()
 	s.Clock.(*fakeClock).advance(stuckRequestAge)
 	expectLastResponse(t, stuckReader, 408)
--- a/internal/http1/errors.go
+++ b/internal/http1/errors.go
@@ -18,8 +18,8 @@
 // Error returns the reason and the status.
 func (e *Error) Error() string { return fmt.Sprintf("http1: %s (%d)", e.Reason, e.Status) }
 
-// malformed returns an *Error with a status and a formatted reason.
-func malformed(status int, format string, args ...any) error {
+// errorf returns an *Error with a status and a formatted reason.
+func errorf(status int, format string, args ...any) error {
 	return &Error{Status: status, Reason: fmt.Sprintf(format, args...)}
 }
 
@@ -28,14 +28,14 @@
 // the input is malformed. Other errors stay as they are.
 func (r *Reader) readError(err error, tooLongStatus int) error {
 	if r.bounded.N <= 0 {
-		return malformed(tooLongStatus, "line or header too large")
+		return errorf(tooLongStatus, "line or header too large")
 	}
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	var protocol textproto.ProtocolError
 	if errors.As(err, &protocol) {
-		return malformed(statusBadRequest, "%s", string(protocol))
+		return errorf(statusBadRequest, "%s", string(protocol))
 	}
 	return err
 }
--- a/internal/http1/header.go
+++ b/internal/http1/header.go
@@ -24,7 +24,7 @@
 	target, version, hasVersion := strings.Cut(rest, " ")
 	if !hasTarget || !hasVersion || !isToken(method) ||
 		!strings.HasPrefix(target, "/") || strings.ContainsAny(target, " \t") {
-		return nil, 0, malformed(statusBadRequest, "malformed request line")
+		return nil, 0, errorf(statusBadRequest, "malformed request line")
 	}
 	if minor, err = parseVersion(version); err != nil {
 		return nil, 0, err
@@ -48,9 +48,9 @@
 		return 0, nil
 	}
 	if strings.HasPrefix(version, "HTTP/") {
-		return 0, malformed(statusVersionNotSupported, "unsupported HTTP version %q", version)
+		return 0, errorf(statusVersionNotSupported, "unsupported HTTP version %q", version)
 	}
-	return 0, malformed(statusBadRequest, "missing or malformed HTTP version")
+	return 0, errorf(statusBadRequest, "missing or malformed HTTP version")
 }
 
 // closesConn reports whether a message is the last one of its connection. If its Connection header has neither close
--- a/internal/http1/helpers_test.go
+++ b/internal/http1/helpers_test.go
@@ -78,11 +78,11 @@
 
 // fakeClock is a Clock whose time changes only in advance, which fires the deadlines that are due.
 type fakeClock struct {
-	mu        sync.Mutex
-	now       time.Duration
-	late      bool // deadlines fire even after they were disarmed
-	deadlines map[*time.Duration]func()
-	hold      chan struct{} // if not nil, disarming a deadline sends on it and then receives from it
+	mu           sync.Mutex
+	now          time.Duration
+	fireDisarmed bool // deadlines fire even after they were disarmed
+	deadlines    map[*time.Duration]func()
+	hold         chan struct{} // if not nil, disarming a deadline sends on it and then receives from it
 }
 
 func (c *fakeClock) Now() time.Duration { c.mu.Lock(); defer c.mu.Unlock(); return c.now }
@@ -111,7 +111,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.late {
+	if !c.fireDisarmed {
 		delete(c.deadlines, deadline)
 	}
 }
--- a/internal/http1/linger.go
+++ b/internal/http1/linger.go
@@ -14,8 +14,8 @@
 // its side, for at most lingerTimeout and maxLingerBytes. Closing a socket with unread bytes resets the connection, and
 // the client may then lose the last response.
 func (c *conn) linger() {
-	half, ok := c.Conn.(interface{ CloseWrite() error })
-	if !ok || half.CloseWrite() != nil {
+	halfCloser, ok := c.Conn.(interface{ CloseWrite() error })
+	if !ok || halfCloser.CloseWrite() != nil {
 		return
 	}
 	disarm := c.armReadTimeout(c.server.Clock.Now() + lingerTimeout)
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -56,7 +56,7 @@
 		return nil, err
 	}
 	if hosts := req.Header[headerHost]; minor == 1 && len(hosts) != 1 {
-		return nil, malformed(statusBadRequest, "request must have exactly one Host header")
+		return nil, errorf(statusBadRequest, "request must have exactly one Host header")
 	}
 	req.Close = closesConn(req.Header, minor)
 	req.Body, err = r.readRequestBody(req)
@@ -94,7 +94,7 @@
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
 	if err != nil || len(code) != 3 || status < 100 {
-		return nil, 0, malformed(statusBadGateway, "malformed status line %q", line)
+		return nil, 0, errorf(statusBadGateway, "malformed status line %q", line)
 	}
 	res = &Response{Status: status}
 	if res.Header, err = r.readHeader(); err != nil {
--- a/internal/http1/reader_test.go
+++ b/internal/http1/reader_test.go
@@ -13,7 +13,7 @@
 	_ "linkpass/internal/testrand"
 )
 
-func TestRequestSizedAndChunked(t *testing.T) {
+func TestReaderRequestReadsSizedAndChunkedBodies(t *testing.T) {
 	r := NewReader(strings.NewReader(sizedRequest+chunkedRequest), 0)
 	for range 2 {
 		req, err := r.Request()
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestRequestMalformed(t *testing.T) {
+func TestReaderRequestRejectsMalformedRequests(t *testing.T) {
 	head := "POST / HTTP/1.1\r\nHost: x\r\n"
 	for name, c := range map[string]struct {
 		text   string
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestResponse(t *testing.T) {
+func TestReaderResponseReadsResponsesWithAndWithoutLength(t *testing.T) {
 	var b bytes.Buffer
 	_ = WriteResponse(&b, &Response{
 		Status: 429, Header: map[string][]string{"Retry-After": {"0.25"}}, Body: []byte("no"), Close: true,
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestReaderTruncatedAndArbitraryInput(t *testing.T) {
+func TestReaderRejectsTruncatedAndSurvivesArbitraryInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		message := rapid.SampledFrom([]string{sizedRequest, chunkedRequest}).Draw(t, "message")
 		truncated := message[:rapid.IntRange(0, len(message)-1).Draw(t, "at")]
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -12,19 +12,19 @@
 	"linkpass/internal/metrics"
 )
 
-// Handler answers requests. began is the time on the Server's clock at which the first byte of the request was
+// Handler answers requests. startedAt is the time on the Server's clock at which the first byte of the request was
 // received. ctx is canceled when the client disconnects. Serve returns the only response that is written for the
 // request; it must not be nil.
 type Handler interface {
-	Serve(ctx context.Context, began time.Duration, req *Request) *Response
+	Serve(ctx context.Context, startedAt time.Duration, req *Request) *Response
 }
 
 // HandlerFunc is a function that implements Handler.
-type HandlerFunc func(ctx context.Context, began time.Duration, req *Request) *Response
+type HandlerFunc func(ctx context.Context, startedAt time.Duration, req *Request) *Response
 
 // Serve calls f.
-func (f HandlerFunc) Serve(ctx context.Context, began time.Duration, req *Request) *Response {
-	return f(ctx, began, req)
+func (f HandlerFunc) Serve(ctx context.Context, startedAt time.Duration, req *Request) *Response {
+	return f(ctx, startedAt, req)
 }
 
 // Clock supplies the time and the deadlines of a Server.
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -32,8 +32,8 @@
 	PriorityWeights []float64        // weights of the classes, indexed by class number; used with BodyStore only
 	RetryAfter      string           // Retry-After in seconds, sent if BodyStore has no capacity; "": no such header
 
-	rejections eventlog.RateLimited // log of invalid requests
-	openNames  nameSet              // names of the queries in flight
+	rejectionLog  eventlog.RateLimited // log of invalid requests
+	namesInFlight nameSet              // names of the queries in flight
 }
 
 // Serve answers one request. startedAt is the time at which it was received, on the core's clock. Serve returns when
@@ -44,12 +44,12 @@
 	}
 	query, err := f.decodeQuery(req)
 	if err == nil {
-		err = f.openNames.add(query.Name)
+		err = f.namesInFlight.add(query.Name)
 	}
 	if err != nil {
 		return f.reject(err)
 	}
-	defer f.openNames.remove(query.Name)
+	defer f.namesInFlight.remove(query.Name)
 	if !f.storePayload(&query) {
 		return f.rejectPayload()
 	}
@@ -69,7 +69,7 @@
 func (f *Front) reject(err error) *http1.Response {
 	status := statusOf(err)
 	f.Counters.Add("platform_rejected", 1)
-	f.rejections.Log(eventlog.QueryRejected, status, err)
+	f.rejectionLog.Log(eventlog.QueryRejected, status, err)
 	return &http1.Response{Status: status, Body: []byte(err.Error() + "\n")}
 }
 
--- a/internal/platform/front_test.go
+++ b/internal/platform/front_test.go
@@ -16,15 +16,15 @@
 
 // fakeCore is a Core that records the queries and gives each one the same answer.
 type fakeCore struct {
-	queries []coordinator.Query
-	answer  coordinator.Answer
-	during  func() // runs while the query is in flight
+	queries  []coordinator.Query
+	answer   coordinator.Answer
+	onSubmit func() // runs while the query is in flight
 }
 
 func (c *fakeCore) Submit(q coordinator.Query) func() {
 	c.queries = append(c.queries, q)
-	if c.during != nil {
-		c.during()
+	if c.onSubmit != nil {
+		c.onSubmit()
 	}
 	q.Reply(c.answer)
 	return func() {}
@@ -153,8 +153,8 @@
 func TestServeRejectsRequestIDInUse(t *testing.T) {
 	c := &fakeCore{answer: coordinator.Answer{Status: coordinator.Answered}}
 	f := newFront(c)
-	c.during = func() {
-		c.during = nil
+	c.onSubmit = func() {
+		c.onSubmit = nil
 		if res := serve(f, newRequest("/checkout", validBody)); res.Status != 409 {
 			t.Errorf("request ID of a query in flight: status = %d, want 409", res.Status)
 		}
--- a/internal/platform/parts_test.go
+++ b/internal/platform/parts_test.go
@@ -23,7 +23,7 @@
 
 // The errors of package json contain the names of Go types and fields. Renaming those must not change the texts that
 // clients receive.
-func TestDecodePartsErrorTexts(t *testing.T) {
+func TestDecodePartsErrorTextsAreStable(t *testing.T) {
 	const part = `struct { ID *int "json:\"id\""; W float64 "json:\"w\""; Hint float64 "json:\"hint\""; Tag string "json:\"tag\"" }`
 	for _, c := range []struct{ body, want string }{
 		{
--- a/internal/platform/response_golden_test.go
+++ b/internal/platform/response_golden_test.go
@@ -28,7 +28,7 @@
 	notReady := goldenFront(&fakeCore{})
 	notReady.Ready = func() bool { return false }
 	add("not ready", notReady, getRequest("/health/ready"))
-	large := withBody(t, `{"parts":[{"id":0,"w":1}],"expr":"`+strings.Repeat("x", bodystore.InlineLimit+1)+`"}`)
+	large := requestWithBody(t, `{"parts":[{"id":0,"w":1}],"expr":"`+strings.Repeat("x", bodystore.InlineLimit+1)+`"}`)
 	add("no room for the body", frontWithFullStore(t, ""), large)
 	add("no room for the body, with retry after", frontWithFullStore(t, "2"), large)
 	for _, c := range append(invalidHeaders(t), invalidBodies(t)...) {
@@ -36,8 +36,8 @@
 	}
 	c := &fakeCore{answer: coordinator.Answer{Status: coordinator.Answered}}
 	f := goldenFront(c)
-	c.during = func() {
-		c.during = nil
+	c.onSubmit = func() {
+		c.onSubmit = nil
 		add("request id of an open query", f, goldenRequest(t))
 	}
 	exchange(t, f, goldenRequest(t))
@@ -77,30 +77,30 @@
 func invalidHeaders(t *testing.T) []requestCase {
 	t.Helper()
 	return []requestCase{
-		{"unknown class", replaced(t, "/checkout", "/nowhere")},
+		{"unknown class", requestReplacing(t, "/checkout", "/nowhere")},
 		{"other method", getRequest("/checkout")},
-		{"class of header and path differ", replaced(t, "X-Priority-Class: checkout", "X-Priority-Class: browse")},
-		{"request id missing", replaced(t, "X-Request-ID: 9b1f03aa5c7e2d41\r\n", "")},
-		{"request id with a space", replaced(t, "X-Request-ID: 9b1f03aa5c7e2d41", "X-Request-ID: 9b1f 03aa")},
-		{"timeout missing", replaced(t, "X-Timeout-Ms: 480\r\n", "")},
-		{"timeout not a number", replaced(t, "X-Timeout-Ms: 480", "X-Timeout-Ms: soon")},
-		{"unknown tenant", replaced(t, "X-Tenant-ID: south coast", "X-Tenant-ID: east")},
+		{"class of header and path differ", requestReplacing(t, "X-Priority-Class: checkout", "X-Priority-Class: browse")},
+		{"request id missing", requestReplacing(t, "X-Request-ID: 9b1f03aa5c7e2d41\r\n", "")},
+		{"request id with a space", requestReplacing(t, "X-Request-ID: 9b1f03aa5c7e2d41", "X-Request-ID: 9b1f 03aa")},
+		{"timeout missing", requestReplacing(t, "X-Timeout-Ms: 480\r\n", "")},
+		{"timeout not a number", requestReplacing(t, "X-Timeout-Ms: 480", "X-Timeout-Ms: soon")},
+		{"unknown tenant", requestReplacing(t, "X-Tenant-ID: south coast", "X-Tenant-ID: east")},
 	}
 }
 
 func invalidBodies(t *testing.T) []requestCase {
 	t.Helper()
 	return []requestCase{
-		{"body not JSON", withBody(t, `{`)},
-		{"body without parts", withBody(t, `{"expr":"x"}`)},
-		{"body without expr", withBody(t, `{"parts":[{"id":0,"w":1}]}`)},
-		{"part without id", withBody(t, `{"parts":[{"w":1}],"expr":"x"}`)},
-		{"part of no slice", withBody(t, `{"parts":[{"id":6,"w":1}],"expr":"x"}`)},
-		{"part given twice", withBody(t, `{"parts":[{"id":1,"w":0.5},{"id":1,"w":0.5}],"expr":"x"}`)},
-		{"weight out of range", withBody(t, `{"parts":[{"id":1,"w":1.5}],"expr":"x"}`)},
-		{"hint out of range", withBody(t, `{"parts":[{"id":1,"w":1,"hint":-1}],"expr":"x"}`)},
-		{"tag not hexadecimal", withBody(t, `{"parts":[{"id":1,"w":1,"tag":"xyz"}],"expr":"x"}`)},
-		{"weights do not add up", withBody(t, `{"parts":[{"id":1,"w":0.5}],"expr":"x"}`)},
+		{"body not JSON", requestWithBody(t, `{`)},
+		{"body without parts", requestWithBody(t, `{"expr":"x"}`)},
+		{"body without expr", requestWithBody(t, `{"parts":[{"id":0,"w":1}]}`)},
+		{"part without id", requestWithBody(t, `{"parts":[{"w":1}],"expr":"x"}`)},
+		{"part of no slice", requestWithBody(t, `{"parts":[{"id":6,"w":1}],"expr":"x"}`)},
+		{"part given twice", requestWithBody(t, `{"parts":[{"id":1,"w":0.5},{"id":1,"w":0.5}],"expr":"x"}`)},
+		{"weight out of range", requestWithBody(t, `{"parts":[{"id":1,"w":1.5}],"expr":"x"}`)},
+		{"hint out of range", requestWithBody(t, `{"parts":[{"id":1,"w":1,"hint":-1}],"expr":"x"}`)},
+		{"tag not hexadecimal", requestWithBody(t, `{"parts":[{"id":1,"w":1,"tag":"xyz"}],"expr":"x"}`)},
+		{"weights do not add up", requestWithBody(t, `{"parts":[{"id":1,"w":0.5}],"expr":"x"}`)},
 	}
 }
 
@@ -110,8 +110,8 @@
 	return goldentest.ReadEntries(t, "requests.txt")["every field"]
 }
 
-// replaced returns the golden request with old replaced by text.
-func replaced(t *testing.T, old, text string) string {
+// requestReplacing returns the golden request with old replaced by text.
+func requestReplacing(t *testing.T, old, text string) string {
 	t.Helper()
 	request := goldenRequest(t)
 	if !strings.Contains(request, old) {
@@ -120,8 +120,8 @@
 	return strings.Replace(request, old, text, 1)
 }
 
-// withBody returns the golden request with another body.
-func withBody(t *testing.T, body string) string {
+// requestWithBody returns the golden request with another body.
+func requestWithBody(t *testing.T, body string) string {
 	t.Helper()
 	head, _, _ := strings.Cut(goldenRequest(t), "Content-Length: ")
 	return head + "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
