--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -4,8 +4,8 @@
 
 // Size limits of the messages that are read, in bytes.
 const (
-	MaxHeader = 16 << 10 // of the start line and the header fields together
-	MaxBody   = 64 << 10 // default limit of a body, used if NewReader is given none
+	MaxHeader      = 16 << 10 // of the start line and the header fields together
+	DefaultMaxBody = 64 << 10 // default limit of a body, used if NewReader is given none
 )
 
 // Request is an HTTP request. Query is the part of the request target after the question mark.
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -25,10 +25,10 @@
 }
 
 // NewReader returns a Reader that reads from r. A body may have at most maxBody bytes; if maxBody is 0 or less, the
-// limit is MaxBody.
+// limit is DefaultMaxBody.
 func NewReader(r io.Reader, maxBody int64) *Reader {
 	if maxBody <= 0 {
-		maxBody = MaxBody
+		maxBody = DefaultMaxBody
 	}
 	bounded := &io.LimitedReader{R: r, N: MaxHeader}
 	buf := bufio.NewReaderSize(bounded, readBufferBytes)
--- a/internal/http1/timeouts.go
+++ b/internal/http1/timeouts.go
@@ -18,7 +18,7 @@
 )
 
 // maxReadAheadBytes is the largest number of bytes that are read beyond a request while it is served.
-const maxReadAheadBytes = MaxHeader + MaxBody
+const maxReadAheadBytes = MaxHeader + DefaultMaxBody
 
 // Ages of a connection's state from which the connection is evictable, or is evicted before others, when MaxConns is
 // reached. The sweeps of a draining server use stuckRequestAge too.
