--- a/internal/daemon/platform_front.go
+++ b/internal/daemon/platform_front.go
@@ -31,7 +31,7 @@
 		Core:       f.core.core,
 		Classes:    f.cfg.host.Classes,
 		Tenants:    f.cfg.host.Tenants,
-		Shards:     f.cfg.module.Shards,
+		ShardCount: f.cfg.module.Shards,
 		Counters:   f.counters,
 		Ready:      f.readiness.Ready,
 		BodyStore:  f.bodies.store,
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -25,7 +25,7 @@
 	Core            Core
 	Classes         []string // names of the classes, indexed by class number
 	Tenants         []string // names as settings.EncodeName encodes them; tenant n is at index n-1; nil: no tenants
-	Shards          int      // number of shards of the site; parts refer to them by number, from 0
+	ShardCount      int      // number of shards of the site; parts refer to them by number, from 0
 	Counters        *metrics.Counters
 	Ready           func() bool      // whether the readiness check succeeds
 	BodyStore       *bodystore.Store // holds large payloads; nil: all payloads are held in memory
--- a/internal/platform/front_test.go
+++ b/internal/platform/front_test.go
@@ -46,11 +46,11 @@
 
 func newFront(c *fakeCore) *Front {
 	return &Front{
-		Core:     c,
-		Classes:  []string{"browse", "checkout"},
-		Shards:   6,
-		Counters: metrics.NewCounters(),
-		Ready:    func() bool { return true },
+		Core:       c,
+		Classes:    []string{"browse", "checkout"},
+		ShardCount: 6,
+		Counters:   metrics.NewCounters(),
+		Ready:      func() bool { return true },
 	}
 }
 
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -29,7 +29,7 @@
 	if q.Tenant, err = f.decodeTenant(req.Header.Get(headerTenant)); err != nil {
 		return q, err
 	}
-	q.Parts, err = decodeParts(req.Body, f.Shards)
+	q.Parts, err = decodeParts(req.Body, f.ShardCount)
 	return q, err
 }
 
