--- a/internal/adminapi/error_golden_test.go
+++ b/internal/adminapi/error_golden_test.go
@@ -27,7 +27,7 @@
 		{"quorum at risk", store.ErrQuorumAtRisk, 409, ""},
 		{"learner behind", store.ErrLearnerBehind, 409, ""},
 		{"too large", store.ErrTooLarge, 413, ""},
-		{"busy", store.ErrBusy, 429, ""},
+		{"busy", store.ErrRateLimited, 429, ""},
 		{"no quorum", store.ErrNoQuorum, 503, ""},
 		{"no leader", store.ErrNoLeader, 503, ""},
 	} {
--- a/internal/adminapi/response.go
+++ b/internal/adminapi/response.go
@@ -61,7 +61,7 @@
 		return 409
 	case errors.Is(err, store.ErrTooLarge):
 		return 413
-	case errors.Is(err, store.ErrBusy):
+	case errors.Is(err, store.ErrRateLimited):
 		return 429
 	}
 	return 503
--- a/internal/opensearch/settings_golden_test.go
+++ b/internal/opensearch/settings_golden_test.go
@@ -51,7 +51,7 @@
 		{store.ErrNoQuorum, 503, "process_cluster_event_timeout_exception"},
 		{searchconfig.ErrInvalid, 400, "illegal_argument_exception"},
 		{store.ErrTooLarge, 413, "content_too_long_exception"},
-		{store.ErrBusy, 429, "circuit_breaking_exception"},
+		{store.ErrRateLimited, 429, "circuit_breaking_exception"},
 	} {
 		t.Run(c.errType, func(t *testing.T) {
 			handler := StoreSettingsHandler(&fakeSettingsStore{err: c.err})
--- a/internal/opensearch/store_error.go
+++ b/internal/opensearch/store_error.go
@@ -22,7 +22,7 @@
 		return errorResponse(badRequest(errTypeIllegalArgument, reason))
 	case errors.Is(err, store.ErrTooLarge):
 		return errorResponse(&apiError{Type: errTypeContentTooLong, Reason: reason, Status: 413})
-	case errors.Is(err, store.ErrBusy):
+	case errors.Is(err, store.ErrRateLimited):
 		return errorResponse(&apiError{Type: errTypeCircuitBreaking, Reason: reason, Status: 429})
 	}
 	e := &apiError{Type: errTypeNoLeader, Reason: reason, Status: 503}
--- a/internal/store/limits.go
+++ b/internal/store/limits.go
@@ -32,17 +32,17 @@
 var (
 	// ErrTooLarge is returned if the encoded command exceeds MaxCommandBytes.
 	ErrTooLarge = errors.New("store: the change is too large")
-	// ErrBusy is returned if the changes of clients exceed the rate limit.
-	ErrBusy = errors.New("store: too many changes at a time; retry later")
+	// ErrRateLimited is returned if the changes of clients exceed the rate limit.
+	ErrRateLimited = errors.New("store: too many changes at a time; retry later")
 )
 
 // newChangeLimiter returns the rate limiter for the changes that clients make at one instance.
 func newChangeLimiter() *rate.Limiter { return rate.NewLimiter(changeRate, changeBurst) }
 
-// checkRateLimit returns ErrBusy if a client's change exceeds the rate limit.
+// checkRateLimit returns ErrRateLimited if a client's change exceeds the rate limit.
 func (s *Store) checkRateLimit() error {
 	if !s.changeLimiter.Allow() {
-		return fmt.Errorf("%w: the limit is %d changes per second", ErrBusy, changeRate)
+		return fmt.Errorf("%w: the limit is %d changes per second", ErrRateLimited, changeRate)
 	}
 	return nil
 }
--- a/internal/store/limits_test.go
+++ b/internal/store/limits_test.go
@@ -45,8 +45,8 @@
 			return err
 		}},
 	} {
-		if err := change.apply(); !errors.Is(err, ErrBusy) {
-			t.Errorf("%s over the rate limit: error = %v, want ErrBusy", change.name, err)
+		if err := change.apply(); !errors.Is(err, ErrRateLimited) {
+			t.Errorf("%s over the rate limit: error = %v, want ErrRateLimited", change.name, err)
 		}
 	}
 	removal := restrictionRequest(1, "s-1", restriction.Removed)
--- a/internal/store/propose.go
+++ b/internal/store/propose.go
@@ -14,9 +14,9 @@
 var ErrConflict = errors.New("store: another change came first")
 
 // Propose replicates a command and returns its result after a quorum has committed it. Only the leader accepts
-// proposals. It returns ErrTooLarge or ErrBusy if the command exceeds a limit; restrictions are exempt from the rate
-// limit. It returns ErrOutcomeUnknown if the context ends while the quorum is awaited. A command that the state rejects
-// is not an error: the result has the reason.
+// proposals. It returns ErrTooLarge or ErrRateLimited if the command exceeds a limit; restrictions are exempt from the
+// rate limit. It returns ErrOutcomeUnknown if the context ends while the quorum is awaited. A command that the state
+// rejects is not an error: the result has the reason.
 func (s *Store) Propose(ctx context.Context, c config.Command) (config.Result, error) {
 	operation := "propose " + describeCommand(c)
 	if c.Kind != config.RestrictServer {
