--- a/internal/opensearch/answer.go
+++ b/internal/opensearch/answer.go
@@ -7,8 +7,8 @@
 	"linkpass/internal/http1"
 )
 
-// encodeAnswer is the response to a search that took so many milliseconds. It lists every shard or key range
-// without a result.
+// encodeAnswer returns the response to a search that took the given number of milliseconds. The response lists
+// every shard or key range without a result.
 func encodeAnswer(s searchRequest, a coordinator.Answer, took int64) *http1.Response {
 	res := encodeStatus(s, a, took, countShards(s, a))
 	if a.ShardMapVersion > 0 {
@@ -17,8 +17,8 @@
 	return res
 }
 
-// countShards counts the shards of a search with and without a result. Of an index with a shard map it counts
-// the key ranges that the core divided the search into.
+// countShards counts the shards of a search with and without a result. For an index with a shard map it counts
+// the key ranges into which the core divided the search.
 func countShards(s searchRequest, a coordinator.Answer) shardCounts {
 	counts := shardCounts{
 		Total:      len(s.fixedShards),
@@ -38,7 +38,8 @@
 	return counts
 }
 
-// encodeStatus is the response by how the query ended.
+// encodeStatus returns the response for the way the query ended: the merged hits of a complete answer, or of a
+// partial one where the search allows it, and otherwise an error.
 func encodeStatus(s searchRequest, a coordinator.Answer, took int64, counts shardCounts) *http1.Response {
 	if a.Status == coordinator.Answered && (a.Complete || s.allowPartial) {
 		return jsonResponse(200, searchResponse{
--- a/internal/opensearch/answer_test.go
+++ b/internal/opensearch/answer_test.go
@@ -42,7 +42,8 @@
 			if res.Status != c.status || out["timed_out"] != c.timedOut || res.Header.Get("Retry-After") != c.retry ||
 				len(failures) != 1 || counts["total"] != 3.0 ||
 				counts["failed"].(float64)+counts["successful"].(float64) != 3 {
-				t.Errorf("%d %v %s", res.Status, res.Header, res.Body)
+				t.Errorf("status %d, header %v, body %s, want status %d, timed_out %v, Retry-After %q, 3 shards, 1 failure",
+					res.Status, res.Header, res.Body, c.status, c.timedOut, c.retry)
 			}
 		})
 	}
@@ -53,6 +54,6 @@
 	cancel()
 	res := newFront(&fakeCore{}).Serve(ctx, 0, &http1.Request{Method: "POST", Path: "/players/_search"})
 	if res.Status == 200 {
-		t.Error("an answer to a client that left")
+		t.Errorf("status = %d for a search with a canceled context, want an error", res.Status)
 	}
 }
--- a/internal/opensearch/body_scanner.go
+++ b/internal/opensearch/body_scanner.go
@@ -8,24 +8,24 @@
 	"strconv"
 )
 
-// maxTokenBytes bounds what the decoder buffers for one token: a long string, or white space.
+// maxTokenBytes bounds the memory that the decoder buffers for one token, such as a long string or white space.
 const maxTokenBytes = 1 << 20
 
-// scanner reads the body of a search token by token, so that a large one is never in memory as one piece.
+// scanner reads the body of a search token by token, so that a large body is never in memory as a whole.
 type scanner struct {
 	decoder *json.Decoder
 	guard   *tokenGuard
 }
 
-// tokenGuard fails a stream whose token is too long. It guards memory against one endless string.
+// tokenGuard limits the bytes that are read for one token, so that an endless string can't exhaust memory.
 type tokenGuard struct {
 	r         io.Reader
-	remaining int
+	remaining int // bytes that may still be read for the current token
 }
 
 var errTokenTooLong = fmt.Errorf("a value of the body is longer than %d bytes", maxTokenBytes)
 
-// Read is errTokenTooLong once a token has used up its bytes.
+// Read returns errTokenTooLong once the current token has used up its bytes.
 func (g *tokenGuard) Read(p []byte) (int, error) {
 	if g.remaining <= 0 {
 		return 0, errTokenTooLong
@@ -35,17 +35,19 @@
 	return n, err
 }
 
-// scannedBody is the content of a search's body; nil: a field is missing or null. The query, with the colon
-// and the white space before it, stands at the bytes from queryStart to queryEnd; both are 0 without one.
+// scannedBody is the content of a search's body. A nil pointer stands for a field that is missing or null.
 type scannedBody struct {
 	from, size *int
 	timeout    *string
+
+	// The query, with the colon and the white space before it, is in the bytes from queryStart up to queryEnd.
+	// Both are 0 if the body has no query.
 	queryStart int64
 	queryEnd   int64
 }
 
-// scanSearch reads a whole body. A field that is not known is an error, never ignored: the answer would be one
-// to another search.
+// scanSearch reads a whole body. An unknown field is an error: if it were ignored, the client would get the
+// response to a different search.
 func scanSearch(r io.Reader) (out scannedBody, err error) {
 	guard := &tokenGuard{r: r, remaining: maxTokenBytes}
 	s := &scanner{decoder: json.NewDecoder(guard), guard: guard}
@@ -55,7 +57,7 @@
 		return out, err
 	}
 	if t != json.Delim('{') {
-		return out, parsingError("a search must be an object")
+		return out, parsingError("the body of a search must be an object")
 	}
 	for s.decoder.More() {
 		if err := s.field(&out); err != nil {
@@ -66,12 +68,12 @@
 		return out, err
 	}
 	if _, err := s.decoder.Token(); !errors.Is(err, io.EOF) {
-		return out, badRequest(errTypeJSONParse, "something follows the search")
+		return out, badRequest(errTypeJSONParse, "unexpected data after the body of the search")
 	}
 	return out, nil
 }
 
-// field reads one field of a body.
+// field reads one field of the body into out.
 func (s *scanner) field(out *scannedBody) error {
 	key, err := s.key()
 	if err != nil {
@@ -94,7 +96,7 @@
 	return err
 }
 
-// token reads the next token. An error that the decoder's More met while it looked ahead is returned here.
+// token reads the next token. It also returns an error that the decoder's More found while it looked ahead.
 func (s *scanner) token() (json.Token, error) {
 	s.guard.remaining = maxTokenBytes
 	t, err := s.decoder.Token()
@@ -111,7 +113,7 @@
 	}
 	key, ok := t.(string)
 	if !ok {
-		return "", badRequest(errTypeJSONParse, "an object's key is no string")
+		return "", badRequest(errTypeJSONParse, "an object key is not a string")
 	}
 	return key, nil
 }
@@ -124,7 +126,7 @@
 	text, ok := t.(json.Number)
 	n, parseErr := strconv.Atoi(string(text))
 	if !ok || parseErr != nil {
-		return nil, parsingError("[%s] is no whole number", name)
+		return nil, parsingError("[%s] must be an integer", name)
 	}
 	return &n, nil
 }
@@ -136,12 +138,12 @@
 	}
 	text, ok := t.(string)
 	if !ok {
-		return nil, parsingError("[%s] is no string", name)
+		return nil, parsingError("[%s] must be a string", name)
 	}
 	return &text, nil
 }
 
-// skip reads one value of any type.
+// skip reads one value of any type and discards it.
 func (s *scanner) skip() error {
 	for depth := 0; ; {
 		t, err := s.token()
@@ -158,7 +160,7 @@
 			return nil
 		}
 		if depth > maxValueDepth {
-			return parsingError("values are nested too deep")
+			return parsingError("values are nested more than %d levels deep", maxValueDepth)
 		}
 	}
 }
--- a/internal/opensearch/body_scanner_test.go
+++ b/internal/opensearch/body_scanner_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against a query that is cut at the wrong bytes of a body that is never decoded whole.
+// Guards against wrong offsets of the query, which is cut out of a body that is never decoded as a whole.
 func TestScanSearchFindsQuery(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		space := rapid.StringMatching(`[ \n\t]{0,3}`)
@@ -26,11 +26,11 @@
 		body := "{" + strings.Join(ordered, space.Draw(t, "s")+","+space.Draw(t, "s")) + "}"
 		got, err := scanSearch(strings.NewReader(body))
 		if err != nil || *got.from != 3 || got.size != nil || *got.timeout != "1s" {
-			t.Fatalf("%s: %+v %v", body, got, err)
+			t.Fatalf("scanSearch(%s) = %+v, %v, want from 3, no size and timeout 1s", body, got, err)
 		}
 		found := bytes.TrimRight(trimColon([]byte(body[got.queryStart:got.queryEnd])), " ")
 		if string(found) != query {
-			t.Fatalf("found %q, want %q", found, query)
+			t.Fatalf("query = %q, want %q", found, query)
 		}
 	})
 }
--- a/internal/opensearch/codec_golden_test.go
+++ b/internal/opensearch/codec_golden_test.go
@@ -40,7 +40,7 @@
 		t.Run(c.file, func(t *testing.T) { goldentest.Bytes(t, c.file, sortedHead(t, c.got)) })
 	}
 	if got := d.EncodeHeader(plain, 1); got != nil {
-		t.Errorf("head of a plain part: %q", got)
+		t.Errorf("EncodeHeader of a platform part = %q, want nil", got)
 	}
 }
 
@@ -66,9 +66,9 @@
 		t.Run(c.file, func(t *testing.T) {
 			reader := codec.NewReader(bytes.NewReader(goldentest.Read(t, c.file)))
 			got, _, err := reader.Next()
-			c.want.LoadReport = []float64{3, 0.5} // of each response
+			c.want.LoadReport = []float64{3, 0.5} // every golden response has this load report
 			if err != nil || !reflect.DeepEqual(got, c.want) {
-				t.Errorf("got  %+v, %v\nwant %+v", got, err, c.want)
+				t.Errorf("Next() = %+v, %v\nwant %+v", got, err, c.want)
 			}
 		})
 	}
@@ -76,20 +76,20 @@
 		t.Run(file, func(t *testing.T) {
 			_, o, err := Codec{}.NewReader(bytes.NewReader(goldentest.Read(t, file))).Next()
 			if err == nil || o != outcome.MalformedResponse {
-				t.Errorf("ended as %v, %v", o, err)
+				t.Errorf("Next() gave outcome %v and error %v, want MalformedResponse and an error", o, err)
 			}
 		})
 	}
 }
 
-// goldenBody is the body of a golden response.
+// goldenBody returns the body of a golden response.
 func goldenBody(t *testing.T, file string) []byte {
 	t.Helper()
 	_, body, _ := bytes.Cut(goldentest.Read(t, file), []byte("\r\n\r\n"))
 	return body
 }
 
-// goldenMessage is a golden response that has every field.
+// goldenMessage returns the message of the golden response that has every field.
 func goldenMessage(t *testing.T) upstream.Message {
 	t.Helper()
 	return upstream.Message{
--- a/internal/opensearch/codec_request.go
+++ b/internal/opensearch/codec_request.go
@@ -12,18 +12,18 @@
 	"linkpass/internal/upstream"
 )
 
-// EncodeRequest is each part as a search.
+// EncodeRequest encodes each part as a search.
 func (Codec) EncodeRequest(parts []upstream.Part) []byte {
 	var b bytes.Buffer
 	for _, p := range parts {
 		path, header := requestTarget(p)
-		_ = http1.WriteRequest(&b, "POST", path, hostHeader, header, searchBody(p.Payload)) // a buffer never fails
+		_ = http1.WriteRequest(&b, "POST", path, hostHeader, header, searchBody(p.Payload)) // a buffer returns no error
 	}
 	return b.Bytes()
 }
 
-// EncodeHeader is a search up to its body of so many bytes. It is nil for a part of a platform's query, whose
-// payload has to be put into a search first.
+// EncodeHeader encodes a search up to its body of size bytes. It returns nil for a part of a platform query,
+// whose payload first has to be put into a search.
 func (Codec) EncodeHeader(p upstream.Part, size int64) []byte {
 	if p.Collection == "" {
 		return nil
@@ -32,7 +32,7 @@
 	return http1.RequestHead("POST", path, hostHeader, header, size)
 }
 
-// requestTarget is the path and the header of a part.
+// requestTarget returns the path, with its parameters, and the header of the request for a part.
 func requestTarget(p upstream.Part) (path string, header textproto.MIMEHeader) {
 	path = "/_search"
 	if p.Collection != "" {
@@ -49,8 +49,8 @@
 	return path + fmt.Sprintf("?preference=_shards:%d&timeout=%dms", shard, timeout), header
 }
 
-// searchBody is a part's payload where that is the body of a search, as Front makes it; else a search for the
-// payload as a query string.
+// searchBody returns a part's payload unchanged if it is the body of a search, as Front creates it. Otherwise it
+// returns a search for the payload as a query string.
 func searchBody(payload []byte) []byte {
 	var body struct {
 		Query json.RawMessage `json:"query"`
@@ -60,18 +60,18 @@
 	}
 	queryString := map[string]any{"query": string(payload)}
 	out, err := json.Marshal(map[string]any{"query": map[string]any{"query_string": queryString}})
-	if err != nil { // a string always encodes
+	if err != nil { // can't happen: a string can always be encoded
 		return nil
 	}
 	return out
 }
 
-// EncodeCancel is nil: the connection of a canceled part is closed.
+// EncodeCancel returns nil: a part is canceled by closing its connection.
 func (Codec) EncodeCancel(string) []byte { return nil }
 
-// EncodeHealthCheck requests the server's name and version.
+// EncodeHealthCheck encodes a request for the server's name and version.
 func (Codec) EncodeHealthCheck() []byte {
 	var b bytes.Buffer
-	_ = http1.WriteRequest(&b, "GET", "/", hostHeader, nil, nil) // a buffer never fails
+	_ = http1.WriteRequest(&b, "GET", "/", hostHeader, nil, nil) // a buffer returns no error
 	return b.Bytes()
 }
--- a/internal/opensearch/codec_response.go
+++ b/internal/opensearch/codec_response.go
@@ -16,17 +16,18 @@
 	"linkpass/internal/upstream"
 )
 
-// errIncompleteResult is a response to a search that lacks hits or shard counts, or has a negative total.
-var errIncompleteResult = errors.New("opensearch: answer without hits or counts")
+// errIncompleteResult is the error of a response to a search that lacks hits or shard counts, or has a negative
+// total.
+var errIncompleteResult = errors.New("opensearch: search response lacks hits or shard counts, or has a negative total")
 
-// responseReader reads the responses of one connection. It belongs to the goroutine that reads the connection.
+// responseReader reads the responses on one connection. Only the goroutine that reads the connection uses it.
 type responseReader struct {
 	Codec
 	*http1.Reader
 }
 
-// serverResult is the body of a server's response to a search. The names of its type and of total are part of
-// the texts of decoding errors.
+// serverResult is the body of a server's response to a search. The texts of decoding errors contain the names of
+// this type and of the type total.
 type serverResult struct {
 	TimedOut bool `json:"timed_out"`
 	Shards   *struct {
@@ -44,8 +45,9 @@
 	} `json:"hits"`
 }
 
-// Next reads one response. The outcome is that of an error: how the read failed, or MalformedResponse. A result
-// of a part of the shard only is a ServerError: it must never pass for the part's value.
+// Next reads one response. The outcome that it returns is that of an error: how the read failed, or
+// MalformedResponse. A result that does not cover the whole shard gets the outcome ServerError, as it must never be
+// taken for the complete value of the part.
 func (r *responseReader) Next() (upstream.Message, outcome.Outcome, error) {
 	res, err := r.Response()
 	if err != nil {
@@ -72,6 +74,8 @@
 	return m, 0, nil
 }
 
+// decodeShardMapHeaders sets the shard map's version and the covered keys of m; headers that are missing leave
+// them unset.
 func decodeShardMapHeaders(m *upstream.Message, header textproto.MIMEHeader) (err error) {
 	if text := header.Get(headerMapVersion); text != "" {
 		if m.ShardMapVersion, err = strconv.ParseUint(text, 10, 64); err != nil {
@@ -88,12 +92,13 @@
 	return nil
 }
 
-// decodeResult reads the body of a response 200: a search's result, or the response to a health check.
+// decodeResult decodes the body of a response with status 200: the result of a search, or the response to a
+// health check.
 func decodeResult(m *upstream.Message, body []byte) error {
 	m.Outcome, m.Value = outcome.Success, body
 	var result serverResult
 	if err := json.Unmarshal(body, &result); err != nil {
-		return fmt.Errorf("opensearch: answer: %w", err)
+		return fmt.Errorf("opensearch: decoding a response body: %w", err)
 	}
 	hits, shards := result.Hits, result.Shards
 	if hits == nil && shards == nil {
--- a/internal/opensearch/errors.go
+++ b/internal/opensearch/errors.go
@@ -6,16 +6,16 @@
 	"linkpass/internal/http1"
 )
 
-// Exception types of OpenSearch, as clients know them, by what they stand for here.
+// Exception types of OpenSearch, which clients know. Each comment says in which case this package uses the type.
 const (
 	errTypeIllegalArgument  = "illegal_argument_exception"               // a parameter, method or path
-	errTypeValidation       = "action_request_validation_exception"      // a change of settings without any
+	errTypeValidation       = "action_request_validation_exception"      // a settings update that contains no settings
 	errTypeJSONParse        = "json_parse_exception"                     // a body that is not JSON
 	errTypeParsing          = "parsing_exception"                        // a body with unknown or invalid fields
-	errTypeIndexNotFound    = "index_not_found_exception"                // an index that the settings don't have
+	errTypeIndexNotFound    = "index_not_found_exception"                // an index that is not in the settings
 	errTypeShardNotFound    = "shard_not_found_exception"                // a shard that the index doesn't have
 	errTypeIllegalState     = "illegal_state_exception"                  // not served by this instance
-	errTypeSearchPhase      = "search_phase_execution_exception"         // a search that failed, in part or in full
+	errTypeSearchPhase      = "search_phase_execution_exception"         // a search that failed partly or completely
 	errTypeRejected         = "rejected_execution_exception"             // rejected: overload, a full queue or store
 	errTypeContentTooLong   = "content_too_long_exception"               // store: settings too large
 	errTypeCircuitBreaking  = "circuit_breaking_exception"               // store: too many proposals in flight
@@ -41,10 +41,10 @@
 	Grouped      bool           `json:"grouped,omitempty"`
 	FailedShards []shardFailure `json:"failed_shards,omitempty"`
 	Index        string         `json:"index,omitempty"`
-	Status       int            `json:"-"` // of the response
+	Status       int            `json:"-"` // HTTP status of the response
 }
 
-// Error is the type and the reason.
+// Error returns the type and the reason.
 func (e *apiError) Error() string { return e.Type + ": " + e.Reason }
 
 // shardFailure is a shard, or a key range of a shard map, that gave no result.
@@ -52,8 +52,8 @@
 	Shard  int      `json:"shard"`
 	Index  string   `json:"index"`
 	Reason apiError `json:"reason"`
-	// Of an index with a shard map only: the keys without a result, and the map's version that they were
-	// requested at.
+	// Set only for an index with a shard map: the keys without a result, and the version of the map on which
+	// they were requested.
 	KeyRange   string `json:"range,omitempty"`
 	MapVersion uint64 `json:"layout_version,omitempty"`
 }
@@ -90,15 +90,16 @@
 }
 
 func classNotServed(index, class string) *apiError {
-	reason := fmt.Sprintf("index [%s] is of class [%s], which is not served here", index, class)
+	reason := fmt.Sprintf("index [%s] is of class [%s], which this instance does not serve", index, class)
 	return &apiError{Type: errTypeIllegalState, Reason: reason, Index: index, Status: 500}
 }
 
-// bodyNotStored is the error of a large search that the body store has no capacity for.
+// bodyNotStored returns the error of a large search whose body the body store has no capacity for or can no longer
+// read.
 func bodyNotStored() *apiError {
 	return &apiError{
 		Type:   errTypeRejected,
-		Reason: "the search's body could not be kept; asking again is harmless",
+		Reason: "the search's body could not be stored; the search can safely be retried",
 		Status: 429,
 	}
 }
--- a/internal/opensearch/fakes_test.go
+++ b/internal/opensearch/fakes_test.go
@@ -16,10 +16,10 @@
 	_ "linkpass/internal/testrand"
 )
 
-// fakeCore records the queries and answers each at once.
+// fakeCore records the queries and answers each immediately.
 type fakeCore struct {
 	queries []coordinator.Query
-	answer  func(coordinator.Query) coordinator.Answer // nil: only once the query is canceled
+	answer  func(coordinator.Query) coordinator.Answer // nil: a query is answered only when it is canceled
 }
 
 func (*fakeCore) Now() time.Duration { return 40 * time.Millisecond }
@@ -66,7 +66,8 @@
 	return res, out
 }
 
-// completeAnswer has a plain value for each shard, scored by its number, but search hits for shard 1.
+// completeAnswer returns an answer with search hits for shard 1 and, for each other shard, a plain value whose score
+// is the shard's number.
 func completeAnswer(q coordinator.Query) coordinator.Answer {
 	a := coordinator.Answer{Complete: true}
 	for _, p := range q.Parts {
@@ -82,7 +83,7 @@
 	return a
 }
 
-// fakeSettingsStore records the patch and fails with err, but for local reads.
+// fakeSettingsStore records the patch. All operations except local reads fail with err, if it is set.
 type fakeSettingsStore struct {
 	err   error
 	patch string
@@ -100,7 +101,7 @@
 	return testConfig(), r.err
 }
 
-// fakeSettingsUpdater applies changes at once.
+// fakeSettingsUpdater applies changes immediately.
 type fakeSettingsUpdater struct{ now *searchconfig.Config }
 
 func (c *fakeSettingsUpdater) UpdateSettings(
@@ -113,7 +114,7 @@
 	return next, err
 }
 
-// newDynamicFront is a front with an index of four shards in a shard map and an index of a fixed shard.
+// newDynamicFront returns a front with an index of four shards in a shard map and an index with one fixed shard.
 func newDynamicFront(t *testing.T, c *fakeCore) (*Front, *fakeSettingsUpdater) {
 	t.Helper()
 	config, err := searchconfig.Parse([]byte(`{"search":{},"indices":{
@@ -128,5 +129,5 @@
 	return f, updater
 }
 
-// firstShardID is that of the first shard of a shard map.
+// firstShardID is the id of the first shard of a shard map.
 const firstShardID = uint64(shardmap.FirstDynamicID)
--- a/internal/opensearch/front.go
+++ b/internal/opensearch/front.go
@@ -15,39 +15,40 @@
 	"linkpass/internal/searchconfig"
 )
 
-// Core takes queries and has the clock that they are timed by.
+// Core processes queries and provides the clock by which they are timed.
 type Core interface {
-	// Submit starts a query, whose Reply is called once. cancel ends it before its time.
+	// Submit starts a query and calls its Reply exactly once. cancel ends the query early.
 	Submit(coordinator.Query) (cancel func())
+	// Now returns the time on the core's clock.
 	Now() time.Duration
 }
 
-// Class is what the front needs of a class.
+// Class is what Front needs to know about a query class.
 type Class struct {
 	Name           string
 	Deadline       time.Duration // the longest timeout of a search, and the default
-	PriorityWeight float64
+	PriorityWeight float64       // of its searches, for the body store
 }
 
-// Front answers searches. Its fields are set before the first request; its methods may be called by several
-// goroutines.
+// Front serves OpenSearch's HTTP API to clients. Its fields are set before the first request; its methods may be
+// called concurrently.
 type Front struct {
 	Core            Core
-	Classes         []Class // by number
-	Shards          int     // of the site; an index of fixed shards names them from 0 on
+	Classes         []Class // indexed by class number
+	Shards          int     // number of shards of the site; an index of fixed shards numbers them from 0
 	SearchConfig    func() *searchconfig.Config
-	Settings        http1.Handler    // of /_cluster/settings
-	SettingsUpdater SettingsUpdater  // of shard maps; nil: they are a file's and don't change
-	BodyStore       *bodystore.Store // of large searches; nil: these stay in memory
+	Settings        http1.Handler    // serves /_cluster/settings
+	SettingsUpdater SettingsUpdater  // updates shard maps; nil: they come from a file and don't change
+	BodyStore       *bodystore.Store // stores the bodies of large searches; nil: these stay in memory
 	Prefix          string           // of the names of this instance's searches
 	Counters        *metrics.Counters
 
-	searchCount atomic.Uint64
-	rejections  eventlog.RateLimited // of invalid requests
+	searchCount atomic.Uint64        // numbers the names of searches
+	rejections  eventlog.RateLimited // limits the log events of invalid requests
 }
 
-// Serve answers one request, which was received at startedAt on the core's clock. It returns when the search
-// has ended; ctx cancels the search.
+// Serve returns the response to one request, which was received at startedAt on the core's clock. It returns when
+// the search has ended; canceling ctx cancels the search.
 func (f *Front) Serve(ctx context.Context, startedAt time.Duration, req *http1.Request) *http1.Response {
 	steps := strings.Split(strings.TrimPrefix(req.Path, "/"), "/")
 	reads := req.Method == "GET" || req.Method == "POST"
@@ -68,7 +69,8 @@
 	return f.reject(illegalArgument("no handler found for uri [%.200s] and method [%s]", req.Path, req.Method))
 }
 
-// reject answers a request that can't be served: with err where it is an apiError, else with status 400.
+// reject counts and logs a request that can't be served and returns the response: err if it is an apiError, and
+// otherwise an illegal argument with status 400.
 func (f *Front) reject(err error) *http1.Response {
 	var e *apiError
 	if !errors.As(err, &e) {
--- a/internal/opensearch/golden_test.go
+++ b/internal/opensearch/golden_test.go
@@ -12,19 +12,20 @@
 	"linkpass/internal/shardmap"
 )
 
-// sortedHead is a request's or response's bytes with the header lines sorted, as maps have no order.
+// sortedHead returns the bytes of a request or response with its header lines sorted, as they are written in the
+// random order of a map.
 func sortedHead(t *testing.T, message []byte) []byte {
 	t.Helper()
 	head, body, ok := bytes.Cut(message, []byte("\r\n\r\n"))
 	if !ok {
-		t.Fatalf("no end of the header: %q", message)
+		t.Fatalf("message = %q, want an end of the header", message)
 	}
 	lines := strings.Split(string(head), "\r\n")
 	slices.Sort(lines[1:])
 	return append([]byte(strings.Join(lines, "\r\n")+"\r\n\r\n"), body...)
 }
 
-// responseBytes is a response with its status and header.
+// responseBytes returns a response as it is written to a connection, with its header lines sorted.
 func responseBytes(t *testing.T, res *http1.Response) []byte {
 	t.Helper()
 	var b bytes.Buffer
@@ -42,8 +43,8 @@
 	}
 }
 
-// goldenConfig has a fixed index and one with a shard map, in which the first shard is being split and the second
-// one was moved.
+// goldenConfig returns settings with an index of fixed shards and one with a shard map, in which the first shard is
+// being split and the second one was moved.
 func goldenConfig(t *testing.T) func() *searchconfig.Config {
 	t.Helper()
 	config, err := searchconfig.Parse([]byte(`{"search":{"max_result_window":100},"indices":{
@@ -63,7 +64,7 @@
 	return func() *searchconfig.Config { return config }
 }
 
-// goldenPlans plan a split of the first shard and carry out a move of the second one.
+// goldenPlans returns commands that plan a split of the first shard and carry out a move of the second one.
 func goldenPlans() []shardmap.Command {
 	first := shardmap.FirstDynamicID
 	replicas := map[shardmap.ShardID][]string{first + 4: {"s-6"}}
--- a/internal/opensearch/large_body.go
+++ b/internal/opensearch/large_body.go
@@ -12,16 +12,16 @@
 	"linkpass/internal/searchconfig"
 )
 
-// copyBufferBytes is what a stored body is copied through.
+// copyBufferBytes is the size of the buffer through which the query of a stored body is copied.
 const copyBufferBytes = 16 << 10
 
-// BodyUpload is a large body on its way into the body store: the http1.BodySink of its request.
+// BodyUpload writes a large body to the body store while it arrives. It is the http1.BodySink of its request.
 type BodyUpload struct {
 	*bodystore.Writer
-	Rejection *http1.Error // the response where the store has no capacity
+	Rejection *http1.Error // the response if the store has no capacity
 }
 
-// Write appends to the body. Its error is Rejection where the store has no capacity.
+// Write appends to the body. It returns Rejection if the store has no capacity.
 func (u *BodyUpload) Write(p []byte) (int, error) {
 	n, err := u.Writer.Write(p)
 	if errors.Is(err, bodystore.ErrNoCapacity) {
@@ -30,15 +30,15 @@
 	return n, err
 }
 
-// readLargeSearch reads a search whose body is in the store. It returns the body that the parts send, which is
-// the caller's to release: the request's query as it stands, with from and size of a part. Its error is an
-// apiError.
+// readLargeSearch reads a search whose body is in the body store. It also returns the body that is sent with each
+// part: the query of the request, unchanged, with the from and size of a part. The caller must release that body.
+// The error is an apiError.
 func (f *Front) readLargeSearch(
 	class int, req *http1.Request, config *searchconfig.Config,
 ) (searchRequest, coordinator.Body, error) {
 	upload, ok := req.BodySink.(*BodyUpload)
 	if !ok {
-		return searchRequest{}, nil, badRequest(errTypeIllegalState, "a large body without a store")
+		return searchRequest{}, nil, badRequest(errTypeIllegalState, "the large body was not written to the body store")
 	}
 	stored, err := upload.Commit()
 	if err != nil {
@@ -64,8 +64,8 @@
 	return s, body, nil
 }
 
-// readStoredBody reads all of a stored body but its query, and the URL's parameters after it, as these override
-// the body.
+// readStoredBody reads all fields of a stored body except its query, and then the parameters of the URL, which
+// override the body.
 func (s *searchRequest) readStoredBody(
 	stored *bodystore.Body, params string, config *searchconfig.Config,
 ) (scannedBody, error) {
@@ -91,7 +91,8 @@
 	return scanSearch(r)
 }
 
-// writePartBody writes the body that the parts send, in pieces, from the one that was stored.
+// writePartBody writes the body that is sent with each part to the body store. It copies the query in pieces from the
+// body that was stored.
 func (f *Front) writePartBody(
 	class int, stored *bodystore.Body, s searchRequest, scanned scannedBody,
 ) (coordinator.Body, error) {
@@ -123,7 +124,7 @@
 	return body, nil
 }
 
-// copyQuery copies the bytes of a query, less the colon before it.
+// copyQuery copies the query in the bytes from start up to end, without the colon and white space before it.
 func copyQuery(w io.Writer, r io.Reader, start, end int64) error {
 	if _, err := io.CopyN(io.Discard, r, start); err != nil {
 		return err
--- a/internal/opensearch/large_body_test.go
+++ b/internal/opensearch/large_body_test.go
@@ -16,7 +16,7 @@
 	"linkpass/internal/metrics"
 )
 
-// newLargeSearch is a front with a body store, and a search whose body is being uploaded to it.
+// newLargeSearch returns a front with a body store, and a search whose body was written to the store.
 func newLargeSearch(t *testing.T, c *fakeCore, limits tier.Limits, body string) (*Front, *http1.Request, *bodystore.Store) {
 	t.Helper()
 	s := bodystore.Open(bodystore.Config{
@@ -35,7 +35,7 @@
 	return f, &http1.Request{Method: "POST", Path: "/players/_search", BodySink: w}, s
 }
 
-// termsQuery is a query for n ids.
+// termsQuery returns a query for n ids.
 func termsQuery(n int) string {
 	var ids []string
 	for i := range n {
@@ -44,7 +44,8 @@
 	return `{"bool": {"must": [{"terms":{"id": [` + strings.Join(ids, ", ") + `]}}]} }`
 }
 
-// Guards against a body that stays in the store after its search, and a query that is changed on its way.
+// Guards against a body that stays in the store after its search has ended, and against a query that is not sent to
+// the servers byte for byte.
 func TestLargeSearchSendsStoredQuery(t *testing.T) {
 	for _, limits := range []tier.Limits{
 		{Memory: 4 << 20, Files: 0, MaxMemoryBodySize: 4 << 20},
@@ -55,7 +56,7 @@
 		c := &fakeCore{answer: func(q coordinator.Query) coordinator.Answer {
 			payload := string(q.Parts[0].Payload)
 			if q.Body == nil || len(payload) > 100 && payload != `{"from":0,"query":{"match_all":{}},"size":7}` {
-				t.Errorf("%+v", q)
+				t.Errorf("query = %+v, want a stored body and a payload without the client's query", q)
 			}
 			r, err := q.Body.Open()
 			if err != nil {
@@ -69,13 +70,13 @@
 		f, req, s := newLargeSearch(t, c, limits, `{"size": 5, "query" : `+query+`, "timeout":"300ms", "from":2}`)
 		res := f.Serve(context.Background(), 0, req)
 		if res.Status != 200 || c.queries[0].Timeout != 300*time.Millisecond {
-			t.Fatalf("%d %s", res.Status, res.Body)
+			t.Fatalf("status %d, queries %+v, want status 200 and a timeout of 300ms: %s", res.Status, c.queries, res.Body)
 		}
 		if want := `{"from":0,"query":` + query + `,"size":7}`; string(text) != want {
-			t.Errorf("sent %d bytes %.60q, want %d", len(text), text, len(want))
+			t.Errorf("sent %d bytes %.60q, want %d bytes %.60q", len(text), text, len(want), want)
 		}
 		if f := s.Totals(); f.Bodies != 0 || f.Memory+f.Files != 0 {
-			t.Errorf("left: %+v", f)
+			t.Errorf("store has %+v after the search, want nothing", f)
 		}
 	}
 }
@@ -96,7 +97,8 @@
 		var out struct{ Error struct{ Type string } }
 		_ = json.Unmarshal(res.Body, &out)
 		if res.Status != 400 || out.Error.Type != errType || len(c.queries) != 0 || s.Totals().Bodies != 0 {
-			t.Errorf("%.40s: %d %s, %d queries, %+v", body, res.Status, res.Body, len(c.queries), s.Totals())
+			t.Errorf("%.40s: status %d, body %s, %d queries, store %+v, want status 400, %s, no query, no stored body",
+				body, res.Status, res.Body, len(c.queries), s.Totals(), errType)
 		}
 	}
 }
--- a/internal/opensearch/main_test.go
+++ b/internal/opensearch/main_test.go
@@ -6,5 +6,6 @@
 	"go.uber.org/goleak"
 )
 
-// Guards against a search that waits on after its query has ended, and a body store that stays open.
+// Guards against leaked goroutines: of a search that still waits after its query has ended, or of a body store that is
+// not closed.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/opensearch/merge.go
+++ b/internal/opensearch/merge.go
@@ -8,8 +8,8 @@
 	"linkpass/internal/coordinator"
 )
 
-// merge brings the hits of all values into one list, best score first, and cuts the requested window from it.
-// Hits of equal score stay in the order of the values.
+// merge sorts the hits of all values by descending score and returns the requested window of them. Hits of equal
+// score stay in the order of the values.
 func (s *searchRequest) merge(values []coordinator.Value) searchHits {
 	out := searchHits{Total: total{Relation: "eq"}}
 	all := []searchHit{}
@@ -29,7 +29,7 @@
 	return out
 }
 
-// compareScores orders hits by falling score.
+// compareScores orders hits by descending score.
 func compareScores(a, b searchHit) int {
 	switch {
 	case *a.Score > *b.Score:
@@ -40,14 +40,14 @@
 	return 0
 }
 
-// appendPlainValue appends a value that is no search result: as one hit, with the score that its server gave.
+// appendPlainValue appends a value that is not a search result, as one hit with the score that its server gave.
 func (s *searchRequest) appendPlainValue(all []searchHit, count *total, v coordinator.Value) []searchHit {
 	shard := v.Shard
 	if v.Request != nil {
 		shard = int(v.Request.Shard)
 	}
 	source, err := json.Marshal(map[string]any{"slice": shard, "data": string(v.Data)})
-	if err != nil { // a number and a string always encode
+	if err != nil { // can't happen: a number and a string can always be encoded
 		return all
 	}
 	count.Value++
--- a/internal/opensearch/missing_reason.go
+++ b/internal/opensearch/missing_reason.go
@@ -5,7 +5,7 @@
 	"linkpass/internal/outcome"
 )
 
-// missingReason says how the latest attempt at a missing part ended.
+// missingReason returns the error that says how the latest attempt at a missing part ended.
 func missingReason(m coordinator.MissingPart) apiError {
 	evicted := ""
 	if m.BodyEvicted {
@@ -20,7 +20,7 @@
 	}
 }
 
-// outcomeWords are the outcomes as clients know them, where that is not the name in the log.
+// outcomeWords are the words that clients know for outcomes, where these differ from the names in the log.
 var outcomeWords = map[outcome.Outcome]string{
 	outcome.Success:           "served",
 	outcome.Rejected:          "turned_away",
@@ -41,7 +41,7 @@
 	outcome.BodyEvicted:       "unkept",
 }
 
-// outcomeWord is the word for an outcome in a response.
+// outcomeWord returns the word for an outcome in a response.
 func outcomeWord(o outcome.Outcome) string {
 	if word, ok := outcomeWords[o]; ok {
 		return word
@@ -49,7 +49,7 @@
 	return o.String()
 }
 
-// outcomeErrorType is the exception type that stands for an attempt's outcome.
+// outcomeErrorType returns the exception type for the outcome of an attempt.
 func outcomeErrorType(o outcome.Outcome) string {
 	switch o {
 	case outcome.Rejected, outcome.QueueFull:
--- a/internal/opensearch/missing_reason_test.go
+++ b/internal/opensearch/missing_reason_test.go
@@ -29,16 +29,17 @@
 	} {
 		t.Run(o.String(), func(t *testing.T) {
 			if got := missingReason(coordinator.MissingPart{LastOutcome: o, Attempted: true}).Type; got != want {
-				t.Errorf("%v: %s, want %s", o, got, want)
+				t.Errorf("error type of %v = %s, want %s", o, got, want)
 			}
 		})
 	}
 	if got := missingReason(coordinator.MissingPart{}).Type; got != "no_shard_available_action_exception" {
-		t.Errorf("not tried: %s", got)
+		t.Errorf("error type without an attempt = %s, want no_shard_available_action_exception", got)
 	}
 }
 
-// Guards the responses against a new name of an outcome in the log: clients match these words.
+// Guards against a renamed outcome that changes a response: clients match these words, which differ from the names in
+// the log.
 func TestMissingReasonKeepsOutcomeWords(t *testing.T) {
 	words := [outcome.Count]string{
 		"served", "server_error", "turned_away", "dial_refused", "dial_timeout", "dial_failed", "cut_in_write", "broken",
@@ -48,7 +49,7 @@
 	for i, word := range words {
 		got := missingReason(coordinator.MissingPart{LastOutcome: outcome.Outcome(i), Attempted: true}).Reason
 		if want := "the latest attempt ended as " + word; got != want {
-			t.Errorf("%q, want %q", got, want)
+			t.Errorf("reason = %q, want %q", got, want)
 		}
 	}
 }
--- a/internal/opensearch/query_scanner.go
+++ b/internal/opensearch/query_scanner.go
@@ -2,13 +2,14 @@
 
 import "encoding/json"
 
-// Limits of a search's query.
+// Limits on the nesting of a search's query, in levels.
 const (
-	maxBoolDepth  = 16 // of nested bool queries
+	maxBoolDepth  = 16 // of bool queries
 	maxValueDepth = 64 // of other values
 )
 
-// leafQueries are the query types that are forwarded to servers; true: it names exactly one field.
+// leafQueries are the query types, other than bool, that are forwarded to servers. The value says whether a query
+// of the type must name exactly one field.
 var leafQueries = map[string]bool{
 	"match_all": false, "match_none": false, "ids": false, "query_string": false, "simple_query_string": false,
 	"exists": false, "multi_match": false,
@@ -16,7 +17,7 @@
 	"prefix": true, "wildcard": true, "fuzzy": true, "range": true,
 }
 
-// query reads one query. A type that servers are not known to support is an error.
+// query reads one query. A query type that servers are not known to support is an error.
 func (s *scanner) query(depth int) error {
 	t, err := s.token()
 	if err != nil {
@@ -28,7 +29,7 @@
 // queryAt reads the query that begins with the token t.
 func (s *scanner) queryAt(t json.Token, depth int) error {
 	if depth > maxBoolDepth {
-		return parsingError("queries are nested too deep")
+		return parsingError("bool queries are nested more than %d levels deep", maxBoolDepth)
 	}
 	if t != json.Delim('{') || !s.decoder.More() {
 		return malformedQuery()
@@ -51,7 +52,7 @@
 	return parsingError("[query] must be an object with one query type")
 }
 
-// clause reads the body of a query of the type name.
+// clause reads the body of a query whose type is name.
 func (s *scanner) clause(name string, depth int) error {
 	t, err := s.token()
 	if err != nil {
@@ -77,13 +78,14 @@
 		}
 	}
 	if namesField && keys != 1 {
-		return parsingError("[%s] query needs one field", name)
+		return parsingError("[%s] query must name exactly one field", name)
 	}
 	_, err = s.token()
 	return err
 }
 
-// occurrence reads the value of a key of a bool query: one query, or a list.
+// occurrence reads the value of a key of a bool query. For an occurrence type such as must, that is one query or
+// a list of queries.
 func (s *scanner) occurrence(key string, depth int) error {
 	switch key {
 	case "must", "should", "filter", "must_not":
--- a/internal/opensearch/reroute.go
+++ b/internal/opensearch/reroute.go
@@ -25,13 +25,12 @@
 
 // SettingsUpdater changes the replicated settings.
 type SettingsUpdater interface {
-	// UpdateSettings replaces the settings by what change makes of them, as a compare-and-set: change may be
-	// called again with newer settings. It returns the new settings, or change's error, or one of package
-	// store.
+	// UpdateSettings replaces the settings with the result of change in a compare-and-set: change may be called
+	// again with newer settings. It returns the new settings. Its error is that of change or one of package store.
 	UpdateSettings(change func(*searchconfig.Config) (*searchconfig.Config, error)) (*searchconfig.Config, error)
 }
 
-// reroute answers POST /_cluster/reroute: all commands are applied or none.
+// reroute serves POST /_cluster/reroute. It applies either all commands or none.
 func (f *Front) reroute(req *http1.Request) *http1.Response {
 	params, err := url.ParseQuery(req.Query)
 	if err != nil {
@@ -43,7 +42,7 @@
 	}
 	if f.SettingsUpdater == nil {
 		return f.reject(badRequest(errTypeIllegalState,
-			"layouts change in the replicated store only, and this instance has none"))
+			"a layout can be changed in the replicated store only, and this instance has no store"))
 	}
 	dryRun, err := readDryRun(params)
 	if err != nil {
@@ -66,7 +65,8 @@
 	return rerouteResponse(next, changed, dryRun)
 }
 
-// decodeReroute reads a body. The name of rerouteCommand is part of the texts of errors that clients get.
+// decodeReroute decodes the body of a request. The name of the type rerouteCommand is part of the error texts that
+// clients get.
 func decodeReroute(data []byte) ([]map[string]rerouteCommand, error) {
 	var body struct {
 		Commands []map[string]rerouteCommand `json:"commands"`
@@ -78,7 +78,7 @@
 	}
 	_, err := d.Token()
 	if !errors.Is(err, io.EOF) || len(body.Commands) == 0 || len(body.Commands) > maxRerouteCommands {
-		return nil, illegalArgument("1 to %d commands are taken, and nothing after them", maxRerouteCommands)
+		return nil, illegalArgument("the body must have 1 to %d commands and nothing after them", maxRerouteCommands)
 	}
 	return body.Commands, nil
 }
@@ -94,7 +94,7 @@
 	}
 }
 
-// applyCommands is the settings after all commands; it adds the indices with a new shard map to changed.
+// applyCommands returns the settings after all commands. It adds the indices that get a new shard map to changed.
 func applyCommands(
 	c *searchconfig.Config, commands []map[string]rerouteCommand, changed map[string]bool,
 ) (*searchconfig.Config, error) {
@@ -136,7 +136,7 @@
 	})
 }
 
-// invalidCommandErrors are the errors of a command that can't be applied, as opposed to one of the store.
+// invalidCommandErrors are the errors of a command that can't be applied, as opposed to failures of the store.
 var invalidCommandErrors = []error{
 	shardmap.ErrVersionConflict,
 	shardmap.ErrIncompleteCoverage,
@@ -150,7 +150,7 @@
 	searchconfig.ErrInvalid,
 }
 
-// rejectReroute answers a request whose commands were not applied.
+// rejectReroute returns the response to a request whose commands were not applied.
 func (f *Front) rejectReroute(err error) *http1.Response {
 	isErr := func(target error) bool { return errors.Is(err, target) }
 	if slices.ContainsFunc(invalidCommandErrors, isErr) {
--- a/internal/opensearch/reroute_command.go
+++ b/internal/opensearch/reroute_command.go
@@ -7,8 +7,8 @@
 	"linkpass/internal/shardmap"
 )
 
-// rerouteCommand is the body of one command of /_cluster/reroute; which fields it needs depends on the
-// command's name.
+// rerouteCommand is the body of one command of /_cluster/reroute. The name of the command determines which fields
+// it needs.
 type rerouteCommand struct {
 	Index       string     `json:"index"`
 	Shard       uint64     `json:"shard"`
@@ -16,12 +16,12 @@
 	FromNode    string     `json:"from_node"`
 	ToNode      string     `json:"to_node"`
 	ReplicaSets [][]string `json:"to_nodes"`
-	Pieces      int        `json:"into"` // at least 2
+	Pieces      int        `json:"into"` // of a split; a value below 2 counts as 2
 	PlanID      uint64     `json:"plan"`
 }
 
-// shardMapCommand is the command of a shard map that a command of the name stands for. Its error wraps
-// shardmap.ErrInvalidRequest or shardmap.ErrNotFound.
+// shardMapCommand translates a reroute command with the given name into a command to the shard map m. Its error
+// wraps shardmap.ErrInvalidRequest or shardmap.ErrNotFound.
 func (r rerouteCommand) shardMapCommand(name string, m *shardmap.Map) (shardmap.Command, error) {
 	switch name {
 	case "move":
@@ -52,7 +52,8 @@
 		shardmap.ErrInvalidRequest, name)
 }
 
-// moveCommand replaces all replicas of a shard, or one of them by another node.
+// moveCommand returns a command that replaces all replicas of a shard or, if the request has no ReplicaSets, only
+// the replica on FromNode by one on ToNode.
 func (r rerouteCommand) moveCommand(m *shardmap.Map) (shardmap.Command, error) {
 	id, sets := shardmap.ShardID(r.Shard), r.ReplicaSets
 	if len(sets) == 0 {
@@ -62,7 +63,7 @@
 		}
 		i := slices.Index(s.Replicas, r.FromNode)
 		if i < 0 || r.ToNode == "" {
-			return shardmap.Command{}, fmt.Errorf("%w: slice %d is not on node %.80q, or no to_node",
+			return shardmap.Command{}, fmt.Errorf("%w: slice %d is not on node %.80q, or to_node is missing",
 				shardmap.ErrInvalidRequest, r.Shard, r.FromNode)
 		}
 		replicas := slices.Clone(s.Replicas)
@@ -76,11 +77,11 @@
 	}}, nil
 }
 
-// resumeCommand requests again what an abandoned plan was to do.
+// resumeCommand returns a command that requests again what an abandoned plan was to do.
 func resumeCommand(m *shardmap.Map, id shardmap.PlanID) (shardmap.Command, error) {
 	p, ok := m.Plan(id)
 	if !ok || p.Step != shardmap.Abandoned {
-		return shardmap.Command{}, fmt.Errorf("%w: plan %d was not abandoned, or too long ago",
+		return shardmap.Command{}, fmt.Errorf("%w: plan %d was not abandoned, or is no longer recorded",
 			shardmap.ErrNotFound, id)
 	}
 	request := shardmap.PlanRequest{Kind: p.Kind, Pieces: len(p.To)}
--- a/internal/opensearch/reroute_golden_test.go
+++ b/internal/opensearch/reroute_golden_test.go
@@ -14,7 +14,7 @@
 			for _, earlier := range commandsBefore[name] {
 				request := goldentest.Read(t, "reroute_"+earlier+".json")
 				if res, _ := serve(f, "POST", "/_cluster/reroute", string(request)); res.Status != 200 {
-					t.Fatalf("%s: %d %s", earlier, res.Status, res.Body)
+					t.Fatalf("%s: status = %d, want 200: %s", earlier, res.Status, res.Body)
 				}
 			}
 			request := string(goldentest.Read(t, "reroute_"+name+".json"))
@@ -33,7 +33,7 @@
 		f, _ := newDynamicFront(t, &fakeCore{})
 		const body = `{"commands":[{"split":{"index":"players","shard":1048576,"pieces":2}}]}`
 		if res, _ := serve(f, "POST", "/_cluster/reroute", body); res.Status != 400 {
-			t.Errorf("status %d", res.Status)
+			t.Errorf("status = %d, want 400", res.Status)
 		}
 	})
 }
--- a/internal/opensearch/reroute_test.go
+++ b/internal/opensearch/reroute_test.go
@@ -19,7 +19,7 @@
 	return fmt.Sprintf(`{"split":{"index":"players","shard":%d,"into":3}}`, firstShardID)
 }
 
-// Guards against commands that are applied in part, and errors that don't name the invariant.
+// Guards against commands that are applied only in part, and against errors that don't name the violated invariant.
 func TestRerouteRejectsInvalidCommands(t *testing.T) {
 	f, updater := newDynamicFront(t, &fakeCore{})
 	split := splitCommand()
@@ -40,15 +40,16 @@
 		{"?dry_run=maybe", split, "Failed to parse value [maybe]"},
 	} {
 		if status, body := reroute(f, c.params, c.commands); status != 400 || !strings.Contains(body, c.says) {
-			t.Errorf("%s: %d %s, want %q", c.commands, status, body, c.says)
+			t.Errorf("%s: status %d, body %s, want status 400 and %q", c.commands, status, body, c.says)
 		}
 		if updater.now.ShardMap("players").Version() != 1 {
-			t.Fatalf("%s left a trace", c.commands)
+			t.Fatalf("rejected %s took the shard map to version %d, want 1",
+				c.commands, updater.now.ShardMap("players").Version())
 		}
 	}
 	f.SettingsUpdater = nil
 	if status, _ := reroute(f, "", split); status != 400 {
-		t.Errorf("without a store: %d", status)
+		t.Errorf("status without a store = %d, want 400", status)
 	}
 }
 
@@ -57,30 +58,30 @@
 	split := splitCommand()
 	status, body := reroute(f, "?dry_run=true", split)
 	if status != 200 || !strings.Contains(body, `"step":"planned"`) || updater.now.ShardMap("players").Version() != 1 {
-		t.Errorf("dry run: %d %s", status, body)
+		t.Errorf("dry run: status %d, body %s, want status 200, a planned step and no new version", status, body)
 	}
 	if status, body := reroute(f, "", split); status != 200 || !strings.Contains(body, `"versions":{"players":2}`) {
-		t.Errorf("%d %s", status, body)
+		t.Errorf("split: status %d, body %s, want status 200 and version 2", status, body)
 	}
 	if status, _ := reroute(f, "", `{"abandon":{"index":"players","plan":1}}`); status != 200 {
-		t.Errorf("abandon: %d", status)
+		t.Errorf("abandon: status = %d, want 200", status)
 	}
 	status, body = reroute(f, "", `{"resume":{"index":"players","plan":1}}`)
 	if status != 200 || len(updater.now.ShardMap("players").Plans()) != 1 {
-		t.Errorf("resume: %d %s", status, body)
+		t.Errorf("resume: status %d, body %s, want status 200 and one open plan", status, body)
 	}
 	res, _ := serve(f, "GET", "/_cat/shards/players?v", "")
 	if got := string(res.Body); strings.Count(got, "RELOCATING") != 2 || strings.Count(got, "INITIALIZING") != 6 ||
 		strings.Count(got, "STARTED") != 6 {
-		t.Errorf("%s", got)
+		t.Errorf("shards = %s, want 2 RELOCATING, 6 INITIALIZING and 6 STARTED", got)
 	}
 	res, _ = serve(f, "GET", "/players/_search_shards?routing=li", "")
 	if bytes.Count(res.Body, []byte(`"node"`)) != 2 {
-		t.Errorf("%s", res.Body)
+		t.Errorf("search shards = %s, want 2 replicas", res.Body)
 	}
 }
 
-// Guards against a renamed Go type that changes what a client reads.
+// Guards against a renamed Go type that changes an error text that clients get.
 func TestRerouteDecodingErrorTexts(t *testing.T) {
 	const command = "map[string]opensearch.rerouteCommand"
 	for _, c := range []struct{ body, reason string }{
@@ -100,7 +101,7 @@
 			res, out := serve(f, "POST", "/_cluster/reroute", c.body)
 			e, _ := out["error"].(map[string]any)
 			if res.Status != 400 || e["type"] != "parsing_exception" || e["reason"] != c.reason {
-				t.Errorf("%d %s, want %s", res.Status, res.Body, c.reason)
+				t.Errorf("status %d, body %s, want status 400 and reason %s", res.Status, res.Body, c.reason)
 			}
 		})
 	}
--- a/internal/opensearch/response.go
+++ b/internal/opensearch/response.go
@@ -15,6 +15,7 @@
 	Hits     searchHits  `json:"hits"`
 }
 
+// shardCounts says how many shards, or key ranges, of a search have a result. Failures lists those without a result.
 type shardCounts struct {
 	Total      int            `json:"total"`
 	Successful int            `json:"successful"`
@@ -29,7 +30,7 @@
 	Hits     []searchHit `json:"hits"`
 }
 
-// total is the number of hits: exact ("eq") or a lower bound ("gte").
+// total is the number of hits: the exact number (relation "eq") or a lower bound ("gte").
 type total struct {
 	Value    int64  `json:"value"`
 	Relation string `json:"relation"`
@@ -42,8 +43,7 @@
 	Source json.RawMessage `json:"_source,omitempty"`
 }
 
-// errorBody is the body of a response that is an error. Took, TimedOut and Shards are there where a search
-// was started.
+// errorBody is the body of an error response. Took, TimedOut and Shards are set only if a search was started.
 type errorBody struct {
 	Error    apiError     `json:"error"`
 	Status   int          `json:"status"`
@@ -52,9 +52,10 @@
 	Shards   *shardCounts `json:"_shards,omitempty"`
 }
 
+// errorResponse returns the response to a request that failed before a search was started.
 func errorResponse(e *apiError) *http1.Response { return searchError(e, nil, nil, nil) }
 
-// searchError is the response to a search that was started and failed.
+// searchError returns the response to a search that was started and failed. took is in milliseconds.
 func searchError(e *apiError, took *int64, timedOut *bool, counts *shardCounts) *http1.Response {
 	out := *e
 	if out.RootCause == nil {
@@ -69,6 +70,7 @@
 	})
 }
 
+// jsonResponse returns a response with v as its body, or with status 500 if v can't be encoded.
 func jsonResponse(status int, v any) *http1.Response {
 	data, err := json.Marshal(v)
 	if err != nil {
--- a/internal/opensearch/response_golden_test.go
+++ b/internal/opensearch/response_golden_test.go
@@ -71,7 +71,7 @@
 	})
 }
 
-// goldenError has every field.
+// goldenError returns an error that has every field.
 func goldenError() apiError {
 	return apiError{
 		Type:      "t-1",
--- a/internal/opensearch/search.go
+++ b/internal/opensearch/search.go
@@ -12,7 +12,7 @@
 	"linkpass/internal/searchconfig"
 )
 
-// search runs one search of an index and answers it.
+// search runs one search of an index and returns the response.
 func (f *Front) search(ctx context.Context, startedAt time.Duration, index string, req *http1.Request) *http1.Response {
 	s, body, err := f.planSearch(index, req)
 	if err != nil {
@@ -36,7 +36,7 @@
 	return encodeAnswer(s, answer, (f.Core.Now() - startedAt).Milliseconds())
 }
 
-// await submits a query and waits for its answer. A query that ctx cancels is answered by the core too.
+// await submits a query and waits for its answer. The core also answers a query that was canceled through ctx.
 func (f *Front) await(ctx context.Context, query coordinator.Query) coordinator.Answer {
 	answers := make(chan coordinator.Answer, 1) // buffered: the core's event loop never waits for this goroutine
 	query.Reply = func(a coordinator.Answer) { answers <- a }
@@ -50,7 +50,8 @@
 	}
 }
 
-// parts are the parts of a search of fixed shards, of equal weights; the core divides a search of key ranges.
+// parts returns one part of equal weight for each fixed shard of a search. It returns none for a search of key
+// ranges, which the core divides into parts itself.
 func (s *searchRequest) parts(payload []byte) []coordinator.Part {
 	parts := make([]coordinator.Part, len(s.fixedShards))
 	for i, shard := range s.fixedShards {
@@ -59,8 +60,8 @@
 	return parts
 }
 
-// planSearch reads a search and finds its class, and its shards or key ranges. A body that it returns is the
-// caller's to release. Its error is an apiError.
+// planSearch reads a search and determines its class and its shards or key ranges. If it returns a body, the caller
+// must release that. The error is an apiError.
 func (f *Front) planSearch(index string, req *http1.Request) (s searchRequest, body coordinator.Body, err error) {
 	config := f.SearchConfig()
 	entry, ok := config.Indices[index]
@@ -84,7 +85,8 @@
 	return s, body, err
 }
 
-// resolveShards sets the shards or key ranges of a search, and its timeout, from its index.
+// resolveShards sets the shards or key ranges of a search from its index, and limits its timeout to the deadline
+// of its class.
 func (f *Front) resolveShards(s *searchRequest, entry searchconfig.Index, config *searchconfig.Config) (err error) {
 	if m := config.ShardMap(s.index); m != nil {
 		if s.keyRanges, err = s.requestedRanges(m); err != nil {
@@ -94,7 +96,7 @@
 		s.fixedShards = s.preferredShards
 	}
 	if s.keyRanges == nil && (s.preferredRanges != nil || s.routingValues != nil) {
-		return illegalArgument("index [%s] has a fixed layout: neither routing nor _ranges is known there", s.index)
+		return illegalArgument("index [%s] has a fixed layout, which supports neither routing nor _ranges", s.index)
 	}
 	for _, shard := range s.fixedShards {
 		if !slices.Contains(entry.Shards, shard) || shard >= f.Shards {
--- a/internal/opensearch/search_golden_test.go
+++ b/internal/opensearch/search_golden_test.go
@@ -26,7 +26,7 @@
 		t.Run(c.file, func(t *testing.T) {
 			core := &fakeCore{answer: completeAnswer}
 			if res, _ := serve(newFront(core), "POST", c.target, c.body); res.Status != 200 {
-				t.Fatalf("%d %s", res.Status, res.Body)
+				t.Fatalf("status = %d, want 200: %s", res.Status, res.Body)
 			}
 			for _, p := range core.queries[0].Parts {
 				goldentest.Bytes(t, c.file, p.Payload)
--- a/internal/opensearch/search_params.go
+++ b/internal/opensearch/search_params.go
@@ -12,7 +12,7 @@
 )
 
 // readParams reads the parameters of the URL, which override the body. They are read in the order of their
-// names, so that of several errors always the same one is returned.
+// names, so that the same one of several errors is returned each time.
 func (s *searchRequest) readParams(params string) error {
 	values, err := url.ParseQuery(params)
 	if err != nil {
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// readPreference reads which shards of the index are searched: _shards:N,… or, with a shard map, key ranges as
-// _ranges:FIRST-LAST,…
+// readPreference reads which shards of the index are searched, as _shards:N,… or, for an index with a shard map,
+// as key ranges: _ranges:FIRST-LAST,…
 func (s *searchRequest) readPreference(text string) error {
 	kind, list, _ := strings.Cut(text, ":")
 	if kind != "_shards" && kind != "_ranges" {
@@ -85,7 +85,7 @@
 	}
 	items := strings.Split(list, ",")
 	if len(items) > maxSelectors {
-		return illegalArgument("preference names more than %d", maxSelectors)
+		return illegalArgument("preference names more than %d shards or ranges", maxSelectors)
 	}
 	for _, item := range items {
 		if kind == "_ranges" {
@@ -98,7 +98,7 @@
 		}
 		n, err := strconv.Atoi(item)
 		if err != nil || n < 0 || slices.Contains(s.preferredShards, n) {
-			return illegalArgument("preference names no shard or one twice: [%.40s]", item)
+			return illegalArgument("preference has an invalid or repeated shard: [%.40s]", item)
 		}
 		s.preferredShards = append(s.preferredShards, n)
 	}
--- a/internal/opensearch/search_request.go
+++ b/internal/opensearch/search_request.go
@@ -10,28 +10,28 @@
 	"linkpass/internal/shardmap/coverage"
 )
 
-// searchRequest is a search as its client asked for it.
+// searchRequest is a search as its client requested it.
 type searchRequest struct {
 	index           string
-	class           int              // by number; -1: not served here
-	fixedShards     []int            // of an index without a shard map
-	keyRanges       []shardmap.Range // of an index with a shard map; nil: it has none
+	class           int              // index into Front.Classes; -1: this instance does not serve the class
+	fixedShards     []int            // for an index without a shard map
+	keyRanges       []shardmap.Range // for an index with a shard map; nil: the index has none
 	preferredShards []int            // from the URL, as are the next two; nil: all
 	routingValues   []string
 	preferredRanges []shardmap.Range
 	query           json.RawMessage
 	from, size      int           // hits
-	timeout         time.Duration // 0: that of the class
+	timeout         time.Duration // 0: the deadline of the class
 	allowPartial    bool
 }
 
 const (
 	defaultSize  = 10   // hits
-	maxSelectors = 1024 // shards, ranges or routing values of a search
+	maxSelectors = 1024 // shards or ranges, and routing values, that a search may name
 )
 
-// parseSearch reads the parameters and the body of a search; its index, class and shards are the caller's to
-// set. Its error is an apiError.
+// parseSearch reads the parameters and the body of a search. The caller sets its index, class and shards. The
+// error is an apiError.
 func parseSearch(params string, data []byte, config *searchconfig.Config) (s searchRequest, err error) {
 	s = searchRequest{
 		query:        json.RawMessage(`{"match_all":{}}`),
@@ -50,7 +50,7 @@
 	return s, s.checkWindow(config)
 }
 
-// checkWindow holds from and size to the limits.
+// checkWindow returns an error if from or size is negative, or if their sum exceeds the maximum result window.
 func (s *searchRequest) checkWindow(config *searchconfig.Config) error {
 	limit := config.MaxResultWindow()
 	switch {
@@ -58,7 +58,7 @@
 		return illegalArgument("[from] parameter cannot be negative")
 	case s.size < 0:
 		return illegalArgument("[size] parameter cannot be negative")
-	case s.from > limit || s.size > limit-s.from: // a sum could overflow
+	case s.from > limit || s.size > limit-s.from: // from+size could overflow
 		return illegalArgument("Result window is too large, from + size must be less than or equal to: [%d]", limit)
 	}
 	return nil
@@ -80,10 +80,10 @@
 	return s.applyBody(b)
 }
 
-// trimColon is a value without the colon before it.
+// trimColon removes the colon, and the white space around it, in front of a value.
 func trimColon(b []byte) []byte { return bytes.TrimLeft(b, " \t\r\n:") }
 
-// applyBody sets what a body says beside its query.
+// applyBody sets what a body specifies besides its query.
 func (s *searchRequest) applyBody(b scannedBody) error {
 	if b.from != nil {
 		s.from = *b.from
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// requestedRanges are the keys that a search of an index with a shard map covers: by routing values, ranges
-// and shards, or all.
+// requestedRanges returns the keys that a search of an index with a shard map covers: those of its routing values,
+// ranges and shards together, or all keys if it names none.
 func (s *searchRequest) requestedRanges(m *shardmap.Map) ([]shardmap.Range, error) {
 	var out []shardmap.Range
 	for _, value := range s.routingValues {
--- a/internal/opensearch/search_request_test.go
+++ b/internal/opensearch/search_request_test.go
@@ -15,7 +15,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		cut := valid[:rapid.IntRange(1, len(valid)-1).Draw(t, "at")]
 		if _, err := parseSearch("", []byte(cut), testConfig()); err == nil {
-			t.Fatal("took a cut search")
+			t.Fatalf("truncated search %s was accepted", cut)
 		}
 		params, garbage := rapid.String().Draw(t, "params"), rapid.SliceOf(rapid.Byte()).Draw(t, "garbage")
 		_, _ = parseSearch(params, garbage, testConfig()) // must not panic
--- a/internal/opensearch/search_test.go
+++ b/internal/opensearch/search_test.go
@@ -17,12 +17,13 @@
 	const body = `{"query":{"match":{"name":"li"}},"size":2}`
 	res, out := serve(newFront(c), "POST", "/players/_search?from=1&timeout=300ms", body)
 	if res.Status != 200 {
-		t.Fatalf("%d %s", res.Status, res.Body)
+		t.Fatalf("status = %d, want 200: %s", res.Status, res.Body)
 	}
 	q := c.queries[0]
 	if q.Class != 1 || q.Timeout != 300*time.Millisecond || q.Collection != "players" || len(q.Parts) != 3 ||
 		string(q.Parts[0].Payload) != `{"from":0,"query":{"match":{"name":"li"}},"size":3}` {
-		t.Errorf("query %+v, text %s", q, q.Parts[0].Payload)
+		t.Errorf("query = %+v, payload %s, want class 1, 300ms, 3 parts and a payload with size 3",
+			q, q.Parts[0].Payload)
 	}
 	var got searchResponse
 	if err := json.Unmarshal(res.Body, &got); err != nil {
@@ -30,11 +31,11 @@
 	}
 	counts := got.Shards
 	if got.Took != 40 || got.TimedOut || counts.Total != 3 || counts.Successful != 3 || counts.Failed != 0 {
-		t.Errorf("%s", res.Body)
+		t.Errorf("response = %s, want took 40, no timeout and 3 successful shards of 3", res.Body)
 	}
 	if got.Hits.Total != (total{9, "eq"}) || *got.Hits.MaxScore != 9 || len(got.Hits.Hits) != 2 ||
-		got.Hits.Hits[0].ID != "2" || got.Hits.Hits[1].ID != "low" { // best 9, then 2, 0.5, 0
-		t.Errorf("hits %s %v", res.Body, out["hits"])
+		got.Hits.Hits[0].ID != "2" || got.Hits.Hits[1].ID != "low" { // by score: best 9, then 2, 0.5 and 0
+		t.Errorf("response = %s, hits %v, want 9 hits, max_score 9 and the page 2, low", res.Body, out["hits"])
 	}
 }
 
@@ -71,7 +72,7 @@
 	}
 }
 
-// Guards against a search that is sent though it can't be served as its client asked.
+// Guards against a search that is sent to servers although it can't be served as its client requested.
 func TestServeRejectsInvalidSearches(t *testing.T) {
 	for _, c := range invalidSearches() {
 		t.Run(fmt.Sprintf("%s %.60s", c.target, c.body), func(t *testing.T) {
@@ -80,19 +81,20 @@
 			e, _ := out["error"].(map[string]any)
 			if res.Status != c.status || e["type"] != c.errType || e["root_cause"] == nil ||
 				out["status"] != float64(c.status) {
-				t.Errorf("%d %s", res.Status, res.Body)
+				t.Errorf("status %d, body %s, want status %d, %s with a root cause",
+					res.Status, res.Body, c.status, c.errType)
 			}
 			if len(core.queries) != 0 {
-				t.Error("it was sent")
+				t.Errorf("%d queries were submitted, want 0", len(core.queries))
 			}
 		})
 	}
 	if res, _ := serve(newFront(&fakeCore{}), "DELETE", "/players/_search", ""); res.Status != 405 {
-		t.Errorf("%d", res.Status)
+		t.Errorf("status of DELETE = %d, want 405", res.Status)
 	}
 }
 
-// Guards against a search that is bound to the shards of one version of the map.
+// Guards against a search that is planned for the shards of one version of the map, instead of for key ranges.
 func TestSearchWithShardMapRequestsKeyRanges(t *testing.T) {
 	halves := shardmap.FullRange.Split(2)
 	key := shardmap.HashKey("li")
@@ -115,15 +117,15 @@
 		f, _ := newDynamicFront(t, c)
 		res, _ := serve(f, "POST", target, ``)
 		if len(c.queries) != 1 || fmt.Sprint(c.queries[0].KeyRanges) != fmt.Sprint(want) || len(c.queries[0].Parts) != 0 {
-			t.Errorf("%s requests %v", target, c.queries)
+			t.Errorf("%s: queries = %v, want one without parts for the key ranges %v", target, c.queries, want)
 		}
 		for _, s := range []string{`"failed":1`, `"range":"` + halves[1].String(), `"layout_version":7`, "ended as moved"} {
 			if !strings.Contains(string(res.Body), s) {
-				t.Errorf("%s lacks %s", res.Body, s)
+				t.Errorf("%s: response = %s, want %s in it", target, res.Body, s)
 			}
 		}
 		if res.Header.Get(headerMapVersion) != "7" {
-			t.Errorf("headers %v", res.Header)
+			t.Errorf("%s: header = %v, want %s 7", target, res.Header, headerMapVersion)
 		}
 	}
 }
@@ -136,7 +138,7 @@
 		"/fixed/_search?routing=a",
 	} {
 		if res, _ := serve(f, "POST", target, ``); res.Status != 404 && res.Status != 400 {
-			t.Errorf("%s: %d", target, res.Status)
+			t.Errorf("%s: status = %d, want 400 or 404", target, res.Status)
 		}
 	}
 }
--- a/internal/opensearch/settings.go
+++ b/internal/opensearch/settings.go
@@ -13,15 +13,17 @@
 
 const settingsPath = "/_cluster/settings"
 
-// ReplicatedSettings are the settings in the replicated store. Errors are those of package store, or
-// searchconfig.ErrInvalid for a patch that gives invalid settings.
+// ReplicatedSettings are the settings in the replicated store. Its errors are those of package store, or
+// searchconfig.ErrInvalid for a patch that results in invalid settings.
 type ReplicatedSettings interface {
+	// ReadWith returns the settings, read with the given consistency.
 	ReadWith(store.ReadOptions) (*searchconfig.Config, error)
+	// PatchSettings applies a merge patch and returns the new settings.
 	PatchSettings(patch []byte) (*searchconfig.Config, error)
 }
 
-// StoreSettingsHandler serves /_cluster/settings from the store: GET reads the settings (with local=true those
-// that this instance has), PUT changes them by a merge patch.
+// StoreSettingsHandler returns a handler that serves /_cluster/settings from the store: GET reads the settings
+// (with local=true those that this instance has), PUT changes them by a merge patch.
 func StoreSettingsHandler(s ReplicatedSettings) http1.Handler {
 	return http1.HandlerFunc(func(_ context.Context, _ time.Duration, req *http1.Request) *http1.Response {
 		params, err := url.ParseQuery(req.Query)
@@ -62,7 +64,7 @@
 	return settingsResponse(c, true)
 }
 
-// decodePatch is the merge patch of a request: its persistent settings. Transient ones are not supported.
+// decodePatch returns the merge patch of a request: its persistent settings. Transient settings are not supported.
 func decodePatch(body []byte) (json.RawMessage, *apiError) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
@@ -79,7 +81,8 @@
 	return fields["persistent"], nil
 }
 
-// FixedSettingsHandler serves /_cluster/settings where the settings come from the file: they can be read only.
+// FixedSettingsHandler returns a handler that serves /_cluster/settings on an instance without a store, whose
+// settings come from a file: it rejects every method except GET.
 func FixedSettingsHandler(current func() *searchconfig.Config) http1.Handler {
 	return http1.HandlerFunc(func(_ context.Context, _ time.Duration, req *http1.Request) *http1.Response {
 		if req.Method != "GET" {
--- a/internal/opensearch/settings_golden_test.go
+++ b/internal/opensearch/settings_golden_test.go
@@ -35,7 +35,7 @@
 			res, _ := serve(f, c.method, c.target, c.body)
 			goldentest.Bytes(t, c.file, responseBytes(t, res))
 			if c.file == "store_settings_put.http" && r.patch != `{"search.max_result_window":100}` {
-				t.Errorf("patch %s", r.patch)
+				t.Errorf("patch = %s, want the persistent settings", r.patch)
 			}
 		})
 	}
--- a/internal/opensearch/settings_test.go
+++ b/internal/opensearch/settings_test.go
@@ -15,11 +15,12 @@
 	const body = `{"persistent":{"indices.players.class":"league-table"},"transient":{}}`
 	if res, out := serve(f, "PUT", "/_cluster/settings", body); res.Status != 200 || out["acknowledged"] != true ||
 		r.patch != `{"indices.players.class":"league-table"}` {
-		t.Errorf("%d %s, patch %s", res.Status, res.Body, r.patch)
+		t.Errorf("status %d, body %s, patch %s, want status 200, acknowledged, the persistent settings of %s",
+			res.Status, res.Body, r.patch, body)
 	}
 	for _, bad := range []string{``, `{}`, `{"transient":{"a":1}}`, `[]`} {
 		if res, _ := serve(f, "PUT", "/_cluster/settings", bad); res.Status != 400 {
-			t.Errorf("%q: %d", bad, res.Status)
+			t.Errorf("%q: status = %d, want 400", bad, res.Status)
 		}
 	}
 	for _, c := range []struct {
@@ -32,16 +33,16 @@
 		r.err = c.err
 		res, out := serve(f, "PUT", "/_cluster/settings", body)
 		if res.Status != c.status || out["error"] == nil {
-			t.Errorf("%v: %d %s", c.err, res.Status, res.Body)
+			t.Errorf("%v: status %d, body %s, want status %d and an error", c.err, res.Status, res.Body, c.status)
 		}
 		if c.status == 307 && res.Header.Get("Location") != "http://127.0.0.1:9201/_cluster/settings" {
-			t.Errorf("the follower names %q", res.Header.Get("Location"))
+			t.Errorf("Location = %q, want the leader's settings", res.Header.Get("Location"))
 		}
 	}
 	if res, out := serve(f, "GET", "/_cluster/settings?local=true", ""); res.Status != 200 || out["persistent"] == nil {
-		t.Errorf("%d %s", res.Status, res.Body)
+		t.Errorf("local read: status %d, body %s, want status 200 and persistent settings", res.Status, res.Body)
 	}
 	if res, _ := serve(newFront(&fakeCore{}), "PUT", "/_cluster/settings", body); res.Status != 400 {
-		t.Errorf("without a store: %d", res.Status)
+		t.Errorf("status without a store = %d, want 400", res.Status)
 	}
 }
--- a/internal/opensearch/shard_lists.go
+++ b/internal/opensearch/shard_lists.go
@@ -14,7 +14,7 @@
 	"linkpass/internal/shardmap"
 )
 
-// catShards answers GET /_cat/shards[/{index}]; index "": all of them.
+// catShards serves GET /_cat/shards[/{index}]. An empty index stands for all indices.
 func (f *Front) catShards(index string, req *http1.Request) *http1.Response {
 	params, err := url.ParseQuery(req.Query)
 	if err != nil {
@@ -40,7 +40,8 @@
 	}
 }
 
-// appendIndexRows appends the rows of an index. The nodes of fixed shards are not known to the settings.
+// appendIndexRows appends the rows of an index. Fixed shards get the node "-", as the settings don't contain their
+// nodes.
 func appendIndexRows(rows []shardRow, index string, config *searchconfig.Config) []shardRow {
 	if m := config.ShardMap(index); m != nil {
 		return append(rows, shardRows(index, m)...)
@@ -74,7 +75,7 @@
 	return s
 }
 
-// searchShards answers /{index}/_search_shards: the replicas that a search would choose from.
+// searchShards serves /{index}/_search_shards: it lists the replicas among which a search would choose.
 func (f *Front) searchShards(index string, req *http1.Request) *http1.Response {
 	config := f.SearchConfig()
 	if _, ok := config.Indices[index]; !ok {
@@ -97,7 +98,7 @@
 	return jsonResponse(200, map[string]any{"nodes": nodes, "shards": groups, "layout_version": m.Version()})
 }
 
-// shardGroups are the replicas of each shard in the ranges, and the nodes that hold any.
+// shardGroups returns the nodes that have any shard of the ranges, and the replicas of each of these shards.
 func shardGroups(index string, m *shardmap.Map, ranges []shardmap.Range) (map[string]struct{}, [][]shardRow) {
 	nodes, groups := map[string]struct{}{}, [][]shardRow{}
 	for _, r := range ranges {
--- a/internal/opensearch/shard_rows.go
+++ b/internal/opensearch/shard_rows.go
@@ -9,9 +9,9 @@
 // States of a replica in lists of shards, in OpenSearch's terms.
 const (
 	stateServing   = "STARTED"
-	stateMovingOff = "RELOCATING"   // serves until a resharding plan has switched
-	stateRetiring  = "RETIRING"     // replaced by a resharding plan, not yet deleted
-	stateCopying   = "INITIALIZING" // target of a resharding plan, doesn't serve yet
+	stateMovingOff = "RELOCATING"   // serves until its resharding plan has switched
+	stateRetiring  = "RETIRING"     // replaced by a resharding plan, but not yet deleted
+	stateCopying   = "INITIALIZING" // target of a resharding plan, does not serve yet
 )
 
 // shardRow is one replica of a shard, in the terms of /_cat/shards and /_search_shards.
@@ -26,7 +26,7 @@
 	Step          string  `json:"step,omitempty"`
 	MapVersion    uint64  `json:"version"`
 	Primary       bool    `json:"primary"`
-	KeySpaceShare float64 `json:"share"` // from 0 to 1
+	KeySpaceShare float64 `json:"share"` // of the shard, from 0 to 1
 }
 
 // appendReplicas appends a row for each replica of a shard.
@@ -47,7 +47,7 @@
 	return rows
 }
 
-// shardRows lists the replicas of an index's shards: those that serve, then those of open plans.
+// shardRows returns the rows of an index: the replicas of shards that serve, then those of open plans.
 func shardRows(index string, m *shardmap.Map) (rows []shardRow) {
 	plans := planByShard(m)
 	add := func(s shardmap.Shard, state string) {
@@ -78,7 +78,7 @@
 	return rows
 }
 
-// planByShard is the plan of each shard that is a source or a target of one.
+// planByShard maps each shard that is a source or a target of a plan to that plan.
 func planByShard(m *shardmap.Map) map[shardmap.ShardID]shardmap.Plan {
 	plans := map[shardmap.ShardID]shardmap.Plan{}
 	for _, p := range m.Plans() {
--- a/internal/opensearch/store_error.go
+++ b/internal/opensearch/store_error.go
@@ -9,7 +9,8 @@
 	"linkpass/internal/store"
 )
 
-// storeError is the response to a request for path that the store failed. A follower redirects to the leader.
+// storeError returns the response to a request for path that failed in the store. A follower redirects to the
+// leader.
 func storeError(err error, path string) *http1.Response {
 	reason := err.Error()
 	var notLeader *store.NotLeaderError
