--- a/internal/opensearch/answer.go
+++ b/internal/opensearch/answer.go
@@ -10,7 +10,7 @@
 // encodeAnswer returns the response to a search that took the given number of milliseconds. The response lists
 // every shard or key range without a result.
 func encodeAnswer(s searchRequest, a coordinator.Answer, took int64) *http1.Response {
-	res := encodeStatus(s, a, took, countShards(s, a))
+	res := encodeByStatus(s, a, took, countShards(s, a))
 	if a.ShardMapVersion > 0 {
 		res.Header[headerMapVersion] = []string{strconv.FormatUint(a.ShardMapVersion, 10)}
 	}
@@ -29,18 +29,18 @@
 		counts.Total, counts.Successful = len(a.Values)+len(a.Missing), len(a.Values)
 	}
 	for _, m := range a.Missing {
-		failed := shardFailure{Shard: m.Shard, Index: s.index, Reason: missingReason(m)}
+		failure := shardFailure{Shard: m.Shard, Index: s.index, Reason: missingReason(m)}
 		if r := m.Request; r != nil {
-			failed.Shard, failed.KeyRange, failed.MapVersion = int(r.Shard), r.Range.String(), r.MapVersion
+			failure.Shard, failure.KeyRange, failure.MapVersion = int(r.Shard), r.Range.String(), r.MapVersion
 		}
-		counts.Failures = append(counts.Failures, failed)
+		counts.Failures = append(counts.Failures, failure)
 	}
 	return counts
 }
 
-// encodeStatus returns the response for the way the query ended: the merged hits of a complete answer, or of a
+// encodeByStatus returns the response for the way the query ended: the merged hits of a complete answer, or of a
 // partial one where the search allows it, and otherwise an error.
-func encodeStatus(s searchRequest, a coordinator.Answer, took int64, counts shardCounts) *http1.Response {
+func encodeByStatus(s searchRequest, a coordinator.Answer, took int64, counts shardCounts) *http1.Response {
 	if a.Status == coordinator.Answered && (a.Complete || s.allowPartial) {
 		return jsonResponse(200, searchResponse{
 			Took:     took,
@@ -66,7 +66,7 @@
 	case a.Status == coordinator.Answered:
 		e.Reason = "Partial shards failure"
 	}
-	res := searchError(e, &took, &a.TimedOut, &counts)
+	res := searchErrorResponse(e, &took, &a.TimedOut, &counts)
 	if a.Status == coordinator.Rejected && a.RetryAfter > 0 {
 		res.Header["Retry-After"] = []string{strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64)}
 	}
--- a/internal/opensearch/body_scanner.go
+++ b/internal/opensearch/body_scanner.go
@@ -14,11 +14,11 @@
 // scanner reads the body of a search token by token, so that a large body is never in memory as a whole.
 type scanner struct {
 	decoder *json.Decoder
-	guard   *tokenGuard
+	limiter *tokenLimitReader
 }
 
-// tokenGuard limits the bytes that are read for one token, so that an endless string can't exhaust memory.
-type tokenGuard struct {
+// tokenLimitReader limits the bytes that are read for one token, so that an endless string can't exhaust memory.
+type tokenLimitReader struct {
 	r         io.Reader
 	remaining int // bytes that may still be read for the current token
 }
@@ -26,12 +26,12 @@
 var errTokenTooLong = fmt.Errorf("a value of the body is longer than %d bytes", maxTokenBytes)
 
 // Read returns errTokenTooLong once the current token has used up its bytes.
-func (g *tokenGuard) Read(p []byte) (int, error) {
-	if g.remaining <= 0 {
+func (l *tokenLimitReader) Read(p []byte) (int, error) {
+	if l.remaining <= 0 {
 		return 0, errTokenTooLong
 	}
-	n, err := g.r.Read(p[:min(len(p), g.remaining)])
-	g.remaining -= n
+	n, err := l.r.Read(p[:min(len(p), l.remaining)])
+	l.remaining -= n
 	return n, err
 }
 
@@ -49,8 +49,8 @@
 // scanSearch reads a whole body. An unknown field is an error: if it were ignored, the client would get the
 // response to a different search.
 func scanSearch(r io.Reader) (out scannedBody, err error) {
-	guard := &tokenGuard{r: r, remaining: maxTokenBytes}
-	s := &scanner{decoder: json.NewDecoder(guard), guard: guard}
+	limiter := &tokenLimitReader{r: r, remaining: maxTokenBytes}
+	s := &scanner{decoder: json.NewDecoder(limiter), limiter: limiter}
 	s.decoder.UseNumber()
 	t, err := s.token()
 	if err != nil {
@@ -98,7 +98,7 @@
 
 // token reads the next token. It also returns an error that the decoder's More found while it looked ahead.
 func (s *scanner) token() (json.Token, error) {
-	s.guard.remaining = maxTokenBytes
+	s.limiter.remaining = maxTokenBytes
 	t, err := s.decoder.Token()
 	if err != nil {
 		return nil, badRequest(errTypeJSONParse, err.Error())
--- a/internal/opensearch/codec.go
+++ b/internal/opensearch/codec.go
@@ -29,7 +29,7 @@
 const (
 	maxConnsPerServer = 16        // each connection takes a file descriptor
 	maxResponseBytes  = 256 << 10 // of one part: the responses to all parts in flight have to fit in memory
-	hostHeader        = "league-server"
+	hostValue         = "league-server"
 )
 
 // Limits returns the limits of the protocol, which allow one part at a time on each connection.
--- a/internal/opensearch/codec_golden_test.go
+++ b/internal/opensearch/codec_golden_test.go
@@ -14,32 +14,32 @@
 )
 
 func TestServerRequestsGolden(t *testing.T) {
-	text := []byte(`{"from":0,"query":{"match":{"name":"li"}},"size":3}`)
-	fixed := upstream.Part{Name: "n0-1.3", Collection: "players", Shard: 3, Timeout: 240 * time.Millisecond, Payload: text}
-	moving := upstream.Part{
+	payload := []byte(`{"from":0,"query":{"match":{"name":"li"}},"size":3}`)
+	fixed := upstream.Part{Name: "n0-1.3", Collection: "players", Shard: 3, Timeout: 240 * time.Millisecond, Payload: payload}
+	dynamic := upstream.Part{
 		Name:       "n0-1.4",
 		Collection: "pl/ayers",
 		Shard:      9,
 		Timeout:    time.Microsecond,
-		Payload:    text,
+		Payload:    payload,
 		Request:    goldenShardRequest(),
 	}
-	plain := upstream.Part{Name: "q.3", Shard: 3, Timeout: time.Second, Payload: []byte("c41e77d0")}
-	d := Codec{}
+	platformPart := upstream.Part{Name: "q.3", Shard: 3, Timeout: time.Second, Payload: []byte("c41e77d0")}
+	codec := Codec{}
 	for _, c := range []struct {
 		file string
 		got  []byte
 	}{
-		{"server_part_fixed.http", d.EncodeRequest([]upstream.Part{fixed})},
-		{"server_part_layout.http", d.EncodeRequest([]upstream.Part{moving})},
-		{"server_part_plain.http", d.EncodeRequest([]upstream.Part{plain})},
-		{"server_head_fixed.http", d.EncodeHeader(fixed, 123456)},
-		{"server_head_layout.http", d.EncodeHeader(moving, 123456)},
-		{"server_probe.http", d.EncodeHealthCheck()},
+		{"server_part_fixed.http", codec.EncodeRequest([]upstream.Part{fixed})},
+		{"server_part_layout.http", codec.EncodeRequest([]upstream.Part{dynamic})},
+		{"server_part_plain.http", codec.EncodeRequest([]upstream.Part{platformPart})},
+		{"server_head_fixed.http", codec.EncodeHeader(fixed, 123456)},
+		{"server_head_layout.http", codec.EncodeHeader(dynamic, 123456)},
+		{"server_probe.http", codec.EncodeHealthCheck()},
 	} {
 		t.Run(c.file, func(t *testing.T) { goldentest.Bytes(t, c.file, sortedHead(t, c.got)) })
 	}
-	if got := d.EncodeHeader(plain, 1); got != nil {
+	if got := codec.EncodeHeader(platformPart, 1); got != nil {
 		t.Errorf("EncodeHeader of a platform part = %q, want nil", got)
 	}
 }
--- a/internal/opensearch/codec_request.go
+++ b/internal/opensearch/codec_request.go
@@ -17,7 +17,7 @@
 	var b bytes.Buffer
 	for _, p := range parts {
 		path, header := requestTarget(p)
-		_ = http1.WriteRequest(&b, "POST", path, hostHeader, header, searchBody(p.Payload)) // a buffer returns no error
+		_ = http1.WriteRequest(&b, "POST", path, hostValue, header, searchBody(p.Payload)) // a buffer returns no error
 	}
 	return b.Bytes()
 }
@@ -29,7 +29,7 @@
 		return nil
 	}
 	path, header := requestTarget(p)
-	return http1.RequestHead("POST", path, hostHeader, header, size)
+	return http1.RequestHead("POST", path, hostValue, header, size)
 }
 
 // requestTarget returns the path, with its parameters, and the header of the request for a part.
@@ -72,6 +72,6 @@
 // EncodeHealthCheck encodes a request for the server's name and version.
 func (Codec) EncodeHealthCheck() []byte {
 	var b bytes.Buffer
-	_ = http1.WriteRequest(&b, "GET", "/", hostHeader, nil, nil) // a buffer returns no error
+	_ = http1.WriteRequest(&b, "GET", "/", hostValue, nil, nil) // a buffer returns no error
 	return b.Bytes()
 }
--- a/internal/opensearch/fakes_test.go
+++ b/internal/opensearch/fakes_test.go
@@ -89,8 +89,8 @@
 	patch string
 }
 
-func (r *fakeSettingsStore) ReadWith(how store.ReadOptions) (*searchconfig.Config, error) {
-	if how.Consistency == store.Local {
+func (r *fakeSettingsStore) ReadWith(options store.ReadOptions) (*searchconfig.Config, error) {
+	if options.Consistency == store.Local {
 		return testConfig(), nil
 	}
 	return testConfig(), r.err
@@ -102,14 +102,14 @@
 }
 
 // fakeSettingsUpdater applies changes immediately.
-type fakeSettingsUpdater struct{ now *searchconfig.Config }
+type fakeSettingsUpdater struct{ config *searchconfig.Config }
 
 func (c *fakeSettingsUpdater) UpdateSettings(
 	change func(*searchconfig.Config) (*searchconfig.Config, error),
 ) (*searchconfig.Config, error) {
-	next, err := change(c.now)
+	next, err := change(c.config)
 	if err == nil {
-		c.now = next
+		c.config = next
 	}
 	return next, err
 }
@@ -125,7 +125,7 @@
 	}
 	updater := &fakeSettingsUpdater{config}
 	f := newFront(c)
-	f.SearchConfig, f.SettingsUpdater = func() *searchconfig.Config { return updater.now }, updater
+	f.SearchConfig, f.SettingsUpdater = func() *searchconfig.Config { return updater.config }, updater
 	return f, updater
 }
 
--- a/internal/opensearch/front.go
+++ b/internal/opensearch/front.go
@@ -50,20 +50,20 @@
 // Serve returns the response to one request, which was received at startedAt on the core's clock. It returns when
 // the search has ended; canceling ctx cancels the search.
 func (f *Front) Serve(ctx context.Context, startedAt time.Duration, req *http1.Request) *http1.Response {
-	steps := strings.Split(strings.TrimPrefix(req.Path, "/"), "/")
-	reads := req.Method == "GET" || req.Method == "POST"
+	segments := strings.Split(strings.TrimPrefix(req.Path, "/"), "/")
+	isRead := req.Method == "GET" || req.Method == "POST"
 	switch {
 	case req.Path == settingsPath:
 		return f.Settings.Serve(ctx, startedAt, req)
-	case steps[0] == "_cat" && len(steps) >= 2 && len(steps) <= 3 && steps[1] == "shards" && req.Method == "GET":
-		return f.catShards(strings.Join(steps[2:], ""), req)
-	case len(steps) == 2 && steps[1] == "_search_shards" && reads:
-		return f.searchShards(steps[0], req)
+	case segments[0] == "_cat" && len(segments) >= 2 && len(segments) <= 3 && segments[1] == "shards" && req.Method == "GET":
+		return f.catShards(strings.Join(segments[2:], ""), req)
+	case len(segments) == 2 && segments[1] == "_search_shards" && isRead:
+		return f.searchShards(segments[0], req)
 	case req.Path == reroutePath && req.Method == "POST":
 		return f.reroute(req)
-	case len(steps) == 2 && steps[1] == "_search" && reads:
-		return f.search(ctx, startedAt, steps[0], req)
-	case len(steps) == 2 && steps[1] == "_search":
+	case len(segments) == 2 && segments[1] == "_search" && isRead:
+		return f.search(ctx, startedAt, segments[0], req)
+	case len(segments) == 2 && segments[1] == "_search":
 		return errorResponse(methodNotAllowed(req, "POST, GET"))
 	}
 	return f.reject(illegalArgument("no handler found for uri [%.200s] and method [%s]", req.Path, req.Method))
--- a/internal/opensearch/large_body_test.go
+++ b/internal/opensearch/large_body_test.go
@@ -28,11 +28,11 @@
 	t.Cleanup(s.Close)
 	f := newFront(c)
 	f.BodyStore = s
-	w := &BodyUpload{Writer: s.NewWriter(1, 1), Rejection: &http1.Error{Status: 429}}
-	if _, err := io.WriteString(w, body); err != nil {
+	upload := &BodyUpload{Writer: s.NewWriter(1, 1), Rejection: &http1.Error{Status: 429}}
+	if _, err := io.WriteString(upload, body); err != nil {
 		t.Fatal(err)
 	}
-	return f, &http1.Request{Method: "POST", Path: "/players/_search", BodySink: w}, s
+	return f, &http1.Request{Method: "POST", Path: "/players/_search", BodySink: upload}, s
 }
 
 // termsQuery returns a query for n ids.
@@ -52,7 +52,7 @@
 		{Memory: 64 << 10, Files: 4 << 20, MaxMemoryBodySize: 16 << 10},
 	} {
 		query := termsQuery(20_000)
-		var text []byte
+		var sent []byte
 		c := &fakeCore{answer: func(q coordinator.Query) coordinator.Answer {
 			payload := string(q.Parts[0].Payload)
 			if q.Body == nil || len(payload) > 100 && payload != `{"from":0,"query":{"match_all":{}},"size":7}` {
@@ -62,7 +62,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			text, _ = io.ReadAll(r)
+			sent, _ = io.ReadAll(r)
 			_ = r.Close()
 			q.Body.Release()
 			return coordinator.Answer{Status: coordinator.Answered, Complete: true}
@@ -72,11 +72,11 @@
 		if res.Status != 200 || c.queries[0].Timeout != 300*time.Millisecond {
 			t.Fatalf("status %d, queries %+v, want status 200 and a timeout of 300ms: %s", res.Status, c.queries, res.Body)
 		}
-		if want := `{"from":0,"query":` + query + `,"size":7}`; string(text) != want {
-			t.Errorf("sent %d bytes %.60q, want %d bytes %.60q", len(text), text, len(want), want)
+		if want := `{"from":0,"query":` + query + `,"size":7}`; string(sent) != want {
+			t.Errorf("sent %d bytes %.60q, want %d bytes %.60q", len(sent), sent, len(want), want)
 		}
-		if f := s.Totals(); f.Bodies != 0 || f.Memory+f.Files != 0 {
-			t.Errorf("store has %+v after the search, want nothing", f)
+		if totals := s.Totals(); totals.Bodies != 0 || totals.Memory+totals.Files != 0 {
+			t.Errorf("store has %+v after the search, want nothing", totals)
 		}
 	}
 }
--- a/internal/opensearch/missing_reason.go
+++ b/internal/opensearch/missing_reason.go
@@ -7,16 +7,16 @@
 
 // missingReason returns the error that says how the latest attempt at a missing part ended.
 func missingReason(m coordinator.MissingPart) apiError {
-	evicted := ""
+	evictedNote := ""
 	if m.BodyEvicted {
-		evicted = "; its body is not kept any more, so it was not sent again"
+		evictedNote = "; its body is not kept any more, so it was not sent again"
 	}
 	if !m.Attempted {
-		return apiError{Type: errTypeNoShardAvailable, Reason: "no league server was tried" + evicted}
+		return apiError{Type: errTypeNoShardAvailable, Reason: "no league server was tried" + evictedNote}
 	}
 	return apiError{
 		Type:   outcomeErrorType(m.LastOutcome),
-		Reason: "the latest attempt ended as " + outcomeWord(m.LastOutcome) + evicted,
+		Reason: "the latest attempt ended as " + outcomeWord(m.LastOutcome) + evictedNote,
 	}
 }
 
--- a/internal/opensearch/query_scanner.go
+++ b/internal/opensearch/query_scanner.go
@@ -61,7 +61,7 @@
 	if t != json.Delim('{') {
 		return parsingError("[%.40s] query malformed, no start_object after query name", name)
 	}
-	namesField, known := leafQueries[name]
+	needsOneField, known := leafQueries[name]
 	if !known && name != "bool" {
 		return parsingError("unknown query [%.40s]", name)
 	}
@@ -77,7 +77,7 @@
 			return err
 		}
 	}
-	if namesField && keys != 1 {
+	if needsOneField && keys != 1 {
 		return parsingError("[%s] query must name exactly one field", name)
 	}
 	_, err = s.token()
--- a/internal/opensearch/reroute.go
+++ b/internal/opensearch/reroute.go
@@ -159,5 +159,5 @@
 	if errors.Is(err, store.ErrConflict) {
 		return errorResponse(&apiError{Type: errTypeVersionConflict, Reason: err.Error(), Status: 409})
 	}
-	return storeError(err, reroutePath)
+	return storeErrorResponse(err, reroutePath)
 }
--- a/internal/opensearch/reroute_golden_test.go
+++ b/internal/opensearch/reroute_golden_test.go
@@ -7,11 +7,11 @@
 )
 
 func TestRerouteGolden(t *testing.T) {
-	commandsBefore := map[string][]string{"abandon": {"split"}, "resume": {"split", "abandon"}}
+	earlierCommands := map[string][]string{"abandon": {"split"}, "resume": {"split", "abandon"}}
 	for _, name := range []string{"move", "move_set", "split", "merge", "abandon", "resume"} {
 		t.Run(name, func(t *testing.T) {
 			f, _ := newDynamicFront(t, &fakeCore{})
-			for _, earlier := range commandsBefore[name] {
+			for _, earlier := range earlierCommands[name] {
 				request := goldentest.Read(t, "reroute_"+earlier+".json")
 				if res, _ := serve(f, "POST", "/_cluster/reroute", string(request)); res.Status != 200 {
 					t.Fatalf("%s: status = %d, want 200: %s", earlier, res.Status, res.Body)
--- a/internal/opensearch/reroute_test.go
+++ b/internal/opensearch/reroute_test.go
@@ -26,7 +26,7 @@
 	merge := fmt.Sprintf(`{"merge":{"index":"players","shards":[%d,%d]}}`, firstShardID, firstShardID+2)
 	moveToNone := fmt.Sprintf(`{"move":{"index":"players","shard":%d,"to_nodes":[[]]}}`, firstShardID)
 	moveFromOther := fmt.Sprintf(`{"move":{"index":"players","shard":%d,"from_node":"z","to_node":"c"}}`, firstShardID)
-	for _, c := range []struct{ params, commands, says string }{
+	for _, c := range []struct{ params, commands, wantText string }{
 		{"", split + "," + split, shardmap.ErrPlanOverlap.Error()},
 		{"", merge, shardmap.ErrIncompleteCoverage.Error()},
 		{"", moveToNone, shardmap.ErrNoReplica.Error()},
@@ -39,12 +39,12 @@
 		{"", `{"split":{"indices":"players"}}`, "unknown field"},
 		{"?dry_run=maybe", split, "Failed to parse value [maybe]"},
 	} {
-		if status, body := reroute(f, c.params, c.commands); status != 400 || !strings.Contains(body, c.says) {
-			t.Errorf("%s: status %d, body %s, want status 400 and %q", c.commands, status, body, c.says)
+		if status, body := reroute(f, c.params, c.commands); status != 400 || !strings.Contains(body, c.wantText) {
+			t.Errorf("%s: status %d, body %s, want status 400 and %q", c.commands, status, body, c.wantText)
 		}
-		if updater.now.ShardMap("players").Version() != 1 {
+		if updater.config.ShardMap("players").Version() != 1 {
 			t.Fatalf("rejected %s took the shard map to version %d, want 1",
-				c.commands, updater.now.ShardMap("players").Version())
+				c.commands, updater.config.ShardMap("players").Version())
 		}
 	}
 	f.SettingsUpdater = nil
@@ -57,7 +57,7 @@
 	f, updater := newDynamicFront(t, &fakeCore{})
 	split := splitCommand()
 	status, body := reroute(f, "?dry_run=true", split)
-	if status != 200 || !strings.Contains(body, `"step":"planned"`) || updater.now.ShardMap("players").Version() != 1 {
+	if status != 200 || !strings.Contains(body, `"step":"planned"`) || updater.config.ShardMap("players").Version() != 1 {
 		t.Errorf("dry run: status %d, body %s, want status 200, a planned step and no new version", status, body)
 	}
 	if status, body := reroute(f, "", split); status != 200 || !strings.Contains(body, `"versions":{"players":2}`) {
@@ -67,7 +67,7 @@
 		t.Errorf("abandon: status = %d, want 200", status)
 	}
 	status, body = reroute(f, "", `{"resume":{"index":"players","plan":1}}`)
-	if status != 200 || len(updater.now.ShardMap("players").Plans()) != 1 {
+	if status != 200 || len(updater.config.ShardMap("players").Plans()) != 1 {
 		t.Errorf("resume: status %d, body %s, want status 200 and one open plan", status, body)
 	}
 	res, _ := serve(f, "GET", "/_cat/shards/players?v", "")
--- a/internal/opensearch/response.go
+++ b/internal/opensearch/response.go
@@ -53,10 +53,10 @@
 }
 
 // errorResponse returns the response to a request that failed before a search was started.
-func errorResponse(e *apiError) *http1.Response { return searchError(e, nil, nil, nil) }
+func errorResponse(e *apiError) *http1.Response { return searchErrorResponse(e, nil, nil, nil) }
 
-// searchError returns the response to a search that was started and failed. took is in milliseconds.
-func searchError(e *apiError, took *int64, timedOut *bool, counts *shardCounts) *http1.Response {
+// searchErrorResponse returns the response to a search that was started and failed. took is in milliseconds.
+func searchErrorResponse(e *apiError, took *int64, timedOut *bool, counts *shardCounts) *http1.Response {
 	out := *e
 	if out.RootCause == nil {
 		out.RootCause = []apiError{{Type: e.Type, Reason: e.Reason, Index: e.Index}}
--- a/internal/opensearch/search_golden_test.go
+++ b/internal/opensearch/search_golden_test.go
@@ -9,7 +9,7 @@
 	"linkpass/internal/outcome"
 )
 
-func TestSearchTextGolden(t *testing.T) {
+func TestSearchPayloadsGolden(t *testing.T) {
 	for _, c := range []struct{ file, target, body string }{
 		{
 			"search_text.json",
@@ -78,7 +78,7 @@
 	timedOut.TimedOut = true
 	rejected := coordinator.Answer{Status: coordinator.Rejected, Missing: missing, RetryAfter: 1250 * time.Millisecond}
 	failed := coordinator.Answer{Status: coordinator.Failed, Missing: missing}
-	late := coordinator.Answer{Status: coordinator.Failed, Missing: missing, TimedOut: true}
+	expired := coordinator.Answer{Status: coordinator.Failed, Missing: missing, TimedOut: true}
 	return []answerCase{
 		{"answer_whole.http", target, coordinator.Answer{Complete: true, Values: values}},
 		{"answer_no_hits.http", target, coordinator.Answer{Complete: true, Values: noHits}},
@@ -86,7 +86,7 @@
 		{"answer_partial_refused.http", target + "?allow_partial_search_results=false", partial},
 		{"answer_rejected.http", target, rejected},
 		{"answer_failed.http", target, failed},
-		{"answer_timeout.http", target, late},
+		{"answer_timeout.http", target, expired},
 		{
 			"answer_layout.http", "/movable/_search",
 			coordinator.Answer{ShardMapVersion: 7, Values: values[:1], Missing: moved},
--- a/internal/opensearch/settings.go
+++ b/internal/opensearch/settings.go
@@ -47,7 +47,7 @@
 	}
 	c, err := s.ReadWith(options)
 	if err != nil {
-		return storeError(err, settingsPath)
+		return storeErrorResponse(err, settingsPath)
 	}
 	return settingsResponse(c, false)
 }
@@ -59,7 +59,7 @@
 	}
 	c, err := s.PatchSettings(patch)
 	if err != nil {
-		return storeError(err, settingsPath)
+		return storeErrorResponse(err, settingsPath)
 	}
 	return settingsResponse(c, true)
 }
--- a/internal/opensearch/settings_test.go
+++ b/internal/opensearch/settings_test.go
@@ -18,9 +18,9 @@
 		t.Errorf("status %d, body %s, patch %s, want status 200, acknowledged, the persistent settings of %s",
 			res.Status, res.Body, r.patch, body)
 	}
-	for _, bad := range []string{``, `{}`, `{"transient":{"a":1}}`, `[]`} {
-		if res, _ := serve(f, "PUT", "/_cluster/settings", bad); res.Status != 400 {
-			t.Errorf("%q: status = %d, want 400", bad, res.Status)
+	for _, invalid := range []string{``, `{}`, `{"transient":{"a":1}}`, `[]`} {
+		if res, _ := serve(f, "PUT", "/_cluster/settings", invalid); res.Status != 400 {
+			t.Errorf("%q: status = %d, want 400", invalid, res.Status)
 		}
 	}
 	for _, c := range []struct {
--- a/internal/opensearch/shard_lists.go
+++ b/internal/opensearch/shard_lists.go
@@ -52,9 +52,9 @@
 	return rows
 }
 
-func formatRows(rows []shardRow, heading bool) []byte {
+func formatRows(rows []shardRow, withHeader bool) []byte {
 	var b bytes.Buffer
-	if heading {
+	if withHeader {
 		fmt.Fprintln(&b, "index shard state range epoch node plan step")
 	}
 	for _, r := range rows {
--- a/internal/opensearch/shard_rows.go
+++ b/internal/opensearch/shard_rows.go
@@ -8,10 +8,10 @@
 
 // States of a replica in lists of shards, in OpenSearch's terms.
 const (
-	stateServing   = "STARTED"
-	stateMovingOff = "RELOCATING"   // serves until its resharding plan has switched
-	stateRetiring  = "RETIRING"     // replaced by a resharding plan, but not yet deleted
-	stateCopying   = "INITIALIZING" // target of a resharding plan, does not serve yet
+	stateServing    = "STARTED"
+	stateRelocating = "RELOCATING"   // serves until its resharding plan has switched
+	stateRetiring   = "RETIRING"     // replaced by a resharding plan, but not yet deleted
+	stateCopying    = "INITIALIZING" // target of a resharding plan, does not serve yet
 )
 
 // shardRow is one replica of a shard, in the terms of /_cat/shards and /_search_shards.
@@ -62,7 +62,7 @@
 	for _, s := range m.Shards() {
 		state := stateServing
 		if _, planned := plans[s.ID]; planned && s.Epoch < m.Version() {
-			state = stateMovingOff
+			state = stateRelocating
 		}
 		add(s, state)
 	}
--- a/internal/opensearch/store_error.go
+++ b/internal/opensearch/store_error.go
@@ -9,9 +9,9 @@
 	"linkpass/internal/store"
 )
 
-// storeError returns the response to a request for path that failed in the store. A follower redirects to the
+// storeErrorResponse returns the response to a request for path that failed in the store. A follower redirects to the
 // leader.
-func storeError(err error, path string) *http1.Response {
+func storeErrorResponse(err error, path string) *http1.Response {
 	reason := err.Error()
 	var notLeader *store.NotLeaderError
 	switch {
