--- a/internal/http1/body_sink_test.go
+++ b/internal/http1/body_sink_test.go
@@ -15,7 +15,8 @@
 	_ "linkpass/internal/testrand"
 )
 
-// Guards against a sink that receives another body than memory would have, or writes of unbounded size.
+// A body that goes to a sink must have the same bytes as one that is read into memory, whatever its framing, and must
+// be written in pieces of at most sinkWriteBytes.
 func TestBodySinkReceivesSameBody(t *testing.T) {
 	sinkUsed := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -45,20 +46,21 @@
 			sinkUsed++
 			got = append(sink.data, got...)
 		}
-		if !bytes.Equal(got, body) || (req.BodySink != nil) != (len(body) > sinkThreshold) || sink.largest > sinkWriteBytes {
-			t.Fatalf("%d bytes of %d, with sink: %v, a write of %d", len(got), len(body), req.BodySink != nil, sink.largest)
+		if !bytes.Equal(got, body) || (req.BodySink != nil) != (len(body) > sinkThreshold) || sink.largestWrite > sinkWriteBytes {
+			t.Fatalf("got %d bytes, want the %d bytes that were sent; sink used: %v, largest write: %d bytes",
+				len(got), len(body), req.BodySink != nil, sink.largestWrite)
 		}
 	})
 	if sinkUsed == 0 {
-		t.Error("no body went to a sink")
+		t.Error("no body went to a sink, want at least one")
 	}
 }
 
-// A sink is aborted where its body stays incomplete, and a client that is still connected is answered.
+// If a body stays incomplete, its sink must be aborted, and a client that is still connected must get a response.
 func TestBodySinkAbortedOnIncompleteBody(t *testing.T) {
 	for name, c := range map[string]struct {
 		capacity, status int
-		then             func(*Server, io.Closer)
+		afterSend        func(*Server, io.Closer)
 	}{
 		"disconnected": {1 << 20, 0, func(_ *Server, client io.Closer) { client.Close() }},
 		"slow":         {1 << 20, 408, func(s *Server, _ io.Closer) { s.Clock.(*fakeClock).advance(FirstRequestTimeout) }},
@@ -72,20 +74,20 @@
 			for c.capacity > 40_000 && sink.size() < 2*sinkWriteBytes {
 				time.Sleep(time.Millisecond)
 			}
-			c.then(s, client)
+			c.afterSend(s, client)
 			<-sink.aborted
 			res, err := r.Response()
 			if c.status == 0 {
 				return
 			}
 			if err != nil || res.Status != c.status || !res.Close || c.status == 429 && res.Header.Get("Retry-After") != "0.5" {
-				t.Errorf("%+v %v", res, err)
+				t.Errorf("response = %+v, error = %v, want a last response with status %d", res, err, c.status)
 			}
 		})
 	}
 }
 
-// A sink that the handler does not use is aborted once it has answered.
+// A sink that the handler has not used must be aborted after the handler has answered.
 func TestBodySinkAbortedWhenUnused(t *testing.T) {
 	sink := newFakeSink(1 << 20)
 	_, addr := startServer(t, func(_ context.Context, _ time.Duration, req *Request) *Response {
@@ -99,18 +101,18 @@
 		t.Fatal(err)
 	}
 	if res, err := r.Response(); err != nil || res.Status != 200 {
-		t.Errorf("%+v %v", res, err)
+		t.Errorf("response = %+v, error = %v, want status 200", res, err)
 	}
 	<-sink.aborted
 }
 
-// fakeSink keeps what is written, up to a capacity in bytes.
+// fakeSink stores what is written to it, up to a capacity in bytes. A write beyond the capacity fails with status 429.
 type fakeSink struct {
-	mu       sync.Mutex
-	data     []byte
-	largest  int // bytes of the largest write
-	capacity int
-	aborted  chan struct{}
+	mu           sync.Mutex
+	data         []byte
+	largestWrite int // bytes of the largest write
+	capacity     int
+	aborted      chan struct{}
 }
 
 func newFakeSink(capacity int) *fakeSink {
@@ -122,7 +124,7 @@
 func (s *fakeSink) Write(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.largest = max(s.largest, len(p))
+	s.largestWrite = max(s.largestWrite, len(p))
 	if len(s.data)+len(p) > s.capacity {
 		return 0, &Error{Status: 429, Reason: "no room", RetryAfter: "0.5"}
 	}
--- a/internal/opensearch/fakes_test.go
+++ b/internal/opensearch/fakes_test.go
@@ -16,10 +16,10 @@
 	_ "linkpass/internal/testrand"
 )
 
-// fakeCore records the queries and answers each at once.
+// fakeCore records the queries and answers each immediately.
 type fakeCore struct {
 	queries []coordinator.Query
-	answer  func(coordinator.Query) coordinator.Answer // nil: only once the query is canceled
+	answer  func(coordinator.Query) coordinator.Answer // nil: a query is answered only when it is canceled
 }
 
 func (*fakeCore) Now() time.Duration { return 40 * time.Millisecond }
@@ -66,7 +66,8 @@
 	return res, out
 }
 
-// completeAnswer has a plain value for each shard, scored by its number, but search hits for shard 1.
+// completeAnswer returns an answer with search hits for shard 1 and, for each other shard, a plain value whose score
+// is the shard's number.
 func completeAnswer(q coordinator.Query) coordinator.Answer {
 	a := coordinator.Answer{Complete: true}
 	for _, p := range q.Parts {
@@ -82,14 +83,14 @@
 	return a
 }
 
-// fakeSettingsStore records the patch and fails with err, but for local reads.
+// fakeSettingsStore records the patch. All operations except local reads fail with err, if it is set.
 type fakeSettingsStore struct {
 	err   error
 	patch string
 }
 
-func (r *fakeSettingsStore) ReadWith(how store.ReadOptions) (*searchconfig.Config, error) {
-	if how.Consistency == store.Local {
+func (r *fakeSettingsStore) ReadWith(options store.ReadOptions) (*searchconfig.Config, error) {
+	if options.Consistency == store.Local {
 		return testConfig(), nil
 	}
 	return testConfig(), r.err
@@ -100,20 +101,20 @@
 	return testConfig(), r.err
 }
 
-// fakeSettingsUpdater applies changes at once.
-type fakeSettingsUpdater struct{ now *searchconfig.Config }
+// fakeSettingsUpdater applies changes immediately.
+type fakeSettingsUpdater struct{ config *searchconfig.Config }
 
 func (c *fakeSettingsUpdater) UpdateSettings(
 	change func(*searchconfig.Config) (*searchconfig.Config, error),
 ) (*searchconfig.Config, error) {
-	next, err := change(c.now)
+	next, err := change(c.config)
 	if err == nil {
-		c.now = next
+		c.config = next
 	}
 	return next, err
 }
 
-// newDynamicFront is a front with an index of four shards in a shard map and an index of a fixed shard.
+// newDynamicFront returns a front with an index of four shards in a shard map and an index with one fixed shard.
 func newDynamicFront(t *testing.T, c *fakeCore) (*Front, *fakeSettingsUpdater) {
 	t.Helper()
 	config, err := searchconfig.Parse([]byte(`{"search":{},"indices":{
@@ -124,9 +125,9 @@
 	}
 	updater := &fakeSettingsUpdater{config}
 	f := newFront(c)
-	f.SearchConfig, f.SettingsUpdater = func() *searchconfig.Config { return updater.now }, updater
+	f.SearchConfig, f.SettingsUpdater = func() *searchconfig.Config { return updater.config }, updater
 	return f, updater
 }
 
-// firstShardID is that of the first shard of a shard map.
+// firstShardID is the id of the first shard of a shard map.
 const firstShardID = uint64(shardmap.FirstDynamicID)
--- a/internal/opensearch/settings_golden_test.go
+++ b/internal/opensearch/settings_golden_test.go
@@ -35,7 +35,7 @@
 			res, _ := serve(f, c.method, c.target, c.body)
 			goldentest.Bytes(t, c.file, responseBytes(t, res))
 			if c.file == "store_settings_put.http" && r.patch != `{"search.max_result_window":100}` {
-				t.Errorf("patch %s", r.patch)
+				t.Errorf("patch = %s, want the persistent settings", r.patch)
 			}
 		})
 	}
@@ -51,7 +51,7 @@
 		{store.ErrNoQuorum, 503, "process_cluster_event_timeout_exception"},
 		{searchconfig.ErrInvalid, 400, "illegal_argument_exception"},
 		{store.ErrTooLarge, 413, "content_too_long_exception"},
-		{store.ErrBusy, 429, "circuit_breaking_exception"},
+		{store.ErrRateLimited, 429, "circuit_breaking_exception"},
 	} {
 		t.Run(c.errType, func(t *testing.T) {
 			handler := StoreSettingsHandler(&fakeSettingsStore{err: c.err})
--- a/internal/opensearch/store_error.go
+++ b/internal/opensearch/store_error.go
@@ -9,8 +9,9 @@
 	"linkpass/internal/store"
 )
 
-// storeError is the response to a request for path that the store failed. A follower redirects to the leader.
-func storeError(err error, path string) *http1.Response {
+// storeErrorResponse returns the response to a request for path that failed in the store. A follower redirects to the
+// leader.
+func storeErrorResponse(err error, path string) *http1.Response {
 	reason := err.Error()
 	var notLeader *store.NotLeaderError
 	switch {
@@ -22,7 +23,7 @@
 		return errorResponse(badRequest(errTypeIllegalArgument, reason))
 	case errors.Is(err, store.ErrTooLarge):
 		return errorResponse(&apiError{Type: errTypeContentTooLong, Reason: reason, Status: 413})
-	case errors.Is(err, store.ErrBusy):
+	case errors.Is(err, store.ErrRateLimited):
 		return errorResponse(&apiError{Type: errTypeCircuitBreaking, Reason: reason, Status: 429})
 	}
 	e := &apiError{Type: errTypeNoLeader, Reason: reason, Status: 503}
--- a/internal/reshardexec/wire_golden_test.go
+++ b/internal/reshardexec/wire_golden_test.go
@@ -38,50 +38,50 @@
 )
 
 func TestAssignmentBodiesGolden(t *testing.T) {
-	t.Run("call", func(t *testing.T) { goldentest.JSON(t, "call.json", goldenRequest) })
-	t.Run("reply", func(t *testing.T) { goldentest.JSON(t, "reply.json", goldenResponse) })
-	t.Run("call without assignments", func(t *testing.T) {
+	t.Run("request", func(t *testing.T) { goldentest.JSON(t, "call.json", goldenRequest) })
+	t.Run("response", func(t *testing.T) { goldentest.JSON(t, "reply.json", goldenResponse) })
+	t.Run("request without assignments", func(t *testing.T) {
 		goldentest.Encodes(t, "call_empty.json", AssignmentRequest{})
 	})
 }
 
-// One poll of a server: the bytes of the request, and the response as it is decoded.
+// Polls a server once and checks the bytes of the request and the decoded response.
 func TestPollGolden(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	answer := goldentest.Read(t, "reply.json")
-	got := make(chan *http1.Request, 1)
+	responseBody := goldentest.Read(t, "reply.json")
+	requests := make(chan *http1.Request, 1)
 	go func() {
-		defer close(got)
-		nc, err := ln.Accept()
+		defer close(requests)
+		netConn, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		defer nc.Close()
-		req, err := http1.NewReader(nc, 1<<20).Request()
+		defer netConn.Close()
+		req, err := http1.NewReader(netConn, 1<<20).Request()
 		if err != nil {
 			return
 		}
-		got <- req
-		_ = http1.WriteResponse(nc, &http1.Response{Status: 200, Body: answer})
+		requests <- req
+		_ = http1.WriteResponse(netConn, &http1.Response{Status: 200, Body: responseBody})
 	}()
 	e := New(Config{Timeout: 10 * time.Second})
 	conn, response, err := e.poller.poll(context.Background(), nil, ln.Addr().String(), goldenRequest)
 	if err != nil || !reflect.DeepEqual(response, goldenResponse) {
-		t.Errorf("got %+v, %v; want %+v", response, err, goldenResponse)
+		t.Errorf("poll = %+v, error %v; want %+v", response, err, goldenResponse)
 	}
 	conn.close()
-	req := <-got
+	req := <-requests
 	if req == nil {
-		t.Fatal("no request came")
+		t.Fatal("the server received no request")
 	}
 	goldentest.Bytes(t, "call.json", req.Body)
 	if head := strings.Join([]string{
 		req.Method, req.Path, req.Query, req.Header.Get("Host"),
 	}, " "); head != "PUT /_layout  league-server" {
-		t.Errorf("request %q", head)
+		t.Errorf("request = %q, want %q", head, "PUT /_layout  league-server")
 	}
 }
--- a/internal/store/settings_test.go
+++ b/internal/store/settings_test.go
@@ -8,16 +8,16 @@
 	"linkpass/internal/shardmap"
 )
 
-// Changes that leave the settings as they are, or fail before the proposal, replicate nothing.
+// A change that does not modify the settings, or that fails before the proposal, replicates nothing.
 func TestSettingsChangeWithoutEffectReplicatesNothing(t *testing.T) {
 	c := newCluster(t)
 	s := c.stores[c.patch(windowPatch(7))]
 	version := s.State().Version()
 	errChange := errors.New("change failed")
 	for _, change := range []struct {
-		name string
-		make func() (*searchconfig.Config, error)
-		want error
+		name  string
+		apply func() (*searchconfig.Config, error)
+		want  error
 	}{
 		{"patch that is invalid", func() (*searchconfig.Config, error) {
 			return s.PatchSettings(t.Context(), []byte(`{"servers.s-1.protocol":"telnet"}`))
@@ -37,15 +37,15 @@
 		}, shardmap.ErrNotFound},
 	} {
 		t.Run(change.name, func(t *testing.T) {
-			settings, err := change.make()
+			settings, err := change.apply()
 			if !errors.Is(err, change.want) {
-				t.Errorf("error %v, want %v", err, change.want)
+				t.Errorf("error = %v, want %v", err, change.want)
 			}
 			if change.want == nil && settings != s.Settings() {
-				t.Errorf("returned %+v, want the current settings", settings)
+				t.Errorf("settings = %+v, want the current ones", settings)
 			}
 			if v := s.State().Version(); v != version {
-				t.Errorf("version %d, want %d", v, version)
+				t.Errorf("version = %d, want %d", v, version)
 			}
 		})
 	}
--- a/internal/store/stored_create_test.go
+++ b/internal/store/stored_create_test.go
@@ -9,12 +9,13 @@
 	"linkpass/internal/eventlog"
 )
 
-// storedFixture is a data directory and how it was made.
+// storedFixture is a data directory in storedDir, and the function that creates it.
 type storedFixture struct {
 	name   string
 	create func(t *testing.T, dir string)
 }
 
+// storedFixtures lists all fixtures.
 var storedFixtures = []storedFixture{
 	{"log", createLog},
 	{"snapshots", createSnapshots},
@@ -23,7 +24,7 @@
 	{"documents_snapshot", createDocumentsSnapshot},
 }
 
-// createLog leaves every command in the log, after two starts on the disk.
+// createLog creates a log with commands of every kind, and starts the store twice on the disk.
 func createLog(t *testing.T, dir string) {
 	t.Helper()
 	s := mustOpenStored(t, dir, 0)
@@ -32,14 +33,14 @@
 	mustClose(t, mustOpenStored(t, dir, 0))
 }
 
-// createSnapshots leaves two snapshots, entries after them, and a log that still has every entry.
+// createSnapshots creates two snapshots, entries after them, and a log that still holds every entry.
 func createSnapshots(t *testing.T, dir string) {
 	t.Helper()
 	s := mustOpenStored(t, dir, 0)
 	proposeEveryKind(t, s)
 	takeSnapshot(t, s)
 	setWeight(t, s, "s-4", 1.25)
-	learner := Member{ID: storedLearner, Raft: storedAddress + "1", HTTP: "http-1"}
+	learner := Member{ID: storedLearnerID, Raft: storedRaftAddress + "1", HTTP: "http-1"}
 	if err := s.AddLearner(t.Context(), learner); err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +49,7 @@
 	mustClose(t, s)
 }
 
-// createCompacted leaves two snapshots and a log that begins after the first of them.
+// createCompacted creates two snapshots and a log that starts after the first of them.
 func createCompacted(t *testing.T, dir string) {
 	t.Helper()
 	s := mustOpenStored(t, dir, 2)
@@ -64,7 +65,7 @@
 
 func takeSnapshot(t *testing.T, s *Store) {
 	t.Helper()
-	if err := s.raft.Barrier(applyTimeout).Error(); err != nil { // an entry of the members has to be applied first
+	if err := s.raft.Barrier(quorumTimeout).Error(); err != nil { // an entry of the membership has to be applied first
 		t.Fatal(err)
 	}
 	if err := s.raft.Snapshot().Error(); err != nil {
@@ -72,8 +73,9 @@
 	}
 }
 
-// documents are entries of the JSON format that preceded commands: whole settings, with the revision that they make.
-var documents = []string{
+// storedDocuments are entries in the JSON format that preceded commands: the complete settings, with the revision that
+// they create.
+var storedDocuments = []string{
 	`{"revision":1,"search":{"max_result_window":300},"indices":` +
 		`{"players":{"class":"c2","spread":{"slices":2,"sets":[["s-1"],["s-2"]]}}}}`,
 	`{"revision":2,"search":{"default_search_timeout":"2s","max_result_window":301},"indices":` +
@@ -82,12 +84,12 @@
 	`{"search":{"max_result_window":302},"indices":{"fixed":{"class":"c1","slices":[1,2]}}}`,
 }
 
-// createDocumentsLog leaves a log with documents, and a command after them.
+// createDocumentsLog creates a log with documents and a command after them.
 func createDocumentsLog(t *testing.T, dir string) {
 	t.Helper()
 	s := mustOpenStored(t, dir, 0)
-	for _, doc := range documents {
-		if err := s.raft.Apply([]byte(doc), applyTimeout).Error(); err != nil {
+	for _, doc := range storedDocuments {
+		if err := s.raft.Apply([]byte(doc), quorumTimeout).Error(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -95,11 +97,11 @@
 	mustClose(t, s)
 }
 
-// createDocumentsSnapshot leaves a snapshot that is a document, then a document and a command in the log.
+// createDocumentsSnapshot creates a snapshot that is a document, and a log with a document and a command after it.
 func createDocumentsSnapshot(t *testing.T, dir string) {
 	t.Helper()
 	s := mustOpenStored(t, dir, 0)
-	if err := s.raft.Apply([]byte(documents[0]), applyTimeout).Error(); err != nil {
+	if err := s.raft.Apply([]byte(storedDocuments[0]), quorumTimeout).Error(); err != nil {
 		t.Fatal(err)
 	}
 	index, members := s.raft.AppliedIndex(), s.raft.GetConfiguration()
@@ -107,26 +109,26 @@
 		t.Fatal(err)
 	}
 	term := s.raft.CurrentTerm()
-	if err := s.raft.Apply([]byte(documents[1]), applyTimeout).Error(); err != nil {
+	if err := s.raft.Apply([]byte(storedDocuments[1]), quorumTimeout).Error(); err != nil {
 		t.Fatal(err)
 	}
 	setWeight(t, s, "s-2", 3)
-	writeSnapshot(t, dir, index, term, members.Configuration(), documents[0])
+	writeSnapshot(t, dir, index, term, members.Configuration(), storedDocuments[0])
 	if err := s.bolt.DeleteRange(1, index); err != nil {
 		t.Fatal(err)
 	}
 	mustClose(t, s)
 }
 
-// writeSnapshot adds a snapshot with given contents to a data directory.
+// writeSnapshot writes a snapshot with the given contents to a data directory.
 func writeSnapshot(t *testing.T, dir string, index, term uint64, members raft.Configuration, contents string) {
 	t.Helper()
 	snapshots, err := raft.NewFileSnapshotStoreWithLogger(dir, retainedSnapshots, eventlog.RaftLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
-	const membersIndex = 1 // of the log's entry that holds the members
-	_, transport := raft.NewInmemTransport(storedAddress)
+	const membersIndex = 1 // index of the log entry that holds the members
+	_, transport := raft.NewInmemTransport(storedRaftAddress)
 	sink, err := snapshots.Create(raft.SnapshotVersionMax, index, term, members, membersIndex, transport)
 	if err == nil {
 		_, err = sink.Write([]byte(contents))
--- a/internal/store/stored_state_test.go
+++ b/internal/store/stored_state_test.go
@@ -9,13 +9,13 @@
 	"linkpass/internal/searchconfig"
 )
 
-// storedState is the state of an opened store, under the fixtures' own JSON keys.
+// storedState is the state of an opened store. Its JSON keys are those of the golden files.
 type storedState struct {
 	Version         uint64                       `json:"version"`
 	SettingsVersion uint64                       `json:"revised"`
 	Hash            string                       `json:"hash"`
 	Servers         map[string]config.Server     `json:"servers"`
-	Restrictions    map[string]string            `json:"agreed"` // by server, removed ones included
+	Restrictions    map[string]string            `json:"agreed"` // by server, including removed ones
 	RemovedIDs      []string                     `json:"gone"`
 	Settled         []string                     `json:"settled"`
 	Rejected        []config.RejectedRestriction `json:"withdrawn"`
@@ -29,13 +29,13 @@
 	Snapshot        string                       `json:"snapshot"`
 }
 
-// Ids of members and of servers that the fixtures may hold: n0 to n4, s-0 to s-9.
+// Numbers of the ids of members and servers that the fixtures may contain: n0 to n4, s-0 to s-9.
 const (
-	storedMemberIDs = 5
-	storedServerIDs = 10
+	storedMemberCount = 5
+	storedServerCount = 10
 )
 
-// readState reads the state of an opened store by its accessors.
+// readState reads the state of an opened store with its accessors.
 func readState(t *testing.T, s *Store) storedState {
 	t.Helper()
 	state := s.State()
@@ -65,7 +65,7 @@
 		AllowPartial:    settings.AllowPartial(),
 		Protocols:       readProtocols(settings),
 		Settings:        settings,
-		Snapshot:        diagnose(t, data),
+		Snapshot:        diagnosticNotation(t, data),
 	}
 }
 
@@ -97,7 +97,7 @@
 
 func readMemberAddresses(state *config.State) map[string]string {
 	out := map[string]string{}
-	for i := range storedMemberIDs {
+	for i := range storedMemberCount {
 		id := fmt.Sprint("n", i)
 		if address, ok := state.MemberAddress(id); ok {
 			out[id] = address
@@ -121,14 +121,14 @@
 
 func readProtocols(settings *searchconfig.Config) map[string]string {
 	out := map[string]string{}
-	for i := range storedServerIDs {
+	for i := range storedServerCount {
 		id := fmt.Sprint("s-", i)
 		out[id] = settings.Protocol(id)
 	}
 	return out
 }
 
-func indented(t *testing.T, v any) []byte {
+func indentedJSON(t *testing.T, v any) []byte {
 	t.Helper()
 	data, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
