--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -12,26 +12,28 @@
 )
 
 const (
-	// MaxConns bounds the listener's connections. File descriptors are reserved for them, so that no number of
-	// clients keeps operators out; connections that stay idle are closed to make room for others.
+	// MaxConns is the maximum number of connections of the admin listener. The process reserves a file descriptor for
+	// each, so operators can connect however many clients there are. The listener closes idle connections to make room
+	// for new ones.
 	MaxConns = 8
-	// ContentType is that of every response.
+	// ContentType is the Content-Type header of every response.
 	ContentType = "text/plain; charset=utf-8"
 )
 
-// Handler answers the calls of the admin listener, one on a connection. It reads state and counters and never blocks.
+// Handler serves the requests of the admin listener. Every response closes its connection. The handler only
+// accesses state and counters in memory and never blocks. It is safe for concurrent use.
 type Handler struct {
 	Readiness *Readiness
 	Totals    *metrics.Totals
 }
 
-// route is a call that the handler answers.
+// route is the method and the implementation of one path.
 type route struct {
 	method string
 	serve  func(*Handler) (status int, body []byte)
 }
 
-// routes are the calls by path.
+// routes holds the routes by path.
 var routes = map[string]route{
 	"/v1/readyz":               {"GET", (*Handler).readyz},
 	"/v1/metrics":              {"GET", (*Handler).metrics},
@@ -39,7 +41,7 @@
 	"/v1/coordinator/activate": {"PUT", (*Handler).activate},
 }
 
-// Serve answers one call.
+// Serve handles one request: 404 for an unknown path, 405 with an Allow header for another method than the route's.
 func (h *Handler) Serve(_ context.Context, _ time.Duration, req *http1.Request) *http1.Response {
 	res := &http1.Response{Close: true, Header: textproto.MIMEHeader{"Content-Type": {ContentType}}}
 	matched, known := routes[req.Path]
@@ -63,7 +65,7 @@
 	return 200, formatTotals(h.Totals)
 }
 
-// drain succeeds in a process that shuts down, too, as that drains itself.
+// drain also succeeds while the process shuts down: a shutdown drains the coordinator, too.
 func (h *Handler) drain() (status int, body []byte) {
 	return stateResponse(h.Readiness.Drain(), Drained, ShuttingDown)
 }
@@ -72,7 +74,7 @@
 	return stateResponse(h.Readiness.Activate(), Serving, Starting)
 }
 
-// stateResponse returns the state's name, with a 200 if the state is one of those expected.
+// stateResponse returns the state's name as the body, with status 200 if the state is one of those expected, else 503.
 func stateResponse(state State, expected ...State) (status int, body []byte) {
 	status = 503
 	if slices.Contains(expected, state) {
@@ -81,7 +83,7 @@
 	return status, []byte(state.String() + "\n")
 }
 
-// formatTotals returns the counters, one on a line.
+// formatTotals returns the counters as text, one name=value pair per line.
 func formatTotals(t *metrics.Totals) (b []byte) {
 	for i, class := range t.Classes {
 		b = fmt.Appendf(b, "app.served.%s=%d\n", class, t.Served[i].Load())
--- a/internal/admin/handler_test.go
+++ b/internal/admin/handler_test.go
@@ -12,7 +12,8 @@
 func (f *fakeFront) Drain()  { f.drained, f.calls = 1, f.calls+1 }
 func (f *fakeFront) Resume() { f.drained, f.calls = 0, f.calls+1 }
 
-// Calls, readiness and shutdown share one state machine, in every order.
+// Drains, activations and the shutdown may come in any order. Each response and the fronts must follow the one state
+// machine: a repeated change has no effect, and a shutdown is final.
 func TestHandlerFollowsReadiness(t *testing.T) {
 	var r Readiness
 	var f fakeFront
@@ -22,10 +23,11 @@
 		t.Helper()
 		res := h.Serve(t.Context(), 0, &http1.Request{Method: method, Path: path})
 		if res.Status != status || !res.Close || f.drained != drained || f.calls != calls {
-			t.Errorf("%s %s: %d %q, drained %d after %d calls", method, path, res.Status, res.Body, f.drained, f.calls)
+			t.Errorf("%s %s: status = %d %q, close = %t, front drained = %d after %d calls; want %d, true, %d after %d",
+				method, path, res.Status, res.Body, res.Close, f.drained, f.calls, status, drained, calls)
 		}
 		if allow := res.Header.Get("Allow"); (status == 405) != (allow != "") {
-			t.Errorf("%s %s: Allow %q", method, path, allow)
+			t.Errorf("%s %s: status = %d, Allow = %q; want Allow with status 405 only", method, path, res.Status, allow)
 		}
 	}
 	call("GET", "/v1/readyz", 503, 0, 0)
@@ -48,6 +50,6 @@
 	call("PUT", "/v1/coordinator/activate", 503, 1, 3) // a shutdown is final
 	var late fakeFront
 	if r.AddFront(&late); late.drained != 1 {
-		t.Error("a front that was added after the shutdown accepts clients")
+		t.Error("a front added after the shutdown is not drained")
 	}
 }
--- a/internal/adminapi/backup.go
+++ b/internal/adminapi/backup.go
@@ -13,26 +13,26 @@
 	"linkpass/internal/searchconfig"
 )
 
-// backupFormat is the version of Backup's form.
+// backupFormat is the version of the format of Backup.
 const backupFormat = 1
 
 var (
-	// ErrBackupFormat says that a backup has a format which this version does not read.
+	// ErrBackupFormat is returned for a backup in a format that this version cannot read.
 	ErrBackupFormat = errors.New("unknown backup format")
-	// ErrBackupCorrupt says that a backup's checksum does not match its document.
+	// ErrBackupCorrupt is returned for a backup whose checksum does not match its document.
 	ErrBackupCorrupt = errors.New("it was changed or cut")
 )
 
-// Backup is a document of the store, saved outside of it.
+// Backup is a copy of the store's document that is kept outside the store.
 type Backup struct {
 	Format   int             `json:"format"`
 	Taken    time.Time       `json:"taken"`
 	Revision uint64          `json:"revision"`
-	Sum      string          `json:"sum"` // BLAKE3 of the document
+	Sum      string          `json:"sum"` // BLAKE3 hash of the compact document, in hexadecimal
 	Document json.RawMessage `json:"document"`
 }
 
-// newBackup returns a backup of an encoded document.
+// newBackup returns a backup of a document that is encoded as compact JSON.
 func newBackup(document []byte, revision uint64, taken time.Time) Backup {
 	return Backup{
 		Format:   backupFormat,
@@ -43,7 +43,8 @@
 	}
 }
 
-// ReadBackup decodes a backup and checks that it is complete and valid.
+// ReadBackup decodes a backup, verifies its format and checksum, and returns its validated document. The error wraps
+// ErrBackupFormat or ErrBackupCorrupt if the format or the checksum is wrong.
 func ReadBackup(data []byte) (*searchconfig.Config, error) {
 	var b Backup
 	if err := json.Unmarshal(data, &b); err != nil {
@@ -52,16 +53,16 @@
 	if b.Format != backupFormat {
 		return nil, fmt.Errorf("backup: %w %d", ErrBackupFormat, b.Format)
 	}
-	var compact bytes.Buffer // the checksum is of the compact form, whatever the file's indentation
+	var compact bytes.Buffer // the checksum covers the compact form, so the file may be indented
 	if err := json.Compact(&compact, b.Document); err != nil {
-		return nil, fmt.Errorf("backup: %w", err)
+		return nil, fmt.Errorf("backup: compact document: %w", err)
 	}
 	if got := checksum(compact.Bytes()); got != b.Sum {
 		return nil, fmt.Errorf("backup: checksum is %.16s…, expected %.16s…: %w", got, b.Sum, ErrBackupCorrupt)
 	}
 	doc, err := searchconfig.Parse(compact.Bytes())
 	if err != nil {
-		return nil, fmt.Errorf("backup: %w", err)
+		return nil, fmt.Errorf("backup: document: %w", err)
 	}
 	return doc, nil
 }
--- a/internal/adminapi/backup_test.go
+++ b/internal/adminapi/backup_test.go
@@ -13,14 +13,14 @@
 	replaced := func(old, by string) []byte {
 		t.Helper()
 		if !bytes.Contains(backup, []byte(old)) {
-			t.Fatalf("the golden backup has no %q", old)
+			t.Fatalf("the golden backup does not contain %q", old)
 		}
 		return bytes.Replace(backup, []byte(old), []byte(by), 1)
 	}
 	for _, c := range []struct {
 		name string
 		data []byte
-		want error // nil: any
+		want error // nil: any error
 	}{
 		{"truncated", backup[:len(backup)/2], nil},
 		{"other format", replaced(`"format":1`, `"format":2`), ErrBackupFormat},
@@ -30,7 +30,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			doc, err := ReadBackup(c.data)
 			if err == nil || doc != nil || !errors.Is(err, c.want) && c.want != nil {
-				t.Errorf("got %+v, %v; want the error %v", doc, err, c.want)
+				t.Errorf("ReadBackup = %+v, %v; want no document and the error %v", doc, err, c.want)
 			}
 		})
 	}
--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -16,24 +16,24 @@
 )
 
 const (
-	// maxResponse bounds a response, in bytes.
+	// maxResponse is the maximum size of a response, in bytes.
 	maxResponse = 64 << 20
-	// retryPause is the time between two attempts. A caller that does not finish loses its connection after a second, so
-	// that a few attempts find a free one.
+	// retryPause is the time between two attempts of a call. The server evicts a client that has not completed its
+	// request after a second, so that a few attempts find a free connection.
 	retryPause = 100 * time.Millisecond
-	// nonceBytes is the length of the number that makes a signed call unique.
+	// nonceBytes is the length of the random nonce that makes a signed call unique, in bytes.
 	nonceBytes = 16
 )
 
-// Client calls a coordinator's API: at its Unix socket or, with signed calls, over TCP. It keeps no connection and may
-// be used by many goroutines at a time.
+// Client calls a coordinator's API through its Unix socket or, with signed calls, over TCP. Each attempt of a call uses
+// a connection of its own. A Client is safe for concurrent use.
 type Client struct {
-	Socket  string
-	Address string // for TCP; "": the socket
-	KeyID   string
-	Key     []byte
-	Timeout time.Duration    // of one call, its retries included
-	Now     func() time.Time // nil: time.Now
+	Socket  string           // path of the Unix socket; unused if Address is set
+	Address string           // TCP address, host:port; "": use Socket
+	KeyID   string           // id of Key in the coordinator's key ring; for TCP
+	Key     []byte           // signs the calls over TCP
+	Timeout time.Duration    // limits one call, including its retries
+	Now     func() time.Time // clock for signatures; nil: time.Now
 }
 
 // Status returns the coordinator's state.
@@ -42,19 +42,21 @@
 	return s, err
 }
 
-// Servers returns the league servers as the coordinator sees them.
+// Servers returns the league servers as the coordinator sees them. If its event loop does not answer in time, the
+// error is a ResponseError with status 503.
 func (c *Client) Servers() (list []Server, err error) {
 	err = c.Call("GET", "/servers", nil, &list)
 	return list, err
 }
 
-// ShardMaps returns the shard maps of the indices that have one.
+// ShardMaps returns the shard maps of the indices that have one, each with at most MaxShards shards and plans.
 func (c *Client) ShardMaps() (list []IndexShardMap, err error) {
 	err = c.Call("GET", "/layouts", nil, &list)
 	return list, err
 }
 
-// Call makes one call and decodes the response's JSON into a value, unless that is nil.
+// Call makes one call and decodes the JSON of the response into the value that into points to. If into is nil, the body
+// is ignored. Path starts with a slash and does not include Version. For errors see Raw.
 func (c *Client) Call(method, path string, body []byte, into any) error {
 	data, err := c.Raw(method, path, body)
 	if err != nil || into == nil {
@@ -66,8 +68,9 @@
 	return nil
 }
 
-// Raw makes one call and returns the response's body. Until the client's limit it retries a call that was certainly not
-// processed, and an idempotent one whose connection was reset.
+// Raw makes one call and returns the body of the response. Within Timeout, it retries a call that was certainly not
+// processed, and an idempotent call whose connection was reset. The error wraps ErrUnreachable if no coordinator
+// answers, or is a ResponseError if the status is not 2xx.
 func (c *Client) Raw(method, path string, body []byte) ([]byte, error) {
 	deadline := time.Now().Add(c.Timeout)
 	for {
@@ -79,7 +82,7 @@
 	}
 }
 
-// retryable tells whether a call may be made again after an error.
+// retryable reports whether a call may be repeated after an error. Only GET calls are treated as idempotent.
 func retryable(method string, err error) bool {
 	var rejected *ResponseError
 	if errors.As(err, &rejected) && rejected.notProcessed {
@@ -89,7 +92,7 @@
 	return method == "GET" && reset
 }
 
-// attempt makes one attempt of a call on a connection of its own.
+// attempt makes one attempt of a call on a new connection.
 func (c *Client) attempt(method, path string, body []byte) ([]byte, error) {
 	target := Version + path
 	header, err := c.sign(method, target, body)
@@ -126,7 +129,8 @@
 	return "unix", c.Socket
 }
 
-// sign returns the header of a call over TCP. A call at the socket has none: the socket's file mode controls access.
+// sign returns the Authorization header of a call over TCP. A call through the socket has none, as the file mode of the
+// socket controls access.
 func (c *Client) sign(method, target string, body []byte) (textproto.MIMEHeader, error) {
 	if c.Address == "" {
 		return nil, nil
--- a/internal/adminapi/client_golden_test.go
+++ b/internal/adminapi/client_golden_test.go
@@ -20,11 +20,12 @@
 )
 
 const (
-	exchangeTimeout = 10 * time.Second // ends a test that hangs; nothing is asserted on it
+	exchangeTimeout = 10 * time.Second // ends a test that hangs; no check depends on it
 	maxRequestBytes = 1 << 20
 )
 
-// exchange answers one call at a socket with a response, and returns the bytes of the request.
+// exchange serves one call on a Unix socket with the given response. It returns the bytes of the request and the error
+// of the call.
 func exchange(t *testing.T, response *http1.Response, call func(*Client) error) (request []byte, err error) {
 	t.Helper()
 	socket := filepath.Join(t.TempDir(), "s")
@@ -52,7 +53,7 @@
 	return <-done, err
 }
 
-// recorder records what is read.
+// recorder is a connection that appends all bytes read from it to got.
 type recorder struct {
 	net.Conn
 	got *[]byte
@@ -64,7 +65,7 @@
 	return n, err
 }
 
-// The bytes of each request, and the response as the client decodes it.
+// The client sends the bytes of the golden request and decodes the golden response.
 func TestClientRequestsGolden(t *testing.T) {
 	for _, c := range []struct {
 		name, request, response string
@@ -88,14 +89,14 @@
 				return err
 			})
 			if err != nil || !reflect.DeepEqual(got, c.want) {
-				t.Errorf("got  %+v, %v\nwant %+v", got, err, c.want)
+				t.Errorf("got  %+v, %v\nwant %+v, <nil>", got, err, c.want)
 			}
 			goldentest.Bytes(t, c.request, request)
 		})
 	}
 }
 
-// requestServerChange sends the golden request to change a server.
+// requestServerChange sends the golden request for a server change and returns the decoded response.
 func requestServerChange(c *Client) (any, error) {
 	body, err := json.Marshal(goldenServerRequest)
 	if err != nil {
@@ -105,7 +106,7 @@
 	return &out, c.Call("PUT", "/servers/order", body, &out)
 }
 
-// The client reads the reason of the API's errors, of the search front's and of a follower's redirect.
+// The client returns the reason in an error of the API, in an error of the search front and in a follower's redirect.
 func TestClientReadsErrorBodies(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -137,20 +138,20 @@
 			})
 			var rejected *ResponseError
 			if !errors.As(err, &rejected) || rejected.Status != c.res.Status || rejected.Reason != c.reason {
-				t.Errorf("got %#v", err)
+				t.Errorf("error = %#v, want status %d and reason %q", err, c.res.Status, c.reason)
 			}
 		})
 	}
 }
 
-// A signed call has one Authorization header, which the verifier accepts once for the call's method, target with query
-// and body.
+// A signed call has one header, Authorization. The verifier accepts it once, for the method, the target with its query
+// and the body of the call.
 func TestClientSignsCalls(t *testing.T) {
 	key, at := []byte("0123456789abcdef"), time.UnixMilli(1764652800123)
 	c := &Client{Address: "127.0.0.1:1", KeyID: "ops-1", Key: key, Now: func() time.Time { return at }}
 	header, err := c.sign("PUT", "/v1/store/document?check=true", []byte("body"))
 	if err != nil || len(header) != 1 {
-		t.Fatalf("%v, %v", header, err)
+		t.Fatalf("sign = %v, %v; want one header", header, err)
 	}
 	verifier := signature.NewVerifier(signature.KeyRing{"ops-1": key}, time.Minute, at)
 	signed := &SignedHandler{
@@ -168,16 +169,16 @@
 		Header: header,
 		Body:   []byte("body"),
 	}
-	if res := signed.Serve(context.Background(), 0, req); res.Status != 400 { // admitted: the body is no backup
-		t.Errorf("status %d %s", res.Status, res.Body)
+	if res := signed.Serve(context.Background(), 0, req); res.Status != 400 { // accepted, but the body is not a backup
+		t.Errorf("first call: status = %d %s, want 400", res.Status, res.Body)
 	}
 	if res := signed.Serve(context.Background(), 0, req); res.Status != 401 {
-		t.Errorf("the same call again: status %d %s", res.Status, res.Body)
+		t.Errorf("repeated call: status = %d %s, want 401", res.Status, res.Body)
 	}
 	fields := strings.Split(strings.TrimPrefix(header.Get("Authorization"), "linkpass-v1 "), ",")
 	const nonceBytes = 16
 	if len(fields) != 4 || fields[0] != "id=ops-1" || fields[1] != "time=1764652800123" ||
 		len(fields[2]) != len("once=")+hex.EncodedLen(nonceBytes) {
-		t.Errorf("fields %q", fields)
+		t.Errorf("fields = %q, want id=ops-1, time=1764652800123, a nonce of %d bytes and a MAC", fields, nonceBytes)
 	}
 }
--- a/internal/adminapi/document_golden_test.go
+++ b/internal/adminapi/document_golden_test.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	storeTimeScale     = 0.2              // keeps Raft's timeouts short; nothing is asserted on them
+	storeTimeScale     = 0.2              // shortens Raft's timeouts; no check depends on them
 	leaderTimeout      = 30 * time.Second // for the election of the only member
 	leaderPollInterval = 5 * time.Millisecond
 )
 
-// openStore opens a store of one member, and waits until it leads.
+// openStore opens a store with one member and waits until this member is the leader.
 func openStore(t *testing.T, initial *searchconfig.Config) *store.Store {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -47,14 +47,14 @@
 	deadline := time.Now().Add(leaderTimeout)
 	for !s.IsLeader() {
 		if time.Now().After(deadline) {
-			t.Fatal("no leader was elected")
+			t.Fatalf("no leader was elected within %s", leaderTimeout)
 		}
 		time.Sleep(leaderPollInterval)
 	}
 	return s
 }
 
-// The document, a backup of it and a restore, through a store of one member.
+// Reads the document, takes a backup and restores it, with a store of one member.
 func TestAdminStoreDocumentGolden(t *testing.T) {
 	initial, err := searchconfig.Parse([]byte(goldenDocument))
 	if err != nil {
@@ -69,14 +69,14 @@
 	} {
 		res := serve(handler, "GET", target, nil)
 		if res.Status != 200 {
-			t.Errorf("%s: status %d", target, res.Status)
+			t.Errorf("%s: status = %d, want 200", target, res.Status)
 		}
 		goldentest.Bytes(t, "document_response.json", res.Body)
 	}
 	requireBackup(t, handler)
 	res := serve(handler, "PUT", "/v1/store/document", goldentest.Read(t, "backup.json"))
 	if res.Status != 200 {
-		t.Errorf("restore: status %d", res.Status)
+		t.Errorf("restore: status = %d, want 200", res.Status)
 	}
 	goldentest.Bytes(t, "restore_response.json", res.Body)
 	document, err := ReadBackup(goldentest.Read(t, "backup.json"))
@@ -85,13 +85,13 @@
 	}
 }
 
-// requireBackup requires a backup to be the golden one, but for the time at which it was taken.
+// requireBackup checks that a backup equals the golden backup except for the time at which it was taken.
 func requireBackup(t *testing.T, handler Handler) {
 	t.Helper()
 	res := serve(handler, "GET", "/v1/store/backup", nil)
 	var backup Backup
 	if err := json.Unmarshal(res.Body, &backup); err != nil || res.Status != 200 {
-		t.Fatalf("%d %s: %v", res.Status, res.Body, err)
+		t.Fatalf("backup: status = %d %s, error %v; want 200 and a backup", res.Status, res.Body, err)
 	}
 	taken, err := json.Marshal(backup.Taken)
 	if err != nil {
@@ -105,7 +105,8 @@
 	goldentest.Bytes(t, "backup.json", []byte(body))
 }
 
-// A request's context ends when its client closes the connection: a read ends with it, a change is completed.
+// When a client closes its connection, the context of its request is canceled. A read must then fail, but a change must
+// be completed.
 func TestAdminCallWhenClientHasLeft(t *testing.T) {
 	initial, err := searchconfig.Parse([]byte(goldenDocument))
 	if err != nil {
@@ -128,11 +129,11 @@
 			request := &http1.Request{Method: c.method, Path: c.target, Body: readBody(t, c.body)}
 			res := Handler{coordinator}.Serve(left, 0, request)
 			if res.Status != c.status {
-				t.Errorf("status %d %s, want %d", res.Status, res.Body, c.status)
+				t.Errorf("status = %d %s, want %d", res.Status, res.Body, c.status)
 			}
 		})
 	}
 	if coordinator.canceled {
-		t.Error("a change was canceled with its request")
+		t.Error("a change was called with a canceled context")
 	}
 }
--- a/internal/adminapi/document_handler.go
+++ b/internal/adminapi/document_handler.go
@@ -12,21 +12,21 @@
 	"linkpass/internal/store"
 )
 
-// restoreCheck is the response to a restore that only checks the backup.
+// restoreCheck is the response to a restore request that only checks the backup.
 type restoreCheck struct {
 	Indices int  `json:"indices"`
 	OK      bool `json:"ok"`
 	Servers int  `json:"servers"`
 }
 
-// restoreResult is the response to a restore.
+// restoreResult is the response to a completed restore.
 type restoreResult struct {
-	ShardMapsKept int    `json:"layouts_kept"`
+	ShardMapsKept int    `json:"layouts_kept"` // indices that keep their current shard map
 	OK            bool   `json:"ok"`
 	Revision      uint64 `json:"revision"`
 }
 
-// readDocument returns the store's document.
+// readDocument responds with the store's document.
 func (h Handler) readDocument(ctx context.Context, req *http1.Request) *http1.Response {
 	_, data, failed := h.encodedDocument(ctx, req)
 	if failed != nil {
@@ -35,7 +35,7 @@
 	return rawJSONResponse(200, data)
 }
 
-// backUpDocument returns a backup of the store's document.
+// backUpDocument responds with a backup of the store's document.
 func (h Handler) backUpDocument(ctx context.Context, req *http1.Request) *http1.Response {
 	doc, data, failed := h.encodedDocument(ctx, req)
 	if failed != nil {
@@ -44,7 +44,8 @@
 	return jsonResponse(newBackup(data, doc.Revision, time.Now().UTC()))
 }
 
-// encodedDocument reads the document with the request's read options; failed is the response if that is impossible.
+// encodedDocument reads the document with the read options of the request, and returns it decoded and as JSON. If that
+// is impossible, failed is the error response; else it is nil.
 func (h Handler) encodedDocument(
 	ctx context.Context, req *http1.Request,
 ) (doc *searchconfig.Config, data []byte, failed *http1.Response) {
@@ -71,7 +72,8 @@
 	return doc, data, nil
 }
 
-// restoreDocument replaces the store's document by a backup's, or only checks the backup.
+// restoreDocument replaces the store's document with that of a backup. With check=true in the query, it only checks the
+// backup.
 func (h Handler) restoreDocument(ctx context.Context, req *http1.Request) *http1.Response {
 	s := h.Store()
 	if s == nil {
@@ -96,8 +98,8 @@
 	return jsonResponse(restoreResult{OK: true, Revision: updated.Revision, ShardMapsKept: kept})
 }
 
-// withCurrentShardMaps returns the backup's document with the current shard maps of the indices in both, and how many
-// they are: a backup cannot know which servers store the data by now.
+// withCurrentShardMaps returns the document of a backup, but with the current shard maps of the indices that have one
+// in both documents; kept is their number. A backup cannot know which servers store the data by now.
 func withCurrentShardMaps(doc, current *searchconfig.Config) (next *searchconfig.Config, kept int) {
 	next = doc
 	for name := range doc.Indices {
--- a/internal/adminapi/error_golden_test.go
+++ b/internal/adminapi/error_golden_test.go
@@ -10,7 +10,8 @@
 	"linkpass/internal/store"
 )
 
-// Each error of the coordinator has its status, and its text in the error object. The texts are no part of the format.
+// Each error of the coordinator gives its status, and its text in the error object. The texts are not part of the wire
+// format.
 func TestAdminResponseByCoordinatorError(t *testing.T) {
 	otherLeader := &store.NotLeaderError{Leader: store.Member{ID: "b", HTTP: "127.0.0.1:9200"}}
 	rejected := &endpoints.RejectedError{Result: config.Result{Reason: config.ServerNotFound}}
@@ -37,7 +38,8 @@
 	}
 }
 
-// requireErrorResponses requires the status and the text of an error of the coordinator from every call that can fail.
+// requireErrorResponses checks the status and the text of the response to each call that can fail, if the coordinator
+// returns an error.
 func requireErrorResponses(t *testing.T, err error, status int, text string) {
 	t.Helper()
 	quoted, quoteErr := json.Marshal(text)
@@ -53,12 +55,12 @@
 	} {
 		res := serve(handler, call.method, call.target, readBody(t, call.request))
 		if res.Status != status || string(res.Body) != want {
-			t.Errorf("%s %s: %d %s, want %d %s", call.method, call.target, res.Status, res.Body, status, want)
+			t.Errorf("%s %s: status = %d %s, want %d %s", call.method, call.target, res.Status, res.Body, status, want)
 		}
 	}
 }
 
-// Each invalid request, and each call without what it needs, has its status and an error object.
+// An invalid request, or a call that needs a component that is absent, gets an error status and an error object.
 func TestAdminResponseByInvalidRequest(t *testing.T) {
 	for _, c := range []struct {
 		method, target, body string
@@ -81,7 +83,8 @@
 			var body map[string]string
 			err := json.Unmarshal(res.Body, &body)
 			if err != nil || res.Status != c.status || len(body) != 1 || body["error"] == "" {
-				t.Errorf("%d %s, %v", res.Status, res.Body, err)
+				t.Errorf("status = %d %s, decode error %v; want %d and an error object",
+					res.Status, res.Body, err, c.status)
 			}
 		})
 	}
--- a/internal/adminapi/golden_values_test.go
+++ b/internal/adminapi/golden_values_test.go
@@ -9,7 +9,7 @@
 	"linkpass/internal/shardmap"
 )
 
-// Values of the API with every field set, no two to the same value.
+// Values of the API's types with every field set, no two of them to the same value.
 var (
 	goldenStatus = Status{
 		Name:            "n1",
--- a/internal/adminapi/handler.go
+++ b/internal/adminapi/handler.go
@@ -11,10 +11,11 @@
 	"linkpass/internal/http1"
 )
 
-// Handler serves the API.
+// Handler serves the API of a Coordinator. It does not check signatures; see SignedHandler. It is safe for concurrent
+// use.
 type Handler struct{ Coordinator }
 
-// routes are the calls with a fixed path, by method and path below Version.
+// routes holds the calls with a fixed path, by method and by the path after Version.
 var routes = map[string]func(Handler, context.Context, *http1.Request) *http1.Response{
 	"GET status":         respondWith(func(h Handler) any { return h.Status() }),
 	"GET servers":        Handler.listServers,
@@ -32,7 +33,8 @@
 	"PUT store/document": Handler.restoreDocument,
 }
 
-// respondWith is a call that needs nothing of its request and cannot fail; body returns the response's body.
+// respondWith returns the implementation of a call that ignores its request and cannot fail. The function body returns
+// the value for the JSON body of the response.
 func respondWith(body func(Handler) any) func(Handler, context.Context, *http1.Request) *http1.Response {
 	return func(h Handler, _ context.Context, _ *http1.Request) *http1.Response { return jsonResponse(body(h)) }
 }
@@ -42,11 +44,11 @@
 	State string `json:"state"`
 }
 
-// Serve answers one call.
+// Serve handles one call.
 func (h Handler) Serve(ctx context.Context, began time.Duration, req *http1.Request) *http1.Response {
 	path, ok := strings.CutPrefix(req.Path, Version+"/")
 	if !ok {
-		return errorResponse(404, fmt.Errorf("no such call %.80q; this is version %s of the API", req.Path, Version))
+		return errorResponse(404, fmt.Errorf("no such call: %.80q is not a path of API version %s", req.Path, Version))
 	}
 	if searchPath, ok := strings.CutPrefix(path, "search/"); ok {
 		return h.forwardToSearch(ctx, began, searchPath, req)
@@ -60,7 +62,7 @@
 	return errorResponse(404, fmt.Errorf("no such call: %s %.80q", req.Method, req.Path))
 }
 
-// forwardToSearch forwards a call to the search front.
+// forwardToSearch forwards a call to the search front, with path in place of the call's path.
 func (h Handler) forwardToSearch(ctx context.Context, began time.Duration, path string,
 	req *http1.Request) *http1.Response {
 	front := h.Search()
@@ -72,7 +74,7 @@
 	return front.Serve(ctx, began, &forwarded)
 }
 
-// setLogLevel sets a component's level and returns the levels of all.
+// setLogLevel sets the log level of a component and responds with the levels of all components.
 func setLogLevel(component, level string) *http1.Response {
 	if err := eventlog.SetLevel(component, level); err != nil {
 		return errorResponse(400, err)
@@ -81,8 +83,8 @@
 	return jsonResponse(eventlog.Levels())
 }
 
-// withoutClientCancel is the context of a change. A request's context ends when the client closes its side of the
-// connection; a change that it has requested is completed nevertheless.
+// withoutClientCancel returns the context for a change. The context of a request is canceled when the client closes its
+// side of the connection; a change that was requested must be completed nevertheless.
 func withoutClientCancel(ctx context.Context) context.Context { return context.WithoutCancel(ctx) }
 
 func (h Handler) listServers(context.Context, *http1.Request) *http1.Response {
--- a/internal/adminapi/response.go
+++ b/internal/adminapi/response.go
@@ -16,7 +16,7 @@
 	Error string `json:"error"`
 }
 
-// jsonResponse returns a 200 with v's JSON form.
+// jsonResponse returns a response with status 200 and v encoded as JSON, or with status 500 if v cannot be encoded.
 func jsonResponse(v any) *http1.Response {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -25,13 +25,13 @@
 	return rawJSONResponse(200, data)
 }
 
-// errorResponse returns a response with the error's text.
+// errorResponse returns a response with the text of the error in an errorBody.
 func errorResponse(status int, err error) *http1.Response {
-	data, _ := json.Marshal(errorBody{err.Error()}) // a string always encodes
+	data, _ := json.Marshal(errorBody{err.Error()}) // cannot fail: any string can be encoded
 	return rawJSONResponse(status, data)
 }
 
-// rawJSONResponse returns a response with a body that is JSON already.
+// rawJSONResponse returns a response with a body that is already JSON.
 func rawJSONResponse(status int, data []byte) *http1.Response {
 	return &http1.Response{
 		Status: status,
@@ -40,7 +40,8 @@
 	}
 }
 
-// storeErrorResponse returns the response for an error of the replicated store.
+// storeErrorResponse returns the response for an error of the replicated store. An instance that is not the leader
+// responds with status 421.
 func storeErrorResponse(err error) *http1.Response {
 	var notLeader *store.NotLeaderError
 	if errors.As(err, &notLeader) {
--- a/internal/adminapi/response_error.go
+++ b/internal/adminapi/response_error.go
@@ -8,23 +8,23 @@
 	"linkpass/internal/http1"
 )
 
-// ErrUnreachable says that no coordinator answers at the client's address.
+// ErrUnreachable is returned if no coordinator answers at the client's socket or address.
 var ErrUnreachable = errors.New("no coordinator answers")
 
-// ResponseError is a response with a status other than 2xx.
+// ResponseError is the error for a response with a status other than 2xx.
 type ResponseError struct {
-	Status int
-	Reason string
+	Status int    // HTTP status
+	Reason string // the text of the error, for a person
 
-	notProcessed bool // the call was rejected before it was read
+	notProcessed bool // the listener rejected the call before it read the request
 }
 
 // Error returns the reason.
 func (e *ResponseError) Error() string { return e.Reason }
 
-// newResponseError returns the error of a response.
+// newResponseError returns the error for a response.
 func newResponseError(res *http1.Response) *ResponseError {
-	if res.Status == 503 && len(res.Body) == 0 { // the listener's own; an error of the API has a body
+	if res.Status == 503 && len(res.Body) == 0 { // from the listener: errors of the API have a body
 		return &ResponseError{
 			Status:       res.Status,
 			Reason:       "all connections of the admin API are in use",
@@ -34,7 +34,8 @@
 	return &ResponseError{Status: res.Status, Reason: errorReason(res)}
 }
 
-// errorReason reads the reason from an error response of the API or of the search front.
+// errorReason returns the reason in an error response of the API or of the search front, or in a follower's redirect.
+// For any other response it returns the status and the start of the body.
 func errorReason(res *http1.Response) string {
 	var apiError errorBody
 	if json.Unmarshal(res.Body, &apiError) == nil && apiError.Error != "" {
--- a/internal/adminapi/signature/key_ring.go
+++ b/internal/adminapi/signature/key_ring.go
@@ -9,40 +9,40 @@
 )
 
 const (
-	// MinKey is the length of the shortest key, in bytes.
+	// MinKey is the minimum length of a key, in bytes.
 	MinKey = 16
-	// MaxKey is the length of the longest key, in bytes.
+	// MaxKey is the maximum length of a key, in bytes.
 	MaxKey = 64
-	// MaxKeys bounds a ring.
+	// MaxKeys is the maximum number of keys in a ring.
 	MaxKeys = 64
-	// maxKeyID is the length of the longest key id, in bytes.
+	// maxKeyID is the maximum length of a key id, in bytes.
 	maxKeyID = 64
 )
 
-// ErrInvalidRing says that a ring has too few or too many keys, or an invalid one.
+// ErrInvalidRing is returned for a ring with too few or too many keys, or with an invalid key or key id.
 var ErrInvalidRing = errors.New("invalid key ring")
 
-// KeyRing is keys by their ids.
+// KeyRing holds keys by their ids.
 type KeyRing map[string][]byte
 
-// Validate returns an error that wraps ErrInvalidRing if the ring cannot be used.
+// Validate returns an error that wraps ErrInvalidRing if the ring is invalid. An empty ring is invalid.
 func (r KeyRing) Validate() error {
 	if len(r) == 0 || len(r) > MaxKeys {
-		return fmt.Errorf("%w: %d keys: from 1 to %d are needed", ErrInvalidRing, len(r), MaxKeys)
+		return fmt.Errorf("%w: got %d keys, want 1 to %d", ErrInvalidRing, len(r), MaxKeys)
 	}
 	for _, id := range slices.Sorted(maps.Keys(r)) {
 		if !validKeyID(id) {
-			return fmt.Errorf("%w: key %.80q: an id has 1 to %d letters, without blanks, commas, quotes and =",
+			return fmt.Errorf("%w: key id %.80q: want 1 to %d bytes without white space, commas, quotes and =",
 				ErrInvalidRing, id, maxKeyID)
 		}
 		if n := len(r[id]); n < MinKey || n > MaxKey {
-			return fmt.Errorf("%w: key %s has %d bytes: from %d to %d are needed", ErrInvalidRing, id, n, MinKey, MaxKey)
+			return fmt.Errorf("%w: key %s has %d bytes, want %d to %d", ErrInvalidRing, id, n, MinKey, MaxKey)
 		}
 	}
 	return nil
 }
 
-// validKeyID tells whether an id can be a field of a header.
+// validKeyID reports whether an id can be the value of a field in the Authorization header.
 func validKeyID(id string) bool {
 	return id != "" && len(id) <= maxKeyID && !strings.ContainsAny(id, " ,=\"\r\n\t")
 }
--- a/internal/adminapi/signature/signature.go
+++ b/internal/adminapi/signature/signature.go
@@ -1,8 +1,8 @@
-// Package signature signs calls of the admin API and verifies the signatures: a keyed MAC over the method, target, body,
-// time and nonce of a call.
+// Package signature signs calls of the admin API and verifies the signatures. A signature is a keyed MAC over the
+// method, target, body, time and nonce of a call.
 //
-// A Verifier owns the key ring and the nonces seen, which protect against replay. The package reads no clock, no file and
-// no network: callers pass the time in and load the keys.
+// A Verifier owns the key ring and the nonces of accepted calls, which protect against replay. The package does not
+// read the clock, files or the network: callers load the keys and pass the time.
 package signature
 
 import (
@@ -18,23 +18,25 @@
 // Scheme is the authentication scheme in the Authorization header.
 const Scheme = "linkpass-v1"
 
-// maxHeader bounds the Authorization header, in bytes.
+// maxHeader is the maximum length of the Authorization header, in bytes.
 const maxHeader = 512
 
-// Call is what a signature covers.
+// Call is the part of a request that a signature covers.
 type Call struct {
-	Method, Target string // the target with its query
+	Method, Target string // Target is the path with the query
 	Body           []byte
 }
 
-// Sign returns the Authorization header of a call that is made at a time with a nonce that is never used again.
+// Sign returns the value of the Authorization header for a call at time at, which is rounded down to milliseconds. The
+// caller must never use a nonce twice with the same key.
 func Sign(keyID string, key []byte, c Call, at time.Time, nonce string) string {
 	ms := strconv.FormatInt(at.UnixMilli(), 10)
 	sum := hex.EncodeToString(mac(key, c, ms, nonce))
 	return fmt.Sprintf("%s id=%s,time=%s,once=%s,mac=%s", Scheme, keyID, ms, nonce, sum)
 }
 
-// mac returns HMAC-SHA-256 (RFC 2104) of the fields. Each has its length as a prefix, so that no two calls encode alike.
+// mac returns the HMAC-SHA-256 (RFC 2104) of the signed fields. Each field is prefixed with its length, so that
+// different calls never have the same encoding.
 func mac(key []byte, c Call, ms, nonce string) []byte {
 	h := hmac.New(sha256.New, key)
 	body := sha256.Sum256(c.Body)
@@ -44,12 +46,13 @@
 	return h.Sum(nil)
 }
 
-// headerFields are the fields of an Authorization header, in the form in which they were signed.
+// headerFields holds the fields of an Authorization header as text, as they were signed.
 type headerFields struct {
 	keyID, ms, nonce, mac string
 }
 
-// parseHeader splits an Authorization header. It accepts each of the four fields once and nothing else.
+// parseHeader splits an Authorization header into its fields. It requires each of the four fields exactly once and
+// accepts no other fields.
 func parseHeader(header string) (headerFields, bool) {
 	rest, ok := strings.CutPrefix(header, Scheme+" ")
 	if !ok || len(header) > maxHeader {
--- a/internal/adminapi/signature/verifier.go
+++ b/internal/adminapi/signature/verifier.go
@@ -10,36 +10,44 @@
 	"time"
 )
 
-// MaxNonces bounds the nonces kept against replay. Beyond it calls are rejected, as none may be forgotten early.
+// MaxNonces is the maximum number of nonces that a Verifier keeps against replay. Beyond it, calls are rejected, as a
+// nonce that is dropped early would allow a replay.
 const MaxNonces = 4096
 
-// Why a call is rejected.
+// The reasons why a call is rejected.
 var (
-	ErrUnsigned         = errors.New("the call is not signed")
-	ErrInvalidSignature = errors.New("the signature is none of a key known here") // or of a call that was changed
-	ErrClockSkew        = errors.New("the call's time is off")
-	ErrReplayed         = errors.New("the call was made before")
-	ErrTooManyCalls     = errors.New("too many signed calls at a time")
+	// ErrUnsigned is returned for a missing or malformed Authorization header.
+	ErrUnsigned = errors.New("the call has no valid Authorization header")
+	// ErrInvalidSignature is returned for an unknown key, or for a call that was changed after it was signed.
+	ErrInvalidSignature = errors.New("the signature is none of a key known here")
+	// ErrClockSkew is returned for a call whose time is outside the window or before the verifier's start. The event
+	// registry names this text in the action for rejected calls.
+	ErrClockSkew = errors.New("the call's time is off")
+	// ErrReplayed is returned for a call whose nonce was already used with the same key.
+	ErrReplayed = errors.New("the call was made before: its nonce is already used")
+	// ErrTooManyCalls is returned while MaxNonces nonces are kept.
+	ErrTooManyCalls = errors.New("too many signed calls within the accepted time window")
 )
 
-// Verifier verifies signatures. One goroutine at a time uses it.
+// Verifier verifies the signatures of calls. It is not safe for concurrent use.
 type Verifier struct {
 	keys   KeyRing
-	window time.Duration
-	start  time.Time
-	nonces map[string]time.Time // by key id and nonce, when the call's time will have left the window
+	window time.Duration        // maximum difference between a call's time and the current time
+	start  time.Time            // calls signed before it are rejected
+	nonces map[string]time.Time // by key id and nonce: when the time of the call leaves the window
 }
 
-// NewVerifier returns a verifier that accepts calls whose time differs from its own by window at most. It accepts none
-// from before start, as it does not know which nonces were seen then.
+// NewVerifier returns a verifier that accepts calls whose time differs from the current time by at most window. It
+// rejects calls signed before start, as it does not know which nonces were used then.
 func NewVerifier(keys KeyRing, window time.Duration, start time.Time) *Verifier {
 	return &Verifier{keys: keys, window: window, start: start, nonces: map[string]time.Time{}}
 }
 
-// SetKeys replaces the keys; calls signed with a key that is not among them are rejected from now on.
+// SetKeys replaces the key ring. Calls signed with a key that is not in the new ring are rejected from now on.
 func (v *Verifier) SetKeys(keys KeyRing) { v.keys = keys }
 
-// Verify verifies a call, which it accepts once, and returns the id of the key that signed it.
+// Verify verifies a call and returns the id of the key that signed it. It accepts each call once. The error wraps one
+// of the errors above.
 func (v *Verifier) Verify(now time.Time, header string, c Call) (keyID string, err error) {
 	fields, ok := parseHeader(header)
 	if !ok {
@@ -59,7 +67,7 @@
 	return fields.keyID, v.useNonce(now, fields.keyID+" "+fields.nonce, at)
 }
 
-// authentic tells whether the MAC is that of the call with a known key. It computes the MAC for an unknown key too, so
+// authentic reports whether the MAC matches the call and a known key. It also computes the MAC for an unknown key, so
 // that the time taken does not reveal which key ids exist.
 func (v *Verifier) authentic(fields headerFields, c Call) bool {
 	key, known := v.keys[fields.keyID]
@@ -68,7 +76,7 @@
 	return equal && known && err == nil
 }
 
-// checkTime checks that a call's time lies in the window and not before the start.
+// checkTime checks that the time of a call lies in the window and is not before the start.
 func (v *Verifier) checkTime(now, at time.Time) error {
 	skew := at.Sub(now).Abs()
 	if skew > v.window {
@@ -76,12 +84,12 @@
 			ErrClockSkew, skew.Round(time.Millisecond), v.window)
 	}
 	if at.Before(v.start.Truncate(time.Millisecond)) {
-		return fmt.Errorf("%w: it was signed before this process began", ErrClockSkew)
+		return fmt.Errorf("%w: it was signed before this process started", ErrClockSkew)
 	}
 	return nil
 }
 
-// useNonce records a nonce for as long as the call's time would be accepted.
+// useNonce records the nonce of a call for as long as the time of the call would be accepted.
 func (v *Verifier) useNonce(now time.Time, nonce string, at time.Time) error {
 	if _, used := v.nonces[nonce]; used {
 		return ErrReplayed
--- a/internal/adminapi/signature/verifier_test.go
+++ b/internal/adminapi/signature/verifier_test.go
@@ -13,8 +13,8 @@
 
 var verifierStart = time.UnixMilli(1_700_000_000_000)
 
-// A call is accepted exactly if its key is known, nothing of it was changed, its time lies in the window and its nonce is
-// new: random sequences of operations are compared with a model that forgets no nonce.
+// A call is accepted if and only if its key is known, no part of it was changed, its time lies in the window and its
+// nonce is new. Random sequences of operations are compared with a model that keeps all nonces.
 func TestVerifierAcceptsSignedCallsOnce(t *testing.T) {
 	const window = 30 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
@@ -50,7 +50,8 @@
 				want := known && s.at.Sub(now).Abs() <= window && !accepted[s.header]
 				id, err := v.Verify(now, s.header, s.call)
 				if (err == nil) != want || want && id != s.key {
-					t.Fatalf("%s: %v, want accepted: %v", s.header, err, want)
+					t.Fatalf("%s: key id %q, error %v; want accepted = %t from key id %q",
+						s.header, id, err, want, s.key)
 				}
 				accepted[s.header] = accepted[s.header] || want
 			},
@@ -71,7 +72,7 @@
 					s.header = s.header[:i] + "~" + s.header[i+1:]
 				}
 				if id, err := v.Verify(now, s.header, s.call); err == nil {
-					t.Fatalf("a changed call was accepted from %s: %q", id, s.header)
+					t.Fatalf("changed call accepted from key id %s: %q", id, s.header)
 				}
 			},
 			"wait": func(t *rapid.T) { now = now.Add(time.Duration(rapid.IntRange(1, 40).Draw(t, "s")) * time.Second) },
@@ -88,8 +89,9 @@
 	})
 }
 
-// A call outside the window or from before the verifier's start, which may be a replay, is rejected with ErrClockSkew. With
-// the maximum of nonces kept no call is accepted, until the old nonces expire.
+// A call outside the window is rejected with ErrClockSkew, and so is a call signed before the verifier's start, which
+// may be a replay. While the verifier keeps the maximum number of nonces, it accepts no call; it accepts calls again
+// when the old nonces have expired.
 func TestVerifierRejectsClockSkewAndFullNonceCache(t *testing.T) {
 	key := []byte("0123456789abcdef")
 	v := NewVerifier(KeyRing{"k": key}, 30*time.Second, verifierStart)
@@ -103,7 +105,7 @@
 		-10 * time.Second: nil,
 	} {
 		if _, err := v.Verify(now, Sign("k", key, c, now.Add(off), off.String()), c); !errors.Is(err, want) {
-			t.Errorf("off by %s: %v", off, err)
+			t.Errorf("time off by %s: error %v, want %v", off, err, want)
 		}
 	}
 	var err error
@@ -112,11 +114,12 @@
 		_, err = v.Verify(now, Sign("k", key, c, now, fmt.Sprint(n)), c)
 	}
 	if !errors.Is(err, ErrTooManyCalls) || len(v.nonces) > MaxNonces {
-		t.Errorf("%d calls: %v", n, err)
+		t.Errorf("after %d calls: error %v, want %v; %d nonces kept, want at most %d",
+			n, err, ErrTooManyCalls, len(v.nonces), MaxNonces)
 	}
 	now = now.Add(2 * time.Minute)
 	if _, err := v.Verify(now, Sign("k", key, c, now, "later"), c); err != nil {
-		t.Error(err)
+		t.Errorf("call after the nonces have expired: %v", err)
 	}
 }
 
@@ -129,10 +132,10 @@
 		{"": make([]byte, 32)},
 	} {
 		if r.Validate() == nil {
-			t.Errorf("%v was accepted", r)
+			t.Errorf("Validate accepts the ring %v", r)
 		}
 	}
 	if err := (KeyRing{"a": make([]byte, 32)}).Validate(); err != nil {
-		t.Error(err)
+		t.Errorf("valid ring: %v", err)
 	}
 }
--- a/internal/adminapi/signature/wire_golden_test.go
+++ b/internal/adminapi/signature/wire_golden_test.go
@@ -19,7 +19,7 @@
 	goldenTime = time.UnixMilli(1764652800123)
 )
 
-// goldenCalls are the signed calls, by the file that holds the value of their Authorization header.
+// goldenCalls are the signed calls. Each file holds the value of the call's Authorization header.
 var goldenCalls = []struct {
 	file string
 	call Call
@@ -44,10 +44,10 @@
 			v := NewVerifier(KeyRing{goldenKeyID: goldenKey}, time.Minute, goldenTime)
 			id, err := v.Verify(goldenTime.Add(time.Second), header, c.call)
 			if err != nil || id != goldenKeyID {
-				t.Fatalf("id %q, error %v", id, err)
+				t.Fatalf("key id = %q, error %v; want %q", id, err, goldenKeyID)
 			}
 			if _, err := v.Verify(goldenTime.Add(time.Second), header, c.call); !errors.Is(err, ErrReplayed) {
-				t.Errorf("second use: %v", err)
+				t.Errorf("second use: error %v, want %v", err, ErrReplayed)
 			}
 		})
 	}
@@ -76,7 +76,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			v := NewVerifier(KeyRing{goldenKeyID: goldenKey}, time.Minute, goldenTime)
 			if _, err := v.Verify(goldenTime, c.header, c.call); !errors.Is(err, c.want) {
-				t.Errorf("got %v, want %v", err, c.want)
+				t.Errorf("error = %v, want %v", err, c.want)
 			}
 		})
 	}
--- a/internal/adminapi/signed_handler.go
+++ b/internal/adminapi/signed_handler.go
@@ -11,16 +11,17 @@
 	"linkpass/internal/metrics"
 )
 
-// SignedHandler serves the API to calls with a valid signature only.
+// SignedHandler forwards calls with a valid signature to Handler and rejects all others: with status 429 after
+// signature.ErrTooManyCalls, else with status 401. It is safe for concurrent use if Handler and Verify are.
 type SignedHandler struct {
 	Handler  http1.Handler
-	Verify   func(header string, c signature.Call) error
-	Counters *metrics.Counters
+	Verify   func(header string, c signature.Call) error // checks the Authorization header of a call
+	Counters *metrics.Counters                           // counts the rejected calls
 
-	rejections eventlog.RateLimited
+	rejections eventlog.RateLimited // limits the log lines about rejected calls
 }
 
-// Serve verifies a call's signature and forwards the call to Handler.
+// Serve verifies the signature of a call and forwards the call to Handler.
 func (s *SignedHandler) Serve(ctx context.Context, began time.Duration, req *http1.Request) *http1.Response {
 	target := req.Path
 	if req.Query != "" {
--- a/internal/adminapi/wire_golden_test.go
+++ b/internal/adminapi/wire_golden_test.go
@@ -14,7 +14,7 @@
 	"linkpass/internal/store"
 )
 
-// Every body with all of its fields, in both directions.
+// Each body with all of its fields is encoded to, and decoded from, its golden file.
 func TestAdminBodiesGolden(t *testing.T) {
 	t.Run("status response", requireBody("status_response.json", goldenStatus))
 	t.Run("servers response", requireBody("servers_response.json", goldenServers))
@@ -29,7 +29,7 @@
 	t.Run("error response", requireBody("error_response.json", errorBody{Error: "no such server"}))
 }
 
-// requireBody is a test of a body's JSON form in both directions.
+// requireBody returns a subtest that encodes a body to JSON and decodes it.
 func requireBody[T any](file string, value T) func(*testing.T) {
 	return func(t *testing.T) {
 		t.Helper()
@@ -37,7 +37,7 @@
 	}
 }
 
-// Optional fields without a value are omitted; the others are not.
+// Optional fields with a zero value are omitted from the JSON; all other fields are present.
 func TestAdminBodiesWithoutOptionalFieldsGolden(t *testing.T) {
 	for file, value := range map[string]any{
 		"empty_status.json":       Status{},
@@ -55,14 +55,14 @@
 	}
 }
 
-// fixedCoordinator returns the golden values, or an error, and records the requests that it receives.
+// fixedCoordinator returns the golden values or err, and records the requests that it receives.
 type fixedCoordinator struct {
 	err    error
 	server ServerRequest
 	member MemberRequest
 	store  *store.Store
 
-	canceled bool // a change came with a context that had ended
+	canceled bool // a change was called with a canceled context
 }
 
 func (*fixedCoordinator) Status() Status               { return goldenStatus }
@@ -103,7 +103,7 @@
 	return h.Serve(context.Background(), 0, &http1.Request{Method: method, Path: path, Query: query, Body: body})
 }
 
-// readBody reads the golden body of a request; a request without one has no body.
+// readBody reads the golden file with the body of a request. If file is "", the request has no body.
 func readBody(t *testing.T, file string) []byte {
 	t.Helper()
 	if file == "" {
@@ -133,43 +133,43 @@
 			coordinator := &fixedCoordinator{store: &store.Store{}}
 			res := serve(Handler{coordinator}, c.method, c.target, readBody(t, c.request))
 			if res.Status != 200 {
-				t.Errorf("status %d", res.Status)
+				t.Errorf("status = %d, want 200", res.Status)
 			}
 			contentType := res.Header.Get("Content-Type")
 			if contentType != "application/json" && !strings.Contains(c.target, "/search/") {
-				t.Errorf("content type %q", contentType)
+				t.Errorf("Content-Type = %q, want application/json", contentType)
 			}
 			goldentest.Bytes(t, c.response, res.Body)
 			if c.target == "/v1/servers/order" && !reflect.DeepEqual(coordinator.server, goldenServerRequest) {
-				t.Errorf("request received: %+v", coordinator.server)
+				t.Errorf("coordinator received %+v, want %+v", coordinator.server, goldenServerRequest)
 			}
 			if c.target == "/v1/store/members" && coordinator.member != goldenMemberRequest {
-				t.Errorf("request received: %+v", coordinator.member)
+				t.Errorf("coordinator received %+v, want %+v", coordinator.member, goldenMemberRequest)
 			}
 		})
 	}
 }
 
-// A log level is set by a plain body; the response lists the levels by component.
+// The body of a request that sets a log level is the plain level. The response lists the levels of all components.
 func TestAdminLogLevelGolden(t *testing.T) {
 	before := string(serve(Handler{&fixedCoordinator{}}, "GET", "/v1/log", nil).Body)
 	var levels map[string]string
 	if err := json.Unmarshal([]byte(before), &levels); err != nil || len(levels) == 0 {
-		t.Fatalf("%s: %v", before, err)
+		t.Fatalf("GET /v1/log: %s, error %v; want at least one level", before, err)
 	}
 	for component, level := range levels {
 		res := serve(Handler{&fixedCoordinator{}}, "PUT", "/v1/log/"+component, []byte(level))
 		if res.Status != 200 || string(res.Body) != before {
-			t.Errorf("PUT /v1/log/%s: %d %s", component, res.Status, res.Body)
+			t.Errorf("PUT /v1/log/%s: status = %d %s, want 200 %s", component, res.Status, res.Body, before)
 		}
 	}
 	if res := serve(Handler{&fixedCoordinator{}}, "PUT", "/v1/log/none", []byte("info")); res.Status != 400 {
-		t.Errorf("unknown component: status %d", res.Status)
+		t.Errorf("unknown component: status = %d, want 400", res.Status)
 	}
 }
 
-// The API returns a command's reason, and the replicated state keeps it: instances of two versions compare its hash, so
-// the text is part of the format.
+// The API returns the reason of a rejected command, and the replicated state contains it. Instances of two versions
+// compare the hash of that state, so the texts of the reasons are part of the format.
 func TestRejectionReasonsGolden(t *testing.T) {
 	goldentest.Encodes(t, "reasons.json", []config.Reason{
 		config.Applied,
--- a/internal/dashboard/chart.go
+++ b/internal/dashboard/chart.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// Size of a chart, in units of the picture.
+// Size of a chart, in units of the SVG view box.
 const chartWidth, chartHeight = 640, 120
 
-// chart shows the rates of a class's responses over Window; all its lines share one scale, from 0.
+// chart shows the response rates of a query class over Window. All its lines share one scale, which starts at 0.
 type chart struct {
 	Class string
-	Max   float64 // of the scale, responses a second
+	Max   float64 // upper end of the scale, in responses per second
 	Lines []chartLine
 }
 
-// chartLine is the rate of one outcome.
+// chartLine is the rate of one outcome over time.
 type chartLine struct {
 	Outcome string
-	Points  string // in the form of an SVG polyline
-	Current float64
+	Points  string  // the points attribute of an SVG polyline
+	Current float64 // latest rate, in responses per second; 0: no samples
 }
 
-// newChart reads the rates of a class. After an error of the series it has the class alone.
+// newChart returns the chart of a class. If the series returns an error, the chart has no lines.
 func newChart(series *Series, now time.Time, class string) (chart, error) {
 	c := chart{Class: class, Max: 1}
 	rates := make([][]point, len(outcomes))
--- a/internal/dashboard/doc.go
+++ b/internal/dashboard/doc.go
@@ -1,6 +1,6 @@
-// Package dashboard serves a page that shows a coordinator in a browser: its state, the fleet, shards, open plans, and
-// the final responses by class over the last minutes. It only reads.
+// Package dashboard serves a web page about a coordinator: its state, the league servers, shards, open plans, and the
+// rates of final responses by query class over the last minutes. It is read-only.
 //
-// Serve owns the goroutine that samples the source, and waits for it when the context has ended; if the listener fails
-// before that, the goroutine ends with the context.
+// Serve owns the goroutine that samples the source. When the context has ended, Serve waits for that goroutine. If the
+// listener fails earlier, Serve returns at once, and the goroutine ends with the context.
 package dashboard
--- a/internal/dashboard/golden_test.go
+++ b/internal/dashboard/golden_test.go
@@ -9,7 +9,7 @@
 	"linkpass/internal/goldentest"
 )
 
-// goldenStatus sets all that the page shows of a status.
+// goldenStatus returns a status that has all fields set that the page shows.
 func goldenStatus() adminapi.Status {
 	return adminapi.Status{Name: "n0", Program: "v1", State: "serving", Core: "busy", InFlight: 7, ServersKnown: 3, ServersExcluded: 1,
 		Bodies: &adminapi.BodyStatus{Stored: 12}, Store: &adminapi.StoreStatus{ID: "n0", Leader: "n1", Revision: 42}}
--- a/internal/dashboard/handler_test.go
+++ b/internal/dashboard/handler_test.go
@@ -16,20 +16,20 @@
 	"linkpass/internal/shardmap"
 )
 
-// markupStatus has a name that must not become an element of the page.
+// markupStatus has a name with markup, which the page has to escape.
 var markupStatus = adminapi.Status{Name: "<b>n0</b>", State: "serving", Core: "ok"}
 
-// fakeSource is a coordinator, or one that does not answer.
+// fakeSource is a coordinator. If err is set, it does not answer.
 type fakeSource struct {
 	status  adminapi.Status
 	servers []adminapi.Server
-	err     error // of Status
+	err     error // returned by Status
 }
 
 func (f fakeSource) Status() (adminapi.Status, error)    { return f.status, f.err }
 func (f fakeSource) Servers() ([]adminapi.Server, error) { return f.servers, nil }
 
-// ShardMaps has an index with an open plan.
+// ShardMaps returns one index, which has an open plan.
 func (fakeSource) ShardMaps() ([]adminapi.IndexShardMap, error) {
 	l, err := shardmap.NewEven(4, [][]string{{"a", "<script>"}, {"c"}})
 	if err == nil {
@@ -44,7 +44,7 @@
 	}, nil
 }
 
-// newTestHandler has a series of one class with 20 samples of the last minute.
+// newTestHandler returns a handler whose series has one class and 20 samples of the last minute.
 func newTestHandler(t *testing.T, source Source) *Handler {
 	t.Helper()
 	s, err := NewSeries()
@@ -62,7 +62,7 @@
 	return &Handler{Source: source, Series: s, Now: time.Now}
 }
 
-// getPage requests the page by a Host header.
+// getPage requests the page with the given Host header and returns the status and the body.
 func getPage(h *Handler, host string) (int, string) {
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, httptest.NewRequest("GET", "http://"+host+"/", nil))
@@ -75,7 +75,8 @@
 	status, body := getPage(h, "127.0.0.1:9302")
 	if status != 200 || strings.Contains(body, "<script>") || strings.Contains(body, "<b>n0") ||
 		strings.Count(body, "<rect") != 4 || !strings.Contains(body, "0.25") {
-		t.Errorf("%d %s", status, body)
+		t.Errorf("status = %d, want 200; want escaped names, 4 shards and the lowest health 0.25 in the page:\n%s",
+			status, body)
 	}
 	d := xml.NewDecoder(strings.NewReader(body))
 	d.Strict, d.AutoClose, d.Entity = false, xml.HTMLAutoClose, xml.HTMLEntity
@@ -83,13 +84,13 @@
 		if _, err := d.Token(); errors.Is(err, io.EOF) {
 			break
 		} else if err != nil {
-			t.Fatalf("not well-formed: %v", err)
+			t.Fatalf("the page is not well-formed: %v", err)
 		}
 	}
 	checkPoints(t, body)
 }
 
-// checkPoints checks that a page has all points of the series, inside the charts.
+// checkPoints checks that a page has all points of the series and that each lies inside its chart.
 func checkPoints(t *testing.T, body string) {
 	t.Helper()
 	lines := strings.Join(regexp.MustCompile(`points="[^"]*"`).FindAllString(body, -1), " ")
@@ -98,24 +99,24 @@
 		x, _ := strconv.ParseFloat(p[1], 64)
 		y, _ := strconv.ParseFloat(p[2], 64)
 		if x < 0 || x > chartWidth || y < 0 || y > chartHeight {
-			t.Fatalf("a point outside: %v", p)
+			t.Fatalf("point %v lies outside the chart of %d x %d", p, chartWidth, chartHeight)
 		}
 	}
 	if len(points) != 3*19 {
-		t.Errorf("%d points", len(points))
+		t.Errorf("got %d points, want %d", len(points), 3*19)
 	}
 }
 
 func TestPageShowsUnreachableCoordinator(t *testing.T) {
 	h := newTestHandler(t, fakeSource{status: markupStatus, err: adminapi.ErrUnreachable})
 	if _, body := getPage(h, "[::1]:1"); !strings.Contains(body, adminapi.ErrUnreachable.Error()) || !strings.Contains(body, "<polyline") {
-		t.Errorf("%s", body)
+		t.Errorf("the page does not show the error %q and a chart:\n%s", adminapi.ErrUnreachable, body)
 	}
 }
 
 func TestPageRejectsHostName(t *testing.T) {
 	h := newTestHandler(t, fakeSource{status: markupStatus, err: adminapi.ErrUnreachable})
 	if status, _ := getPage(h, "evil.example"); status != http.StatusMisdirectedRequest {
-		t.Error(status)
+		t.Errorf("status = %d, want %d", status, http.StatusMisdirectedRequest)
 	}
 }
--- a/internal/dashboard/main_test.go
+++ b/internal/dashboard/main_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// Guards against a sampler or a connection that outlives Serve.
+// TestMain fails if a goroutine of the sampler or of a connection outlives Serve.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/dashboard/page.go
+++ b/internal/dashboard/page.go
@@ -9,45 +9,45 @@
 	"linkpass/internal/shardmap"
 )
 
-// maxRows limits the servers and the plans on the page; the source limits the shards.
+// maxRows is the maximum number of servers, and of plans, on the page. The source limits the number of shards.
 const maxRows = adminapi.MaxShards
 
-// excludedColor marks servers that get no requests.
+// excludedColor is the color of servers that get no requests.
 const excludedColor template.CSS = "#888"
 
-// page is what the template shows.
+// page is the data of the template.
 type page struct {
 	Status  adminapi.Status
 	Now     string
-	Errors  []string // of calls of the source, each once
+	Errors  []string // of calls to the source and of the series, without duplicates
 	Charts  []chart
 	Servers []serverRow
 	Indices []indexRow
 	Plans   []planRow
-	Width   int // of a chart
-	Height  int // of a chart
-	Minutes int // that a chart spans
+	Width   int // of a chart, in units of the SVG view box
+	Height  int // of a chart, in units of the SVG view box
+	Minutes int // time span of a chart
 }
 
 type serverRow struct {
 	adminapi.Server
-	WorstHealth float64 // of all classes; 1 is healthy
+	WorstHealth float64 // the lowest of all classes; 1 is healthy
 	Color       template.CSS
 }
 
 type planRow struct {
 	Index, Kind, Step, Range string
 	ID                       shardmap.PlanID
-	StepsDone                int // of the 4 after planSteps[0]
+	StepsDone                int // of the 4 steps after planSteps[0]
 }
 
-// planSteps is the order of a plan's steps; others count as the first.
+// planSteps are the steps of a plan in order. Any other step is shown like the first one.
 var planSteps = []shardmap.PlanStep{
 	shardmap.Planned, shardmap.Copying, shardmap.Replicated, shardmap.Switched, shardmap.Retired,
 }
 
-// page calls the source for all contents. Failed calls are shown; if the coordinator's status fails, the page has the
-// charts alone.
+// page returns the data of the template. It calls the source for all contents and adds the errors of failed calls. If
+// the call for the status fails, the page shows only the errors and the charts.
 func (h *Handler) page() *page {
 	now := h.Now()
 	p := &page{
@@ -93,7 +93,7 @@
 	for _, health := range s.Health {
 		row.WorstHealth = min(row.WorstHealth, health)
 	}
-	hue := 120 * row.WorstHealth // degrees, from red to green
+	hue := 120 * row.WorstHealth // in degrees: 0 is red, 120 is green
 	row.Color = template.CSS(fmt.Sprintf("hsl(%.0f 60%% 45%%)", hue))
 	if s.Excluded != "" {
 		row.Color = excludedColor
@@ -101,7 +101,7 @@
 	return row
 }
 
-// addShardMaps adds the shards of each index and its open plans.
+// addShardMaps adds the shards of each index and its open plans, up to maxRows plans in all.
 func (p *page) addShardMaps(maps []adminapi.IndexShardMap) {
 	for _, m := range maps {
 		p.Indices = append(p.Indices, newIndexRow(m))
--- a/internal/dashboard/series.go
+++ b/internal/dashboard/series.go
@@ -14,31 +14,32 @@
 const (
 	// SampleInterval is the time between two samples.
 	SampleInterval = 2 * time.Second
-	// Window is the time that the charts span.
+	// Window is the time span of the charts.
 	Window = 5 * time.Minute
-	// partition is the storage's unit of retention; it holds two.
+	// partition is the time span of a partition, the unit in which the storage drops old data. It keeps two.
 	partition = Window
 )
 
-// outcomes of a response: metrics of the storage, classes in the page's style sheet, words in the page.
+// outcomes are the outcomes of a response. They are the names of the metrics in the storage and of the classes in the
+// page's style sheet, and are shown on the page.
 var outcomes = []string{"served", "refused", "failed"}
 
-// Series holds the rates of final responses by class and outcome. Its memory is bounded: two partitions of samples.
-// Classes and rates are safe for concurrent use, also with Add.
+// Series holds the rates of final responses by query class and outcome. Its memory is bounded: it keeps two partitions
+// of samples. Classes and rates are safe for concurrent use, also while Add runs. Use NewSeries to create one.
 type Series struct {
 	storage tstorage.Storage
 
 	mu      sync.Mutex
-	classes []string // of the last sample
+	classes []string // of the last sample; guarded by mu
 
-	// Owned by the goroutine that calls Add.
-	counts map[countKey]int64 // at the last sample
-	at     time.Time          // of the last sample
+	// The fields below are used only by the goroutine that calls Add.
+	counts map[countKey]int64 // counts of responses at the last sample
+	at     time.Time          // time of the last sample
 }
 
 type countKey struct{ class, outcome string }
 
-// NewSeries returns an empty series in memory; Close has to follow.
+// NewSeries returns an empty series in memory. The caller must call Close when it no longer uses the series.
 func NewSeries() (*Series, error) {
 	s, err := tstorage.NewStorage(
 		tstorage.WithTimestampPrecision(tstorage.Milliseconds),
@@ -51,11 +52,11 @@
 	return &Series{storage: s, counts: map[countKey]int64{}}, nil
 }
 
-// Close frees the storage and ends its goroutines.
+// Close frees the storage and stops its goroutines.
 func (s *Series) Close() error { return s.storage.Close() }
 
-// Add stores the rates since the last sample; the first sample is only counted from. One goroutine calls it, in the
-// order of time: after a step back of the clock it counts anew.
+// Add stores the response rates since the last sample. No rates are stored for the first sample, or for a sample that
+// is not later than the last one, as after a step back of the clock. One goroutine calls Add, in the order of time.
 func (s *Series) Add(now time.Time, classes []adminapi.ClassStatus) error {
 	elapsed := now.Sub(s.at).Seconds()
 	hasRates := !s.at.IsZero() && elapsed > 0
@@ -65,7 +66,7 @@
 		names = append(names, c.Name)
 		for i, count := range []int64{c.Served, c.Rejected, c.Failed} {
 			key := countKey{c.Name, outcomes[i]}
-			if hasRates && count >= s.counts[key] { // a lower count is a restart: a gap
+			if hasRates && count >= s.counts[key] { // lower counts mean a restart: leave a gap
 				rows = append(rows, newRow(key, now, float64(count-s.counts[key])/elapsed))
 			}
 			s.counts[key] = count
@@ -107,13 +108,13 @@
 	return s.classes
 }
 
-// point is a rate in responses a second.
+// point is a rate at a point in time.
 type point struct {
 	at   time.Time
-	rate float64
+	rate float64 // in responses per second
 }
 
-// rates returns those of a class and outcome within Window before now, oldest first.
+// rates returns the rates of a class and an outcome within Window before now, oldest first.
 func (s *Series) rates(now time.Time, class, outcome string) ([]point, error) {
 	stored, err := s.storage.Select(outcome, classLabels(class), now.Add(-Window).UnixMilli(), now.UnixMilli()+1)
 	if errors.Is(err, tstorage.ErrNoDataPoints) {
--- a/internal/dashboard/serve.go
+++ b/internal/dashboard/serve.go
@@ -11,12 +11,12 @@
 
 const (
 	readTimeout    = 5 * time.Second
-	writeTimeout   = 30 * time.Second // for the calls of the source, and a slow browser
+	writeTimeout   = 30 * time.Second // includes the calls to the source and a slow browser
 	maxHeaderBytes = 16 << 10
 )
 
-// Serve serves the page on ln until ctx ends, and samples the source meanwhile. It closes ln, and returns nil when ctx
-// has ended.
+// Serve serves the page on ln until ctx ends, and meanwhile samples the source every SampleInterval. It closes ln
+// before it returns, and returns nil when ctx has ended.
 func Serve(ctx context.Context, ln net.Listener, source Source) error {
 	series, err := NewSeries()
 	if err != nil {
@@ -34,7 +34,7 @@
 	}()
 	err = server.Serve(ln)
 	if !errors.Is(err, http.ErrServerClosed) {
-		return fmt.Errorf("page: %w", err)
+		return fmt.Errorf("serve page: %w", err)
 	}
 	<-sampled
 	return nil
@@ -46,7 +46,8 @@
 	return &http.Server{Handler: mux, ReadTimeout: readTimeout, WriteTimeout: writeTimeout, MaxHeaderBytes: maxHeaderBytes}
 }
 
-// sample adds to the series until ctx ends. A failed call of the source, or of the series, leaves a gap.
+// sample adds a sample to the series every SampleInterval until ctx ends. A failed call to the source or to the series
+// leaves a gap.
 func sample(ctx context.Context, source Source, series *Series) {
 	ticker := time.NewTicker(SampleInterval)
 	defer ticker.Stop()
--- a/internal/dashboard/serve_test.go
+++ b/internal/dashboard/serve_test.go
@@ -33,12 +33,12 @@
 			}
 			res.Body.Close()
 			if res.StatusCode != c.want {
-				t.Errorf("status %d, want %d", res.StatusCode, c.want)
+				t.Errorf("status = %d, want %d", res.StatusCode, c.want)
 			}
 		})
 	}
 	stop()
 	if err := <-done; err != nil {
-		t.Error(err)
+		t.Errorf("Serve = %v, want nil", err)
 	}
 }
--- a/internal/dashboard/shards.go
+++ b/internal/dashboard/shards.go
@@ -11,20 +11,20 @@
 	"linkpass/internal/shardmap"
 )
 
-// keySpaceWidth is the width of the bar that shows all keys of an index, in units of the picture.
+// keySpaceWidth is the width of the bar that shows the key space of an index, in units of the SVG view box.
 const keySpaceWidth = 1000
 
-// indexRow is an index with its shards side by side over the key space.
+// indexRow shows the shards of an index side by side over the key space.
 type indexRow struct {
 	Name    string
 	Version uint64
-	Total   int // shards of the index
+	Total   int // number of shards of the index
 	Shards  []shardBox
 }
 
-// shardBox is a shard's part of the bar.
+// shardBox is the rectangle of a shard in the bar.
 type shardBox struct {
-	X, Width float64 // of keySpaceWidth
+	X, Width float64 // left edge and width, both in units of the bar of keySpaceWidth
 	Color    template.CSS
 	Title    string
 }
@@ -37,7 +37,7 @@
 	return row
 }
 
-// newShardBox gives all shards with the same replicas the same color.
+// newShardBox returns the rectangle of a shard. Shards with the same replicas have the same color.
 func newShardBox(s shardmap.Shard) shardBox {
 	const keys = float64(math.MaxUint64)
 	replicas := strings.Join(s.Replicas, ", ")
