--- a/internal/admin/readiness.go
+++ b/internal/admin/readiness.go
@@ -38,11 +38,11 @@
 // Readiness is the state machine that decides whether clients are accepted. The zero value is in state Starting and
 // ready to use. Its methods are safe for concurrent use.
 type Readiness struct {
-	mu           sync.Mutex // guards the fields below; held during calls to Drainers, so these come in order
-	fronts       []Drainer
-	usable       bool // there has been a usable endpoint list; never reset
-	drained      bool // on request, until Activate
-	shuttingDown bool // never reset
+	mu              sync.Mutex // guards the fields below; held during calls to Drainers, so these come in order
+	fronts          []Drainer
+	endpointsUsable bool // there has been a usable endpoint list; never reset
+	drained         bool // on request, until Activate
+	shuttingDown    bool // never reset
 }
 
 // AddFront registers a front, which drains and resumes with the state from now on. If the coordinator drains already,
@@ -67,7 +67,7 @@
 func (r *Readiness) Ready() bool { return r.State() == Serving }
 
 // MarkUsable records that there is a usable endpoint list. It is idempotent and ends the state Starting.
-func (r *Readiness) MarkUsable() { r.update(func() { r.usable = true }) }
+func (r *Readiness) MarkUsable() { r.update(func() { r.endpointsUsable = true }) }
 
 // Drain drains the coordinator until Activate and returns the state after that. It is idempotent.
 func (r *Readiness) Drain() State { return r.update(func() { r.drained = true }) }
@@ -85,7 +85,7 @@
 		return ShuttingDown
 	case r.drained:
 		return Drained
-	case !r.usable:
+	case !r.endpointsUsable:
 		return Starting
 	}
 	return Serving
--- a/internal/adminapi/backup_test.go
+++ b/internal/adminapi/backup_test.go
@@ -8,7 +8,7 @@
 	"linkpass/internal/goldentest"
 )
 
-func TestReadBackupRejectsInvalid(t *testing.T) {
+func TestReadBackupRejectsInvalidBackup(t *testing.T) {
 	backup := goldentest.Read(t, "backup.json")
 	replaced := func(old, by string) []byte {
 		t.Helper()
--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	// maxResponse is the maximum size of a response, in bytes.
-	maxResponse = 64 << 20
-	// retryPause is the time between two attempts of a call. The server evicts a client that has not completed its
+	// maxResponseBytes is the maximum size of a response, in bytes.
+	maxResponseBytes = 64 << 20
+	// retryInterval is the time between two attempts of a call. The server evicts a client that has not completed its
 	// request after a second, so that a few attempts find a free connection.
-	retryPause = 100 * time.Millisecond
+	retryInterval = 100 * time.Millisecond
 	// nonceBytes is the length of the random nonce that makes a signed call unique, in bytes.
 	nonceBytes = 16
 )
@@ -75,10 +75,10 @@
 	deadline := time.Now().Add(c.Timeout)
 	for {
 		data, err := c.attempt(method, path, body)
-		if !retryable(method, err) || time.Now().Add(retryPause).After(deadline) {
+		if !retryable(method, err) || time.Now().Add(retryInterval).After(deadline) {
 			return data, err
 		}
-		time.Sleep(retryPause)
+		time.Sleep(retryInterval)
 	}
 }
 
@@ -111,7 +111,7 @@
 	if err := http1.WriteRequest(nc, method, target, "linkpass", header, body); err != nil {
 		return nil, fmt.Errorf("%w at %s: %w", ErrUnreachable, addr, err)
 	}
-	res, err := http1.NewReader(nc, maxResponse).Response()
+	res, err := http1.NewReader(nc, maxResponseBytes).Response()
 	if err != nil {
 		return nil, fmt.Errorf("%w at %s within %s: %w", ErrUnreachable, addr, c.Timeout, err)
 	}
--- a/internal/adminapi/client_golden_test.go
+++ b/internal/adminapi/client_golden_test.go
@@ -24,9 +24,9 @@
 	maxRequestBytes = 1 << 20
 )
 
-// exchange serves one call on a Unix socket with the given response. It returns the bytes of the request and the error
-// of the call.
-func exchange(t *testing.T, response *http1.Response, call func(*Client) error) (request []byte, err error) {
+// serveOnce serves one call on a Unix socket with the given response. It returns the bytes of the request and the
+// error of the call.
+func serveOnce(t *testing.T, response *http1.Response, call func(*Client) error) (request []byte, err error) {
 	t.Helper()
 	socket := filepath.Join(t.TempDir(), "s")
 	ln, err := net.Listen("unix", socket)
@@ -44,7 +44,7 @@
 		}
 		defer nc.Close()
 		_ = nc.SetDeadline(time.Now().Add(exchangeTimeout))
-		r := http1.NewReader(recorder{nc, &got}, maxRequestBytes)
+		r := http1.NewReader(recordingConn{nc, &got}, maxRequestBytes)
 		if _, err := r.Request(); err == nil {
 			_ = http1.WriteResponse(nc, response)
 		}
@@ -53,13 +53,13 @@
 	return <-done, err
 }
 
-// recorder is a connection that appends all bytes read from it to got.
-type recorder struct {
+// recordingConn is a connection that appends all bytes read from it to got.
+type recordingConn struct {
 	net.Conn
 	got *[]byte
 }
 
-func (r recorder) Read(p []byte) (int, error) {
+func (r recordingConn) Read(p []byte) (int, error) {
 	n, err := r.Conn.Read(p)
 	*r.got = append(*r.got, p[:n]...)
 	return n, err
@@ -84,7 +84,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			response := &http1.Response{Status: 200, Body: goldentest.Read(t, c.response)}
 			var got any
-			request, err := exchange(t, response, func(client *Client) (err error) {
+			request, err := serveOnce(t, response, func(client *Client) (err error) {
 				got, err = c.call(client)
 				return err
 			})
@@ -133,7 +133,7 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := exchange(t, &c.res, func(client *Client) error {
+			_, err := serveOnce(t, &c.res, func(client *Client) error {
 				return client.Call("GET", "/status", nil, nil)
 			})
 			var rejected *ResponseError
@@ -155,7 +155,7 @@
 	}
 	verifier := signature.NewVerifier(signature.KeyRing{"ops-1": key}, time.Minute, at)
 	signed := &SignedHandler{
-		Handler:  Handler{&fixedCoordinator{store: &store.Store{}}},
+		Handler:  Handler{&fakeCoordinator{store: &store.Store{}}},
 		Counters: metrics.NewCounters(),
 		Verify: func(header string, call signature.Call) error {
 			_, err := verifier.Verify(at, header, call)
--- a/internal/adminapi/coordinator.go
+++ b/internal/adminapi/coordinator.go
@@ -43,8 +43,8 @@
 	ReplicatedState() (ReplicatedState, error)
 	// ChangeMember changes the members of the store. The error is ErrNoStore or one of the store.
 	ChangeMember(context.Context, MemberRequest) error
-	// ChangeServer changes a league server. An endpoints.RejectedError says that the change is invalid or conflicts with
-	// the replicated state.
+	// ChangeServer changes a league server. An endpoints.RejectedError says that the change is invalid or conflicts
+	// with the replicated state.
 	ChangeServer(context.Context, ServerRequest) (ServerResponse, error)
 	// Reload reads the configuration file again.
 	Reload() (ReloadResult, error)
--- a/internal/adminapi/document_golden_test.go
+++ b/internal/adminapi/document_golden_test.go
@@ -55,12 +55,12 @@
 }
 
 // Reads the document, takes a backup and restores it, with a store of one member.
-func TestAdminStoreDocumentGolden(t *testing.T) {
+func TestHandlerStoreDocumentGolden(t *testing.T) {
 	initial, err := searchconfig.Parse([]byte(goldenDocument))
 	if err != nil {
 		t.Fatal(err)
 	}
-	handler := Handler{&fixedCoordinator{store: openStore(t, initial)}}
+	handler := Handler{&fakeCoordinator{store: openStore(t, initial)}}
 	for _, target := range []string{
 		"/v1/store/document",
 		"/v1/store/document?read=local",
@@ -107,14 +107,14 @@
 
 // When a client closes its connection, the context of its request is canceled. A read must then fail, but a change must
 // be completed.
-func TestAdminCallWhenClientHasLeft(t *testing.T) {
+func TestHandlerCompletesChangeAfterClientDisconnect(t *testing.T) {
 	initial, err := searchconfig.Parse([]byte(goldenDocument))
 	if err != nil {
 		t.Fatal(err)
 	}
-	coordinator := &fixedCoordinator{store: openStore(t, initial)}
-	left, leave := context.WithCancel(t.Context())
-	leave()
+	coordinator := &fakeCoordinator{store: openStore(t, initial)}
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
 	for _, c := range []struct {
 		method, target, body string
 		status               int
@@ -126,8 +126,8 @@
 		{"PUT", "/v1/store/members", "member_order_request.json", 200},
 	} {
 		t.Run(c.method+" "+c.target, func(t *testing.T) {
-			request := &http1.Request{Method: c.method, Path: c.target, Body: readBody(t, c.body)}
-			res := Handler{coordinator}.Serve(left, 0, request)
+			request := &http1.Request{Method: c.method, Path: c.target, Body: readRequestBody(t, c.body)}
+			res := Handler{coordinator}.Serve(ctx, 0, request)
 			if res.Status != c.status {
 				t.Errorf("status = %d %s, want %d", res.Status, res.Body, c.status)
 			}
--- a/internal/adminapi/document_handler.go
+++ b/internal/adminapi/document_handler.go
@@ -28,27 +28,27 @@
 
 // readDocument responds with the store's document.
 func (h Handler) readDocument(ctx context.Context, req *http1.Request) *http1.Response {
-	_, data, failed := h.encodedDocument(ctx, req)
-	if failed != nil {
-		return failed
+	_, data, errResponse := h.encodedDocument(ctx, req)
+	if errResponse != nil {
+		return errResponse
 	}
 	return rawJSONResponse(200, data)
 }
 
 // backUpDocument responds with a backup of the store's document.
 func (h Handler) backUpDocument(ctx context.Context, req *http1.Request) *http1.Response {
-	doc, data, failed := h.encodedDocument(ctx, req)
-	if failed != nil {
-		return failed
+	doc, data, errResponse := h.encodedDocument(ctx, req)
+	if errResponse != nil {
+		return errResponse
 	}
 	return jsonResponse(newBackup(data, doc.Revision, time.Now().UTC()))
 }
 
 // encodedDocument reads the document with the read options of the request, and returns it decoded and as JSON. If that
-// is impossible, failed is the error response; else it is nil.
+// is impossible, errResponse is the response to send; else it is nil.
 func (h Handler) encodedDocument(
 	ctx context.Context, req *http1.Request,
-) (doc *searchconfig.Config, data []byte, failed *http1.Response) {
+) (doc *searchconfig.Config, data []byte, errResponse *http1.Response) {
 	s := h.Store()
 	if s == nil {
 		return nil, nil, errorResponse(409, ErrNoStore)
--- a/internal/adminapi/error_golden_test.go
+++ b/internal/adminapi/error_golden_test.go
@@ -12,7 +12,7 @@
 
 // Each error of the coordinator gives its status, and its text in the error object. The texts are not part of the wire
 // format.
-func TestAdminResponseByCoordinatorError(t *testing.T) {
+func TestHandlerRespondsToCoordinatorError(t *testing.T) {
 	otherLeader := &store.NotLeaderError{Leader: store.Member{ID: "b", HTTP: "127.0.0.1:9200"}}
 	rejected := &endpoints.RejectedError{Result: config.Result{Reason: config.ServerNotFound}}
 	for _, c := range []struct {
@@ -47,13 +47,13 @@
 		t.Fatal(quoteErr)
 	}
 	want := fmt.Sprintf(`{"error":%s}`, quoted)
-	handler := Handler{&fixedCoordinator{err: err}}
+	handler := Handler{&fakeCoordinator{err: err}}
 	for _, call := range []struct{ method, target, request string }{
 		{"GET", "/v1/servers/agreed", ""},
 		{"PUT", "/v1/servers/order", "server_order_request.json"},
 		{"PUT", "/v1/store/members", "member_order_request.json"},
 	} {
-		res := serve(handler, call.method, call.target, readBody(t, call.request))
+		res := serve(handler, call.method, call.target, readRequestBody(t, call.request))
 		if res.Status != status || string(res.Body) != want {
 			t.Errorf("%s %s: status = %d %s, want %d %s", call.method, call.target, res.Status, res.Body, status, want)
 		}
@@ -61,7 +61,7 @@
 }
 
 // An invalid request, or a call that needs a component that is absent, gets an error status and an error object.
-func TestAdminResponseByInvalidRequest(t *testing.T) {
+func TestHandlerRejectsInvalidRequest(t *testing.T) {
 	for _, c := range []struct {
 		method, target, body string
 		err                  error
@@ -79,7 +79,7 @@
 		{"PUT", "/v1/store/document", "{}", nil, 409},
 	} {
 		t.Run(fmt.Sprint(c.method, " ", c.target, " ", c.status), func(t *testing.T) {
-			res := serve(Handler{&fixedCoordinator{err: c.err}}, c.method, c.target, []byte(c.body))
+			res := serve(Handler{&fakeCoordinator{err: c.err}}, c.method, c.target, []byte(c.body))
 			var body map[string]string
 			err := json.Unmarshal(res.Body, &body)
 			if err != nil || res.Status != c.status || len(body) != 1 || body["error"] == "" {
--- a/internal/adminapi/signature/key_ring.go
+++ b/internal/adminapi/signature/key_ring.go
@@ -15,8 +15,8 @@
 	MaxKey = 64
 	// MaxKeys is the maximum number of keys in a ring.
 	MaxKeys = 64
-	// maxKeyID is the maximum length of a key id, in bytes.
-	maxKeyID = 64
+	// maxKeyIDBytes is the maximum length of a key id, in bytes.
+	maxKeyIDBytes = 64
 )
 
 // ErrInvalidRing is returned for a ring with too few or too many keys, or with an invalid key or key id.
@@ -33,7 +33,7 @@
 	for _, id := range slices.Sorted(maps.Keys(r)) {
 		if !validKeyID(id) {
 			return fmt.Errorf("%w: key id %.80q: want 1 to %d bytes without white space, commas, quotes and =",
-				ErrInvalidRing, id, maxKeyID)
+				ErrInvalidRing, id, maxKeyIDBytes)
 		}
 		if n := len(r[id]); n < MinKey || n > MaxKey {
 			return fmt.Errorf("%w: key %s has %d bytes, want %d to %d", ErrInvalidRing, id, n, MinKey, MaxKey)
@@ -44,5 +44,5 @@
 
 // validKeyID reports whether an id can be the value of a field in the Authorization header.
 func validKeyID(id string) bool {
-	return id != "" && len(id) <= maxKeyID && !strings.ContainsAny(id, " ,=\"\r\n\t")
+	return id != "" && len(id) <= maxKeyIDBytes && !strings.ContainsAny(id, " ,=\"\r\n\t")
 }
--- a/internal/adminapi/signature/signature.go
+++ b/internal/adminapi/signature/signature.go
@@ -18,8 +18,8 @@
 // Scheme is the authentication scheme in the Authorization header.
 const Scheme = "linkpass-v1"
 
-// maxHeader is the maximum length of the Authorization header, in bytes.
-const maxHeader = 512
+// maxHeaderBytes is the maximum length of the Authorization header, in bytes.
+const maxHeaderBytes = 512
 
 // Call is the part of a request that a signature covers.
 type Call struct {
@@ -30,17 +30,17 @@
 // Sign returns the value of the Authorization header for a call at time at, which is rounded down to milliseconds. The
 // caller must never use a nonce twice with the same key.
 func Sign(keyID string, key []byte, c Call, at time.Time, nonce string) string {
-	ms := strconv.FormatInt(at.UnixMilli(), 10)
-	sum := hex.EncodeToString(mac(key, c, ms, nonce))
-	return fmt.Sprintf("%s id=%s,time=%s,once=%s,mac=%s", Scheme, keyID, ms, nonce, sum)
+	unixMillis := strconv.FormatInt(at.UnixMilli(), 10)
+	sum := hex.EncodeToString(mac(key, c, unixMillis, nonce))
+	return fmt.Sprintf("%s id=%s,time=%s,once=%s,mac=%s", Scheme, keyID, unixMillis, nonce, sum)
 }
 
 // mac returns the HMAC-SHA-256 (RFC 2104) of the signed fields. Each field is prefixed with its length, so that
 // different calls never have the same encoding.
-func mac(key []byte, c Call, ms, nonce string) []byte {
+func mac(key []byte, c Call, unixMillis, nonce string) []byte {
 	h := hmac.New(sha256.New, key)
 	body := sha256.Sum256(c.Body)
-	for _, field := range []string{Scheme, c.Method, c.Target, ms, nonce, string(body[:])} {
+	for _, field := range []string{Scheme, c.Method, c.Target, unixMillis, nonce, string(body[:])} {
 		fmt.Fprintf(h, "%d:%s", len(field), field)
 	}
 	return h.Sum(nil)
@@ -48,14 +48,14 @@
 
 // headerFields holds the fields of an Authorization header as text, as they were signed.
 type headerFields struct {
-	keyID, ms, nonce, mac string
+	keyID, unixMillis, nonce, mac string
 }
 
 // parseHeader splits an Authorization header into its fields. It requires each of the four fields exactly once and
 // accepts no other fields.
 func parseHeader(header string) (headerFields, bool) {
 	rest, ok := strings.CutPrefix(header, Scheme+" ")
-	if !ok || len(header) > maxHeader {
+	if !ok || len(header) > maxHeaderBytes {
 		return headerFields{}, false
 	}
 	values := map[string]string{}
@@ -66,7 +66,7 @@
 		}
 		values[name] = value
 	}
-	fields := headerFields{keyID: values["id"], ms: values["time"], nonce: values["once"], mac: values["mac"]}
-	complete := fields.keyID != "" && fields.ms != "" && fields.nonce != "" && fields.mac != ""
+	fields := headerFields{keyID: values["id"], unixMillis: values["time"], nonce: values["once"], mac: values["mac"]}
+	complete := fields.keyID != "" && fields.unixMillis != "" && fields.nonce != "" && fields.mac != ""
 	return fields, complete && len(values) == 4
 }
--- a/internal/adminapi/signature/verifier.go
+++ b/internal/adminapi/signature/verifier.go
@@ -53,26 +53,26 @@
 	if !ok {
 		return "", ErrUnsigned
 	}
-	if !v.authentic(fields, c) {
+	if !v.hasValidMAC(fields, c) {
 		return "", ErrInvalidSignature
 	}
-	ms, err := strconv.ParseInt(fields.ms, 10, 64)
+	unixMillis, err := strconv.ParseInt(fields.unixMillis, 10, 64)
 	if err != nil {
 		return "", ErrUnsigned
 	}
-	at := time.UnixMilli(ms)
+	at := time.UnixMilli(unixMillis)
 	if err := v.checkTime(now, at); err != nil {
 		return "", err
 	}
-	return fields.keyID, v.useNonce(now, fields.keyID+" "+fields.nonce, at)
+	return fields.keyID, v.recordNonce(now, fields.keyID+" "+fields.nonce, at)
 }
 
-// authentic reports whether the MAC matches the call and a known key. It also computes the MAC for an unknown key, so
+// hasValidMAC reports whether the MAC matches the call and a known key. It also computes the MAC for an unknown key, so
 // that the time taken does not reveal which key ids exist.
-func (v *Verifier) authentic(fields headerFields, c Call) bool {
+func (v *Verifier) hasValidMAC(fields headerFields, c Call) bool {
 	key, known := v.keys[fields.keyID]
 	got, err := hex.DecodeString(fields.mac)
-	equal := hmac.Equal(got, mac(key, c, fields.ms, fields.nonce))
+	equal := hmac.Equal(got, mac(key, c, fields.unixMillis, fields.nonce))
 	return equal && known && err == nil
 }
 
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// useNonce records the nonce of a call for as long as the time of the call would be accepted.
-func (v *Verifier) useNonce(now time.Time, nonce string, at time.Time) error {
+// recordNonce records the nonce of a call for as long as the time of the call would be accepted.
+func (v *Verifier) recordNonce(now time.Time, nonce string, at time.Time) error {
 	if _, used := v.nonces[nonce]; used {
 		return ErrReplayed
 	}
--- a/internal/adminapi/signature/verifier_test.go
+++ b/internal/adminapi/signature/verifier_test.go
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestRingCheckRejectsInvalidRings(t *testing.T) {
+func TestKeyRingValidateRejectsInvalidRings(t *testing.T) {
 	for _, r := range []KeyRing{
 		nil,
 		{"a b": make([]byte, 32)},
--- a/internal/adminapi/signed_handler.go
+++ b/internal/adminapi/signed_handler.go
@@ -18,7 +18,7 @@
 	Verify   func(header string, c signature.Call) error // checks the Authorization header of a call
 	Counters *metrics.Counters                           // counts the rejected calls
 
-	rejections eventlog.RateLimited // limits the log lines about rejected calls
+	rejectionLog eventlog.RateLimited // limits the log lines about rejected calls
 }
 
 // Serve verifies the signature of a call and forwards the call to Handler.
@@ -33,7 +33,7 @@
 		return s.Handler.Serve(ctx, began, req)
 	}
 	s.Counters.Add("admin_api_unsigned", 1)
-	s.rejections.Log(eventlog.CallRejected, err)
+	s.rejectionLog.Log(eventlog.CallRejected, err)
 	if errors.Is(err, signature.ErrTooManyCalls) {
 		return errorResponse(429, err)
 	}
--- a/internal/adminapi/wire_golden_test.go
+++ b/internal/adminapi/wire_golden_test.go
@@ -15,22 +15,22 @@
 )
 
 // Each body with all of its fields is encoded to, and decoded from, its golden file.
-func TestAdminBodiesGolden(t *testing.T) {
-	t.Run("status response", requireBody("status_response.json", goldenStatus))
-	t.Run("servers response", requireBody("servers_response.json", goldenServers))
-	t.Run("agreed response", requireBody("agreed_response.json", goldenReplicatedState))
-	t.Run("layouts response", requireBody("layouts_response.json", goldenShardMaps))
-	t.Run("config response", requireBody("config_response.json", goldenSettings))
-	t.Run("reload response", requireBody("reload_response.json", goldenReloadResult))
-	t.Run("server order request", requireBody("server_order_request.json", goldenServerRequest))
-	t.Run("server order response", requireBody("server_order_response.json", goldenServerResponse))
-	t.Run("member order request", requireBody("member_order_request.json", goldenMemberRequest))
-	t.Run("backup", requireBody("backup.json", goldenBackup))
-	t.Run("error response", requireBody("error_response.json", errorBody{Error: "no such server"}))
+func TestBodiesGolden(t *testing.T) {
+	t.Run("status response", testBodyGolden("status_response.json", goldenStatus))
+	t.Run("servers response", testBodyGolden("servers_response.json", goldenServers))
+	t.Run("agreed response", testBodyGolden("agreed_response.json", goldenReplicatedState))
+	t.Run("layouts response", testBodyGolden("layouts_response.json", goldenShardMaps))
+	t.Run("config response", testBodyGolden("config_response.json", goldenSettings))
+	t.Run("reload response", testBodyGolden("reload_response.json", goldenReloadResult))
+	t.Run("server order request", testBodyGolden("server_order_request.json", goldenServerRequest))
+	t.Run("server order response", testBodyGolden("server_order_response.json", goldenServerResponse))
+	t.Run("member order request", testBodyGolden("member_order_request.json", goldenMemberRequest))
+	t.Run("backup", testBodyGolden("backup.json", goldenBackup))
+	t.Run("error response", testBodyGolden("error_response.json", errorBody{Error: "no such server"}))
 }
 
-// requireBody returns a subtest that encodes a body to JSON and decodes it.
-func requireBody[T any](file string, value T) func(*testing.T) {
+// testBodyGolden returns a subtest that encodes a body to JSON and decodes it.
+func testBodyGolden[T any](file string, value T) func(*testing.T) {
 	return func(t *testing.T) {
 		t.Helper()
 		goldentest.JSON(t, file, value)
@@ -38,7 +38,7 @@
 }
 
 // Optional fields with a zero value are omitted from the JSON; all other fields are present.
-func TestAdminBodiesWithoutOptionalFieldsGolden(t *testing.T) {
+func TestBodiesWithoutOptionalFieldsGolden(t *testing.T) {
 	for file, value := range map[string]any{
 		"empty_status.json":       Status{},
 		"empty_server.json":       Server{},
@@ -55,8 +55,8 @@
 	}
 }
 
-// fixedCoordinator returns the golden values or err, and records the requests that it receives.
-type fixedCoordinator struct {
+// fakeCoordinator returns the golden values or err, and records the requests that it receives.
+type fakeCoordinator struct {
 	err    error
 	server ServerRequest
 	member MemberRequest
@@ -65,18 +65,18 @@
 	canceled bool // a change was called with a canceled context
 }
 
-func (*fixedCoordinator) Status() Status               { return goldenStatus }
-func (c *fixedCoordinator) Servers() ([]Server, error) { return goldenServers, c.err }
-func (*fixedCoordinator) Drain() string                { return "drained" }
-func (*fixedCoordinator) Activate() string             { return "serving" }
-func (*fixedCoordinator) Settings() []Setting          { return goldenSettings }
-func (*fixedCoordinator) ShardMaps() []IndexShardMap   { return goldenShardMaps }
-func (c *fixedCoordinator) ReplicatedState() (ReplicatedState, error) {
+func (*fakeCoordinator) Status() Status               { return goldenStatus }
+func (c *fakeCoordinator) Servers() ([]Server, error) { return goldenServers, c.err }
+func (*fakeCoordinator) Drain() string                { return "drained" }
+func (*fakeCoordinator) Activate() string             { return "serving" }
+func (*fakeCoordinator) Settings() []Setting          { return goldenSettings }
+func (*fakeCoordinator) ShardMaps() []IndexShardMap   { return goldenShardMaps }
+func (c *fakeCoordinator) ReplicatedState() (ReplicatedState, error) {
 	return goldenReplicatedState, c.err
 }
-func (c *fixedCoordinator) Reload() (ReloadResult, error) { return goldenReloadResult, c.err }
-func (c *fixedCoordinator) Store() *store.Store           { return c.store }
-func (*fixedCoordinator) Search() http1.Handler {
+func (c *fakeCoordinator) Reload() (ReloadResult, error) { return goldenReloadResult, c.err }
+func (c *fakeCoordinator) Store() *store.Store           { return c.store }
+func (*fakeCoordinator) Search() http1.Handler {
 	return http1.HandlerFunc(func(_ context.Context, _ time.Duration, req *http1.Request) *http1.Response {
 		return &http1.Response{
 			Status: 200,
@@ -85,13 +85,13 @@
 	})
 }
 
-func (c *fixedCoordinator) ChangeMember(ctx context.Context, request MemberRequest) error {
+func (c *fakeCoordinator) ChangeMember(ctx context.Context, request MemberRequest) error {
 	c.canceled = c.canceled || ctx.Err() != nil
 	c.member = request
 	return c.err
 }
 
-func (c *fixedCoordinator) ChangeServer(ctx context.Context, request ServerRequest) (ServerResponse, error) {
+func (c *fakeCoordinator) ChangeServer(ctx context.Context, request ServerRequest) (ServerResponse, error) {
 	c.canceled = c.canceled || ctx.Err() != nil
 	c.server = request
 	return goldenServerResponse, c.err
@@ -103,8 +103,8 @@
 	return h.Serve(context.Background(), 0, &http1.Request{Method: method, Path: path, Query: query, Body: body})
 }
 
-// readBody reads the golden file with the body of a request. If file is "", the request has no body.
-func readBody(t *testing.T, file string) []byte {
+// readRequestBody reads the golden file with the body of a request. If file is "", the request has no body.
+func readRequestBody(t *testing.T, file string) []byte {
 	t.Helper()
 	if file == "" {
 		return nil
@@ -112,7 +112,7 @@
 	return goldentest.Read(t, file)
 }
 
-func TestAdminHandlerResponsesGolden(t *testing.T) {
+func TestHandlerResponsesGolden(t *testing.T) {
 	for _, c := range []struct {
 		method, target, request, response string
 	}{
@@ -130,8 +130,8 @@
 		{"POST", "/v1/search/players/_search?size=3", "member_order_request.json", "search_response.txt"},
 	} {
 		t.Run(c.method+" "+c.target, func(t *testing.T) {
-			coordinator := &fixedCoordinator{store: &store.Store{}}
-			res := serve(Handler{coordinator}, c.method, c.target, readBody(t, c.request))
+			coordinator := &fakeCoordinator{store: &store.Store{}}
+			res := serve(Handler{coordinator}, c.method, c.target, readRequestBody(t, c.request))
 			if res.Status != 200 {
 				t.Errorf("status = %d, want 200", res.Status)
 			}
@@ -151,19 +151,19 @@
 }
 
 // The body of a request that sets a log level is the plain level. The response lists the levels of all components.
-func TestAdminLogLevelGolden(t *testing.T) {
-	before := string(serve(Handler{&fixedCoordinator{}}, "GET", "/v1/log", nil).Body)
+func TestHandlerSetsLogLevel(t *testing.T) {
+	before := string(serve(Handler{&fakeCoordinator{}}, "GET", "/v1/log", nil).Body)
 	var levels map[string]string
 	if err := json.Unmarshal([]byte(before), &levels); err != nil || len(levels) == 0 {
 		t.Fatalf("GET /v1/log: %s, error %v; want at least one level", before, err)
 	}
 	for component, level := range levels {
-		res := serve(Handler{&fixedCoordinator{}}, "PUT", "/v1/log/"+component, []byte(level))
+		res := serve(Handler{&fakeCoordinator{}}, "PUT", "/v1/log/"+component, []byte(level))
 		if res.Status != 200 || string(res.Body) != before {
 			t.Errorf("PUT /v1/log/%s: status = %d %s, want 200 %s", component, res.Status, res.Body, before)
 		}
 	}
-	if res := serve(Handler{&fixedCoordinator{}}, "PUT", "/v1/log/none", []byte("info")); res.Status != 400 {
+	if res := serve(Handler{&fakeCoordinator{}}, "PUT", "/v1/log/none", []byte("info")); res.Status != 400 {
 		t.Errorf("unknown component: status = %d, want 400", res.Status)
 	}
 }
--- a/internal/dashboard/chart.go
+++ b/internal/dashboard/chart.go
@@ -45,12 +45,12 @@
 	return c, nil
 }
 
-func newChartLine(outcome string, points []point, now time.Time, top float64) chartLine {
+func newChartLine(outcome string, points []point, now time.Time, maxRate float64) chartLine {
 	line := chartLine{Outcome: outcome}
 	var b strings.Builder
 	for _, p := range points {
 		x := chartWidth * (1 - float64(now.Sub(p.at))/float64(Window))
-		fmt.Fprintf(&b, "%.1f,%.1f ", x, chartHeight*(1-p.rate/top))
+		fmt.Fprintf(&b, "%.1f,%.1f ", x, chartHeight*(1-p.rate/maxRate))
 		line.Current = p.rate
 	}
 	line.Points = strings.TrimSpace(b.String())
--- a/internal/dashboard/handler.go
+++ b/internal/dashboard/handler.go
@@ -27,9 +27,9 @@
 }
 
 //go:embed dashboard.html
-var pageText string
+var pageHTML string
 
-var pageTemplate = template.Must(template.New("page").Parse(pageText))
+var pageTemplate = template.Must(template.New("page").Parse(pageHTML))
 
 // contentSecurityPolicy allows neither scripts nor external resources. It protects against markup in the names of
 // servers and indices.
--- a/internal/dashboard/handler_test.go
+++ b/internal/dashboard/handler_test.go
@@ -31,16 +31,17 @@
 
 // ShardMaps returns one index, which has an open plan.
 func (fakeSource) ShardMaps() ([]adminapi.IndexShardMap, error) {
-	l, err := shardmap.NewEven(4, [][]string{{"a", "<script>"}, {"c"}})
+	shardMap, err := shardmap.NewEven(4, [][]string{{"a", "<script>"}, {"c"}})
 	if err == nil {
 		request := &shardmap.PlanRequest{Kind: shardmap.Split, Shards: []shardmap.ShardID{shardmap.FirstDynamicID}, Pieces: 2}
-		l, err = l.Apply(shardmap.Command{Request: request})
+		shardMap, err = shardMap.Apply(shardmap.Command{Request: request})
 	}
 	if err != nil {
 		return nil, err
 	}
 	return []adminapi.IndexShardMap{
-		{Index: "players", Version: l.Version(), Total: l.Len(), Shards: l.Shards(), Plans: l.Plans()},
+		{Index: "players", Version: shardMap.Version(), Total: shardMap.Len(), Shards: shardMap.Shards(),
+			Plans: shardMap.Plans()},
 	}, nil
 }
 
--- a/internal/dashboard/series.go
+++ b/internal/dashboard/series.go
@@ -16,8 +16,8 @@
 	SampleInterval = 2 * time.Second
 	// Window is the time span of the charts.
 	Window = 5 * time.Minute
-	// partition is the time span of a partition, the unit in which the storage drops old data. It keeps two.
-	partition = Window
+	// partitionDuration is the time span of a partition, the unit in which the storage drops old data. It keeps two.
+	partitionDuration = Window
 )
 
 // outcomes are the outcomes of a response. They are the names of the metrics in the storage and of the classes in the
@@ -33,8 +33,8 @@
 	classes []string // of the last sample; guarded by mu
 
 	// The fields below are used only by the goroutine that calls Add.
-	counts map[countKey]int64 // counts of responses at the last sample
-	at     time.Time          // time of the last sample
+	lastCounts   map[countKey]int64 // counts of responses at the last sample
+	lastSampleAt time.Time          // time of the last sample
 }
 
 type countKey struct{ class, outcome string }
@@ -43,13 +43,13 @@
 func NewSeries() (*Series, error) {
 	s, err := tstorage.NewStorage(
 		tstorage.WithTimestampPrecision(tstorage.Milliseconds),
-		tstorage.WithPartitionDuration(partition),
-		tstorage.WithRetention(2*partition),
+		tstorage.WithPartitionDuration(partitionDuration),
+		tstorage.WithRetention(2*partitionDuration),
 	)
 	if err != nil {
 		return nil, fmt.Errorf("time series: %w", err)
 	}
-	return &Series{storage: s, counts: map[countKey]int64{}}, nil
+	return &Series{storage: s, lastCounts: map[countKey]int64{}}, nil
 }
 
 // Close frees the storage and stops its goroutines.
@@ -58,21 +58,21 @@
 // Add stores the response rates since the last sample. No rates are stored for the first sample, or for a sample that
 // is not later than the last one, as after a step back of the clock. One goroutine calls Add, in the order of time.
 func (s *Series) Add(now time.Time, classes []adminapi.ClassStatus) error {
-	elapsed := now.Sub(s.at).Seconds()
-	hasRates := !s.at.IsZero() && elapsed > 0
+	elapsed := now.Sub(s.lastSampleAt).Seconds()
+	hasRates := !s.lastSampleAt.IsZero() && elapsed > 0
 	var rows []tstorage.Row
 	var names []string
 	for _, c := range classes {
 		names = append(names, c.Name)
 		for i, count := range []int64{c.Served, c.Rejected, c.Failed} {
 			key := countKey{c.Name, outcomes[i]}
-			if hasRates && count >= s.counts[key] { // lower counts mean a restart: leave a gap
-				rows = append(rows, newRow(key, now, float64(count-s.counts[key])/elapsed))
+			if hasRates && count >= s.lastCounts[key] { // lower counts mean a restart: leave a gap
+				rows = append(rows, newRow(key, now, float64(count-s.lastCounts[key])/elapsed))
 			}
-			s.counts[key] = count
+			s.lastCounts[key] = count
 		}
 	}
-	s.at = now
+	s.lastSampleAt = now
 	s.setClasses(names)
 	if len(rows) == 0 {
 		return nil
--- a/internal/dashboard/series_test.go
+++ b/internal/dashboard/series_test.go
@@ -8,7 +8,7 @@
 	"linkpass/internal/adminapi"
 )
 
-func TestSeriesHasRatesOfWindowOnly(t *testing.T) {
+func TestSeriesReturnsRatesWithinWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, err := NewSeries()
 		if err != nil {
--- a/internal/dashboard/serve.go
+++ b/internal/dashboard/serve.go
@@ -27,16 +27,16 @@
 	server := newServer(&Handler{Source: source, Series: series, Now: time.Now})
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
-	sampled := make(chan struct{})
+	samplingDone := make(chan struct{})
 	go func() {
-		defer close(sampled)
+		defer close(samplingDone)
 		sample(ctx, source, series)
 	}()
 	err = server.Serve(ln)
 	if !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serve page: %w", err)
 	}
-	<-sampled
+	<-samplingDone
 	return nil
 }
 
