--- a/internal/admin/handler_test.go
+++ b/internal/admin/handler_test.go
@@ -32,7 +32,7 @@
 	}
 	call("GET", "/v1/readyz", 503, 0, 0)
 	call("PUT", "/v1/coordinator/activate", 200, 0, 0)
-	r.MarkUsable()
+	r.MarkEndpointsUsable()
 	call("GET", "/v1/readyz", 200, 0, 0)
 	call("GET", "/v1/metrics", 200, 0, 0)
 	call("PUT", "/v1/metrics", 405, 0, 0)
--- a/internal/admin/readiness.go
+++ b/internal/admin/readiness.go
@@ -66,8 +66,8 @@
 // Ready reports whether clients are accepted.
 func (r *Readiness) Ready() bool { return r.State() == Serving }
 
-// MarkUsable records that there is a usable endpoint list. It is idempotent and ends the state Starting.
-func (r *Readiness) MarkUsable() { r.update(func() { r.endpointsUsable = true }) }
+// MarkEndpointsUsable records that there is a usable endpoint list. It is idempotent and ends the state Starting.
+func (r *Readiness) MarkEndpointsUsable() { r.update(func() { r.endpointsUsable = true }) }
 
 // Drain drains the coordinator until Activate and returns the state after that. It is idempotent.
 func (r *Readiness) Drain() State { return r.update(func() { r.drained = true }) }
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -74,7 +74,7 @@
 		case <-usable:
 			usable = nil
 			if !successor {
-				p.readiness.MarkUsable()
+				p.readiness.MarkEndpointsUsable()
 				break
 			}
 			// The other process serves meanwhile: this one joins it when it knows its servers.
@@ -82,7 +82,7 @@
 		case <-warm:
 			warm = nil
 			close(p.fronts.admit)
-			p.readiness.MarkUsable()
+			p.readiness.MarkEndpointsUsable()
 		case <-p.limits.alone:
 			p.startDeferred()
 		case sig := <-signals:
