--- a/internal/adminapi/signature/key_ring.go
+++ b/internal/adminapi/signature/key_ring.go
@@ -11,8 +11,8 @@
 const (
 	// MinKey is the minimum length of a key, in bytes.
 	MinKey = 16
-	// MaxKey is the maximum length of a key, in bytes.
-	MaxKey = 64
+	// MaxKeyBytes is the maximum length of a key, in bytes.
+	MaxKeyBytes = 64
 	// MaxKeys is the maximum number of keys in a ring.
 	MaxKeys = 64
 	// maxKeyIDBytes is the maximum length of a key id, in bytes.
@@ -35,8 +35,8 @@
 			return fmt.Errorf("%w: key id %.80q: want 1 to %d bytes without white space, commas, quotes and =",
 				ErrInvalidRing, id, maxKeyIDBytes)
 		}
-		if n := len(r[id]); n < MinKey || n > MaxKey {
-			return fmt.Errorf("%w: key %s has %d bytes, want %d to %d", ErrInvalidRing, id, n, MinKey, MaxKey)
+		if n := len(r[id]); n < MinKey || n > MaxKeyBytes {
+			return fmt.Errorf("%w: key %s has %d bytes, want %d to %d", ErrInvalidRing, id, n, MinKey, MaxKeyBytes)
 		}
 	}
 	return nil
