--- a/internal/adminapi/signature/key_ring.go
+++ b/internal/adminapi/signature/key_ring.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// MinKey is the minimum length of a key, in bytes.
-	MinKey = 16
+	// MinKeyBytes is the minimum length of a key, in bytes.
+	MinKeyBytes = 16
 	// MaxKeyBytes is the maximum length of a key, in bytes.
 	MaxKeyBytes = 64
 	// MaxKeys is the maximum number of keys in a ring.
@@ -35,8 +35,8 @@
 			return fmt.Errorf("%w: key id %.80q: want 1 to %d bytes without white space, commas, quotes and =",
 				ErrInvalidRing, id, maxKeyIDBytes)
 		}
-		if n := len(r[id]); n < MinKey || n > MaxKeyBytes {
-			return fmt.Errorf("%w: key %s has %d bytes, want %d to %d", ErrInvalidRing, id, n, MinKey, MaxKeyBytes)
+		if n := len(r[id]); n < MinKeyBytes || n > MaxKeyBytes {
+			return fmt.Errorf("%w: key %s has %d bytes, want %d to %d", ErrInvalidRing, id, n, MinKeyBytes, MaxKeyBytes)
 		}
 	}
 	return nil
