--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -56,7 +56,7 @@
 }
 
 // Call makes one call and decodes the JSON of the response into the value that into points to. If into is nil, the body
-// is ignored. Path starts with a slash and does not include Version. For errors see Raw.
+// is ignored. The path starts with a slash and does not include Version. For errors see Raw.
 func (c *Client) Call(method, path string, body []byte, into any) error {
 	data, err := c.Raw(method, path, body)
 	if err != nil || into == nil {
--- a/internal/adminapi/signature/verifier.go
+++ b/internal/adminapi/signature/verifier.go
@@ -18,7 +18,8 @@
 var (
 	// ErrUnsigned is returned for a missing or malformed Authorization header.
 	ErrUnsigned = errors.New("the call has no valid Authorization header")
-	// ErrInvalidSignature is returned for an unknown key, or for a call that was changed after it was signed.
+	// ErrInvalidSignature is returned if no known key made the signature, or if the call was changed after it was
+	// signed.
 	ErrInvalidSignature = errors.New("the signature is none of a key known here")
 	// ErrClockSkew is returned for a call whose time is outside the window or before the verifier's start. The event
 	// registry names this text in the action for rejected calls.
--- a/internal/adminapi/status.go
+++ b/internal/adminapi/status.go
@@ -5,13 +5,13 @@
 	Name            string            `json:"name"`
 	Program         string            `json:"program"` // version of the program
 	PID             int               `json:"pid"`
-	State           string            `json:"state"`    // starting, serving, drained or ending
-	UptimeS         float64           `json:"uptime_s"` // seconds since the start of the process
-	Core            string            `json:"core"`     // ok, or busy if the event loop did not answer in time
-	InFlight        int64             `json:"in_flight"`
-	Attempts        int64             `json:"attempts"`
+	State           string            `json:"state"`     // starting, serving, drained or ending
+	UptimeS         float64           `json:"uptime_s"`  // seconds since the start of the process
+	Core            string            `json:"core"`      // ok, or busy if the event loop did not answer in time
+	InFlight        int64             `json:"in_flight"` // queries that have not ended yet
+	Attempts        int64             `json:"attempts"`  // attempts written completely to league servers
 	ServersKnown    int64             `json:"servers_known"`
-	ServersExcluded int64             `json:"servers_avoided"` // known servers that drain, or get no requests
+	ServersExcluded int64             `json:"servers_avoided"` // of them: draining, unreachable, ejected for all classes
 	Classes         []ClassStatus     `json:"classes"`
 	Bodies          *BodyStatus       `json:"bodies,omitempty"`          // nil: there is no body store
 	ShardMaps       []ShardMapSummary `json:"layouts,omitempty"`         // of the indices that have one, by name
