--- a/internal/adminapi/status.go
+++ b/internal/adminapi/status.go
@@ -11,7 +11,7 @@
 	InFlight        int64             `json:"in_flight"` // queries that have not ended yet
 	Attempts        int64             `json:"attempts"`  // attempts written completely to league servers
 	ServersKnown    int64             `json:"servers_known"`
-	ServersExcluded int64             `json:"servers_avoided"` // of them: draining, unreachable, ejected for all classes
+	ServersExcluded int64             `json:"servers_avoided"` // draining, unreachable or ejected for all classes
 	Classes         []ClassStatus     `json:"classes"`
 	Bodies          *BodyStatus       `json:"bodies,omitempty"`          // nil: there is no body store
 	ShardMaps       []ShardMapSummary `json:"layouts,omitempty"`         // of the indices that have one, by name
