--- a/cmd/adapter/host.go
+++ b/cmd/adapter/host.go
@@ -9,19 +9,20 @@
 	"linkpass/internal/simwire"
 )
 
-// host is the set of instances of this process, by their numbers. One goroutine uses it.
+// host holds the router instances of this process. It is used by one goroutine.
 type host struct {
-	routers map[int]*routing.Router
-	pending map[int][]routing.Event // of the current batch
-	order   []int                   // instances with a turn in this batch, by their first message
-	reply   simwire.Encoder         // to the current batch
+	routers map[int]*routing.Router // by instance number
+	pending map[int][]routing.Event // events of the current batch, by instance number
+	order   []int                   // instance numbers with a turn in this batch, in order of their first message
+	reply   simwire.Encoder         // reply to the current batch
 }
 
 func newHost() *host {
 	return &host{routers: map[int]*routing.Router{}, pending: map[int][]routing.Event{}}
 }
 
-// runBatch gives each instance that a message of the batch is for one turn, and encodes all actions as the reply.
+// runBatch runs one turn of each instance that starts or receives an event in the batch, and encodes all actions as
+// the reply. An instance that stops later in the batch has no turn.
 func (h *host) runBatch(now time.Duration, messages []simwire.Message) error {
 	h.reply.Reset()
 	for _, m := range messages {
@@ -49,13 +50,13 @@
 	case simwire.InstanceStarted:
 		router, err := routing.New(m.Settings, m.Seed)
 		if err != nil {
-			return fmt.Errorf("enlist of node %d: %w", m.Node, err)
+			return fmt.Errorf("start instance %d: %w", m.Node, err)
 		}
 		h.routers[m.Node] = router
 		h.pending[m.Node] = nil
 	case simwire.EventReceived:
 		if h.routers[m.Node] == nil {
-			return fmt.Errorf("event for node %d, which was not enlisted", m.Node)
+			return fmt.Errorf("event for instance %d, which was not started", m.Node)
 		}
 		h.pending[m.Node] = append(h.pending[m.Node], m.Event)
 	}
@@ -65,7 +66,8 @@
 	return nil
 }
 
-// runTurn runs one instance's turn. A panic of its decisions is reported in the reply, and the other instances go on.
+// runTurn runs one instance's turn and returns its actions. If the router panics, runTurn adds the panic to the reply
+// and returns no actions, so the other instances continue.
 func (h *host) runTurn(node int, now time.Duration) (actions []routing.Action) {
 	router := h.routers[node]
 	if router == nil {
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,6 @@
-// Adapter hosts router instances for the simulator: it reads batches from standard input, hands each instance its events
-// and writes the replies to standard output. Exit code 1: a batch was malformed, or the reply could not be written.
+// Adapter hosts router instances for the simulator: it reads batches from standard input, passes each instance its
+// events and writes the replies to standard output. It exits with code 1 if a batch is malformed or invalid, or if a
+// reply cannot be written.
 package main
 
 import (
@@ -12,7 +13,7 @@
 	"linkpass/internal/simwire"
 )
 
-// bufferSize is in bytes, in each direction.
+// bufferSize is the size of the input buffer and of the output buffer, in bytes.
 const bufferSize = 1 << 20
 
 func main() {
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -12,7 +12,7 @@
 	"membership_mode=subscribe\nrequest_classes.count=1\nrequest_classes.0.aim=1000\n" +
 	"request_classes.0.hard_limit=2000\nrequest_classes.0.idempotency=free\n"
 
-// startBatch is a batch that starts instance 4 with the given settings.
+// startBatch encodes a batch that starts instance 4 with the given settings, at a clock of 5000 ms.
 func startBatch(settings string) []byte {
 	record := make([]byte, 56)
 	binary.LittleEndian.PutUint16(record, 1000)
@@ -32,10 +32,10 @@
 	}
 	reply := out.Bytes()
 	if !bytes.Equal(reply[:8], make([]byte, 8)) {
-		t.Errorf("reply to the empty batch = %x", reply[:8])
+		t.Errorf("reply to the empty batch = %x, want 8 zero bytes", reply[:8])
 	}
 	if got := binary.LittleEndian.Uint16(reply[16:]); got != 1100 || reply[18] != 4 || reply[20] != 1 {
-		t.Errorf("first action = %x, want node 4 to subscribe", reply[16:])
+		t.Errorf("first action = %x, want instance 4 to subscribe", reply[16:])
 	}
 }
 
@@ -48,7 +48,7 @@
 		t.Run(name, func(t *testing.T) {
 			err := run(bytes.NewReader(in), &bytes.Buffer{})
 			if err == nil || strings.Contains(err.Error(), "\n") {
-				t.Errorf("error %v, want one line", err)
+				t.Errorf("error = %v, want an error of one line", err)
 			}
 		})
 	}
--- a/internal/emulator/answer_check.go
+++ b/internal/emulator/answer_check.go
@@ -6,13 +6,13 @@
 type AnswerCheck struct {
 	ClaimedComplete bool // the answer says that it is complete
 	Complete        bool // no record is missing, duplicate or unrequested
-	Duplicates      int  // records beyond their first occurrence
+	Duplicates      int  // repeated records, without their first occurrences
 	Unrequested     int  // records outside the requested ranges
 	Missing         int  // requested records that the answer lacks
 }
 
-// CheckAnswer compares the ids of an answer with the records of the requested ranges. The records are
-// sorted by key; claimed says whether the answer calls itself complete.
+// CheckAnswer compares the ids of an answer with the records of the requested ranges. The records must be
+// sorted by key. claimed is whether the answer says that it is complete.
 func CheckAnswer(records []Record, requested []shardmap.Range, ids []string, claimed bool) AnswerCheck {
 	check := AnswerCheck{ClaimedComplete: claimed}
 	expected := map[string]bool{}
--- a/internal/emulator/answer_check_test.go
+++ b/internal/emulator/answer_check_test.go
@@ -26,7 +26,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			if got := CheckAnswer(records, halves[:1], c.ids, true); got != c.want {
-				t.Errorf("%+v, want %+v", got, c.want)
+				t.Errorf("check = %+v, want %+v", got, c.want)
 			}
 		})
 	}
--- a/internal/emulator/assignment.go
+++ b/internal/emulator/assignment.go
@@ -10,8 +10,8 @@
 	"linkpass/internal/shardmap/resharding"
 )
 
-// serveAssignment applies the assignments of all indices and answers with the state of their shards. Shards of
-// an index without an assignment are dropped.
+// serveAssignment applies the assignments of all indices and answers with the status of their shards. The server
+// drops the shards of an index without an assignment. A malformed request gets status 400.
 func (s *Server) serveAssignment(w http.ResponseWriter, r *http.Request) {
 	request, err := decodeAssignmentRequest(r.Body)
 	if err != nil {
@@ -36,8 +36,8 @@
 	return response
 }
 
-// applyAssignment drops shards that are no longer assigned and starts the copies of missing ones. An assignment
-// older than the latest changes nothing. The caller holds the mutex.
+// applyAssignment drops the shards of one index that are no longer assigned and starts the copies of missing ones. An
+// assignment older than the latest one changes nothing. The caller holds the mutex.
 func (s *Server) applyAssignment(assignment resharding.Assignment) reshardexec.IndexStatus {
 	replica := s.indices[assignment.Index]
 	if replica == nil {
@@ -62,7 +62,8 @@
 	}
 }
 
-// startTask starts the copy of a shard that is incomplete and has sources. The caller holds the mutex.
+// startTask adds the task's shard if it is missing. It starts the copy of the shard if the shard is incomplete, is not
+// being copied, and has sources. The caller holds the mutex.
 func (s *Server) startTask(index string, replica *indexReplica, task resharding.Task) {
 	shard := replica.shards[task.Shard]
 	if shard == nil {
@@ -75,7 +76,7 @@
 	}
 }
 
-// status lists the shards by id.
+// status returns the status of the index, with its shards sorted by id.
 func (r *indexReplica) status() reshardexec.IndexStatus {
 	status := reshardexec.IndexStatus{Version: r.version}
 	for id, shard := range r.shards {
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -12,23 +12,24 @@
 	"linkpass/internal/discovery"
 )
 
-// maxRetainedChanges is how many versions a watch may lag behind before it gets the full list.
+// maxRetainedChanges is the number of versions that a watch may lag behind; beyond it, the watch gets the full list.
 const maxRetainedChanges = 256
 
-// Discovery serves an endpoint list and watches of it over HTTP. It owns its server and the goroutine of its
-// listener; Close ends both. Its methods may be called from any goroutine.
+// Discovery serves an endpoint list and watches of it over HTTP. It owns its HTTP server and the goroutine that
+// serves the listener; Close ends both. Its methods may be called from any goroutine.
 type Discovery struct {
 	listener net.Listener
 	web      *http.Server
 
 	mu        sync.Mutex
-	version   int64
-	endpoints map[string]discovery.Endpoint
-	changes   []discovery.EndpointList // the latest, by version
-	changed   chan struct{}            // closed and replaced by Update; watches wait for it
+	version   int64                         // of the endpoint list; incremented by each Update
+	endpoints map[string]discovery.Endpoint // by id
+	changes   []discovery.EndpointList      // the latest maxRetainedChanges changes, sorted by version
+	changed   chan struct{}                 // closed and replaced by Update; watches wait for it
 }
 
-// NewDiscovery serves an empty list at an address (host:port; port 0: a free one). It fails where it cannot listen.
+// NewDiscovery serves an empty list at an address (host:port; port 0 selects a free port). It returns an error if it
+// cannot listen there.
 func NewDiscovery(addr string) (*Discovery, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -40,13 +41,14 @@
 	return d, nil
 }
 
-// Addr is the address that discovery listens at (host:port).
+// Addr returns the address (host:port) that the server listens on.
 func (d *Discovery) Addr() string { return d.listener.Addr().String() }
 
 // Close closes the listener and all connections.
 func (d *Discovery) Close() { _ = d.web.Close() }
 
-// Update adds or replaces endpoints, removes those in discovery.StateTerminated, and notifies the watches.
+// Update makes a new version of the list and notifies the watches. It removes endpoints in discovery.StateTerminated
+// and adds or replaces the others.
 func (d *Discovery) Update(endpoints ...discovery.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -64,14 +66,14 @@
 	d.changed = make(chan struct{})
 }
 
-// EndpointList returns the full list.
+// EndpointList returns the full list, in no particular order.
 func (d *Discovery) EndpointList() discovery.EndpointList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.fullList()
 }
 
-// fullList needs the mutex.
+// fullList returns the full list, in no particular order. The caller holds the mutex.
 func (d *Discovery) fullList() discovery.EndpointList {
 	list := discovery.EndpointList{Version: d.version, Full: true}
 	for _, endpoint := range d.endpoints {
@@ -80,8 +82,8 @@
 	return list
 }
 
-// listSince returns the changes after a version, or the full list if they are no longer retained. The channel
-// is nil unless there are none yet; it closes with the next one.
+// listSince returns the changes after a version, or the full list if some of them are no longer retained. If there are
+// no changes yet, it also returns a channel that closes with the next change; otherwise the channel is nil.
 func (d *Discovery) listSince(version int64) (list discovery.EndpointList, changed <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -117,7 +119,8 @@
 	_ = json.NewEncoder(w).Encode(list)
 }
 
-// watch waits for changes after a version and returns those until now. It is false if the request is canceled.
+// watch waits up to timeout for a change after a version and returns all changes since that version. It returns false
+// if the request is canceled.
 func (d *Discovery) watch(r *http.Request, version int64, timeout time.Duration) (discovery.EndpointList, bool) {
 	list, changed := d.listSince(version)
 	if changed == nil {
--- a/internal/emulator/discovery_test.go
+++ b/internal/emulator/discovery_test.go
@@ -24,12 +24,12 @@
 	got := call(t, "GET", "http://"+d.Addr()+"/registry/instances"+query, "")
 	list, err := discovery.Parse([]byte(got.body))
 	if err != nil || got.status != 200 {
-		t.Fatalf("%+v %v", got, err)
+		t.Fatalf("response = %+v, parse error = %v, want status 200 and an endpoint list", got, err)
 	}
 	return list
 }
 
-// update lists so many new endpoints, one a version.
+// update lists n endpoints, each with an update and thus a version of its own.
 func update(d *emulator.Discovery, n int) {
 	for i := range n {
 		d.Update(discovery.Endpoint{ID: fmt.Sprint("s-", i), State: discovery.StateInService})
@@ -55,12 +55,13 @@
 		t.Run(name, func(t *testing.T) {
 			list := readList(t, d, c.query)
 			if list.Version != 302 || list.Full != c.full || len(list.Endpoints) != c.endpoints {
-				t.Errorf("version %d, full %v, %d endpoints", list.Version, list.Full, len(list.Endpoints))
+				t.Errorf("version = %d, full = %v, endpoints = %d, want version 302, full %v and %d endpoints",
+					list.Version, list.Full, len(list.Endpoints), c.full, c.endpoints)
 			}
 		})
 	}
 	if got := call(t, "GET", "http://"+d.Addr()+"/other", ""); got.status != 404 {
-		t.Errorf("other path: %d", got.status)
+		t.Errorf("status of another path = %d, want 404", got.status)
 	}
 }
 
@@ -71,7 +72,7 @@
 	began := time.Now()
 	list := readList(t, d, "?after=1&wait_ms=60000")
 	if list.Version != 2 || list.Full || len(list.Endpoints) != 1 || time.Since(began) < 50*time.Millisecond {
-		t.Errorf("%+v after %s", list, time.Since(began))
+		t.Errorf("list = %+v after %s, want one change in version 2 after at least 50ms", list, time.Since(began))
 	}
 }
 
@@ -81,9 +82,9 @@
 	fleet.SetState(fleet.Servers[1], discovery.StateTerminated)
 	fleet.Servers[2].Kill(false)
 	if names := fmt.Sprint(fleet.InService()); names != "[s-04]" {
-		t.Errorf("in service: %s", names)
+		t.Errorf("servers in service = %s, want [s-04]", names)
 	}
 	if n := len(fleet.Discovery.EndpointList().Endpoints); n != 3 {
-		t.Errorf("%d endpoints", n)
+		t.Errorf("endpoints = %d, want 3", n)
 	}
 }
--- a/internal/emulator/errors_test.go
+++ b/internal/emulator/errors_test.go
@@ -15,20 +15,20 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(fleet.Close)
-	noRecords := func(int) { t.Error("progress without records") }
+	noRecords := func(int) { t.Error("copySource reported progress without a record") }
 	source := resharding.Source{Shard: 1, Range: shardmap.FullRange, Servers: []string{"s-01"}}
 	if _, err := fleet.Servers[0].copySource(t.Context(), "players", source, noRecords); !errors.Is(err, errNoSource) {
-		t.Errorf("source is the server itself: %v", err)
+		t.Errorf("source is the server itself: error = %v, want errNoSource", err)
 	}
 	source.Servers = []string{"s-02"}
 	var status *statusError
 	if _, err := fleet.Servers[0].copySource(t.Context(), "players", source, noRecords); !errors.As(err, &status) || status.status != 409 {
-		t.Errorf("source without the shard: %v", err)
+		t.Errorf("source does not hold the shard: error = %v, want a statusError of 409", err)
 	}
 	source.Servers = []string{"s-99"}
 	var dial *net.OpError
 	if _, err := fleet.Servers[0].copySource(t.Context(), "players", source, noRecords); !errors.As(err, &dial) {
-		t.Errorf("source that the fleet does not have: %v", err)
+		t.Errorf("source is not in the fleet: error = %v, want a net.OpError", err)
 	}
 }
 
@@ -40,6 +40,6 @@
 	t.Cleanup(d.Close)
 	var listen *net.OpError
 	if _, err := NewFleetAt(1, 1, Capacity{Cores: 1}, 1, d.Addr()); !errors.As(err, &listen) {
-		t.Errorf("listening twice: %v", err)
+		t.Errorf("discovery at a used address: error = %v, want a net.OpError", err)
 	}
 }
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
+// faultPollInterval is how often a waiting request checks whether the pause or the partition has ended.
 const faultPollInterval = 5 * time.Millisecond
 
-// faults is how a server misbehaves.
+// faults holds the faults that a server simulates.
 type faults struct {
-	slowdown       float64   // factor of the work of a part
+	slowdown       float64   // factor on the work of a part; 1 is normal speed
 	errorShare     float64   // share of parts that end in an error, from 0 to 1
-	pausedUntil    time.Time // no request is answered before
-	claimedVersion uint64    // shard map version claimed for every part, of which none is held; 0: none
+	pausedUntil    time.Time // until this time requests over HTTP wait and no work starts
+	claimedVersion uint64    // shard map version with which every part is answered as moved; 0 for no such fault
 	partitioned    bool      // requests are not answered
 }
 
-// Pause delays requests and work until d from now.
+// Pause delays requests over HTTP and the work on parts until d from now.
 func (s *Server) Pause(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.pausedUntil = time.Now().Add(d)
 }
 
-// SetSlowdown multiplies the work of each part; 1: normal speed.
+// SetSlowdown multiplies the work of each part by a factor; 1 is normal speed.
 func (s *Server) SetSlowdown(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,15 +38,16 @@
 	s.faults.errorShare = share
 }
 
-// ClaimShardMapVersion makes the server answer every part with «shard moved» in a shard map version
-// of its own; 0 ends that.
+// ClaimShardMapVersion makes the server answer every part over HTTP as if the shard had moved, with the given shard
+// map version instead of its own. Version 0 ends the fault.
 func (s *Server) ClaimShardMapVersion(version uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.claimedVersion = version
 }
 
-// Partition starts or ends a state in which requests over HTTP wait and a frame closes its connection.
+// Partition starts or ends a network partition: meanwhile, requests over HTTP wait for its end and a frame closes its
+// connection.
 func (s *Server) Partition(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,7 +72,8 @@
 	return time.Now().Before(s.faults.pausedUntil)
 }
 
-// awaitResponsive waits until the server is neither partitioned nor paused, is killed, or the request is canceled.
+// awaitResponsive waits until the server is neither partitioned nor paused. It returns early if the server is killed
+// or the request is canceled.
 func (s *Server) awaitResponsive(r *http.Request) {
 	ctx := s.runContext()
 	for s.isPartitioned() || s.isPaused() {
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -16,26 +16,26 @@
 	fleetKind = "std-2core"
 )
 
-// unreachableAddr refuses connections; it stands for a server that the fleet does not have.
+// unreachableAddr is the address of a server that the fleet does not have. It refuses connections.
 const unreachableAddr = "127.0.0.1:1"
 
-// Fleet is servers and the discovery that lists them.
+// Fleet is a set of servers with the discovery that lists them.
 type Fleet struct {
 	Discovery *Discovery
-	Records   []Record  // of the league, sorted by key
+	Records   []Record  // all records of the league, sorted by key
 	Servers   []*Server // sorted by name
 
 	mu    sync.Mutex
-	state map[string]string // of a server in the endpoint list, by name
+	state map[string]string // state in the endpoint list, by the server's name
 }
 
-// NewFleet starts n servers without shards, named s-01 and so on, and a discovery on a free port. It fails
-// where one of them cannot listen.
+// NewFleet starts n servers without shards, named s-01 and so on, and a discovery on a free port. The league has so
+// many records. Every second server answers subranges. It returns an error if a server or discovery cannot listen.
 func NewFleet(n, records int, capacity Capacity, seed uint64) (*Fleet, error) {
 	return NewFleetAt(n, records, capacity, seed, "127.0.0.1:0")
 }
 
-// NewFleetAt is NewFleet with a discovery at an address (host:port).
+// NewFleetAt is like NewFleet, with the discovery at an address (host:port).
 func NewFleetAt(n, records int, capacity Capacity, seed uint64, addr string) (*Fleet, error) {
 	d, err := NewDiscovery(addr)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return f, nil
 }
 
-// Close ends all servers and discovery.
+// Close ends all servers and the discovery.
 func (f *Fleet) Close() {
 	for _, s := range f.Servers {
 		s.Kill(false)
@@ -63,7 +63,7 @@
 	f.Discovery.Close()
 }
 
-// Server returns a server by its name; nil: there is none.
+// Server returns the server with a name, or nil if there is none.
 func (f *Fleet) Server(name string) *Server {
 	i := slices.IndexFunc(f.Servers, func(s *Server) bool { return s.Name == name })
 	if i < 0 {
@@ -79,7 +79,8 @@
 	return unreachableAddr
 }
 
-// SetState lists a server in a state of package discovery. Terminating starts its drain, any other state ends it.
+// SetState lists a server in discovery with one of the states of package discovery. discovery.StateTerminating starts
+// the server's drain; any other state ends it.
 func (f *Fleet) SetState(s *Server, state string) {
 	f.mu.Lock()
 	f.state[s.Name] = state
@@ -119,7 +120,8 @@
 	}
 }
 
-// ReplicaSets groups the names of the servers into sets of a size; servers beyond the last full set are left out.
+// ReplicaSets groups the names of the servers into sets of size servers each. Servers beyond the last full set are
+// left out.
 func (f *Fleet) ReplicaSets(size int) (sets [][]string) {
 	for group := range slices.Chunk(f.Servers, size) {
 		if len(group) < size {
@@ -134,7 +136,7 @@
 	return sets
 }
 
-// LateParts sums Server.LateParts.
+// LateParts returns the sum of Server.LateParts over all servers.
 func (f *Fleet) LateParts() (n int64) {
 	for _, s := range f.Servers {
 		n += s.LateParts.Load()
--- a/internal/emulator/frame_conn.go
+++ b/internal/emulator/frame_conn.go
@@ -6,11 +6,12 @@
 	"linkpass/internal/frame"
 )
 
-// frameConn serves the frames of one connection. Parts of a frame ask for complete shards, whatever the shard map.
+// frameConn serves the frames of one connection. A part in a frame requests a whole shard and is answered whether or
+// not the shard map assigns that shard to the server.
 type frameConn struct {
 	server *Server
 	conn   *peekedConn
-	write  sync.Mutex     // a frame is written at a time
+	write  sync.Mutex     // held while a frame is written
 	parts  sync.WaitGroup // parts in flight
 }
 
@@ -44,7 +45,8 @@
 	_, _ = f.conn.Write(frame.Append(nil, letter, []byte(payload)))
 }
 
-// startParts starts a goroutine for each part of a call. It is false after one that cannot be read.
+// startParts starts a goroutine for each part of a request frame. It sends an error frame and returns false at a part
+// that cannot be parsed; the parts before it are answered.
 func (f *frameConn) startParts(payload []byte) bool {
 	for len(payload) > 0 {
 		part, size, ok := parseFramePart(string(payload))
--- a/internal/emulator/helpers_test.go
+++ b/internal/emulator/helpers_test.go
@@ -15,7 +15,8 @@
 
 var testCapacity = emulator.Capacity{Cores: 1, WorkPerPart: time.Millisecond, Queue: 4}
 
-// startFleet starts servers that hold two shards with two replicas each: s-01 and s-02 the first, s-03 and s-04 the second.
+// startFleet starts four servers that hold two shards with two replicas each: s-01 and s-02 hold the first shard, s-03
+// and s-04 the second.
 func startFleet(t *testing.T, records int) (*emulator.Fleet, *shardmap.Map) {
 	t.Helper()
 	fleet, err := emulator.NewFleet(4, records, testCapacity, 1)
@@ -31,14 +32,14 @@
 	return fleet, shardMap
 }
 
-// response is an HTTP response that was read.
+// response is an HTTP response with its whole body.
 type response struct {
 	status int
 	header http.Header
 	body   string
 }
 
-// call makes one request on a connection of its own.
+// call sends one HTTP request on a connection of its own. The headers are pairs of a name and a value.
 func call(t *testing.T, method, url, body string, header ...string) response {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
@@ -61,7 +62,7 @@
 	return response{res.StatusCode, res.Header, string(text)}
 }
 
-// searchRange asks a server for a range of a shard.
+// searchRange sends a server a search of a range of a shard.
 func searchRange(t *testing.T, server *emulator.Server, shard, keys string) response {
 	t.Helper()
 	url := "http://" + server.Addr() + "/" + testIndex + "/_search?preference=_shards:" + shard
--- a/internal/emulator/kill_test.go
+++ b/internal/emulator/kill_test.go
@@ -9,7 +9,7 @@
 	"linkpass/internal/frame"
 )
 
-// Guards against parts that stay at work or in the queue of a killed server: TestMain finds their goroutines.
+// Guards against parts that a killed server keeps processing or keeps in its queue. TestMain finds their goroutines.
 func TestKillEndsPartsAtWorkAndInQueue(t *testing.T) {
 	fleet, shardMap := startFleet(t, 2)
 	s := fleet.Servers[0]
@@ -30,7 +30,7 @@
 	}
 	for s.Parts.Load() < 3 {
 		if t.Context().Err() != nil {
-			t.Fatalf("%d parts came", s.Parts.Load())
+			t.Fatalf("parts received = %d, want 3", s.Parts.Load())
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/emulator/listener.go
+++ b/internal/emulator/listener.go
@@ -8,9 +8,11 @@
 	"time"
 )
 
+// readHeaderTimeout is how long the HTTP servers wait for the header of a request.
 const readHeaderTimeout = 10 * time.Second
 
-// acceptConns accepts connections until the listener closes, and ends the HTTP server that it starts.
+// acceptConns accepts connections until the listener closes. It starts an HTTP server for those that speak HTTP, and
+// ends it on return.
 func (s *Server) acceptConns(listener net.Listener) {
 	searches := &handoffListener{addr: listener.Addr(), conns: make(chan net.Conn), done: make(chan struct{})}
 	web := &http.Server{Handler: s.handler(), ReadHeaderTimeout: readHeaderTimeout}
@@ -29,7 +31,8 @@
 	}
 }
 
-// addConn is false if the server was killed between the accept and now: Kill has not closed this connection.
+// addConn registers an accepted connection, so that Kill closes it. It returns false if the server was killed after the
+// accept: Kill has not closed this connection, so the caller has to.
 func (s *Server) addConn(listener net.Listener, conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,8 +49,8 @@
 	delete(s.conns, conn)
 }
 
-// serveConn selects the protocol by the first byte: HTTP begins with a capital letter, a frame with its length.
-// It returns when the connection is closed.
+// serveConn selects the protocol by the first byte of the connection: HTTP begins with a capital letter, a frame with
+// its length. It returns when the connection is closed.
 func (s *Server) serveConn(conn net.Conn, searches *handoffListener) {
 	defer s.removeConn(conn)
 	reader := bufio.NewReader(conn)
@@ -66,7 +69,7 @@
 	}
 }
 
-// peekedConn is a connection some bytes of which lie in a buffer.
+// peekedConn is a connection whose first bytes were read into a buffer to select the protocol. Read returns them first.
 type peekedConn struct {
 	net.Conn
 	reader *bufio.Reader
@@ -76,21 +79,22 @@
 
 func (c *peekedConn) Read(b []byte) (int, error) { return c.reader.Read(b) }
 
-// Close closes the connection.
+// Close closes the connection; it may be called repeatedly.
 func (c *peekedConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
-// handoffListener is a listener of connections that acceptConns has accepted.
+// handoffListener is a net.Listener for connections that acceptConns has accepted and that serveConn hands over.
 type handoffListener struct {
-	addr  net.Addr
+	addr  net.Addr      // address of the accepting listener
 	conns chan net.Conn // unbuffered, never closed; sent to by handOff
 	done  chan struct{} // closed by the first Close
 	once  sync.Once
 }
 
-// handOff waits until the connection is accepted. It closes it and is false if the listener closes first.
+// handOff passes a connection to Accept and waits until it is taken. If the listener closes first, handOff closes the
+// connection and returns false.
 func (l *handoffListener) handOff(conn *peekedConn) bool {
 	select {
 	case l.conns <- conn:
@@ -101,7 +105,7 @@
 	}
 }
 
-// Accept returns net.ErrClosed after Close.
+// Accept waits for a connection from handOff. It returns net.ErrClosed after Close.
 func (l *handoffListener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-l.conns:
@@ -111,11 +115,11 @@
 	}
 }
 
-// Close ends Accept and handOff; it may be called repeatedly.
+// Close ends all waits in Accept and handOff; it may be called repeatedly.
 func (l *handoffListener) Close() error {
 	l.once.Do(func() { close(l.done) })
 	return nil
 }
 
-// Addr is the address of the accepting listener.
+// Addr returns the address of the accepting listener.
 func (l *handoffListener) Addr() net.Addr { return l.addr }
--- a/internal/emulator/main_test.go
+++ b/internal/emulator/main_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// Guards against a goroutine of a server, a connection, a copy or a watch that outlives Kill or Close.
+// TestMain fails if a goroutine of a server, a connection, a copy or a watch outlives Kill or Close.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/emulator/records.go
+++ b/internal/emulator/records.go
@@ -8,10 +8,10 @@
 	"linkpass/internal/shardmap"
 )
 
-// Record is one record of an index, with an id of its own.
+// Record is one record of an index.
 type Record struct {
-	Key uint64 // hash of the id
-	ID  string
+	Key uint64 // shardmap.HashKey of the id
+	ID  string // unique
 }
 
 // Records generates n records, sorted by key. The same n gives the same records.
@@ -32,7 +32,7 @@
 	return 1
 }
 
-// recordsWithin lists the records of a range. The records are sorted by key.
+// recordsWithin returns the records whose keys lie in a range, as a subslice of records that are sorted by key.
 func recordsWithin(sorted []Record, keys shardmap.Range) []Record {
 	from, to := firstAtOrAfter(sorted, keys.First), len(sorted)
 	if keys.Last != shardmap.FullRange.Last {
@@ -41,6 +41,7 @@
 	return sorted[from:to]
 }
 
+// firstAtOrAfter returns the index of the first record with at least the given key, or len(sorted) if there is none.
 func firstAtOrAfter(sorted []Record, key uint64) int {
 	i, _ := slices.BinarySearchFunc(sorted, key, func(record Record, k uint64) int { return cmp.Compare(record.Key, k) })
 	return i
--- a/internal/emulator/replication.go
+++ b/internal/emulator/replication.go
@@ -14,23 +14,24 @@
 )
 
 const (
-	recordsPerPage = 50
-	pageTimeout    = 2 * time.Second
+	recordsPerPage = 50              // largest number of records in a page
+	pageTimeout    = 2 * time.Second // for the request of one page
 )
 
-// errNoSource marks a source that names no other server.
+// errNoSource is the error for a source that names no other server.
 var errNoSource = errors.New("emulator: no server to copy from")
 
-// statusError is an answer other than 200 to a request for records.
+// statusError is a response with a status other than 200 to a request for records.
 type statusError struct{ status int }
 
-func (e *statusError) Error() string { return fmt.Sprintf("status %d", e.status) }
+func (e *statusError) Error() string { return fmt.Sprintf("status %d, want 200", e.status) }
 
-// copyClient is shared by all servers. Its idle connections end with the server at the other end, or after their timeout.
+// copyClient is shared by all servers. Its idle connections close when the server at the other end is killed, or after
+// IdleConnTimeout.
 var copyClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: 5 * time.Second}}
 
-// copyShard copies a shard's records from its sources at the server's copy rate, until ctx ends. After an error
-// the shard is empty, and the next assignment starts the copy again.
+// copyShard copies a shard's records from its sources, at the server's copy rate, until it has them all or ctx ends.
+// After an error the shard is empty, and the next assignment starts the copy again.
 func (s *Server) copyShard(ctx context.Context, index string, shard *shardReplica, sources []resharding.Source) {
 	records, err := s.copySources(ctx, index, shard, sources)
 	s.mu.Lock()
@@ -49,7 +50,7 @@
 		found, err := s.copySource(ctx, index, source, func(n int) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			shard.records = make([]Record, len(records)+n) // the status counts them
+			shard.records = make([]Record, len(records)+n) // empty records: the status reports only their number
 		})
 		if err != nil {
 			return nil, err
@@ -59,13 +60,14 @@
 	return records, nil
 }
 
-// copySource copies a source's range from the first of its servers that has all of it. What this server holds
-// itself is not fetched. The error is errNoSource or that of the last server.
+// copySource returns the records of a source's range. It takes them from this server if it holds them; otherwise it
+// fetches them from the first of the source's servers that has all of them. It returns errNoSource if the source names
+// no other server, or else the error of the last server.
 func (s *Server) copySource(ctx context.Context, index string, source resharding.Source, progress func(int)) (records []Record, err error) {
 	if local := s.lookUp(index, source.Shard, source.Range); local.ready {
 		return local.records, nil
 	}
-	err = fmt.Errorf("copy %s of %s: %w", source.Range, index, errNoSource)
+	err = fmt.Errorf("copy range %s of index %s: %w", source.Range, index, errNoSource)
 	for _, name := range source.Servers {
 		if name == s.Name {
 			continue
@@ -77,14 +79,14 @@
 	return nil, err
 }
 
-// fetchRecords fetches a source's range from one server, page by page, and calls progress with the number of
-// records after each.
+// fetchRecords fetches the records of a source's range from one server, page by page. After each page it calls progress
+// with the number of records so far.
 func (s *Server) fetchRecords(ctx context.Context, server, index string, source resharding.Source, progress func(int)) (records []Record, err error) {
 	request := recordsRequest{index: index, shard: source.Shard, keys: source.Range}
 	for {
 		page, err := fetchPage(ctx, s.addrOf(server), request)
 		if err != nil {
-			return nil, fmt.Errorf("copy %s of %s from %s: %w", source.Range, index, server, err)
+			return nil, fmt.Errorf("copy range %s of index %s from server %s: %w", source.Range, index, server, err)
 		}
 		for _, id := range page.IDs {
 			records = append(records, Record{shardmap.HashKey(id), id})
@@ -100,7 +102,8 @@
 	}
 }
 
-// fetchPage fetches a page of records. The error is a statusError if the server does not hold them.
+// fetchPage fetches a page of records. It returns a statusError if the response has a status other than 200, such as
+// 409 from a server that does not hold the records.
 func fetchPage(ctx context.Context, addr string, request recordsRequest) (page recordsPage, err error) {
 	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
@@ -120,8 +123,8 @@
 	return page, err
 }
 
-// serveRecords serves a page of a complete shard's records: 400 for a malformed request, 409 if the shard is
-// not held or the page lies behind its end.
+// serveRecords answers with a page of the records of a complete shard. The status is 400 for a malformed request, and
+// 409 if the server does not hold the complete shard or the page begins beyond its end.
 func (s *Server) serveRecords(w http.ResponseWriter, r *http.Request) {
 	request, ok := parseRecordsRequest(r.URL.Query())
 	if !ok {
@@ -136,6 +139,7 @@
 	_ = json.NewEncoder(w).Encode(pageOf(result.records, request.from))
 }
 
+// pageOf returns the page that begins at an offset. The offset is at most len(records).
 func pageOf(records []Record, from int) (page recordsPage) {
 	end := min(len(records), from+recordsPerPage)
 	for _, record := range records[from:end] {
--- a/internal/emulator/replication_test.go
+++ b/internal/emulator/replication_test.go
@@ -27,19 +27,19 @@
 	for {
 		got := call(t, "PUT", "http://"+target.Addr()+"/_layout", assignment)
 		if got.status != 200 {
-			t.Fatalf("%d %s", got.status, got.body)
+			t.Fatalf("assignment: status = %d, body = %s, want status 200", got.status, got.body)
 		}
 		if strings.Contains(got.body, want) {
 			break
 		}
 		if t.Context().Err() != nil {
-			t.Fatalf("%s, want %s", got.body, want)
+			t.Fatalf("assignment: body = %s, want it to contain %s", got.body, want)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	got := searchRange(t, target, fmt.Sprint(shard.ID), shardmap.FullRange.String())
 	if got.status != 200 || strings.Count(got.body, "_id") != records {
-		t.Errorf("%d with %d hits, want %d", got.status, strings.Count(got.body, "_id"), records)
+		t.Errorf("search: status = %d with %d hits, want 200 with %d", got.status, strings.Count(got.body, "_id"), records)
 	}
 }
 
@@ -56,7 +56,7 @@
 			Next int
 		}
 		if err := json.Unmarshal([]byte(got.body), &page); err != nil || got.status != 200 || len(page.IDs) > 50 {
-			t.Fatalf("%+v %v", got, err)
+			t.Fatalf("response = %+v, parse error = %v, want status 200 and at most 50 ids", got, err)
 		}
 		ids = append(ids, page.IDs...)
 		if page.Next == 0 {
@@ -67,17 +67,17 @@
 	for _, record := range fleet.Records {
 		if shard.Range.Contains(record.Key) {
 			if len(ids) == 0 || ids[0] != record.ID {
-				t.Fatalf("%s is not next in %v", record.ID, ids)
+				t.Fatalf("remaining ids = %v, want %s next", ids, record.ID)
 			}
 			ids = ids[1:]
 		}
 	}
 	if len(ids) > 0 {
-		t.Errorf("additional records %v", ids)
+		t.Errorf("ids that the shard does not hold = %v, want none", ids)
 	}
 	for bad, status := range map[string]int{query + "-1": 400, query + "x": 400, query + "999": 409, base + "&from=0&range=x": 400, strings.Replace(query, testIndex, "other", 1) + "0": 409} {
 		if got := call(t, "GET", bad, ""); got.status != status {
-			t.Errorf("%s: %d, want %d", bad, got.status, status)
+			t.Errorf("%s: status = %d, want %d", bad, got.status, status)
 		}
 	}
 }
--- a/internal/emulator/search.go
+++ b/internal/emulator/search.go
@@ -7,7 +7,8 @@
 	"strconv"
 )
 
-// handler serves health checks, searches, shard assignments and copies over HTTP.
+// handler returns the HTTP handler of health checks, searches, shard assignments and requests for records. It delays
+// requests while the server is partitioned or paused.
 func (s *Server) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(routeHealthCheck, s.serveHealthCheck)
@@ -27,8 +28,8 @@
 	fmt.Fprintf(w, `{"name":%q}`, s.Name)
 }
 
-// serveSearch answers one part: 200 with the records, 400 for a malformed request, 409 if the shard has moved,
-// 429 if the queue is full or the shard is not ready, 500 for an emulated error.
+// serveSearch answers one part. The status is 200 with the records, 400 for a malformed request, 409 if the shard has
+// moved, 429 if the queue is full, the shard is not ready or the server is killed, and 500 for a simulated error.
 func (s *Server) serveSearch(w http.ResponseWriter, r *http.Request) {
 	s.countPart()
 	_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, maxRequestBytes))
@@ -47,7 +48,8 @@
 	s.answerPart(w, request)
 }
 
-// answerPart looks the records up once the part has a core: the shard may have moved while it waited.
+// answerPart answers a part that has a core. It looks the records up only now, because the shard may have moved while
+// the part waited for the core.
 func (s *Server) answerPart(w http.ResponseWriter, request partRequest) {
 	result := s.lookUp(request.index, request.shard, request.keys)
 	if result.version > 0 {
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -12,50 +12,51 @@
 	"linkpass/internal/shardmap"
 )
 
-// Capacity is how much work a server does.
+// Capacity is the processing capacity of a server. Work is the time that a part occupies a core at full speed.
 type Capacity struct {
-	Cores              int           // parts at work at a time
+	Cores              int           // number of parts processed at the same time
 	WorkPerPart        time.Duration // mean work of a part; each takes from half to one and a half times as long
 	WorkPerRecord      time.Duration // additional work for each record found
-	Queue              int           // parts that wait for a core; a part beyond them is rejected
-	CopyRate           int           // records copied a second; 0: no limit
-	WarmupDuration     time.Duration // from a restart to full speed; 0: no warm-up
+	Queue              int           // largest number of parts that wait for a core; further parts are rejected
+	CopyRate           int           // records copied per second; 0 for no limit
+	WarmupDuration     time.Duration // time from a restart to full speed; 0 for no warm-up
 	WarmupInitialShare float64       // share of full speed at a restart, from 0 to 1
 }
 
 // Server is one emulated league server. Its methods may be called from any goroutine.
 type Server struct {
 	Name             string
-	AnswersSubranges bool // answers the largest held subrange of a shard that has moved; set before Start
+	AnswersSubranges bool // answers the largest held subrange of a requested shard that has moved; set before Start
 
 	capacity Capacity
-	records  []Record                 // of the league, sorted by key
-	addrOf   func(name string) string // address of another server
+	records  []Record                 // all records of the league, sorted by key
+	addrOf   func(name string) string // returns the address of another server
 
-	mu        sync.Mutex // guards the fields up to the counters
+	mu        sync.Mutex // guards the fields from rng to warmup
 	rng       *rand.Rand
-	addr      string             // "" before the first start
-	listener  net.Listener       // nil: not running
-	conns     map[net.Conn]bool  // open connections
-	ctx       context.Context    // from Start to Kill
-	cancel    context.CancelFunc // of ctx
-	cores     chan struct{}      // an element for each busy core
-	startedAt time.Time          // of the latest restart; zero: never restarted
-	indices   map[string]*indexReplica
+	addr      string                   // of the latest start; "" before the first one
+	listener  net.Listener             // nil while the server is not running
+	conns     map[net.Conn]bool        // open connections
+	ctx       context.Context          // set by Start, canceled by Kill
+	cancel    context.CancelFunc       // cancels ctx
+	cores     chan struct{}            // an element for each busy core
+	startedAt time.Time                // time of the latest restart; zero if never restarted
+	indices   map[string]*indexReplica // by name of the index
 	faults    faults
-	drainedAt time.Time // since when no part may come; zero: in service
+	drainedAt time.Time // start of the drain; zero while the server is in service
 	warmup    warmupLoad
 
-	queued, active atomic.Int64 // parts
-	averageWorkNS  atomic.Int64 // moving average of a part's work
+	queued, active atomic.Int64 // parts waiting for a core, and parts being processed
+	averageWorkNS  atomic.Int64 // moving average of a part's work, in nanoseconds
 
 	Parts                  atomic.Int64 // parts received
-	LateParts              atomic.Int64 // parts received more than a second after the drain
-	MovedParts             atomic.Int64 // parts answered with «shard moved»
-	OverloadedWhileWarming atomic.Int64 // parts begun during warm-up with too much work open
+	LateParts              atomic.Int64 // parts received more than a second, plus drainTolerance, after a drain began
+	MovedParts             atomic.Int64 // parts answered with status 409 because the shard has moved
+	OverloadedWhileWarming atomic.Int64 // parts started during warm-up while too much work was pending
 }
 
-// NewServer makes a server that holds nothing; Start starts it. The records are sorted by key.
+// NewServer returns a server that holds no shards; Start starts it. The records of the league must be sorted by key.
+// addrOf returns the address (host:port) of another server by its name. Random choices depend on the seed and the name.
 func NewServer(name string, capacity Capacity, records []Record, seed uint64, addrOf func(string) string) *Server {
 	return &Server{
 		Name:     name,
@@ -68,8 +69,8 @@
 	}
 }
 
-// Start listens and serves until Kill: on a free port at first, at the same address afterwards. It fails
-// where it cannot listen.
+// Start listens and serves until Kill. The first start uses a free port, later ones the same address. It returns an
+// error if it cannot listen.
 func (s *Server) Start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,7 +89,8 @@
 	return nil
 }
 
-// Kill ends a running server abruptly: connections are reset, and with forget it loses what it held.
+// Kill ends a running server abruptly: it resets the connections and, if forget is set, drops all shards. It does
+// nothing if the server is not running.
 func (s *Server) Kill(forget bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,7 +111,7 @@
 	}
 }
 
-// Restart starts a killed server, which warms up from now. It fails as Start does.
+// Restart starts a killed server again and begins its warm-up. A drain ends. It returns an error if it cannot listen.
 func (s *Server) Restart() error {
 	s.mu.Lock()
 	s.startedAt, s.drainedAt, s.warmup = time.Now(), time.Time{}, warmupLoad{updatedAt: time.Now()}
@@ -117,21 +119,21 @@
 	return s.Start()
 }
 
-// Alive says whether the server runs.
+// Alive reports whether the server is running.
 func (s *Server) Alive() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.listener != nil
 }
 
-// Addr is the address (host:port) of the latest start, "" before the first one.
+// Addr returns the address (host:port) of the latest start, or "" before the first one.
 func (s *Server) Addr() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.addr
 }
 
-// StartedAtUnixMS is the time of the latest restart in Unix milliseconds; 0: never restarted.
+// StartedAtUnixMS returns the time of the latest restart in Unix milliseconds, or 0 if the server never restarted.
 func (s *Server) StartedAtUnixMS() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,13 +143,15 @@
 	return s.startedAt.UnixMilli()
 }
 
-// SetDrainedAt sets since when no coordinator may send parts; the zero time: the server is in service.
+// SetDrainedAt sets the start of the server's drain, after which no coordinator may send it parts. The zero time puts
+// the server in service.
 func (s *Server) SetDrainedAt(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.drainedAt = at
 }
 
+// runContext returns the context that Kill cancels.
 func (s *Server) runContext() context.Context {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulator/server_test.go
+++ b/internal/emulator/server_test.go
@@ -43,15 +43,16 @@
 		t.Run(name, func(t *testing.T) {
 			got := searchRange(t, fleet.Server(c.server), c.shard, c.keys)
 			if got.status != c.status || got.header.Get("X-Layout-Version") != c.version || got.header.Get("X-Layout-Covers") != c.covered {
-				t.Errorf("%d %v %s", got.status, got.header, got.body)
+				t.Errorf("status = %d, header = %v, body = %s, want status %d, X-Layout-Version %q, X-Layout-Covers %q",
+					got.status, got.header, got.body, c.status, c.version, c.covered)
 			}
 			if !strings.HasPrefix(got.header.Get("X-Server-Load"), "active=") {
-				t.Errorf("load report %q", got.header.Get("X-Server-Load"))
+				t.Errorf("X-Server-Load = %q, want prefix %q", got.header.Get("X-Server-Load"), "active=")
 			}
 		})
 	}
 	if n := fleet.Server("s-01").MovedParts.Load() + fleet.Server("s-02").MovedParts.Load(); n != 2 {
-		t.Errorf("%d parts counted as moved", n)
+		t.Errorf("parts counted as moved = %d, want 2", n)
 	}
 }
 
@@ -67,7 +68,7 @@
 	want := fmt.Sprintf(`{"_shards":{"failed":0,"successful":1,"total":1},"hits":{"hits":[%s],"total":{"relation":"eq","value":%d}},"timed_out":false,"took":1}`+"\n",
 		strings.TrimSuffix(hits, ","), strings.Count(hits, "_id"))
 	if got := searchRange(t, fleet.Servers[0], fmt.Sprint(shard.ID), shard.Range.String()); got.body != want {
-		t.Errorf("%s, want %s", got.body, want)
+		t.Errorf("body = %s, want %s", got.body, want)
 	}
 }
 
@@ -75,7 +76,7 @@
 	fleet, _ := startFleet(t, 2)
 	got := call(t, "GET", "http://"+fleet.Servers[0].Addr()+"/", "")
 	if got.status != 200 || got.body != `{"name":"s-01"}` || got.header.Get("X-Server-Load") != "active=0,avg_ms=0.0,waiting=0" {
-		t.Errorf("%+v", got)
+		t.Errorf("response = %+v, want status 200, the name s-01 and a load report of zeros", got)
 	}
 }
 
@@ -85,25 +86,25 @@
 	search := func() response { return searchRange(t, s, fmt.Sprint(shard.ID), shard.Range.String()) }
 	s.SetErrorShare(1)
 	if got := search(); got.status != 500 || got.header.Get("X-Layout-Covers") != "" {
-		t.Errorf("error share 1: %+v", got)
+		t.Errorf("error share 1: response = %+v, want status 500 without X-Layout-Covers", got)
 	}
 	s.SetErrorShare(0)
 	s.ClaimShardMapVersion(999)
 	if got := search(); got.status != 409 || got.header.Get("X-Layout-Version") != "999" {
-		t.Errorf("claimed version: %+v", got)
+		t.Errorf("claimed version: response = %+v, want status 409 with X-Layout-Version 999", got)
 	}
 	s.ClaimShardMapVersion(0)
 	began := time.Now()
 	s.Pause(50 * time.Millisecond)
 	if got := search(); got.status != 200 || time.Since(began) < 50*time.Millisecond {
-		t.Errorf("paused: %d after %s", got.status, time.Since(began))
+		t.Errorf("paused: status = %d after %s, want 200 after at least 50ms", got.status, time.Since(began))
 	}
 	s.Partition(true)
 	heal := time.AfterFunc(50*time.Millisecond, func() { s.Partition(false) })
 	defer heal.Stop()
 	began = time.Now()
 	if got := search(); got.status != 200 || time.Since(began) < 50*time.Millisecond {
-		t.Errorf("partitioned: %d after %s", got.status, time.Since(began))
+		t.Errorf("partitioned: status = %d after %s, want 200 after at least 50ms", got.status, time.Since(began))
 	}
 }
 
@@ -115,7 +116,7 @@
 		searchRange(t, s, fmt.Sprint(shard.ID), shard.Range.String())
 	}
 	if s.Parts.Load() != 3 || fleet.LateParts() != 1 {
-		t.Errorf("%d parts, %d late", s.Parts.Load(), fleet.LateParts())
+		t.Errorf("parts = %d, late parts = %d, want 3 and 1", s.Parts.Load(), fleet.LateParts())
 	}
 }
 
@@ -139,8 +140,8 @@
 	}{
 		{"health check", frame.LetterHealthCheck, "", frame.LetterHealthCheck, "200", ""},
 		{"load health check", frame.LetterLoadCheck, "", frame.LetterLoadCheck, "active=0,avg_ms=0.0,waiting=0", ""},
-		{"call", frame.LetterRequest, "a1 7 d=500 3\nabc", frame.LetterReply, "a1 200 7 active=", "\nslice 7 by s-01"},
-		{"call beyond its payload", frame.LetterRequest, "a2 7 d=500 4\nabc", frame.LetterError, "a call that cannot be read", ""},
+		{"request", frame.LetterRequest, "a1 7 d=500 3\nabc", frame.LetterReply, "a1 200 7 active=", "\nslice 7 by s-01"},
+		{"request with a body size beyond its payload", frame.LetterRequest, "a2 7 d=500 4\nabc", frame.LetterError, "a call that cannot be read", ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -149,7 +150,8 @@
 			}
 			letter, payload, err := frame.Read(reader)
 			if err != nil || letter != c.answer || !strings.HasPrefix(string(payload), c.prefix) || !strings.HasSuffix(string(payload), c.trailer) {
-				t.Errorf("%q %q %v", letter, payload, err)
+				t.Errorf("letter = %q, payload = %q, error = %v, want letter %q, prefix %q, suffix %q",
+					letter, payload, err, c.answer, c.prefix, c.trailer)
 			}
 		})
 	}
@@ -174,15 +176,16 @@
 		t.Fatal(err)
 	}
 	if _, err := io.Copy(io.Discard, conn); errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the connection stayed open: %v", err)
+		t.Errorf("read from the killed server: error = %v, want a closed connection", err)
 	}
 	if s.Alive() || s.StartedAtUnixMS() != 0 {
-		t.Error("killed server is alive or restarted")
+		t.Errorf("killed server: alive = %v, started at %d, want false and 0", s.Alive(), s.StartedAtUnixMS())
 	}
 	if err := s.Restart(); err != nil {
 		t.Fatal(err)
 	}
 	if !s.Alive() || s.Addr() != addr || s.StartedAtUnixMS() == 0 {
-		t.Errorf("restarted at %s, was %s", s.Addr(), addr)
+		t.Errorf("restarted server: alive = %v, address = %s, started at %d, want true, %s and a time",
+			s.Alive(), s.Addr(), s.StartedAtUnixMS(), addr)
 	}
 }
--- a/internal/emulator/shards.go
+++ b/internal/emulator/shards.go
@@ -8,19 +8,20 @@
 
 // indexReplica is what a server holds of an index.
 type indexReplica struct {
-	version uint64 // of the shard map
+	version uint64 // version of the shard map
 	shards  map[shardmap.ShardID]*shardReplica
 }
 
 // shardReplica is what a server holds of a shard.
 type shardReplica struct {
 	keys     shardmap.Range
-	records  []Record // sorted by key if complete; otherwise only their number means anything
-	complete bool
-	copying  bool // a goroutine of copyShard owns the copy
+	records  []Record // sorted by key if complete; otherwise only their number has a meaning
+	complete bool     // all records of the range are held
+	copying  bool     // a goroutine runs copyShard for this shard
 }
 
-// PlaceShards makes the server hold all shards of an index that a shard map assigns to it, complete.
+// PlaceShards makes the server hold, complete and at once, all shards of an index that a shard map assigns to it. They
+// replace the shards of that index held before.
 func (s *Server) PlaceShards(index string, shardMap *shardmap.Map) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -33,16 +34,16 @@
 	s.indices[index] = replica
 }
 
-// lookupResult is what a server has of a requested range. If neither moved nor ready is set, the server
-// is still to get the shard.
+// lookupResult is what a server has of a requested range. If neither moved nor ready is set, the server does not yet
+// have the complete shard.
 type lookupResult struct {
 	records []Record
-	version uint64 // of the server's shard map; 0: none
+	version uint64 // version of the server's shard map; 0 if it has none
 	moved   bool   // the shard is assigned to other servers
 	ready   bool   // the records are complete
 }
 
-// lookUp finds the records of a range in a shard.
+// lookUp returns the records of a shard whose keys lie in a range.
 func (s *Server) lookUp(index string, id shardmap.ShardID, keys shardmap.Range) lookupResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,7 +52,7 @@
 	}
 	replica := s.indices[index]
 	if replica == nil {
-		return lookupResult{} // the server has started without data and got no assignment yet
+		return lookupResult{} // the server started without shards and has received no assignment yet
 	}
 	shard := replica.shards[id]
 	if shard == nil {
@@ -63,7 +64,8 @@
 	return lookupResult{records: recordsWithin(shard.records, keys), version: replica.version, ready: true}
 }
 
-// largestSubrange finds the largest part of a range that lies in one complete shard of this server.
+// largestSubrange returns the largest subrange of a range that lies in one complete shard of this server, with its
+// records. It returns false if there is none or the server claims a shard map version.
 func (s *Server) largestSubrange(index string, keys shardmap.Range) (covered shardmap.Range, records []Record, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulator/wire.go
+++ b/internal/emulator/wire.go
@@ -13,16 +13,16 @@
 	"linkpass/internal/shardmap"
 )
 
-// Headers of a search. The protocol says layout for the shard map.
+// Headers of a search. The protocol calls the shard map the layout.
 const (
 	headerShardMapVersion = "X-Layout-Version" // of the shard map that the server follows
-	headerRange           = "X-Layout-Range"   // requested keys
-	headerCoveredRange    = "X-Layout-Covers"  // keys that the answer is complete for
+	headerRange           = "X-Layout-Range"   // requested range of keys
+	headerCoveredRange    = "X-Layout-Covers"  // range of keys for which the answer is complete
 	headerLoadReport      = "X-Server-Load"
 )
 
-// Routes of a server and of discovery. The protocol says layout for a shard assignment, and
-// registry instances for the endpoint list.
+// Routes of a server and of discovery. The protocol calls the shard assignment the layout, and the endpoint list the
+// registry's instances.
 const (
 	routeHealthCheck  = "GET /{$}"
 	routeSearch       = "POST /{index}/_search"
@@ -34,7 +34,7 @@
 	paramWaitMS       = "wait_ms"
 )
 
-// Parameters of a request for a page of a shard's records. The protocol says slice for a shard.
+// Parameters of a request for a page of a shard's records. The protocol calls a shard a slice.
 const (
 	paramIndex = "index"
 	paramShard = "slice"
@@ -43,12 +43,12 @@
 )
 
 const (
-	maxRequestBytes  = 64 << 20
-	maxWatchWaitMS   = 60_000
-	preferenceShards = "_shards:"
+	maxRequestBytes  = 64 << 20   // bytes of a request body that are read
+	maxWatchWaitMS   = 60_000     // longest wait of a watch, in milliseconds
+	preferenceShards = "_shards:" // before the shard in the preference parameter of a search
 )
 
-// Texts of failures. The protocol says slice for a shard and duties for assignments.
+// Bodies of error responses and payloads of error frames. The protocol calls a shard a slice, and assignments duties.
 const (
 	malformedPartText       = `{"error":"a part needs a slice and a range"}`
 	malformedAssignmentText = "duties"
@@ -57,7 +57,7 @@
 	malformedCallText       = "a call that cannot be read"
 )
 
-// healthyStatus answers a health check in a frame.
+// healthyStatus is the payload of the reply to a health check in a frame.
 const healthyStatus = "200"
 
 // partRequest is a search of one range in one shard.
@@ -67,7 +67,7 @@
 	keys  shardmap.Range
 }
 
-// parsePartRequest reads a search; it is false without a shard or a range.
+// parsePartRequest parses a search. It returns false if the shard or the range is missing or malformed.
 func parsePartRequest(r *http.Request) (partRequest, bool) {
 	id, err := strconv.ParseUint(strings.TrimPrefix(r.URL.Query().Get("preference"), preferenceShards), 10, 64)
 	keys, rangeErr := shardmap.ParseRange(r.Header.Get(headerRange))
@@ -82,7 +82,8 @@
 	Score float64 `json:"_score"`
 }
 
-// encodeSearchResponse writes records as the hits of one shard, with scores from 0 to 1 by key.
+// encodeSearchResponse writes records as the hits of one shard. A hit's score is the record's key, scaled to the range
+// from 0 to 1.
 func encodeSearchResponse(w io.Writer, records []Record) {
 	hits := make([]searchHit, len(records))
 	for i, record := range records {
@@ -103,7 +104,7 @@
 // recordsPage is a page of a shard's records.
 type recordsPage struct {
 	IDs  []string `json:"ids"`
-	Next int      `json:"next"` // offset of the next page; 0: this is the last one
+	Next int      `json:"next"` // offset of the next page; 0 in the last page
 }
 
 // recordsRequest asks for a page of a shard's records.
@@ -123,8 +124,8 @@
 	}.Encode()
 }
 
-// parseRecordsRequest reads the query; it is false without a range or an offset. A shard that cannot
-// be read is 0.
+// parseRecordsRequest parses the query. It returns false if the range or the offset is missing or malformed. A missing
+// or malformed shard becomes 0.
 func parseRecordsRequest(values url.Values) (recordsRequest, bool) {
 	id, _ := strconv.ParseUint(values.Get(paramShard), 10, 64)
 	keys, err := shardmap.ParseRange(values.Get(paramRange))
@@ -135,19 +136,20 @@
 	return recordsRequest{index: values.Get(paramIndex), shard: shardmap.ShardID(id), keys: keys, from: from}, true
 }
 
-// formatLoadReport words a load report: parts at work, mean work of a part in milliseconds, parts in the queue.
+// formatLoadReport formats a load report: parts being processed, mean work of a part in milliseconds, and parts in the
+// queue.
 func formatLoadReport(active int64, averageMS float64, queued int64) string {
 	return fmt.Sprintf("active=%d,avg_ms=%.1f,waiting=%d", active, averageMS, queued)
 }
 
-// framePart is one part of a call.
+// framePart is one part of a request frame.
 type framePart struct {
-	name  string // by which the client knows the part
+	name  string // chosen by the client, to match the reply to the part
 	shard int
 }
 
-// parseFramePart reads the first part of a call: a line of its name, shard, deadline in milliseconds and body
-// size in bytes, then the body. Size is that of line and body together.
+// parseFramePart parses the first part of a request frame: a line of its name, shard, deadline in milliseconds and body
+// size in bytes, then the body. It returns the size of line and body together, and false for a malformed part.
 func parseFramePart(payload string) (part framePart, size int, ok bool) {
 	var deadlineMS, bodySize int
 	line, body, _ := strings.Cut(payload, "\n")
@@ -158,12 +160,12 @@
 	return part, len(line) + 1 + bodySize, true
 }
 
-// formatFrameAnswer words the answer to a part: its name, status, shard and load report, then the value.
+// formatFrameAnswer formats the answer to a part: its name, status, shard and load report, then a text as its value.
 func formatFrameAnswer(part framePart, loadReport, server string) string {
 	return fmt.Sprintf("%s 200 %d %s\nslice %d by %s", part.name, part.shard, loadReport, part.shard, server)
 }
 
-// formatFrameRejection words the rejection of a part that got no core.
+// formatFrameRejection formats the rejection of a part that got no core or whose work was ended by a kill.
 func formatFrameRejection(part framePart, loadReport string) string {
 	return fmt.Sprintf("%s 503 0 %s\n", part.name, loadReport)
 }
--- a/internal/emulator/work.go
+++ b/internal/emulator/work.go
@@ -3,22 +3,23 @@
 import "time"
 
 const (
-	warmupOverloadFactor = 2 // tolerated work in warm-up, as a multiple of what the present speed does
-	warmupOverloadWindow = 3 // seconds of tolerated work that may be open
+	warmupOverloadFactor = 2 // tolerated rate of work during warm-up, as a multiple of the present speed
+	warmupOverloadWindow = 3 // work that may be pending, in seconds at the tolerated rate
 
-	drainGrace     = time.Second           // from a drain until no part may come
-	drainTolerance = 50 * time.Millisecond // for parts on their way
+	drainGrace     = time.Second           // from the start of a drain until parts count as late
+	drainTolerance = 50 * time.Millisecond // additional time for parts in transit
 
-	averageWorkWeight = 8 // a new value weighs 1/8 in the moving average
+	averageWorkWeight = 8 // a new value has a weight of 1/8 in the moving average
 )
 
-// warmupLoad measures the work offered during warm-up.
+// warmupLoad tracks the work of the parts that arrive during warm-up.
 type warmupLoad struct {
-	openSeconds float64 // work offered beyond what warmupOverloadFactor times the speed has done since
-	updatedAt   time.Time
+	openSeconds float64   // pending work, in seconds, if it is done at warmupOverloadFactor times the present speed
+	updatedAt   time.Time // time of the latest change of openSeconds
 }
 
-// acquireCore waits for a core. It is false if the queue is full or the server is killed.
+// acquireCore waits for a core and returns a function that releases it. It returns false if the queue is full or the
+// server is killed.
 func (s *Server) acquireCore() (release func(), ok bool) {
 	s.mu.Lock()
 	ctx, cores := s.ctx, s.cores
@@ -36,7 +37,8 @@
 	}
 }
 
-// doWork takes the time of one part that finds so many records. It is false if the server is killed meanwhile.
+// doWork waits for the duration of one part that finds the given number of records. It returns false if the server is
+// killed meanwhile.
 func (s *Server) doWork(records int) bool {
 	s.mu.Lock()
 	ctx, pausedUntil := s.ctx, s.faults.pausedUntil
@@ -55,15 +57,15 @@
 	return true
 }
 
-// drawWork draws the duration of one part at the present speed. The caller holds the mutex.
+// drawWork draws the random duration of one part at the present speed. The caller holds the mutex.
 func (s *Server) drawWork(records int) time.Duration {
 	jitter := time.Duration(s.rng.Int64N(int64(s.capacity.WorkPerPart) + 1))
 	work := s.capacity.WorkPerPart/2 + jitter + time.Duration(records)*s.capacity.WorkPerRecord
 	return time.Duration(float64(work) * s.faults.slowdown / s.speed(work))
 }
 
-// speed is the present share of full speed, from 0 to 1. During warm-up it counts work as offered, and
-// overload. The caller holds the mutex.
+// speed returns the present share of full speed, from 0 to 1. During warm-up it also adds the work to the pending work
+// and counts the part in OverloadedWhileWarming if too much is pending. The caller holds the mutex.
 func (s *Server) speed(work time.Duration) float64 {
 	if s.startedAt.IsZero() || s.capacity.WarmupDuration <= 0 {
 		return 1
@@ -89,7 +91,7 @@
 	return formatLoadReport(s.active.Load(), float64(s.averageWorkNS.Load())/1e6, s.queued.Load())
 }
 
-// countPart counts a part that has come, and whether a drain forbids it.
+// countPart counts a part that has arrived, and counts it as late if it came too long after the start of a drain.
 func (s *Server) countPart() {
 	s.Parts.Add(1)
 	s.mu.Lock()
--- a/internal/emulator/work_test.go
+++ b/internal/emulator/work_test.go
@@ -24,7 +24,7 @@
 				s.startedAt = time.Now().Add(-c.age)
 			}
 			if got := s.speed(time.Millisecond); got < c.want || got > c.want+0.01 {
-				t.Errorf("speed %v, want %v", got, c.want)
+				t.Errorf("speed = %v, want %v to %v", got, c.want, c.want+0.01)
 			}
 		})
 	}
@@ -33,12 +33,12 @@
 func TestWarmupCountsOverload(t *testing.T) {
 	s := NewServer("s-01", Capacity{Cores: 2, WarmupDuration: time.Hour, WarmupInitialShare: 0.2}, nil, 1, nil)
 	s.startedAt, s.warmup.updatedAt = time.Now(), time.Now()
-	s.speed(2300 * time.Millisecond) // 2 cores, at twice a fifth of full speed, do 2.4 s of work in 3 s
+	s.speed(2300 * time.Millisecond) // the bound: 2 cores, at twice a fifth of full speed, do 2.4 s of work in 3 s
 	if n := s.OverloadedWhileWarming.Load(); n != 0 {
-		t.Errorf("overload below the bound: %d", n)
+		t.Errorf("overloaded parts below the bound = %d, want 0", n)
 	}
 	s.speed(300 * time.Millisecond)
 	if n := s.OverloadedWhileWarming.Load(); n != 1 {
-		t.Errorf("overload above the bound: %d", n)
+		t.Errorf("overloaded parts above the bound = %d, want 1", n)
 	}
 }
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -12,46 +12,46 @@
 	"linkpass/internal/settings"
 )
 
-// Kind tells what a Message is.
+// Kind is the kind of a Message.
 type Kind uint8
 
 // The kinds of message.
 const (
-	InstanceStarted Kind = iota // an instance starts, with Seed and Settings
+	InstanceStarted Kind = iota // an instance starts; Seed and Settings are set
 	InstanceStopped             // an instance has stopped
-	EventReceived               // an Event for an instance
+	EventReceived               // an instance receives an event; Event is set
 )
 
 // Message is one event record, addressed to an instance.
 type Message struct {
 	Kind     Kind
 	Node     int              // number of the instance
-	Seed     uint64           // of InstanceStarted
-	Settings routing.Settings // of InstanceStarted
-	Event    routing.Event    // of EventReceived
+	Seed     uint64           // only with InstanceStarted
+	Settings routing.Settings // only with InstanceStarted
+	Event    routing.Event    // only with EventReceived; nil otherwise
 }
 
-// Decoder reads batches. It keeps the numbered endpoint lists between them.
+// Decoder reads batches. It keeps the numbered endpoint lists from one batch to the next.
 type Decoder struct {
 	input    io.Reader
-	lists    [maxEndpointLists][]routing.Endpoint
-	hasList  [maxEndpointLists]bool // an empty list counts too
-	body     []byte                 // of the current batch; reused
-	messages []Message              // of the current batch; reused
+	lists    [maxEndpointLists][]routing.Endpoint // by list number
+	hasList  [maxEndpointLists]bool               // whether the list was received; it may be empty
+	body     []byte                               // records and tail of the current batch; reused for the next one
+	messages []Message                            // of the current batch; reused for the next one
 }
 
-// NewDecoder reads batches from input.
+// NewDecoder returns a decoder that reads batches from input.
 func NewDecoder(input io.Reader) *Decoder { return &Decoder{input: input} }
 
-// header is what stands before a batch's records.
+// header is the header of a batch.
 type header struct {
-	size  int // of records and tail, in bytes
-	count int // of records
-	now   time.Duration
+	size  int           // size of records and tail, in bytes
+	count int           // number of records
+	now   time.Duration // the simulator's clock
 }
 
-// Next reads one batch and returns its clock and messages. The end of the input between batches is io.EOF; any other
-// error leaves the decoder unusable. The messages are valid until the next call.
+// Next reads one batch and returns the simulator's clock and the messages. It returns io.EOF if the input ends between
+// batches. After any other error the decoder is unusable. The messages are valid until the next call.
 func (d *Decoder) Next() (time.Duration, []Message, error) {
 	h, err := d.readHeader()
 	if err != nil {
@@ -85,7 +85,7 @@
 	}
 	h := header{size: int(binary.LittleEndian.Uint32(b[0:])), count: int(binary.LittleEndian.Uint32(b[4:])), now: now}
 	if h.size > maxBatchSize {
-		return header{}, fmt.Errorf("batch header: length %d is over the limit", h.size)
+		return header{}, fmt.Errorf("batch header: length %d is over the limit of %d bytes", h.size, maxBatchSize)
 	}
 	if h.count > h.size/eventSize {
 		return header{}, fmt.Errorf("batch header: %d records do not fit in %d bytes", h.count, h.size)
@@ -104,10 +104,10 @@
 	return nil
 }
 
-// parseClock reads the simulator's clock, in milliseconds since its start.
+// parseClock converts the simulator's clock, which is in milliseconds since its start.
 func parseClock(ms float64) (time.Duration, error) {
 	if math.IsNaN(ms) || ms < 0 || ms > maxClockMS {
-		return 0, fmt.Errorf("batch header: clock %v is out of range", ms)
+		return 0, fmt.Errorf("batch header: clock %v ms is out of the range from 0 to %v ms", ms, maxClockMS)
 	}
 	return settings.FromMilliseconds(ms), nil
 }
--- a/internal/simwire/decoder_test.go
+++ b/internal/simwire/decoder_test.go
@@ -12,6 +12,7 @@
 	"linkpass/internal/routing"
 )
 
+// bytesOf decodes hexadecimal text with optional spaces.
 func bytesOf(t *testing.T, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.ReplaceAll(text, " ", ""))
@@ -21,7 +22,7 @@
 	return b
 }
 
-// event pads the head of a record, as the protocol page prints it, to full size.
+// event pads the beginning of an event record, given as in the protocol page's examples, with zeros to the full size.
 func event(t *testing.T, head string) []byte {
 	t.Helper()
 	b := make([]byte, eventSize)
@@ -29,6 +30,7 @@
 	return b
 }
 
+// batch encodes a batch of records at a clock of 8412.25 ms.
 func batch(records [][]byte, tail []byte) []byte {
 	body := append(bytes.Join(records, nil), tail...)
 	out := make([]byte, 8, headerSize+len(body))
@@ -44,7 +46,7 @@
 	exampleSecond  = routing.ServerID(0x0a9011f2_1fbc)
 )
 
-// decodeExamples reads a batch of the examples of the protocol page: an endpoint list, then a message a record.
+// decodeExamples decodes a batch of the protocol page's examples: an endpoint list, then records of one message each.
 func decodeExamples(t *testing.T) (time.Duration, []Message) {
 	t.Helper()
 	rows := bytesOf(t, "0a124a07931f 0000 0000 0000 01 0000803f 0000000000000000"+
@@ -72,10 +74,10 @@
 func TestDecoderReadsProtocolExamples(t *testing.T) {
 	now, got := decodeExamples(t)
 	if now != 8412250*time.Microsecond {
-		t.Errorf("clock = %v", now)
+		t.Errorf("clock = %v, want 8.41225s", now)
 	}
 	if len(got) != 9 {
-		t.Fatalf("%d messages", len(got))
+		t.Fatalf("messages = %d, want 9", len(got))
 	}
 	for i, want := range []routing.Event{
 		1: routing.Arrival{ID: exampleRequest, Timeout: 240 * time.Millisecond, ExpectedWork: 12 * time.Millisecond,
@@ -89,13 +91,13 @@
 		}
 	}
 	if got[3].Node != 5 {
-		t.Errorf("disconnect = %+v", got[3])
+		t.Errorf("disconnect = %+v, want instance 5", got[3])
 	}
 	if m := got[7].Event.(routing.GossipMessage); m.From != 2 || string(m.Data) != "hi 7" {
-		t.Errorf("message = %+v", m)
+		t.Errorf("gossip message = %+v, want %q from 2", m, "hi 7")
 	}
 	if got[8].Kind != InstanceStopped {
-		t.Errorf("stop = %+v", got[8])
+		t.Errorf("message 8 = %+v, want kind InstanceStopped (%d)", got[8], InstanceStopped)
 	}
 }
 
@@ -103,11 +105,11 @@
 	_, got := decodeExamples(t)
 	update := got[0].Event.(routing.EndpointUpdate)
 	if update.Mode != routing.UpdateCached || len(update.Endpoints) != 2 {
-		t.Fatalf("update = %+v", update)
+		t.Fatalf("update = %+v, want mode UpdateCached (%d) and 2 endpoints", update, routing.UpdateCached)
 	}
 	want := routing.Endpoint{Server: exampleSecond, Zone: 1, State: routing.Ready, Weight: 1.5, StartedAt: 6100 * time.Millisecond}
 	if update.Endpoints[1] != want || update.Endpoints[0].Server != exampleFirst {
-		t.Errorf("entries = %+v", update.Endpoints)
+		t.Errorf("endpoints = %+v, want server %v and %+v", update.Endpoints, exampleFirst, want)
 	}
 }
 
@@ -116,11 +118,13 @@
 	r := got[5].Event.(routing.AttemptResult)
 	if r.ID != exampleRequest || r.Server != exampleFirst || r.Code != routing.OK || r.Latency != 18500*time.Microsecond || !r.Final ||
 		r.LoadReport != nil {
-		t.Errorf("attempt = %+v", r)
+		t.Errorf("attempt = %+v, want a final OK of request %v from server %v after 18.5ms without a load report",
+			r, exampleRequest, exampleFirst)
 	}
 	h := got[6].Event.(routing.HealthCheckResult)
 	if h.Server != exampleSecond || h.Latency != 1400*time.Microsecond || len(h.LoadReport) != 3 || h.LoadReport[1] != 7 {
-		t.Errorf("health check = %+v", h)
+		t.Errorf("health check = %+v, want server %v after 1.4ms with a load report of 3 values, the second one 7",
+			h, exampleSecond)
 	}
 }
 
@@ -143,7 +147,7 @@
 		t.Run(name, func(t *testing.T) {
 			_, _, err := NewDecoder(bytes.NewReader(in)).Next()
 			if err == nil || err == io.EOF || strings.Contains(err.Error(), "\n") {
-				t.Errorf("error %v", err)
+				t.Errorf("error = %v, want an error of one line that is not io.EOF", err)
 			}
 		})
 	}
@@ -155,7 +159,7 @@
 		t.Error(err)
 	}
 	if _, _, err := d.Next(); !errors.Is(err, io.EOF) {
-		t.Errorf("end of input: %v", err)
+		t.Errorf("error at the end of the input = %v, want io.EOF", err)
 	}
 }
 
@@ -170,7 +174,7 @@
 				return
 			}
 			if len(messages)*eventSize > len(in) {
-				t.Fatalf("%d messages from %d bytes", len(messages), len(in))
+				t.Fatalf("messages = %d from %d bytes, want at most one per %d bytes", len(messages), len(in), eventSize)
 			}
 		}
 	})
--- a/internal/simwire/doc.go
+++ b/internal/simwire/doc.go
@@ -1,6 +1,8 @@
-// Package simwire translates between the simulator's binary batches and the events and actions of package routing. It
-// decides nothing. All numbers are little-endian; a batch and a reply are a header, records of fixed size and a tail that
-// records point into. The protocol's record numbers and names are known in protocol.go alone.
+// Package simwire translates between the simulator's binary protocol and the events and actions of package routing. It
+// makes no decisions. The simulator sends batches of events, and each batch gets a reply with actions. A batch and a
+// reply consist of a header, records of fixed size, and a tail. Data of variable size lies in the tail; records refer
+// to it by offset and length. All numbers are little-endian. Only protocol.go defines the protocol's record numbers
+// and names.
 //
-// A Decoder and an Encoder belong to one goroutine each; the package starts none and has no channel.
+// Each Decoder and each Encoder is used by one goroutine. The package starts no goroutines and has no channels.
 package simwire
--- a/internal/simwire/encoder.go
+++ b/internal/simwire/encoder.go
@@ -10,16 +10,17 @@
 	"linkpass/internal/routing"
 )
 
-// Encoder builds one reply at a time; the zero value is an empty reply.
+// Encoder builds one reply at a time. The zero value is an empty reply.
 type Encoder struct {
 	records, tail []byte
-	count         int // of records
+	count         int // number of records
 }
 
-// Reset starts a new reply and reuses the memory of the last one.
+// Reset starts a new, empty reply. It reuses the memory of the last one.
 func (e *Encoder) Reset() { e.records, e.tail, e.count = e.records[:0], e.tail[:0], 0 }
 
-// appendRecord adds a record of zeros with its number and instance; it is valid until the next record.
+// appendRecord appends a zeroed record with its record number and instance number, and returns it. The slice is
+// valid until the next call.
 func (e *Encoder) appendRecord(number uint16, node int) []byte {
 	var empty [actionSize]byte
 	e.records = append(e.records, empty[:]...)
@@ -30,7 +31,7 @@
 	return b
 }
 
-// AddPanic reports that the decision code of an instance panicked.
+// AddPanic appends a record of a panic in an instance's decision code, with its message in the tail.
 func (e *Encoder) AddPanic(node int, message string) {
 	b := e.appendRecord(actionPanic, node)
 	binary.LittleEndian.PutUint32(b[4:], uint32(len(e.tail)))
@@ -38,8 +39,8 @@
 	e.tail = append(e.tail, message...)
 }
 
-// Add appends an action of an instance. It panics for a type without a record: guards against an action that routing
-// gained and this package did not.
+// Add appends the record of an instance's action. It panics for an action type without a record: this guards against
+// a type that was added to package routing but not here.
 func (e *Encoder) Add(node int, action routing.Action) {
 	switch a := action.(type) {
 	case routing.Send:
@@ -65,7 +66,7 @@
 	case routing.Answer:
 		e.addAnswer(node, a)
 	default:
-		panic(fmt.Sprintf("wire: no record for action %T", action))
+		panic(fmt.Sprintf("simwire: no record for action type %T", action))
 	}
 }
 
@@ -84,7 +85,7 @@
 	}
 }
 
-// Flush writes the reply to output; Reset has to come before the next one.
+// Flush writes the reply to output. It does not empty the reply: call Reset before building the next one.
 func (e *Encoder) Flush(output io.Writer) error {
 	var h [replyHeaderSize]byte
 	binary.LittleEndian.PutUint32(h[0:], uint32(len(e.records)+len(e.tail)))
@@ -99,13 +100,13 @@
 
 func putRequestID(b []byte, id routing.RequestID) { binary.LittleEndian.PutUint64(b, uint64(id)) }
 
-// putServer writes four address bytes, first byte first, and the port.
+// putServer writes the four bytes of the address, first byte first, and the port.
 func putServer(b []byte, s routing.ServerID) {
 	binary.BigEndian.PutUint32(b, uint32(s>>16))
 	binary.LittleEndian.PutUint16(b[4:], uint16(s))
 }
 
-// putDuration writes milliseconds, as a float64.
+// putDuration writes a duration in milliseconds, as a float64.
 func putDuration(b []byte, d time.Duration) {
 	ms := float64(d) / float64(time.Millisecond)
 	binary.LittleEndian.PutUint64(b, math.Float64bits(ms))
--- a/internal/simwire/encoder_test.go
+++ b/internal/simwire/encoder_test.go
@@ -47,6 +47,6 @@
 	}
 	head := bytesOf(t, "32000000 01000000 4204 0300 00000000 12000000")
 	if !bytes.HasPrefix(out.Bytes(), head) || !bytes.HasSuffix(out.Bytes(), []byte("index out of range")) {
-		t.Errorf("reply = %x", out.Bytes())
+		t.Errorf("reply = %x, want prefix %x and suffix %q", out.Bytes(), head, "index out of range")
 	}
 }
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -8,7 +8,7 @@
 	"linkpass/internal/settings"
 )
 
-// decode appends the message of a record; an endpoint list is kept for later updates and makes none.
+// decode appends the message of a record. An endpoint list has no message: it is kept for later endpoint updates.
 func (d *Decoder) decode(r *record) error {
 	number := r.u16(0)
 	if number == eventEndpointList {
@@ -22,7 +22,7 @@
 	return nil
 }
 
-// named puts the record's name in the protocol before an error.
+// named prefixes an error with the record's name in the protocol, if eventNames has it. A nil error stays nil.
 func named(number uint16, err error) error {
 	name, ok := eventNames[number]
 	if err == nil || !ok {
@@ -72,14 +72,14 @@
 func (d *Decoder) decodeEndpointUpdate(r *record) (routing.Event, error) {
 	update := routing.EndpointUpdate{Mode: routing.UpdateMode(r.u8(4))}
 	if update.Mode > routing.UpdateFailed {
-		return nil, fmt.Errorf("unknown mode %d", r.u8(4))
+		return nil, fmt.Errorf("unknown update mode %d", r.u8(4))
 	}
 	if update.Mode == routing.UpdateFailed {
 		return update, nil
 	}
 	list := r.u32(9)
 	if list >= maxEndpointLists || !d.hasList[list] {
-		return nil, fmt.Errorf("list %d was never given", list)
+		return nil, fmt.Errorf("endpoint list %d was never received", list)
 	}
 	update.Endpoints = d.lists[list]
 	return update, nil
@@ -141,11 +141,12 @@
 	return routing.GossipMessage{From: int(r.u32(4)), Data: append([]byte(nil), data...)}, nil
 }
 
-// decodeEndpointList keeps a list under its number. Updates that were decoded before hold the old list unchanged.
+// decodeEndpointList stores a list under its number. It makes a new slice for the list, so updates that were decoded
+// earlier keep the old list unchanged.
 func (d *Decoder) decodeEndpointList(r *record) error {
 	list := r.u32(2)
 	if list >= maxEndpointLists {
-		return fmt.Errorf("list number %d is out of range", list)
+		return fmt.Errorf("endpoint list number %d is out of range: want below %d", list, maxEndpointLists)
 	}
 	entries, err := r.tailBytes(6, endpointSize)
 	if err != nil {
@@ -166,7 +167,7 @@
 func decodeEndpoint(r *record) (routing.Endpoint, error) {
 	state := routing.EndpointState(r.u8(12))
 	if state > routing.Removed {
-		return routing.Endpoint{}, fmt.Errorf("unknown phase %d", r.u8(12))
+		return routing.Endpoint{}, fmt.Errorf("unknown endpoint state %d", r.u8(12))
 	}
 	return routing.Endpoint{
 		Server:    r.server(0),
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -19,7 +19,7 @@
 
 var update = flag.Bool("update", false, "rewrite the golden reply")
 
-// readHex reads a golden file of hexadecimal lines; # begins a comment.
+// readHex decodes a golden file of hexadecimal lines. Lines that begin with # are comments.
 func readHex(t *testing.T, file string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", file))
@@ -47,6 +47,7 @@
 	goldenPart   = routing.RequestID(0xd95c5d3a91c5)
 )
 
+// goldenMessages returns the messages of the golden batch.
 func goldenMessages() []Message {
 	entries := []routing.Endpoint{
 		{Server: goldenServer, Zone: 1, Kind: 2, Cell: 3, State: routing.Ready, Weight: 1.5, StartedAt: 6100250 * time.Microsecond},
@@ -75,7 +76,7 @@
 		Message{Kind: InstanceStopped, Node: 65535})
 }
 
-// goldenAttempts has an attempt of each outcome.
+// goldenAttempts returns an attempt result of each outcome.
 func goldenAttempts() []Message {
 	var out []Message
 	for _, c := range []struct {
@@ -97,27 +98,27 @@
 	d := NewDecoder(bytes.NewReader(readHex(t, "batch.hex")))
 	now, got, err := d.Next()
 	if err != nil || now != 8412250*time.Microsecond {
-		t.Fatalf("clock %v, %v", now, err)
+		t.Fatalf("clock = %v, error = %v, want 8.41225s without an error", now, err)
 	}
 	want := goldenMessages()
 	if len(got) != len(want) {
-		t.Fatalf("%d messages, want %d", len(got), len(want))
+		t.Fatalf("messages = %d, want %d", len(got), len(want))
 	}
 	for i := range want {
 		t.Run(fmt.Sprintf("%d %T", i, want[i].Event), func(t *testing.T) {
 			if !reflect.DeepEqual(got[i], want[i]) {
-				t.Errorf("got  %+v\nwant %+v", got[i], want[i])
+				t.Errorf("message:\ngot  %+v\nwant %+v", got[i], want[i])
 			}
 		})
 	}
 	if _, _, err := d.Next(); !errors.Is(err, io.EOF) {
-		t.Errorf("after the batch: %v", err)
+		t.Errorf("error after the batch = %v, want io.EOF", err)
 	}
 }
 
 func TestEncoderMatchesGoldenReply(t *testing.T) {
 	var e Encoder
-	e.Add(9, routing.Fail{ID: 1}) // a reply before it leaves nothing behind
+	e.Add(9, routing.Fail{ID: 1}) // an earlier reply, of which Reset must leave nothing
 	e.Reset()
 	e.Add(3, routing.Send{ID: goldenPart, Server: goldenServer, Timeout: 80500 * time.Microsecond, WriteBefore: time.Hour})
 	e.Add(3, routing.Send{ID: goldenPart, Server: goldenOther})
@@ -139,11 +140,12 @@
 		writeReply(t, out.Bytes())
 	}
 	if want := readHex(t, "reply.hex"); !bytes.Equal(out.Bytes(), want) {
-		t.Errorf("got\n%x\nwant\n%x", out.Bytes(), want)
+		t.Errorf("reply:\ngot  %x\nwant %x", out.Bytes(), want)
 	}
 }
 
-// writeReply writes the golden reply, a line for the header, each action and the texts.
+// writeReply writes the golden reply: one line for the header, one for each action, and the tail in lines of at most
+// the size of an action.
 func writeReply(t *testing.T, reply []byte) {
 	t.Helper()
 	text := "# header, twelve actions, texts\n"
--- a/internal/simwire/protocol.go
+++ b/internal/simwire/protocol.go
@@ -4,18 +4,18 @@
 
 // Sizes in bytes, and limits.
 const (
-	headerSize      = 16 // of a batch
-	replyHeaderSize = 8
-	eventSize       = 56
-	actionSize      = 32
-	endpointSize    = 25 // of an entry of an endpoint list
-	// maxEndpointLists is how many numbered endpoint lists the simulator gives.
+	headerSize      = 16 // header of a batch
+	replyHeaderSize = 8  // header of a reply
+	eventSize       = 56 // event record
+	actionSize      = 32 // action record
+	endpointSize    = 25 // entry of an endpoint list
+	// maxEndpointLists is the number of endpoint lists that the simulator can send; they are numbered from 0.
 	maxEndpointLists = 16
-	// maxReportValues is how many values of a load report a record holds.
+	// maxReportValues is the number of load report values that a record has room for.
 	maxReportValues = 4
-	// maxBatchSize guards against allocating for a corrupt length.
+	// maxBatchSize, in bytes, prevents a large allocation for a corrupt length.
 	maxBatchSize = 1 << 28
-	// maxClockMS guards against overflow of time.Duration by a corrupt clock, in milliseconds.
+	// maxClockMS, in milliseconds, prevents a corrupt clock from overflowing time.Duration.
 	maxClockMS = 1e12
 )
 
@@ -34,7 +34,8 @@
 	eventEndpointList       uint16 = 1100
 )
 
-// eventNames has the protocol's names of those events whose content can be malformed, for errors.
+// eventNames maps record numbers to the protocol's names of the events, for error texts. It has only those events
+// whose content can be malformed.
 var eventNames = map[uint16]string{
 	eventInstanceStarted:   "enlist",
 	eventEndpointUpdate:    "membership",
@@ -44,7 +45,7 @@
 	eventEndpointList:      "snapshot_rows",
 }
 
-// Record numbers of actions.
+// Record numbers of actions. Some equal those of events: batches hold only events, replies only actions.
 const (
 	actionSend        uint16 = 1000
 	actionReject      uint16 = 1010
@@ -57,13 +58,13 @@
 	actionAnswer      uint16 = 1120
 )
 
-// Bits of an arrival's flags.
+// Bits of the flags of an arrival record.
 const (
 	arrivalHasExpectedWork = 1 << 0
 	arrivalIsRetry         = 1 << 1
 )
 
-// outcomeCodes maps the protocol's outcomes of an attempt.
+// outcomeCodes maps the protocol's outcome codes of attempts and health checks to those of package routing.
 var outcomeCodes = map[uint16]routing.Code{
 	200: routing.OK,
 	408: routing.TimedOut,
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -43,19 +43,20 @@
 		t.Fatal(err)
 	}
 	if s.Cells != 12 || s.Shards != 24 || !s.SubscribesToEndpoints || !s.WeightsAreCapacities || s.Tick != 5*time.Millisecond {
-		t.Errorf("settings = %+v", s)
+		t.Errorf("settings = %+v, want 12 cells, 24 shards, a subscription, weights as capacities and a tick of 5ms", s)
 	}
 	if c := s.Classes[1]; c.Idempotency != routing.IdempotentWithKey || c.RequiredWeight != 0.9 || c.MinWeight != 0.5 || c.FetchParts != 3 {
-		t.Errorf("class 1 = %+v", c)
+		t.Errorf("class 1 = %+v, want IdempotentWithKey (%d), required weight 0.9, minimum weight 0.5, 3 fetch parts",
+			c, routing.IdempotentWithKey)
 	}
 	fields := []routing.ReportField{routing.FieldUtilization, routing.FieldInFlight, routing.FieldUnknown}
 	for i, f := range fields {
 		if s.ReportFields[i] != f {
-			t.Errorf("field %d = %v, want %v", i, s.ReportFields[i], f)
+			t.Errorf("report field %d = %v, want %v", i, s.ReportFields[i], f)
 		}
 	}
 	if len(s.Tenants) != 1 || s.Tenants[0].QuotaPerSecond != 12.5 {
-		t.Errorf("tenants = %+v", s.Tenants)
+		t.Errorf("tenants = %+v, want one with a quota of 12.5 per second", s.Tenants)
 	}
 }
 
@@ -64,7 +65,7 @@
 		t.Run(key, func(t *testing.T) {
 			text := strings.Replace(settingsText, key+"=", "old."+key+"=", 1)
 			if _, err := settings.ParseText(text); err == nil || !strings.Contains(err.Error(), key) {
-				t.Errorf("error %v", err)
+				t.Errorf("error = %v, want one that names %s", err, key)
 			}
 		})
 	}
