--- a/cmd/adapter/host.go
+++ b/cmd/adapter/host.go
@@ -11,10 +11,10 @@
 
 // host holds the router instances of this process. It is used by one goroutine.
 type host struct {
-	routers map[int]*routing.Router // by instance number
-	pending map[int][]routing.Event // events of the current batch, by instance number
-	order   []int                   // instance numbers with a turn in this batch, in order of their first message
-	reply   simwire.Encoder         // reply to the current batch
+	routers   map[int]*routing.Router // by instance number
+	pending   map[int][]routing.Event // events of the current batch, by instance number
+	turnOrder []int                   // instance numbers with a turn in this batch, in order of their first message
+	reply     simwire.Encoder         // reply to the current batch
 }
 
 func newHost() *host {
@@ -30,13 +30,13 @@
 			return err
 		}
 	}
-	for _, node := range h.order {
-		for _, action := range h.runTurn(node, now) {
-			h.reply.Add(node, action)
+	for _, instance := range h.turnOrder {
+		for _, action := range h.runTurn(instance, now) {
+			h.reply.Add(instance, action)
 		}
 	}
 	clear(h.pending)
-	h.order = h.order[:0]
+	h.turnOrder = h.turnOrder[:0]
 	return nil
 }
 
@@ -60,24 +60,24 @@
 		}
 		h.pending[m.Node] = append(h.pending[m.Node], m.Event)
 	}
-	if !slices.Contains(h.order, m.Node) {
-		h.order = append(h.order, m.Node)
+	if !slices.Contains(h.turnOrder, m.Node) {
+		h.turnOrder = append(h.turnOrder, m.Node)
 	}
 	return nil
 }
 
 // runTurn runs one instance's turn and returns its actions. If the router panics, runTurn adds the panic to the reply
 // and returns no actions, so the other instances continue.
-func (h *host) runTurn(node int, now time.Duration) (actions []routing.Action) {
-	router := h.routers[node]
+func (h *host) runTurn(instance int, now time.Duration) (actions []routing.Action) {
+	router := h.routers[instance]
 	if router == nil {
 		return nil // stopped later in the batch
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			h.reply.AddPanic(node, fmt.Sprint(p))
+			h.reply.AddPanic(instance, fmt.Sprint(p))
 			actions = nil
 		}
 	}()
-	return router.Turn(now, h.pending[node])
+	return router.Turn(now, h.pending[instance])
 }
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -18,8 +18,8 @@
 // Discovery serves an endpoint list and watches of it over HTTP. It owns its HTTP server and the goroutine that
 // serves the listener; Close ends both. Its methods may be called from any goroutine.
 type Discovery struct {
-	listener net.Listener
-	web      *http.Server
+	listener   net.Listener
+	httpServer *http.Server
 
 	mu        sync.Mutex
 	version   int64                         // of the endpoint list; incremented by each Update
@@ -36,8 +36,8 @@
 		return nil, fmt.Errorf("emulator: discovery: listen at %s: %w", addr, err)
 	}
 	d := &Discovery{listener: listener, version: 1, endpoints: map[string]discovery.Endpoint{}, changed: make(chan struct{})}
-	d.web = &http.Server{Handler: http.HandlerFunc(d.serve), ReadHeaderTimeout: readHeaderTimeout}
-	go func() { _ = d.web.Serve(listener) }()
+	d.httpServer = &http.Server{Handler: http.HandlerFunc(d.serve), ReadHeaderTimeout: readHeaderTimeout}
+	go func() { _ = d.httpServer.Serve(listener) }()
 	return d, nil
 }
 
@@ -45,7 +45,7 @@
 func (d *Discovery) Addr() string { return d.listener.Addr().String() }
 
 // Close closes the listener and all connections.
-func (d *Discovery) Close() { _ = d.web.Close() }
+func (d *Discovery) Close() { _ = d.httpServer.Close() }
 
 // Update makes a new version of the list and notifies the watches. It removes endpoints in discovery.StateTerminated
 // and adds or replaces the others.
--- a/internal/emulator/discovery_test.go
+++ b/internal/emulator/discovery_test.go
@@ -21,7 +21,7 @@
 
 func readList(t *testing.T, d *emulator.Discovery, query string) discovery.EndpointList {
 	t.Helper()
-	got := call(t, "GET", "http://"+d.Addr()+"/registry/instances"+query, "")
+	got := sendRequest(t, "GET", "http://"+d.Addr()+"/registry/instances"+query, "")
 	list, err := discovery.Parse([]byte(got.body))
 	if err != nil || got.status != 200 {
 		t.Fatalf("response = %+v, parse error = %v, want status 200 and an endpoint list", got, err)
@@ -29,8 +29,8 @@
 	return list
 }
 
-// update lists n endpoints, each with an update and thus a version of its own.
-func update(d *emulator.Discovery, n int) {
+// addEndpoints lists n endpoints, each with an update and thus a version of its own.
+func addEndpoints(d *emulator.Discovery, n int) {
 	for i := range n {
 		d.Update(discovery.Endpoint{ID: fmt.Sprint("s-", i), State: discovery.StateInService})
 	}
@@ -38,7 +38,7 @@
 
 func TestDiscoveryListsChangesSinceVersion(t *testing.T) {
 	d := startDiscovery(t)
-	update(d, 300)
+	addEndpoints(d, 300)
 	d.Update(discovery.Endpoint{ID: "s-0", State: discovery.StateTerminated})
 	cases := map[string]struct {
 		query     string
@@ -60,14 +60,14 @@
 			}
 		})
 	}
-	if got := call(t, "GET", "http://"+d.Addr()+"/other", ""); got.status != 404 {
+	if got := sendRequest(t, "GET", "http://"+d.Addr()+"/other", ""); got.status != 404 {
 		t.Errorf("status of another path = %d, want 404", got.status)
 	}
 }
 
 func TestWatchReturnsWithNextChange(t *testing.T) {
 	d := startDiscovery(t)
-	change := time.AfterFunc(50*time.Millisecond, func() { update(d, 1) })
+	change := time.AfterFunc(50*time.Millisecond, func() { addEndpoints(d, 1) })
 	defer change.Stop()
 	began := time.Now()
 	list := readList(t, d, "?after=1&wait_ms=60000")
--- a/internal/emulator/errors_test.go
+++ b/internal/emulator/errors_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestNewDiscoveryAtUsedAddressFails(t *testing.T) {
+func TestNewFleetAtUsedAddressFails(t *testing.T) {
 	d, err := NewDiscovery("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -25,8 +25,8 @@
 	Records   []Record  // all records of the league, sorted by key
 	Servers   []*Server // sorted by name
 
-	mu    sync.Mutex
-	state map[string]string // state in the endpoint list, by the server's name
+	mu     sync.Mutex
+	states map[string]string // state in the endpoint list, by the server's name
 }
 
 // NewFleet starts n servers without shards, named s-01 and so on, and a discovery on a free port. The league has so
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{Discovery: d, Records: Records(records), state: map[string]string{}}
+	f := &Fleet{Discovery: d, Records: Records(records), states: map[string]string{}}
 	for i := range n {
 		s := NewServer(fmt.Sprintf("s-%02d", i+1), capacity, f.Records, seed, f.addrOf)
 		s.AnswersSubranges = i%2 == 1
@@ -83,7 +83,7 @@
 // the server's drain; any other state ends it.
 func (f *Fleet) SetState(s *Server, state string) {
 	f.mu.Lock()
-	f.state[s.Name] = state
+	f.states[s.Name] = state
 	f.mu.Unlock()
 	f.Discovery.Update(discovery.Endpoint{
 		ID:        s.Name,
@@ -106,7 +106,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.Servers {
-		if f.state[s.Name] == discovery.StateInService && s.Alive() {
+		if f.states[s.Name] == discovery.StateInService && s.Alive() {
 			names = append(names, s.Name)
 		}
 	}
--- a/internal/emulator/frame_conn.go
+++ b/internal/emulator/frame_conn.go
@@ -9,10 +9,10 @@
 // frameConn serves the frames of one connection. A part in a frame requests a whole shard and is answered whether or
 // not the shard map assigns that shard to the server.
 type frameConn struct {
-	server *Server
-	conn   *peekedConn
-	write  sync.Mutex     // held while a frame is written
-	parts  sync.WaitGroup // parts in flight
+	server  *Server
+	conn    *peekedConn
+	writeMu sync.Mutex     // held while a frame is written
+	parts   sync.WaitGroup // parts in flight
 }
 
 // serveFrames answers frames until the connection fails or the server is partitioned. It waits for the parts
@@ -40,8 +40,8 @@
 }
 
 func (f *frameConn) send(letter byte, payload string) {
-	f.write.Lock()
-	defer f.write.Unlock()
+	f.writeMu.Lock()
+	defer f.writeMu.Unlock()
 	_, _ = f.conn.Write(frame.Append(nil, letter, []byte(payload)))
 }
 
@@ -51,7 +51,7 @@
 	for len(payload) > 0 {
 		part, size, ok := parseFramePart(string(payload))
 		if !ok {
-			f.send(frame.LetterError, malformedCallText)
+			f.send(frame.LetterError, malformedRequestFrameText)
 			return false
 		}
 		payload = payload[size:]
--- a/internal/emulator/helpers_test.go
+++ b/internal/emulator/helpers_test.go
@@ -39,8 +39,8 @@
 	body   string
 }
 
-// call sends one HTTP request on a connection of its own. The headers are pairs of a name and a value.
-func call(t *testing.T, method, url, body string, header ...string) response {
+// sendRequest sends one HTTP request on a connection of its own. The headers are pairs of a name and a value.
+func sendRequest(t *testing.T, method, url, body string, header ...string) response {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
 	if err != nil {
@@ -66,5 +66,5 @@
 func searchRange(t *testing.T, server *emulator.Server, shard, keys string) response {
 	t.Helper()
 	url := "http://" + server.Addr() + "/" + testIndex + "/_search?preference=_shards:" + shard
-	return call(t, "POST", url, `{}`, "X-Layout-Range", keys)
+	return sendRequest(t, "POST", url, `{}`, "X-Layout-Range", keys)
 }
--- a/internal/emulator/kill_test.go
+++ b/internal/emulator/kill_test.go
@@ -17,8 +17,8 @@
 	shard := shardMap.Shards()[0]
 	search := fmt.Sprintf("POST /%s/_search?preference=_shards:%d HTTP/1.1\r\nHost: s\r\nX-Layout-Range: %s\r\nContent-Length: 0\r\n\r\n",
 		testIndex, shard.ID, shard.Range)
-	call := string(frame.Append(nil, frame.LetterRequest, []byte("a1 7 d=500 0\na2 7 d=500 0\n")))
-	for _, request := range []string{search, call} {
+	requestFrame := string(frame.Append(nil, frame.LetterRequest, []byte("a1 7 d=500 0\na2 7 d=500 0\n")))
+	for _, request := range []string{search, requestFrame} {
 		conn, err := net.Dial("tcp", s.Addr())
 		if err != nil {
 			t.Fatal(err)
--- a/internal/emulator/listener.go
+++ b/internal/emulator/listener.go
@@ -14,10 +14,10 @@
 // acceptConns accepts connections until the listener closes. It starts an HTTP server for those that speak HTTP, and
 // ends it on return.
 func (s *Server) acceptConns(listener net.Listener) {
-	searches := &handoffListener{addr: listener.Addr(), conns: make(chan net.Conn), done: make(chan struct{})}
-	web := &http.Server{Handler: s.handler(), ReadHeaderTimeout: readHeaderTimeout}
-	go func() { _ = web.Serve(searches) }()
-	defer searches.Close()
+	httpConns := &handoffListener{addr: listener.Addr(), conns: make(chan net.Conn), done: make(chan struct{})}
+	httpServer := &http.Server{Handler: s.handler(), ReadHeaderTimeout: readHeaderTimeout}
+	go func() { _ = httpServer.Serve(httpConns) }()
+	defer httpConns.Close()
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -27,7 +27,7 @@
 			_ = conn.Close()
 			return
 		}
-		go s.serveConn(conn, searches)
+		go s.serveConn(conn, httpConns)
 	}
 }
 
@@ -51,7 +51,7 @@
 
 // serveConn selects the protocol by the first byte of the connection: HTTP begins with a capital letter, a frame with
 // its length. It returns when the connection is closed.
-func (s *Server) serveConn(conn net.Conn, searches *handoffListener) {
+func (s *Server) serveConn(conn net.Conn, httpConns *handoffListener) {
 	defer s.removeConn(conn)
 	reader := bufio.NewReader(conn)
 	first, err := reader.Peek(1)
@@ -64,7 +64,7 @@
 		s.serveFrames(peeked)
 		return
 	}
-	if searches.handOff(peeked) {
+	if httpConns.handOff(peeked) {
 		<-peeked.closed
 	}
 }
--- a/internal/emulator/records.go
+++ b/internal/emulator/records.go
@@ -16,13 +16,13 @@
 
 // Records generates n records, sorted by key. The same n gives the same records.
 func Records(n int) []Record {
-	out := make([]Record, n)
-	for i := range out {
+	records := make([]Record, n)
+	for i := range records {
 		id := fmt.Sprintf("player-%06d", i)
-		out[i] = Record{shardmap.HashKey(id), id}
+		records[i] = Record{shardmap.HashKey(id), id}
 	}
-	slices.SortFunc(out, compareKeys)
-	return out
+	slices.SortFunc(records, compareKeys)
+	return records
 }
 
 func compareKeys(a, b Record) int {
--- a/internal/emulator/replication_test.go
+++ b/internal/emulator/replication_test.go
@@ -11,7 +11,7 @@
 	"linkpass/internal/shardmap"
 )
 
-func TestAssignmentCopiesShardFromHolder(t *testing.T) {
+func TestAssignmentCopiesShardFromReplica(t *testing.T) {
 	fleet, shardMap := startFleet(t, 240)
 	shard := shardMap.Shards()[0]
 	target := fleet.Server("s-03")
@@ -25,7 +25,7 @@
 	}
 	want := fmt.Sprintf(`"complete":true,"records":%d`, records)
 	for {
-		got := call(t, "PUT", "http://"+target.Addr()+"/_layout", assignment)
+		got := sendRequest(t, "PUT", "http://"+target.Addr()+"/_layout", assignment)
 		if got.status != 200 {
 			t.Fatalf("assignment: status = %d, body = %s, want status 200", got.status, got.body)
 		}
@@ -50,7 +50,7 @@
 	query := fmt.Sprintf("%s&slice=%d&range=%s&from=", base, shard.ID, url.QueryEscape(shard.Range.String()))
 	var ids []string
 	for from := 0; ; {
-		got := call(t, "GET", query+fmt.Sprint(from), "")
+		got := sendRequest(t, "GET", query+fmt.Sprint(from), "")
 		var page struct {
 			IDs  []string
 			Next int
@@ -76,7 +76,7 @@
 		t.Errorf("ids that the shard does not hold = %v, want none", ids)
 	}
 	for bad, status := range map[string]int{query + "-1": 400, query + "x": 400, query + "999": 409, base + "&from=0&range=x": 400, strings.Replace(query, testIndex, "other", 1) + "0": 409} {
-		if got := call(t, "GET", bad, ""); got.status != status {
+		if got := sendRequest(t, "GET", bad, ""); got.status != status {
 			t.Errorf("%s: status = %d, want %d", bad, got.status, status)
 		}
 	}
--- a/internal/emulator/server_test.go
+++ b/internal/emulator/server_test.go
@@ -74,7 +74,7 @@
 
 func TestHealthCheckBody(t *testing.T) {
 	fleet, _ := startFleet(t, 2)
-	got := call(t, "GET", "http://"+fleet.Servers[0].Addr()+"/", "")
+	got := sendRequest(t, "GET", "http://"+fleet.Servers[0].Addr()+"/", "")
 	if got.status != 200 || got.body != `{"name":"s-01"}` || got.header.Get("X-Server-Load") != "active=0,avg_ms=0.0,waiting=0" {
 		t.Errorf("response = %+v, want status 200, the name s-01 and a load report of zeros", got)
 	}
--- a/internal/emulator/wire.go
+++ b/internal/emulator/wire.go
@@ -50,11 +50,11 @@
 
 // Bodies of error responses and payloads of error frames. The protocol calls a shard a slice, and assignments duties.
 const (
-	malformedPartText       = `{"error":"a part needs a slice and a range"}`
-	malformedAssignmentText = "duties"
-	malformedRecordsText    = "which records"
-	recordsNotHeldText      = "not held"
-	malformedCallText       = "a call that cannot be read"
+	malformedPartText         = `{"error":"a part needs a slice and a range"}`
+	malformedAssignmentText   = "duties"
+	malformedRecordsText      = "which records"
+	recordsNotHeldText        = "not held"
+	malformedRequestFrameText = "a call that cannot be read"
 )
 
 // healthyStatus is the payload of the reply to a health check in a frame.
--- a/internal/emulator/work.go
+++ b/internal/emulator/work.go
@@ -14,8 +14,8 @@
 
 // warmupLoad tracks the work of the parts that arrive during warm-up.
 type warmupLoad struct {
-	openSeconds float64   // pending work, in seconds, if it is done at warmupOverloadFactor times the present speed
-	updatedAt   time.Time // time of the latest change of openSeconds
+	pendingSeconds float64   // pending work, in seconds, if it is done at warmupOverloadFactor times the present speed
+	updatedAt      time.Time // time of the latest change of pendingSeconds
 }
 
 // acquireCore waits for a core and returns a function that releases it. It returns false if the queue is full or the
@@ -79,9 +79,9 @@
 	now := time.Now()
 	toleratedRate := warmupOverloadFactor * share * float64(s.capacity.Cores) // seconds of work a second
 	elapsed := now.Sub(s.warmup.updatedAt).Seconds()
-	s.warmup.openSeconds = max(0, s.warmup.openSeconds-toleratedRate*elapsed) + work.Seconds()
+	s.warmup.pendingSeconds = max(0, s.warmup.pendingSeconds-toleratedRate*elapsed) + work.Seconds()
 	s.warmup.updatedAt = now
-	if s.warmup.openSeconds > toleratedRate*warmupOverloadWindow {
+	if s.warmup.pendingSeconds > toleratedRate*warmupOverloadWindow {
 		s.OverloadedWhileWarming.Add(1)
 	}
 	return share
--- a/internal/simwire/decoder_test.go
+++ b/internal/simwire/decoder_test.go
@@ -12,8 +12,8 @@
 	"linkpass/internal/routing"
 )
 
-// bytesOf decodes hexadecimal text with optional spaces.
-func bytesOf(t *testing.T, text string) []byte {
+// decodeHex decodes hexadecimal text with optional spaces.
+func decodeHex(t *testing.T, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.ReplaceAll(text, " ", ""))
 	if err != nil {
@@ -22,16 +22,17 @@
 	return b
 }
 
-// event pads the beginning of an event record, given as in the protocol page's examples, with zeros to the full size.
-func event(t *testing.T, head string) []byte {
+// eventRecord pads the beginning of an event record, given as in the protocol page's examples, with zeros to the full
+// size.
+func eventRecord(t *testing.T, head string) []byte {
 	t.Helper()
 	b := make([]byte, eventSize)
-	copy(b, bytesOf(t, head))
+	copy(b, decodeHex(t, head))
 	return b
 }
 
-// batch encodes a batch of records at a clock of 8412.25 ms.
-func batch(records [][]byte, tail []byte) []byte {
+// encodeBatch encodes a batch of records at a clock of 8412.25 ms.
+func encodeBatch(records [][]byte, tail []byte) []byte {
 	body := append(bytes.Join(records, nil), tail...)
 	out := make([]byte, 8, headerSize+len(body))
 	out[0], out[1], out[2] = byte(len(body)), byte(len(body)>>8), byte(len(body)>>16)
@@ -49,20 +50,20 @@
 // decodeExamples decodes a batch of the protocol page's examples: an endpoint list, then records of one message each.
 func decodeExamples(t *testing.T) (time.Duration, []Message) {
 	t.Helper()
-	rows := bytesOf(t, "0a124a07931f 0000 0000 0000 01 0000803f 0000000000000000"+
+	rows := decodeHex(t, "0a124a07931f 0000 0000 0000 01 0000803f 0000000000000000"+
 		"0a9011f2bc1f 0100 0000 0000 01 0000c03f 0000000000d4b740")
-	in := batch([][]byte{
-		event(t, "4c04 00000000 00000000 02000000"),
-		event(t, "f203 0300 02 29000000 00000000"),
-		event(t, "fc03 0300 c4913a5d5cd90000 00000000 0000000000006e40 0000 01 0000000000002840"+
+	in := encodeBatch([][]byte{
+		eventRecord(t, "4c04 00000000 00000000 02000000"),
+		eventRecord(t, "f203 0300 02 29000000 00000000"),
+		eventRecord(t, "fc03 0300 c4913a5d5cd90000 00000000 0000000000006e40 0000 01 0000000000002840"+
 			"640ad2557c3bf091 0000003e 00005643 0000"),
-		event(t, "2404 0300 4d00000000000000"),
-		event(t, "1a04 0500 192b6f0e44790200"),
-		event(t, "0604 0300 c4913a5d5cd90000 00 0a124a07931f 0000000000802240"),
-		event(t, "1004 0300 c4913a5d5cd90000 00 0a124a07931f c800 0000000000803240 01 00"),
-		event(t, "2e04 0300 0a9011f2bc1f c800 666666666666f63f 03 52b81e3f 0000e040 00004040 00000000"),
-		event(t, "3804 0300 02000000 32000000 04000000"),
-		event(t, "4204 0300"),
+		eventRecord(t, "2404 0300 4d00000000000000"),
+		eventRecord(t, "1a04 0500 192b6f0e44790200"),
+		eventRecord(t, "0604 0300 c4913a5d5cd90000 00 0a124a07931f 0000000000802240"),
+		eventRecord(t, "1004 0300 c4913a5d5cd90000 00 0a124a07931f c800 0000000000803240 01 00"),
+		eventRecord(t, "2e04 0300 0a9011f2bc1f c800 666666666666f63f 03 52b81e3f 0000e040 00004040 00000000"),
+		eventRecord(t, "3804 0300 02000000 32000000 04000000"),
+		eventRecord(t, "4204 0300"),
 	}, append(rows, "hi 7"...))
 	now, messages, err := NewDecoder(bytes.NewReader(in)).Next()
 	if err != nil {
@@ -129,7 +130,7 @@
 }
 
 func TestDecoderRejectsMalformedBatch(t *testing.T) {
-	good := batch([][]byte{event(t, "2404 0300 4d00000000000000")}, nil)
+	good := encodeBatch([][]byte{eventRecord(t, "2404 0300 4d00000000000000")}, nil)
 	overlong := append([]byte(nil), good...)
 	overlong[3] = 0xff
 	tooMany := append([]byte(nil), good...)
@@ -139,10 +140,10 @@
 		"truncated body":        good[:40],
 		"length over the limit": overlong,
 		"too many records":      tooMany,
-		"unknown event":         batch([][]byte{event(t, "0f27 0300")}, nil),
-		"unknown outcome":       batch([][]byte{event(t, "1004 0300 c4913a5d5cd90000 00 0a124a07931f 0100")}, nil),
-		"offset out of tail":    batch([][]byte{event(t, "4c04 00000000 00010000 02000000")}, nil),
-		"unknown list":          batch([][]byte{event(t, "f203 0300 01 29000000 05000000")}, nil),
+		"unknown event":         encodeBatch([][]byte{eventRecord(t, "0f27 0300")}, nil),
+		"unknown outcome":       encodeBatch([][]byte{eventRecord(t, "1004 0300 c4913a5d5cd90000 00 0a124a07931f 0100")}, nil),
+		"offset out of tail":    encodeBatch([][]byte{eventRecord(t, "4c04 00000000 00010000 02000000")}, nil),
+		"unknown list":          encodeBatch([][]byte{eventRecord(t, "f203 0300 01 29000000 05000000")}, nil),
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, _, err := NewDecoder(bytes.NewReader(in)).Next()
@@ -154,7 +155,7 @@
 }
 
 func TestDecoderReturnsEOFBetweenBatches(t *testing.T) {
-	d := NewDecoder(bytes.NewReader(batch([][]byte{event(t, "2404 0300 4d00000000000000")}, nil)))
+	d := NewDecoder(bytes.NewReader(encodeBatch([][]byte{eventRecord(t, "2404 0300 4d00000000000000")}, nil)))
 	if _, _, err := d.Next(); err != nil {
 		t.Error(err)
 	}
@@ -164,7 +165,7 @@
 }
 
 func FuzzDecoder(f *testing.F) {
-	f.Add(batch([][]byte{make([]byte, eventSize)}, []byte("tail")))
+	f.Add(encodeBatch([][]byte{make([]byte, eventSize)}, []byte("tail")))
 	f.Add([]byte{0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0x20, 0x6e, 0xc0, 0x40})
 	f.Fuzz(func(t *testing.T, in []byte) {
 		d := NewDecoder(bytes.NewReader(in))
--- a/internal/simwire/encoder.go
+++ b/internal/simwire/encoder.go
@@ -13,27 +13,27 @@
 // Encoder builds one reply at a time. The zero value is an empty reply.
 type Encoder struct {
 	records, tail []byte
-	count         int // number of records
+	recordCount   int // number of records
 }
 
 // Reset starts a new, empty reply. It reuses the memory of the last one.
-func (e *Encoder) Reset() { e.records, e.tail, e.count = e.records[:0], e.tail[:0], 0 }
+func (e *Encoder) Reset() { e.records, e.tail, e.recordCount = e.records[:0], e.tail[:0], 0 }
 
 // appendRecord appends a zeroed record with its record number and instance number, and returns it. The slice is
 // valid until the next call.
-func (e *Encoder) appendRecord(number uint16, node int) []byte {
+func (e *Encoder) appendRecord(number uint16, instance int) []byte {
 	var empty [actionSize]byte
 	e.records = append(e.records, empty[:]...)
-	e.count++
+	e.recordCount++
 	b := e.records[len(e.records)-actionSize:]
 	binary.LittleEndian.PutUint16(b, number)
-	binary.LittleEndian.PutUint16(b[2:], uint16(node))
+	binary.LittleEndian.PutUint16(b[2:], uint16(instance))
 	return b
 }
 
 // AddPanic appends a record of a panic in an instance's decision code, with its message in the tail.
-func (e *Encoder) AddPanic(node int, message string) {
-	b := e.appendRecord(actionPanic, node)
+func (e *Encoder) AddPanic(instance int, message string) {
+	b := e.appendRecord(actionPanic, instance)
 	binary.LittleEndian.PutUint32(b[4:], uint32(len(e.tail)))
 	binary.LittleEndian.PutUint32(b[8:], uint32(len(message)))
 	e.tail = append(e.tail, message...)
@@ -41,44 +41,44 @@
 
 // Add appends the record of an instance's action. It panics for an action type without a record: this guards against
 // a type that was added to package routing but not here.
-func (e *Encoder) Add(node int, action routing.Action) {
+func (e *Encoder) Add(instance int, action routing.Action) {
 	switch a := action.(type) {
 	case routing.Send:
-		e.addSend(node, a)
+		e.addSend(instance, a)
 	case routing.Reject:
-		b := e.appendRecord(actionReject, node)
+		b := e.appendRecord(actionReject, instance)
 		putRequestID(b[4:], a.ID)
 		putDuration(b[12:], a.RetryAfter)
 	case routing.Fail:
-		putRequestID(e.appendRecord(actionFail, node)[4:], a.ID)
+		putRequestID(e.appendRecord(actionFail, instance)[4:], a.ID)
 	case routing.Cancel:
-		b := e.appendRecord(actionCancel, node)
+		b := e.appendRecord(actionCancel, instance)
 		putRequestID(b[4:], a.ID)
 		b[12] = uint8(a.Attempt)
 	case routing.SetTimer:
-		b := e.appendRecord(actionSetTimer, node)
+		b := e.appendRecord(actionSetTimer, instance)
 		putDuration(b[4:], a.After)
 		binary.LittleEndian.PutUint64(b[12:], a.Token)
 	case routing.HealthCheck:
-		putServer(e.appendRecord(actionHealthCheck, node)[4:], a.Server)
+		putServer(e.appendRecord(actionHealthCheck, instance)[4:], a.Server)
 	case routing.Subscribe:
-		e.appendRecord(actionSubscribe, node)[4] = 1
+		e.appendRecord(actionSubscribe, instance)[4] = 1
 	case routing.Answer:
-		e.addAnswer(node, a)
+		e.addAnswer(instance, a)
 	default:
 		panic(fmt.Sprintf("simwire: no record for action type %T", action))
 	}
 }
 
-func (e *Encoder) addSend(node int, a routing.Send) {
-	b := e.appendRecord(actionSend, node)
+func (e *Encoder) addSend(instance int, a routing.Send) {
+	b := e.appendRecord(actionSend, instance)
 	putRequestID(b[4:], a.ID)
 	putServer(b[12:], a.Server)
 	putDuration(b[18:], a.Timeout)
 }
 
-func (e *Encoder) addAnswer(node int, a routing.Answer) {
-	b := e.appendRecord(actionAnswer, node)
+func (e *Encoder) addAnswer(instance int, a routing.Answer) {
+	b := e.appendRecord(actionAnswer, instance)
 	putRequestID(b[4:], a.ID)
 	if a.Complete {
 		b[12] = 1
@@ -89,7 +89,7 @@
 func (e *Encoder) Flush(output io.Writer) error {
 	var h [replyHeaderSize]byte
 	binary.LittleEndian.PutUint32(h[0:], uint32(len(e.records)+len(e.tail)))
-	binary.LittleEndian.PutUint32(h[4:], uint32(e.count))
+	binary.LittleEndian.PutUint32(h[4:], uint32(e.recordCount))
 	for _, b := range [][]byte{h[:], e.records, e.tail} {
 		if _, err := output.Write(b); err != nil {
 			return fmt.Errorf("reply: %w", err)
--- a/internal/simwire/encoder_test.go
+++ b/internal/simwire/encoder_test.go
@@ -30,7 +30,7 @@
 			var e Encoder
 			e.Add(3, c.action)
 			want := make([]byte, actionSize)
-			copy(want, bytesOf(t, c.want))
+			copy(want, decodeHex(t, c.want))
 			if !bytes.Equal(e.records, want) {
 				t.Errorf("record = %x, want %x", e.records, want)
 			}
@@ -45,7 +45,7 @@
 	if err := e.Flush(&out); err != nil {
 		t.Fatal(err)
 	}
-	head := bytesOf(t, "32000000 01000000 4204 0300 00000000 12000000")
+	head := decodeHex(t, "32000000 01000000 4204 0300 00000000 12000000")
 	if !bytes.HasPrefix(out.Bytes(), head) || !bytes.HasSuffix(out.Bytes(), []byte("index out of range")) {
 		t.Errorf("reply = %x, want prefix %x and suffix %q", out.Bytes(), head, "index out of range")
 	}
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -12,18 +12,19 @@
 func (d *Decoder) decode(r *record) error {
 	number := r.u16(0)
 	if number == eventEndpointList {
-		return named(number, d.decodeEndpointList(r))
+		return withRecordName(number, d.decodeEndpointList(r))
 	}
 	m := Message{Kind: EventReceived, Node: int(r.u16(2))}
 	if err := d.decodeMessage(number, r, &m); err != nil {
-		return named(number, err)
+		return withRecordName(number, err)
 	}
 	d.messages = append(d.messages, m)
 	return nil
 }
 
-// named prefixes an error with the record's name in the protocol, if eventNames has it. A nil error stays nil.
-func named(number uint16, err error) error {
+// withRecordName prefixes an error with the record's name in the protocol, if eventNames has one. A nil error stays
+// nil.
+func withRecordName(number uint16, err error) error {
 	name, ok := eventNames[number]
 	if err == nil || !ok {
 		return err
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -41,17 +41,17 @@
 }
 
 const (
-	goldenServer = routing.ServerID(0x0a124a07_1f93)
-	goldenOther  = routing.ServerID(0x0a9011f2_bc1f)
-	goldenQuery  = routing.RequestID(0xd95c5d3a91c4)
-	goldenPart   = routing.RequestID(0xd95c5d3a91c5)
+	goldenServer      = routing.ServerID(0x0a124a07_1f93)
+	goldenOtherServer = routing.ServerID(0x0a9011f2_bc1f)
+	goldenQuery       = routing.RequestID(0xd95c5d3a91c4)
+	goldenPart        = routing.RequestID(0xd95c5d3a91c5)
 )
 
 // goldenMessages returns the messages of the golden batch.
 func goldenMessages() []Message {
 	entries := []routing.Endpoint{
 		{Server: goldenServer, Zone: 1, Kind: 2, Cell: 3, State: routing.Ready, Weight: 1.5, StartedAt: 6100250 * time.Microsecond},
-		{Server: goldenOther, Zone: 4, Kind: 5, Cell: 6, State: routing.Draining, Weight: 0.5},
+		{Server: goldenOtherServer, Zone: 4, Kind: 5, Cell: 6, State: routing.Draining, Weight: 0.5},
 		{Server: 0xc0a800ff_ffff, Zone: 7, Kind: 8, Cell: 9, State: routing.Removed, Weight: 2.25, StartedAt: 7 * time.Millisecond},
 	}
 	received := func(e routing.Event) Message { return Message{Kind: EventReceived, Node: 3, Event: e} }
@@ -71,7 +71,7 @@
 	return append(out,
 		Message{Kind: EventReceived, Node: 5, Event: routing.ClientDisconnected{ID: 0x279440e6f2b19}},
 		received(routing.TimerFired{Token: 0x8877665544332211}),
-		received(routing.HealthCheckResult{Server: goldenOther, Code: routing.OK, Latency: 1400 * time.Microsecond, LoadReport: []float64{0.625, 7, 3}}),
+		received(routing.HealthCheckResult{Server: goldenOtherServer, Code: routing.OK, Latency: 1400 * time.Microsecond, LoadReport: []float64{0.625, 7, 3}}),
 		received(routing.GossipMessage{From: 0x01020304, Data: []byte("hi 7\x00\xff")}),
 		Message{Kind: InstanceStopped, Node: 65535})
 }
@@ -121,12 +121,12 @@
 	e.Add(9, routing.Fail{ID: 1}) // an earlier reply, of which Reset must leave nothing
 	e.Reset()
 	e.Add(3, routing.Send{ID: goldenPart, Server: goldenServer, Timeout: 80500 * time.Microsecond, WriteBefore: time.Hour})
-	e.Add(3, routing.Send{ID: goldenPart, Server: goldenOther})
+	e.Add(3, routing.Send{ID: goldenPart, Server: goldenOtherServer})
 	e.Add(3, routing.Reject{ID: 0x279440e6f2b19, RetryAfter: 250 * time.Millisecond})
 	e.Add(3, routing.Fail{ID: 0x279440e6f2b1a})
 	e.Add(3, routing.Cancel{ID: goldenPart, Attempt: 5})
 	e.Add(3, routing.SetTimer{After: 500125 * time.Microsecond, Token: 0x8877665544332211})
-	e.Add(3, routing.HealthCheck{Server: goldenOther})
+	e.Add(3, routing.HealthCheck{Server: goldenOtherServer})
 	e.Add(258, routing.Subscribe{})
 	e.Add(3, routing.Answer{ID: goldenQuery, Complete: true})
 	e.Add(65535, routing.Answer{ID: goldenQuery})
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -37,7 +37,7 @@
 weight_source=rough
 `
 
-func TestSettingsTextIsParsed(t *testing.T) {
+func TestParseTextReadsSettings(t *testing.T) {
 	s, err := settings.ParseText(settingsText)
 	if err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestSettingsTextWithoutRequiredKey(t *testing.T) {
+func TestParseTextRejectsMissingRequiredKey(t *testing.T) {
 	for _, key := range []string{"extra.places", "request_classes.0.aim", "peers_total"} {
 		t.Run(key, func(t *testing.T) {
 			text := strings.Replace(settingsText, key+"=", "old."+key+"=", 1)
