--- a/cmd/adapter/host.go
+++ b/cmd/adapter/host.go
@@ -44,24 +44,24 @@
 func (h *host) dispatch(m simwire.Message) error {
 	switch m.Kind {
 	case simwire.InstanceStopped:
-		delete(h.routers, m.Node)
-		delete(h.pending, m.Node)
+		delete(h.routers, m.Instance)
+		delete(h.pending, m.Instance)
 		return nil
 	case simwire.InstanceStarted:
 		router, err := routing.New(m.Settings, m.Seed)
 		if err != nil {
-			return fmt.Errorf("start instance %d: %w", m.Node, err)
+			return fmt.Errorf("start instance %d: %w", m.Instance, err)
 		}
-		h.routers[m.Node] = router
-		h.pending[m.Node] = nil
+		h.routers[m.Instance] = router
+		h.pending[m.Instance] = nil
 	case simwire.EventReceived:
-		if h.routers[m.Node] == nil {
-			return fmt.Errorf("event for instance %d, which was not started", m.Node)
+		if h.routers[m.Instance] == nil {
+			return fmt.Errorf("event for instance %d, which was not started", m.Instance)
 		}
-		h.pending[m.Node] = append(h.pending[m.Node], m.Event)
+		h.pending[m.Instance] = append(h.pending[m.Instance], m.Event)
 	}
-	if !slices.Contains(h.turnOrder, m.Node) {
-		h.turnOrder = append(h.turnOrder, m.Node)
+	if !slices.Contains(h.turnOrder, m.Instance) {
+		h.turnOrder = append(h.turnOrder, m.Instance)
 	}
 	return nil
 }
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -25,7 +25,7 @@
 // Message is one event record, addressed to an instance.
 type Message struct {
 	Kind     Kind
-	Node     int              // number of the instance
+	Instance int              // number of the instance
 	Seed     uint64           // only with InstanceStarted
 	Settings routing.Settings // only with InstanceStarted
 	Event    routing.Event    // only with EventReceived; nil otherwise
--- a/internal/simwire/decoder_test.go
+++ b/internal/simwire/decoder_test.go
@@ -91,7 +91,7 @@
 			t.Errorf("event %d = %+v, want %+v", i, got[i].Event, want)
 		}
 	}
-	if got[3].Node != 5 {
+	if got[3].Instance != 5 {
 		t.Errorf("disconnect = %+v, want instance 5", got[3])
 	}
 	if m := got[7].Event.(routing.GossipMessage); m.From != 2 || string(m.Data) != "hi 7" {
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -14,7 +14,7 @@
 	if number == eventEndpointList {
 		return withRecordName(number, d.decodeEndpointList(r))
 	}
-	m := Message{Kind: EventReceived, Node: int(r.u16(2))}
+	m := Message{Kind: EventReceived, Instance: int(r.u16(2))}
 	if err := d.decodeMessage(number, r, &m); err != nil {
 		return withRecordName(number, err)
 	}
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -54,9 +54,9 @@
 		{Server: goldenOtherServer, Zone: 4, Kind: 5, Cell: 6, State: routing.Draining, Weight: 0.5},
 		{Server: 0xc0a800ff_ffff, Zone: 7, Kind: 8, Cell: 9, State: routing.Removed, Weight: 2.25, StartedAt: 7 * time.Millisecond},
 	}
-	received := func(e routing.Event) Message { return Message{Kind: EventReceived, Node: 3, Event: e} }
+	received := func(e routing.Event) Message { return Message{Kind: EventReceived, Instance: 3, Event: e} }
 	out := []Message{
-		{Kind: InstanceStarted, Node: 258, Seed: 0x1122334455667788, Settings: routing.Settings{Coordinators: 1, Shards: 6, Cells: 3, ReplicasPerShard: 2}},
+		{Kind: InstanceStarted, Instance: 258, Seed: 0x1122334455667788, Settings: routing.Settings{Coordinators: 1, Shards: 6, Cells: 3, ReplicasPerShard: 2}},
 		received(routing.EndpointUpdate{Mode: routing.UpdateDelta, Endpoints: entries}),
 		received(routing.EndpointUpdate{Mode: routing.UpdateFull, Endpoints: entries}),
 		received(routing.EndpointUpdate{Mode: routing.UpdateCached, Endpoints: entries}),
@@ -69,11 +69,11 @@
 	}
 	out = append(out, goldenAttempts()...)
 	return append(out,
-		Message{Kind: EventReceived, Node: 5, Event: routing.ClientDisconnected{ID: 0x279440e6f2b19}},
+		Message{Kind: EventReceived, Instance: 5, Event: routing.ClientDisconnected{ID: 0x279440e6f2b19}},
 		received(routing.TimerFired{Token: 0x8877665544332211}),
 		received(routing.HealthCheckResult{Server: goldenOtherServer, Code: routing.OK, Latency: 1400 * time.Microsecond, LoadReport: []float64{0.625, 7, 3}}),
 		received(routing.GossipMessage{From: 0x01020304, Data: []byte("hi 7\x00\xff")}),
-		Message{Kind: InstanceStopped, Node: 65535})
+		Message{Kind: InstanceStopped, Instance: 65535})
 }
 
 // goldenAttempts returns an attempt result of each outcome.
@@ -88,7 +88,7 @@
 		{routing.TimedOut, false, nil}, {routing.ConnectFailed, true, nil}, {routing.ConnReset, false, nil},
 		{routing.Canceled, false, nil}, {routing.NotSent, true, nil},
 	} {
-		out = append(out, Message{Kind: EventReceived, Node: 3, Event: routing.AttemptResult{ID: goldenPart, Attempt: 7, Server: goldenServer, Code: c.code,
+		out = append(out, Message{Kind: EventReceived, Instance: 3, Event: routing.AttemptResult{ID: goldenPart, Attempt: 7, Server: goldenServer, Code: c.code,
 			Latency: 18500 * time.Microsecond, Final: c.final, LoadReport: c.report}})
 	}
 	return out
