--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -13,7 +13,7 @@
 	slowdown       float64   // factor on the work of a part; 1 is normal speed
 	errorShare     float64   // share of parts that end in an error, from 0 to 1
 	pausedUntil    time.Time // until this time requests over HTTP wait and no work starts
-	claimedVersion uint64    // shard map version with which every part is answered as moved; 0 for no such fault
+	claimedVersion uint64    // shard map version claimed for every part, with no shard held; 0 for no claim
 	partitioned    bool      // requests are not answered
 }
 
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -29,8 +29,9 @@
 	states map[string]string // state in the endpoint list, by the server's name
 }
 
-// NewFleet starts n servers without shards, named s-01 and so on, and a discovery on a free port. The league has so
-// many records. Every second server answers subranges. It returns an error if a server or discovery cannot listen.
+// NewFleet starts n servers without shards, named s-01 and so on, and a discovery on a free port. The league has the
+// given number of records. Every second server, from s-02 on, answers subranges. NewFleet returns an error if a server
+// or the discovery cannot listen.
 func NewFleet(n, records int, capacity Capacity, seed uint64) (*Fleet, error) {
 	return NewFleetAt(n, records, capacity, seed, "127.0.0.1:0")
 }
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -143,8 +143,8 @@
 	return s.startedAt.UnixMilli()
 }
 
-// SetDrainedAt sets the start of the server's drain, after which no coordinator may send it parts. The zero time puts
-// the server in service.
+// SetDrainedAt sets the start of the server's drain, after which no coordinator may send it parts; LateParts counts
+// those that come too late. The zero time puts the server in service.
 func (s *Server) SetDrainedAt(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulator/work.go
+++ b/internal/emulator/work.go
@@ -12,7 +12,7 @@
 	averageWorkWeight = 8 // a new value has a weight of 1/8 in the moving average
 )
 
-// warmupLoad tracks the work of the parts that arrive during warm-up.
+// warmupLoad tracks the work of the parts that start during warm-up.
 type warmupLoad struct {
 	pendingSeconds float64   // pending work, in seconds, if it is done at warmupOverloadFactor times the present speed
 	updatedAt      time.Time // time of the latest change of pendingSeconds
