--- a/cmd/linkpass-ctl/main.go
+++ b/cmd/linkpass-ctl/main.go
@@ -1,4 +1,5 @@
-// Linkpass-ctl is the operators' command line; linkpass executes it for every command that is not the daemon's.
+// Linkpass-ctl is the operators' command line. The linkpass program executes it for every command line that does not
+// start the daemon.
 package main
 
 import (
--- a/internal/cli/bodies.go
+++ b/internal/cli/bodies.go
@@ -7,14 +7,14 @@
 
 type bodiesCommand struct{}
 
-// Run shows how many bodies are stored, and in how many bytes.
+// Run shows how many bodies are stored and how many bytes they take in memory, in files and on disk.
 func (bodiesCommand) Run(e *env) error {
 	s, err := e.client.Status()
 	if err != nil {
 		return err
 	}
 	if s.Bodies == nil {
-		return fmt.Errorf("bodies are not kept by a store here")
+		return fmt.Errorf("this coordinator has no body store")
 	}
 	b := *s.Bodies
 	return e.show(b, func(w io.Writer) {
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -10,8 +10,8 @@
 )
 
 type checkCommand struct {
-	OpenSearch string `name:"opensearch" help:"The operators' file." default:"${search_file}"`
-	FileOnly   bool   `help:"Leave the environment alone."`
+	OpenSearch string `name:"opensearch" help:"The operators' file to check." default:"${search_file}"`
+	FileOnly   bool   `help:"Check the operators' file alone, not the environment."`
 }
 
 // finding is one error in a file or in the environment.
@@ -20,7 +20,8 @@
 	What  string `json:"what"`
 }
 
-// Run reports all errors in what a start reads; any makes it fail.
+// Run reports all errors in the files and the environment that the daemon reads when it starts. It fails if there are
+// any.
 func (c checkCommand) Run(e *env) error {
 	found := c.findings()
 	if err := e.show(found, func(w io.Writer) { findingRows(w, found) }); err != nil {
@@ -32,8 +33,8 @@
 	return nil
 }
 
-// findings checks file and environment each on its own, and both together if neither has an error. It is never nil: JSON
-// shows an empty list.
+// findings checks the file and the environment separately, then both together if neither has an error. The result is
+// never nil, so that JSON output shows an empty list instead of null.
 func (c checkCommand) findings() []finding {
 	found := []finding{}
 	add := func(where string, err error) {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -21,17 +21,18 @@
 		"linkpass-ctl": func() { os.Exit(Main(os.Args[1:], os.Stdout, os.Stderr)) }, "curl": func() { os.Exit(curl(os.Args[1:])) }})
 }
 
-// Runs every command, and every command that the pages show, against a coordinator on an emulated fleet.
+// Runs the scripts in testdata, and scripts of all commands that the pages show, against a coordinator on an emulated
+// fleet.
 func TestCommandsOfScriptsAndPages(t *testing.T) {
 	eventlog.SetOutput(io.Discard, false)
 	t.Cleanup(func() { eventlog.SetOutput(os.Stderr, false) })
 	t.Setenv("TMPDIR", t.TempDir())
 	files, err := filepath.Glob(filepath.Join("testdata", "*.txtar"))
 	if err != nil || len(files) == 0 {
-		t.Fatal(files, err)
+		t.Fatalf("scripts in testdata: %v, error %v; want at least one script", files, err)
 	}
 	testscript.Run(t, testscript.Params{Files: append(files, documented(t)...), Setup: func(e *testscript.Env) error {
-		d, err := experiment.StartDemo(1) // one for each script: they change it
+		d, err := experiment.StartDemo(1) // one for each script, because the scripts change its state
 		if err != nil {
 			return err
 		}
@@ -49,7 +50,8 @@
 	}})
 }
 
-// listenDeaf listens on a socket that accepts calls and answers none.
+// listenDeaf listens on a Unix socket that accepts connections and answers no call. The script finds the socket's path
+// in DEAF_SOCKET.
 func listenDeaf(e *testscript.Env) error {
 	dir, err := os.MkdirTemp("", "deaf")
 	if err != nil {
@@ -73,7 +75,7 @@
 	return nil
 }
 
-// startDemo starts a coordinator on an emulated fleet.
+// startDemo starts a coordinator on an emulated fleet until the test ends, and discards log lines meanwhile.
 func startDemo(t *testing.T, seed uint64) *experiment.Demo {
 	t.Helper()
 	eventlog.SetOutput(io.Discard, false)
@@ -87,33 +89,33 @@
 	return d
 }
 
-// Not a script: the log is the process's.
+// This is not a script, because the log levels are global to the process.
 func TestLogLevelsChangeUntilReload(t *testing.T) {
 	d := startDemo(t, 6)
 	run := func(want int, args ...string) string {
 		t.Helper()
 		var out, errOut bytes.Buffer
 		if code := Main(append([]string{"--socket", d.Socket}, args...), &out, &errOut); code != want {
-			t.Errorf("%v: exit code %d: %s", args, code, errOut.String())
+			t.Errorf("%v: exit code = %d, want %d; stderr: %s", args, code, want, errOut.String())
 		}
 		return out.String() + errOut.String()
 	}
 	if out := run(ExitDone, "log", "peer", "error"); !strings.Contains(out, "peer       error") {
-		t.Error(out)
+		t.Errorf("output of log peer error = %q, want level error for peer", out)
 	}
 	if out := run(ExitDone, "log", "-o", "json"); !strings.Contains(out, `"peer": "error"`) {
-		t.Error(out)
+		t.Errorf("output of log -o json = %q, want level error for peer", out)
 	}
 	run(ExitFailed, "log", "peer", "loud")
 	run(ExitFailed, "log", "nobody", "warn")
 	run(ExitFailed, "log", "peer")
 	run(ExitDone, "config", "reload")
 	if out := run(ExitDone, "log"); !strings.Contains(out, "peer       info") || !strings.Contains(out, "raft       warn") {
-		t.Error(out)
+		t.Errorf("output of log after a reload = %q, want info for peer and warn for raft", out)
 	}
 }
 
-// Guards against an error message when a reader such as head has read enough.
+// Guards against an error message and a failure when the reader of the output, such as head, closes the pipe early.
 func TestOutputPipeClosed(t *testing.T) {
 	d := startDemo(t, 5)
 	r, w, err := os.Pipe()
@@ -124,11 +126,11 @@
 	defer w.Close()
 	var errOut bytes.Buffer
 	if code := Main([]string{"--socket", d.Socket, "-o", "json", "status"}, w, &errOut); code != ExitDone || errOut.Len() > 0 {
-		t.Errorf("exit code %d, %s", code, errOut.String())
+		t.Errorf("exit code = %d, stderr = %q; want %d and no output to stderr", code, errOut.String(), ExitDone)
 	}
 }
 
-// Guards against slow callers that use up the connections of the API's socket.
+// Guards against slow callers that use up all connections of the API's socket, so that a further call gets none.
 func TestStatusWithSlowCallersOnAllConnections(t *testing.T) {
 	d := startDemo(t, 2)
 	for range 20 {
@@ -137,26 +139,26 @@
 			t.Fatal(err)
 		}
 		defer nc.Close()
-		_, _ = io.WriteString(nc, "GET /v1/sta") // fails on a connection that was closed for a later one
+		_, _ = io.WriteString(nc, "GET /v1/sta") // fails if the connection was closed in favor of a later one
 	}
 	var out, errOut bytes.Buffer
 	if code := Main([]string{"--socket", d.Socket, "status"}, &out, &errOut); code != ExitDone || !strings.Contains(out.String(), "serving") {
-		t.Errorf("exit code %d: %s%s", code, out.String(), errOut.String())
+		t.Errorf("exit code = %d, want %d; output %q, want it to contain serving; stderr: %s", code, ExitDone, out.String(), errOut.String())
 	}
 }
 
 func TestTruncateLines(t *testing.T) {
 	for _, l := range strings.Split(truncateLines("short\n"+strings.Repeat("wide ä ", 30)+"\n", 60), "\n") {
 		if n := len([]rune(l)); n > 60 {
-			t.Errorf("%d columns: %s", n, l)
+			t.Errorf("line of %d columns, want 60 at most: %s", n, l)
 		}
 	}
 	if text := strings.Repeat("x", 100); truncateLines(text, 0) != text {
-		t.Error("cut where there is no terminal")
+		t.Error("text is truncated at width 0, want it unchanged")
 	}
 }
 
-// docs/cli.md lists the exit codes.
+// docs/cli.md lists these exit codes.
 func TestMainExitCodes(t *testing.T) {
 	missing := t.TempDir() + "/none"
 	for _, c := range []struct {
@@ -171,7 +173,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := Main(c.args, io.Discard, io.Discard); got != c.want {
-				t.Errorf("%v: exit code %d, want %d", c.args, got, c.want)
+				t.Errorf("%v: exit code = %d, want %d", c.args, got, c.want)
 			}
 		})
 	}
@@ -180,6 +182,6 @@
 func TestWaitTimeoutExitCode(t *testing.T) {
 	e := &env{out: &output{Writer: io.Discard}, err: io.Discard, flags: &commands{}}
 	if got := e.fail(e.wait("it", func() (bool, error) { return false, nil })); got != ExitTimedOut {
-		t.Errorf("exit code %d", got)
+		t.Errorf("exit code = %d, want %d", got, ExitTimedOut)
 	}
 }
--- a/internal/cli/completion.go
+++ b/internal/cli/completion.go
@@ -8,10 +8,11 @@
 )
 
 type completeCommand struct {
-	Shell string `arg:"" enum:"bash" default:"bash" help:"bash."`
+	Shell string `arg:"" enum:"bash" default:"bash" help:"The shell; only bash is supported."`
 }
 
-// The parts of a bash script around the cases: of a path of commands, its words.
+// The text before and after the cases of the bash script. Each case maps a path of commands, such as "slices split", to
+// the words that can follow it.
 const (
 	completionHead = "_linkpass() {\n" +
 		"  local words=\"${COMP_WORDS[*]:1:COMP_CWORD-1}\" cur=\"${COMP_WORDS[COMP_CWORD]}\" list=\"\"\n" +
@@ -22,7 +23,7 @@
 		"complete -F _linkpass linkpass\n"
 )
 
-// Run prints a script that completes commands and flags.
+// Run prints a bash script that completes commands and flags.
 func (completeCommand) Run(e *env) error {
 	fmt.Fprint(e.out, completionHead)
 	e.printCompletions(e.app.Model.Node, "")
@@ -30,7 +31,7 @@
 	return err
 }
 
-// printCompletions prints the case of a command, after those of the commands below it.
+// printCompletions prints the cases of a command's subcommands and then the case of the command itself.
 func (e *env) printCompletions(n *kong.Node, path string) {
 	var words []string
 	for _, child := range n.Children {
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -10,19 +10,19 @@
 	"linkpass/internal/adminapi/signature"
 )
 
-// configCommands are the commands of the settings.
+// configCommands are the commands that show and reload settings, and create keys.
 type configCommands struct {
-	Show   configShow   `cmd:"" help:"The settings as they hold, and where each came from."`
-	Reload configReload `cmd:"" help:"Read the files again; tell which keys took hold and which wait for a start."`
-	NewKey configNewKey `cmd:"" help:"Print a line with a fresh key for the file of operator.keys."`
+	Show   configShow   `cmd:"" help:"Show the settings in effect and the source of each."`
+	Reload configReload `cmd:"" help:"Reload the files; show which changed keys take effect now and which need a restart."`
+	NewKey configNewKey `cmd:"" help:"Generate a key, and print it as a line for the file that operator.keys names."`
 }
 
-// keyBytes is the length of a new key.
+// keyBytes is the length of a new key, in bytes.
 const keyBytes = 32
 
 type configReload struct{}
 
-// Run makes the coordinator reload its files, and shows when each changed key takes effect.
+// Run makes the coordinator reload its files and shows when each changed key takes effect.
 func (configReload) Run(e *env) error {
 	var result adminapi.ReloadResult
 	if err := e.client.Call("PUT", "/config/reload", nil, &result); err != nil {
@@ -42,14 +42,15 @@
 }
 
 type configNewKey struct {
-	ID string `arg:"" help:"Of the key."`
+	ID string `arg:"" help:"Id of the new key."`
 }
 
-// Run prints a random key to standard output alone: guards against a file that others can read.
+// Run prints a random key. It writes the key to standard output alone and creates no file, because other users might be
+// able to read that file.
 func (c configNewKey) Run(e *env) error {
 	key := make([]byte, keyBytes)
 	if _, err := rand.Read(key); err != nil {
-		return fmt.Errorf("a fresh key: %w", err)
+		return fmt.Errorf("generate key: %w", err)
 	}
 	if err := (signature.KeyRing{c.ID: key}).Validate(); err != nil {
 		return err
@@ -59,7 +60,7 @@
 }
 
 type configShow struct {
-	Effective bool `help:"Those that a file or the environment did not set, too." default:"true" negatable:""`
+	Effective bool `help:"Include settings that neither a file nor the environment sets." default:"true" negatable:""`
 }
 
 // Run shows the settings of the running coordinator.
--- a/internal/cli/doc.go
+++ b/internal/cli/doc.go
@@ -1,5 +1,6 @@
-// Package cli is linkpass's command line: it calls a running coordinator's admin API, and works on the files of a stopped
-// one. A file a command or a group of them; a command's Run prints a table or JSON.
+// Package cli implements linkpass's command line. Most commands call the admin API of a running coordinator; a few work
+// on the files of a stopped one. Each file has one command or a group of commands. A command's Run method prints a
+// table or JSON.
 //
 // The package starts no goroutine.
 package cli
--- a/internal/cli/docs_test.go
+++ b/internal/cli/docs_test.go
@@ -13,32 +13,37 @@
 )
 
 var (
-	// shown matches a command in a page: between backquotes, or on a line of an indented block.
+	// shown matches a command in a page, either between backquotes or on a line of an indented block.
 	shown = regexp.MustCompile("(?m)`((?:bin/)?linkpass(?:-lab)? [^`]*)`|^    ((?:bin/)?linkpass(?:-lab)? [^#\n]*|curl [^#\n]*)")
 
-	// samples replaces placeholders of commands, addresses what a test cannot bind or reach.
+	// samples replaces the placeholders in commands by arguments that work in a script.
+
 	samples = strings.NewReplacer("[serve] ", "", "[", "", "]", "", " …", "", "KIND", "lease", "SLICE SLICE", "1048578 1048579", "move INDEX SLICE", "move players 1048577",
 		"--cell 3", "--cell 0", "SLICE", "1048576", "INDEX", "players", " PLAN", " 1", "BACKUP", "backup.json", "KEY", "search.max_result_window", "PART LEVEL", "peer warn", "--into N", "--into 2", "--to a+b", "--to $SET",
 		"--count N", "--count 2", " ID", " x", "recover --opensearch FILE", "recover --opensearch $FILE", "--opensearch FILE", "--opensearch $FILE", "backup FILE", "backup backup.json")
+	// addresses replaces addresses that a test cannot bind or reach.
 	addresses = strings.NewReplacer("127.0.0.1:9200", "$SEARCH", "127.0.0.1:19000", "$DOOR")
 )
 
-// elsewhere are commands that take long or run until interrupted, by their beginning, and the tests that run them.
+// elsewhere lists the commands that the page scripts leave out, because they take long, run until they are interrupted
+// or need a certain state. The key is the beginning of a command, the value says which tests run it.
 var elsewhere = map[string]string{
-	"linkpass --opensearch":   "TestNewConfiguration of internal/daemon, and each demo",
-	"linkpass demo":           "TestCommandsOfScriptsAndPages runs on one",
-	"linkpass page":           "TestServeUntilContextEnds of internal/dashboard runs what it calls",
-	"linkpass-lab fleet":      "no test: the demo starts the same emulated servers",
-	"linkpass-lab run":        "TestReshapeKeepsTheRules and TestDrainsKeepTheRules of internal/experiment; run bodies is run by hand alone",
+	"linkpass --opensearch":   "TestReloadFollowsDiscoveryAddress of internal/daemon, and each demo",
+	"linkpass demo":           "TestCommandsOfScriptsAndPages runs its scripts against demos",
+	"linkpass page":           "TestServeUntilContextEnds of internal/dashboard runs the function that it calls",
+	"linkpass-lab fleet":      "no test runs it; the demo starts the same emulated servers",
+	"linkpass-lab run":        "TestReshapeKeepsTheRules and TestDrainsKeepTheRules of internal/experiment; run bodies is only run by hand",
 	"linkpass-lab hold":       "TestBodiesUnder32MB of internal/experiment",
-	"linkpass slices abandon": "slices.txtar, where it is certain how far the plan has come",
-	"linkpass store promote":  "store.txtar: a member that no process stands for does not catch up",
+	"linkpass slices abandon": "slices.txtar, where the step of the plan is known",
+	"linkpass store promote":  "store.txtar; a member without a running process does not catch up",
 }
 
-// rejected are the commands that a running coordinator without other instances rejects, and why.
+// rejected lists the commands that must fail on a running coordinator without other instances. The key is the beginning
+// of a command, the value matches its error message.
 var rejected = map[string]string{"linkpass store recover": "recovery refused"}
 
-// documented writes a script of each page: every command that it shows, in its order; of a table's optional words all.
+// documented writes one script for each page that shows commands, with all of them in the page's order. Optional words,
+// which the tables of the pages put in brackets, are all included. It returns the paths of the scripts.
 func documented(t *testing.T) (scripts []string) {
 	t.Helper()
 	pages, err := filepath.Glob(filepath.Join("..", "..", "docs", "*.md"))
@@ -63,12 +68,12 @@
 		scripts = append(scripts, file)
 	}
 	if total < 40 {
-		t.Errorf("only %d commands found in the pages", total)
+		t.Errorf("found %d commands in the pages, want 40 at least", total)
 	}
 	return scripts
 }
 
-// pageScript returns a page's script and the number of its commands.
+// pageScript returns the script of a page and the number of commands in it.
 func pageScript(text string) ([]byte, int) {
 	var script bytes.Buffer
 	fmt.Fprintln(&script, "env ROUTER_CONFIG=$CONFIG")
@@ -91,7 +96,7 @@
 	return script.Bytes(), n
 }
 
-// valueOfPrefix returns the value of a key that a line begins with, or "".
+// valueOfPrefix returns the value of a key that line begins with, or "" if there is none.
 func valueOfPrefix(m map[string]string, line string) string {
 	for key, v := range m {
 		if strings.HasPrefix(line, key) {
@@ -101,7 +106,9 @@
 	return ""
 }
 
-// curl makes the call that curl would, for the flags that the pages use. Unlike curl it fails on a status of 400 or more.
+// curl makes the call that the program curl makes, for the flags that the pages use. Unlike curl without --fail, it
+// fails on a status of 400 or more. It returns curl's exit codes: 3 for a malformed URL, 7 for a failed call, 22 for
+// such a status.
 func curl(args []string) int {
 	method, url, body := "", "", ""
 	for i := 0; i < len(args); i++ {
--- a/internal/cli/drain.go
+++ b/internal/cli/drain.go
@@ -5,16 +5,16 @@
 	"io"
 )
 
-// stateResponse has the coordinator's state after a call.
+// stateResponse is the coordinator's state after a call.
 type stateResponse struct {
 	State string `json:"state"`
 }
 
 type drainCommand struct {
-	Wait bool `help:"Wait until no query is open."`
+	Wait bool `help:"Wait until no query is in progress."`
 }
 
-// Run drains the coordinator.
+// Run drains the coordinator, and with --wait it waits until no query is in flight.
 func (c drainCommand) Run(e *env) error {
 	var out stateResponse
 	if err := e.client.Call("PUT", "/drain", nil, &out); err != nil {
@@ -40,7 +40,7 @@
 		return err
 	}
 	if out.State == "ending" {
-		return fmt.Errorf("the coordinator is ending: nothing leads back")
+		return fmt.Errorf("the coordinator is shutting down and cannot accept clients again")
 	}
 	return e.show(out, func(w io.Writer) { fmt.Fprintln(w, out.State) })
 }
--- a/internal/cli/env.go
+++ b/internal/cli/env.go
@@ -15,10 +15,12 @@
 	"linkpass/internal/daemon"
 )
 
-// waitInterval is the time between two checks of a condition that a command waits for.
+// waitInterval is the pause between two checks of a condition that a command waits for.
 const waitInterval = 200 * time.Millisecond
 
-// output remembers that its reader closed it. EPIPE alone is not enough: a connection to a coordinator fails with it too.
+// output is the writer of a command's results. closed is true once a write has failed because the reader closed the
+// pipe. An EPIPE error that a command returns does not show that: a connection to a coordinator can fail with EPIPE
+// too.
 type output struct {
 	io.Writer
 	closed bool
@@ -30,7 +32,7 @@
 	return n, err
 }
 
-// env is what a command runs with.
+// env is the environment of a command: its output, the parsed flags and a client of the coordinator.
 type env struct {
 	out    *output
 	err    io.Writer
@@ -60,7 +62,8 @@
 	return client, nil
 }
 
-// show prints value as JSON, or as a table that rows writes: a line a row, tabs between cells.
+// show prints value as JSON, or as a table, depending on --output. rows writes the table: one line for each row, with
+// tabs between the cells.
 func (e *env) show(value any, rows func(w io.Writer)) error {
 	if e.flags.Output == "json" {
 		return e.showJSON(value)
@@ -73,13 +76,14 @@
 func (e *env) showJSON(value any) error {
 	data, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
-		return fmt.Errorf("output: %w", err)
+		return fmt.Errorf("encode output: %w", err)
 	}
 	_, err = fmt.Fprintf(e.out, "%s\n", data)
 	return err
 }
 
-// wait polls a condition until it holds, fails or --timeout has passed; errTimedOut then, with what did not hold.
+// wait polls a condition until it holds, until it returns an error or until --timeout has passed. After a timeout it
+// returns errTimedOut, wrapped with the text what, which says what has not been reached.
 func (e *env) wait(what string, holds func() (bool, error)) error {
 	for deadline := time.Now().Add(e.flags.Timeout); ; {
 		ok, err := holds()
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -7,19 +7,20 @@
 	"linkpass/internal/adminapi"
 )
 
-// Exit codes; docs/cli.md lists them.
+// The exit codes of a command line. docs/cli.md lists them.
 const (
 	ExitDone        = 0
-	ExitFailed      = 1 // or rejected by the coordinator
+	ExitFailed      = 1 // the command failed, or the coordinator rejected it
 	ExitMisused     = 2 // the command line is wrong
 	ExitUnreachable = 3 // no coordinator answers
-	ExitTimedOut    = 4 // the condition of --wait did not come to hold
+	ExitTimedOut    = 4 // the condition of --wait did not hold within --timeout
 )
 
-// errTimedOut is the error of a wait whose condition did not hold within the timeout.
+// errTimedOut means that the condition of a wait did not hold within the timeout.
 var errTimedOut = errors.New("timed out")
 
-// fail prints an error, unless it is nil or the reader of the output has closed it, and returns the exit code.
+// fail prints an error and returns the exit code for it. A nil error gives ExitDone, and so does any error once the
+// reader of the output has closed it; then nothing is printed.
 func (e *env) fail(err error) int {
 	if err == nil || e.out.closed {
 		return ExitDone
--- a/internal/cli/log.go
+++ b/internal/cli/log.go
@@ -9,15 +9,15 @@
 )
 
 type logCommand struct {
-	Part  string `arg:"" optional:"" help:"Part of the program, or all."`
-	Level string `arg:"" optional:"" help:"trace, debug, info, warn, error or off."`
+	Part  string `arg:"" optional:"" help:"Part of the program whose level to change, or all."`
+	Level string `arg:"" optional:"" help:"The new level: trace, debug, info, warn, error or off."`
 }
 
-// Run changes a level if one is named, and shows all.
+// Run changes the level of a part if one is given, and shows the levels of all parts.
 func (c logCommand) Run(e *env) error {
 	method, path := "GET", "/log"
 	if (c.Part == "") != (c.Level == "") {
-		return errors.New("log: a part needs a level")
+		return errors.New("log: a part and its level must be given together")
 	}
 	if c.Part != "" {
 		method, path = "PUT", "/log/"+c.Part
--- a/internal/cli/page.go
+++ b/internal/cli/page.go
@@ -12,10 +12,11 @@
 )
 
 type pageCommand struct {
-	Listen string `help:"Where the page is served. It asks for no key: keep it on the loopback." default:"127.0.0.1:9302"`
+	Listen string `help:"Address to serve the page at. The page requires no key: keep it on the loopback interface." default:"127.0.0.1:9302"`
 }
 
-// Run serves the dashboard until SIGINT or SIGTERM. The page shows it when the coordinator does not answer.
+// Run serves the dashboard until SIGINT or SIGTERM. It keeps serving while the coordinator does not answer; the page
+// then shows that.
 func (c pageCommand) Run(e *env) error {
 	ln, err := net.Listen("tcp", c.Listen)
 	if err != nil {
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -9,7 +9,7 @@
 	"linkpass/internal/shardmap"
 )
 
-// plan is a plan in the API's form.
+// plan is a plan as the admin API encodes it.
 type plan struct {
 	ID     uint64            `json:"id"`
 	Kind   string            `json:"kind"`
@@ -45,16 +45,16 @@
 	Plan  uint64 `arg:""`
 }
 
-// Run watches a plan.
+// Run prints the steps of a plan until it has ended.
 func (c planWatch) Run(e *env) error { return e.watchPlan(c.Index, c.Plan) }
 
-// planSteps is the order of a plan's steps.
+// planSteps lists the steps of a plan in the order in which it passes through them.
 var planSteps = []shardmap.PlanStep{
 	shardmap.Planned, shardmap.Copying, shardmap.Replicated, shardmap.Switched, shardmap.Retired,
 }
 
-// watchPlan prints each step of a plan that a poll sees, with a bar, until the plan has ended; an abandoned plan is an
-// error.
+// watchPlan polls a plan until it has ended and prints each step that a poll sees, with a progress bar. It returns an
+// error if the plan is abandoned.
 func (e *env) watchPlan(index string, id uint64) error {
 	var last shardmap.PlanStep
 	return e.wait(fmt.Sprintf("plan %d of %s has not ended", id, index), func() (bool, error) {
@@ -81,7 +81,7 @@
 	return err
 }
 
-// findPlan finds a plan, open or ended, in the document as this coordinator has it.
+// findPlan returns an open or ended plan from the coordinator's local copy of the replicated document.
 func (e *env) findPlan(index string, id uint64) (plan, error) {
 	var doc struct {
 		Indices map[string]struct {
@@ -100,5 +100,5 @@
 			return p, nil
 		}
 	}
-	return plan{}, fmt.Errorf("index %q has no plan %d, or it ended long ago", index, id)
+	return plan{}, fmt.Errorf("index %q has no plan %d, or it ended too long ago to be listed", index, id)
 }
--- a/internal/cli/reshard.go
+++ b/internal/cli/reshard.go
@@ -9,23 +9,24 @@
 
 // planFlags are the flags of commands that create a plan.
 type planFlags struct {
-	DryRun bool `help:"Tell what would come of it, and change nothing."`
+	DryRun bool `help:"Show the plans that would result, and change nothing."`
 	Wait   bool `help:"Wait until the plan has ended."`
 }
 
-// reshardResponse has the open plans and the shard map's versions, by index.
+// reshardResponse contains the open plans and the versions of the shard maps, by index.
 type reshardResponse struct {
 	DryRun   bool              `json:"dry_run"`
 	Plans    map[string][]plan `json:"plans"`
 	Versions map[string]uint64 `json:"versions"`
 }
 
-// reshard sends one command and shows the plans that are open then.
+// reshard sends one command and shows the plans that are open after it. With --wait it watches the last of them until
+// that plan has ended.
 func (f planFlags) reshard(e *env, index, name string, command map[string]any) error {
 	command["index"] = index
 	body, err := json.Marshal(map[string]any{"commands": []any{map[string]any{name: command}}})
 	if err != nil {
-		return fmt.Errorf("order: %w", err)
+		return fmt.Errorf("encode order: %w", err)
 	}
 	path := "/search/_cluster/reroute"
 	if f.DryRun {
@@ -50,7 +51,7 @@
 	return nil
 }
 
-// replicaSets parses the replicas of new shards: names with + between them, a set for each shard.
+// replicaSets parses the replicas of new shards. Each item is the set of one shard: server names with + between them.
 func replicaSets(list []string) (out [][]string) {
 	for _, s := range list {
 		out = append(out, strings.Split(s, "+"))
@@ -62,8 +63,8 @@
 	planFlags
 	Index string   `arg:""`
 	Shard uint64   `arg:"" name:"slice"`
-	Into  int      `help:"Pieces." default:"2"`
-	To    []string `help:"Servers of each piece, as a+b; one set for all; the same servers if missing."`
+	Into  int      `help:"Number of new slices." default:"2"`
+	To    []string `help:"Servers of each new slice, as a+b; a single set is for all of them; without it the servers stay the same."`
 }
 
 // Run requests a split.
@@ -75,7 +76,7 @@
 	planFlags
 	Index string   `arg:""`
 	Shard uint64   `arg:"" name:"slice"`
-	To    []string `required:"" help:"The new set of servers, as a+b."`
+	To    []string `required:"" help:"The new servers, as a+b."`
 }
 
 // Run requests a move.
@@ -87,7 +88,7 @@
 	planFlags
 	Index  string   `arg:""`
 	Shards []uint64 `arg:"" name:"slices"`
-	To     []string `help:"Servers of the merged slice, as a+b; those of the first if missing."`
+	To     []string `help:"Servers of the merged slice, as a+b; without it those of the first slice."`
 }
 
 // Run requests a merge.
@@ -111,7 +112,7 @@
 	Plan  uint64 `arg:""`
 }
 
-// Run requests again what an abandoned plan was for.
+// Run requests again the change that an abandoned plan was for.
 func (c planResume) Run(e *env) error {
 	return c.reshard(e, c.Index, "resume", map[string]any{"plan": c.Plan})
 }
--- a/internal/cli/server_change.go
+++ b/internal/cli/server_change.go
@@ -45,9 +45,9 @@
 }
 
 type serverRestrict struct {
-	Server string `arg:"" help:"Its id."`
-	Force  bool   `help:"Also where it leaves a slice without a holder in service."`
-	If     uint64 `help:"Only if the server is at this version; 0: any."`
+	Server string `arg:"" help:"Id of the server."`
+	Force  bool   `help:"Make the change even if it leaves a slice without a holder in service."`
+	If     uint64 `help:"Make the change only if the server is at this version; 0 means any version."`
 }
 
 // Run requests the action that the command is named after.
@@ -56,25 +56,25 @@
 }
 
 type serverWeight struct {
-	Server string  `arg:"" help:"Its id."`
-	Weight float64 `arg:"" help:"Its weight."`
+	Server string  `arg:"" help:"Id of the server."`
+	Weight float64 `arg:"" help:"The new weight; 0 means the weight from discovery."`
 }
 
-// Run sets a weight.
+// Run sets the weight of a server.
 func (c serverWeight) Run(e *env) error {
 	return e.changeServer(adminapi.ServerRequest{Server: c.Server, Action: "weight", Weight: c.Weight})
 }
 
 type serverAdd struct {
-	Server string `arg:"" help:"Its id."`
-	Addr   string `arg:"" help:"Its address."`
-	Zone   string `help:"Its zone."`
-	Kind   string `help:"Its kind of machine."`
-	Cell   int    `help:"Its cell."`
-	Change bool   `help:"It was added before: change it."`
+	Server string `arg:"" help:"Id of the server."`
+	Addr   string `arg:"" help:"Address of the server."`
+	Zone   string `help:"Zone of the server."`
+	Kind   string `help:"Kind of machine that the server runs on."`
+	Cell   int    `help:"Cell of the server."`
+	Change bool   `help:"Change a server that was added before."`
 }
 
-// Run adds a server, or changes one that was added.
+// Run adds a server, or with --change it changes one that was added before.
 func (c serverAdd) Run(e *env) error {
 	spec := &config.ServerSpec{Addr: c.Addr, Zone: c.Zone, Kind: c.Kind, Cell: c.Cell}
 	req := adminapi.ServerRequest{Server: c.Server, Action: "add", Spec: spec}
@@ -84,11 +84,11 @@
 	return e.changeServer(req)
 }
 
-// changeServer requests a change of a server and shows where it is in effect.
+// changeServer requests a change of a server and shows where it is in effect: here or everywhere.
 func (e *env) changeServer(req adminapi.ServerRequest) error {
 	body, err := json.Marshal(req)
 	if err != nil {
-		return fmt.Errorf("order: %w", err)
+		return fmt.Errorf("encode order: %w", err)
 	}
 	var res adminapi.ServerResponse
 	if err := e.client.Call("PUT", "/servers/order", body, &res); err != nil {
--- a/internal/cli/server_list.go
+++ b/internal/cli/server_list.go
@@ -8,20 +8,20 @@
 	"linkpass/internal/adminapi"
 )
 
-// serverCommands are the commands of the league servers.
+// serverCommands are the commands that show and change league servers.
 type serverCommands struct {
-	List    serverList       `cmd:"" default:"withargs" help:"What the coordinator believes of the league servers."`
-	Agreed  serverReplicated `cmd:"" help:"What instances agree on of servers, and what is not settled yet."`
-	Drain   serverRestrict   `cmd:"" help:"Take a server out of service: here at once, everywhere it is heard, for good once a majority has it."`
-	Undrain serverRestrict   `cmd:"" help:"Bring it back, once a majority has it."`
-	Remove  serverRestrict   `cmd:"" help:"Take it away for good, as drain; its id never comes back."`
-	Weight  serverWeight     `cmd:"" help:"Set its weight; 0 is discovery's."`
-	Add     serverAdd        `cmd:"" help:"Add a server that discovery need not know."`
+	List    serverList       `cmd:"" default:"withargs" help:"Show the state of the league servers as this coordinator sees them."`
+	Agreed  serverReplicated `cmd:"" help:"Show the replicated state of the servers, and drains and removals that are not settled yet."`
+	Drain   serverRestrict   `cmd:"" help:"Take a server out of service: at once at this coordinator and at those that receive the order, permanently once a majority of the store has it."`
+	Undrain serverRestrict   `cmd:"" help:"Put a server back into service, once a majority of the store has the change."`
+	Remove  serverRestrict   `cmd:"" help:"Remove a server permanently, in the same way as drain; its id cannot be used again."`
+	Weight  serverWeight     `cmd:"" help:"Set the weight of a server; 0 restores the weight from discovery."`
+	Add     serverAdd        `cmd:"" help:"Add a server, which discovery need not list."`
 }
 
 type serverList struct{}
 
-// Run shows the servers as the coordinator's decisions see them.
+// Run shows the state of the servers that the coordinator's decisions are based on.
 func (serverList) Run(e *env) error {
 	list, err := e.client.Servers()
 	if err != nil {
@@ -41,7 +41,7 @@
 	}
 }
 
-// serverRemarks says why a server gets fewer requests than others, or none.
+// serverRemarks returns the reasons why a server gets fewer requests than others or none, "" if there is no reason.
 func serverRemarks(s adminapi.Server) string {
 	var remarks []string
 	if s.Excluded != "" {
--- a/internal/cli/shards.go
+++ b/internal/cli/shards.go
@@ -6,18 +6,18 @@
 	"net/url"
 )
 
-// shardCommands are the commands of shards, which the command line calls slices.
+// shardCommands are the commands that show and change shards. The command line calls shards slices.
 type shardCommands struct {
-	Show    shardShow   `cmd:"" help:"The slices and who holds them."`
-	Split   shardSplit  `cmd:"" help:"Split a slice into several."`
+	Show    shardShow   `cmd:"" help:"Show the slices and their holders."`
+	Split   shardSplit  `cmd:"" help:"Split a slice into several slices."`
 	Move    shardMove   `cmd:"" help:"Move a slice to a new set of servers."`
 	Merge   shardMerge  `cmd:"" help:"Merge neighbouring slices."`
-	Abandon planAbandon `cmd:"" help:"Abandon a plan before its switch."`
-	Resume  planResume  `cmd:"" help:"Order again what an abandoned plan was to do."`
+	Abandon planAbandon `cmd:"" help:"Abandon a plan that has not switched yet."`
+	Resume  planResume  `cmd:"" help:"Order again the change that an abandoned plan was for."`
 	Watch   planWatch   `cmd:"" help:"Watch a plan until it ends."`
 }
 
-// shardRow is a row of the API's list of shards.
+// shardRow is a row of the list of shards that the admin API returns.
 type shardRow struct {
 	Index string  `json:"index"`
 	Shard uint64  `json:"shard"`
@@ -31,10 +31,10 @@
 }
 
 type shardShow struct {
-	Index string `arg:"" optional:"" help:"Of this index alone."`
+	Index string `arg:"" optional:"" help:"Show the slices of this index alone."`
 }
 
-// shards returns the shards of an index, or of all if it is "".
+// shards returns the rows of the shards of an index, or of all indices if index is "".
 func (e *env) shards(index string) (list []shardRow, err error) {
 	path := "/search/_cat/shards"
 	if index != "" {
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -48,7 +48,7 @@
 	return s
 }
 
-// formatBytes formats a number of bytes with a unit.
+// formatBytes formats a number of bytes in MiB, KiB or B, whichever is the largest unit that n reaches.
 func formatBytes(n int64) string {
 	switch {
 	case n >= 1<<20:
--- a/internal/cli/store_backup.go
+++ b/internal/cli/store_backup.go
@@ -11,10 +11,11 @@
 )
 
 type storeBackup struct {
-	File string `arg:"" help:"Where to; - for standard output."`
+	File string `arg:"" help:"File to write the backup to; - means standard output."`
 }
 
-// Run writes a backup. It is checked first: guards against one that cannot be restored.
+// Run writes a backup. It validates the backup before writing it, so that it does not leave one that cannot be
+// restored.
 func (c storeBackup) Run(e *env) error {
 	data, err := e.client.Raw("GET", "/store/backup", nil)
 	if err != nil {
@@ -25,7 +26,7 @@
 	}
 	var b adminapi.Backup
 	if err := json.Unmarshal(data, &b); err != nil {
-		return fmt.Errorf("backup: %w", err)
+		return fmt.Errorf("backup: decode: %w", err)
 	}
 	if c.File == "-" {
 		_, err := io.Copy(e.out, bytes.NewReader(append(data, '\n')))
@@ -39,7 +40,8 @@
 	})
 }
 
-// writeFile replaces a file at once: guards against a backup that was cut while it was written.
+// writeFile writes a file under a temporary name and renames it, so that an interrupted write leaves no truncated
+// backup under the final name.
 func writeFile(name string, data []byte) error {
 	partial := name + ".part"
 	if err := os.WriteFile(partial, data, 0o600); err != nil {
@@ -53,10 +55,11 @@
 
 type storeRestore struct {
 	File  string `arg:"" type:"existingfile"`
-	Check bool   `help:"Only tell whether it could be restored."`
+	Check bool   `help:"Only check whether the backup can be restored."`
 }
 
-// Run restores a backup, or checks it. The store's members stay: a backup has none.
+// Run restores a backup, or only checks it. The members of the store do not change, because a backup does not contain
+// them.
 func (c storeRestore) Run(e *env) error {
 	data, err := os.ReadFile(c.File)
 	if err != nil {
--- a/internal/cli/store_diff.go
+++ b/internal/cli/store_diff.go
@@ -14,10 +14,10 @@
 )
 
 type storeDiff struct {
-	File string `arg:"" optional:"" type:"existingfile" help:"A backup; this instance's own document if missing."`
+	File string `arg:"" optional:"" type:"existingfile" help:"A backup to compare with; without it this instance's own document."`
 }
 
-// Run compares two documents key by key; it fails if they differ.
+// Run compares the document that a majority confirms with another one, key by key. It fails if they differ.
 func (c storeDiff) Run(e *env) error {
 	current, err := e.document(store.Linearizable, 0)
 	if err != nil {
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// other returns the document to compare with.
+// other returns the document to compare with: that of the backup, or this instance's local one.
 func (c storeDiff) other(e *env) (doc any, err error) {
 	if c.File == "" {
 		return e.document(store.Local, 0)
@@ -55,15 +55,16 @@
 	}
 	var b adminapi.Backup
 	if err := json.Unmarshal(data, &b); err != nil {
-		return nil, fmt.Errorf("diff: %w", err)
+		return nil, fmt.Errorf("diff: decode backup: %w", err)
 	}
 	if err := json.Unmarshal(b.Document, &doc); err != nil {
-		return nil, fmt.Errorf("diff: %w", err)
+		return nil, fmt.Errorf("diff: decode document of the backup: %w", err)
 	}
 	return doc, nil
 }
 
-// diffLines returns the leaves of before that after hasn't, and the reverse, by key; nil if there are none.
+// diffLines compares the leaves of two documents. For each key and value that only one of them has it returns a line,
+// marked "-" if that is before and "+" if it is after. The lines are sorted; nil means that there are none.
 func diffLines(before, after any) []string {
 	old, current := map[string]string{}, map[string]string{}
 	flatten(old, "", before)
@@ -83,7 +84,7 @@
 	return lines
 }
 
-// flatten adds a document's leaves to out, under dotted keys below key.
+// flatten adds the leaves of v to out as JSON, under dotted keys that begin with key.
 func flatten(out map[string]string, key string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -95,7 +96,7 @@
 			flatten(out, fmt.Sprintf("%s[%d]", key, i), item)
 		}
 	default:
-		data, _ := json.Marshal(v) // decoded from JSON, so that it encodes
+		data, _ := json.Marshal(v) // cannot fail: v was decoded from JSON
 		out[key] = string(data)
 	}
 }
--- a/internal/cli/store_document.go
+++ b/internal/cli/store_document.go
@@ -11,13 +11,14 @@
 )
 
 type storeGet struct {
-	Key    string        `arg:"" optional:"" help:"Dotted, as in search.max_result_window; the whole document if missing."`
-	Local  bool          `help:"What this instance has, confirmed or not; the same as --read local."`
-	Read   string        `help:"linearizable: a majority confirms it; lease: the leader trusts its lease; stale: any instance that heard the leader within --max-age; local." enum:"linearizable,lease,stale,local" default:"linearizable"`
-	MaxAge time.Duration `help:"Of a stale read." default:"5s"`
+	Key    string        `arg:"" optional:"" help:"Key to show, dotted as in search.max_result_window; without it the whole document."`
+	Local  bool          `help:"Read what this instance has applied, however old; the same as --read local."`
+	Read   string        `help:"Kind of read. linearizable: confirmed by a majority; lease: the leader relies on its lease; stale: any instance that had contact with the leader within --max-age; local: what this instance has applied, however old." enum:"linearizable,lease,stale,local" default:"linearizable"`
+	MaxAge time.Duration `help:"Limit on the time since the last contact with the leader, for --read stale." default:"5s"`
 }
 
-// document reads the replicated document by one of the store's kinds of read; maxAge is of stale reads.
+// document reads the replicated document. read is one of the consistency levels of package store; maxAge counts for
+// store.Stale alone.
 func (e *env) document(read string, maxAge time.Duration) (any, error) {
 	path := "/store/document?read=" + read
 	if read == store.Stale {
@@ -28,7 +29,7 @@
 	return doc, err
 }
 
-// Run prints the document or a part of it, as JSON whatever --output says.
+// Run prints the document or a part of it. The output is JSON whatever --output says.
 func (c storeGet) Run(e *env) error {
 	if c.Local {
 		c.Read = store.Local
@@ -45,7 +46,7 @@
 	return e.showJSON(doc)
 }
 
-// lookup returns what is under a dotted key of a document.
+// lookup returns the value of a dotted key in a document.
 func lookup(doc any, key string) (any, error) {
 	for _, name := range strings.Split(key, ".") {
 		object, ok := doc.(map[string]any)
@@ -58,19 +59,19 @@
 }
 
 type storePut struct {
-	Key   string `arg:"" help:"Dotted, as in search.max_result_window."`
-	Value string `arg:"" help:"JSON; what is none is taken as a string; null removes the key."`
+	Key   string `arg:"" help:"Key to set, dotted as in search.max_result_window."`
+	Value string `arg:"" help:"Value as JSON; a text that is not valid JSON is taken as a string; null removes the key."`
 }
 
 // Run sets or removes one key.
 func (c storePut) Run(e *env) error {
 	value := json.RawMessage(c.Value)
 	if !json.Valid(value) {
-		value, _ = json.Marshal(c.Value) // a string always encodes
+		value, _ = json.Marshal(c.Value) // cannot fail: every string can be encoded
 	}
 	body, err := json.Marshal(map[string]any{"persistent": map[string]any{c.Key: value}})
 	if err != nil {
-		return fmt.Errorf("put: %w", err)
+		return fmt.Errorf("put: encode setting: %w", err)
 	}
 	if err := e.client.Call("PUT", "/search/_cluster/settings", body, nil); err != nil {
 		return err
--- a/internal/cli/store_members.go
+++ b/internal/cli/store_members.go
@@ -14,31 +14,31 @@
 	"linkpass/internal/store"
 )
 
-// storeCommands are the commands of the replicated store.
+// storeCommands are the commands of the replicated store: its members and its document.
 type storeCommands struct {
-	Members storeMembers `cmd:"" help:"The instances of the store."`
-	Join    storeJoin    `cmd:"" help:"Let a further instance learn; its file has store.join = true and names itself."`
-	Promote storeMember  `cmd:"" help:"Let an instance that has caught up vote."`
-	Leave   storeMember  `cmd:"" help:"Take an instance away, dead or alive."`
-	Recover storeRecover `cmd:"" help:"Make this stopped instance the only member of its store, where a majority is lost for good."`
-	Leader  storeLeader  `cmd:"" help:"The leader's id; exit code 1 if none is known."`
-	Get     storeGet     `cmd:"" help:"The document, or what lies under a key, as a majority confirms it."`
-	Put     storePut     `cmd:"" help:"Change a key of the settings."`
-	Diff    storeDiff    `cmd:"" help:"What differs between this instance's document, or a file's, and the majority's."`
-	Backup  storeBackup  `cmd:"" help:"Write the document to a file, with a sum."`
-	Restore storeRestore `cmd:"" help:"Put a backup's document in place of the one that holds."`
+	Members storeMembers `cmd:"" help:"Show the instances of the store."`
+	Join    storeJoin    `cmd:"" help:"Add an instance that does not vote yet; its file has store.join = true and lists the instance itself."`
+	Promote storeMember  `cmd:"" help:"Give a vote to an instance that has caught up."`
+	Leave   storeMember  `cmd:"" help:"Remove an instance, whether it is running or not."`
+	Recover storeRecover `cmd:"" help:"Make this stopped instance the only member of its store, after the permanent loss of a majority."`
+	Leader  storeLeader  `cmd:"" help:"Show the leader's id; exit code 1 if no leader is known."`
+	Get     storeGet     `cmd:"" help:"Show the document or the value of a key; by default a majority confirms the read."`
+	Put     storePut     `cmd:"" help:"Set or remove a key of the settings."`
+	Diff    storeDiff    `cmd:"" help:"Show the differences between this instance's document, or that of a backup, and the one that a majority confirms."`
+	Backup  storeBackup  `cmd:"" help:"Write the document and its checksum to a file."`
+	Restore storeRestore `cmd:"" help:"Replace the current document with that of a backup."`
 }
 
 type storeMembers struct{}
 
-// Run shows the members.
+// Run shows the members of the store.
 func (storeMembers) Run(e *env) error {
 	s, err := e.client.Status()
 	if err != nil {
 		return err
 	}
 	if s.Store == nil {
-		return fmt.Errorf("there is no store here")
+		return fmt.Errorf("this coordinator has no replicated store")
 	}
 	return e.show(s.Store, func(w io.Writer) { memberRows(w, s.Store) })
 }
@@ -59,7 +59,7 @@
 
 type storeLeader struct{}
 
-// Run prints the leader.
+// Run prints the leader's id. It fails if there is no store or no leader is known.
 func (storeLeader) Run(e *env) error {
 	s, err := e.client.Status()
 	if err != nil {
@@ -72,9 +72,9 @@
 }
 
 type storeJoin struct {
-	ID   string `arg:"" help:"Its id, never used before."`
-	Raft string `arg:"" help:"Address of its Raft traffic."`
-	HTTP string `arg:"" help:"Address of its search front."`
+	ID   string `arg:"" help:"Id of the instance, never used before."`
+	Raft string `arg:"" help:"Address of the instance's Raft traffic."`
+	HTTP string `arg:"" help:"Address of the instance's search front."`
 }
 
 // Run adds an instance that does not vote yet.
@@ -83,7 +83,7 @@
 }
 
 type storeMember struct {
-	ID string `arg:"" help:"The instance's id."`
+	ID string `arg:"" help:"Id of the instance."`
 }
 
 // Run requests the action that the command is named after.
@@ -95,7 +95,7 @@
 func (e *env) changeMember(req adminapi.MemberRequest) error {
 	body, err := json.Marshal(req)
 	if err != nil {
-		return fmt.Errorf("order: %w", err)
+		return fmt.Errorf("encode order: %w", err)
 	}
 	if err := e.client.Call("PUT", "/store/members", body, nil); err != nil {
 		return err
@@ -105,10 +105,10 @@
 
 type storeRecover struct {
 	OpenSearch string `name:"opensearch" help:"The operators' file of the stopped instance." default:"${search_file}"`
-	Force      bool   `help:"Although other members answer: two stores may then go on apart."`
+	Force      bool   `help:"Recover even if other members answer; two stores may then diverge."`
 }
 
-// Run works on the files of a stopped instance; it calls no coordinator.
+// Run recovers the store from the files of a stopped instance. It calls no coordinator.
 func (c storeRecover) Run(e *env) error {
 	search, err := daemon.LoadSearchConfig(c.OpenSearch)
 	if err != nil {
--- a/internal/cli/tcp_test.go
+++ b/internal/cli/tcp_test.go
@@ -16,7 +16,7 @@
 	"linkpass/internal/http1"
 )
 
-// newTCPClient returns a client that signs its calls with the demo's key.
+// newTCPClient returns a client that calls the admin API over TCP and signs its calls with the demo's key.
 func newTCPClient(t *testing.T, d *experiment.Demo) *adminapi.Client {
 	t.Helper()
 	ring, err := daemon.ReadKeys(d.KeyFile)
@@ -34,7 +34,7 @@
 			var rejected *adminapi.ResponseError
 			err := c.Call("PUT", "/drain", nil, nil)
 			if !errors.As(err, &rejected) || rejected.Status != 401 || !strings.Contains(rejected.Reason, "set the clocks") {
-				t.Errorf("error %v", err)
+				t.Errorf("error = %v, want status 401 with the advice to set the clocks", err)
 			}
 		})
 	}
@@ -52,12 +52,13 @@
 		defer nc.Close()
 		_ = http1.WriteRequest(nc, "PUT", "/v1/drain", "x", textproto.MIMEHeader{"Authorization": {signed}}, nil)
 		if res, err := http1.NewReader(nc, 0).Response(); err != nil || res.Status != want {
-			t.Errorf("call %d: %+v %v", i, res, err)
+			t.Errorf("call %d: response %+v, error %v; want status %d", i, res, err, want)
 		}
 	}
 }
 
-// All callers get the state that their call led to, and the last call wins, at the socket and over TCP.
+// Two clients, one at the socket and one over TCP, drain and activate the coordinator concurrently. Each call returns
+// the state that it led to, and the last call determines the final state.
 func TestDrainAndActivateAtTheSameTime(t *testing.T) {
 	d := startDemo(t, 3)
 	clients := []*adminapi.Client{{Socket: d.Socket, Timeout: 5 * time.Second}, newTCPClient(t, d)}
@@ -71,7 +72,7 @@
 				}
 				var now map[string]string
 				if err := c.Call("PUT", path, nil, &now); err != nil || now["state"] != want {
-					t.Errorf("%s: %v %v", path, now, err)
+					t.Errorf("%s: response %v, error %v; want state %s", path, now, err, want)
 				}
 			}
 		})
@@ -84,6 +85,6 @@
 	}
 	var s adminapi.Status
 	if err := clients[0].Call("GET", "/status", nil, &s); err != nil || s.State != "serving" {
-		t.Errorf("%v %v", s.State, err)
+		t.Errorf("state after the last activate = %q, error %v; want serving", s.State, err)
 	}
 }
--- a/internal/cli/terminal.go
+++ b/internal/cli/terminal.go
@@ -13,7 +13,7 @@
 	return ok && term.IsTerminal(int(f.Fd()))
 }
 
-// terminalWidth returns the columns of the terminal that out is; 0 if it is none.
+// terminalWidth returns the number of columns of the terminal that out writes to, 0 if out is no terminal.
 func terminalWidth(out io.Writer) int {
 	f, ok := out.(*os.File)
 	if !ok {
@@ -26,7 +26,8 @@
 	return width
 }
 
-// truncateLines cuts lines that are wider than width columns; 0 leaves them.
+// truncateLines shortens each line of more than width runes to width, the last of them an ellipsis. A width of 0 or
+// less means no limit.
 func truncateLines(text string, width int) string {
 	if width <= 0 {
 		return text
--- a/internal/cli/top.go
+++ b/internal/cli/top.go
@@ -12,20 +12,21 @@
 )
 
 type topCommand struct {
-	Every time.Duration `help:"Between two looks." default:"1s"`
-	Count int           `help:"Looks to take; 0: until interrupted." default:"0"`
+	Every time.Duration `help:"Time between two views." default:"1s"`
+	Count int           `help:"Number of views to show; 0 means until interrupted." default:"0"`
 }
 
-// clearScreen moves a terminal's cursor to the first line and erases all.
+// clearScreen is the escape sequence that moves a terminal's cursor to the first line and erases the screen.
 const clearScreen = "\x1b[H\x1b[2J"
 
-// sample is a status and when it was read.
+// sample is a status and the time at which it was read.
 type sample struct {
 	status adminapi.Status
 	at     time.Time
 }
 
-// Run shows a view of the coordinator repeatedly. A failed call is shown in its place, and the next one follows.
+// Run shows a view of the coordinator every c.Every. When a call fails, its error is shown in place of the view, and
+// Run goes on with the next one.
 func (c topCommand) Run(e *env) error {
 	terminal := isTerminal(e.out.Writer)
 	var last sample
@@ -51,7 +52,7 @@
 	return nil
 }
 
-// writeView writes one view; with hasRates, counts are rates since the last sample.
+// writeView writes one view. With hasRates it shows the counts of the classes as rates since the last sample.
 func (e *env) writeView(w io.Writer, s adminapi.Status, last sample, hasRates bool) {
 	elapsed := time.Since(last.at)
 	fmt.Fprintf(w, "%s  %s  %s  core %s  %d open  %s resident\n", time.Now().Format(time.TimeOnly), s.Name, s.State, s.Core,
@@ -79,13 +80,13 @@
 	}
 }
 
-// writeClassRates writes responses a second since the last status.
+// writeClassRates writes the responses per second of each class since the last status.
 func writeClassRates(w io.Writer, s, last adminapi.Status, elapsed time.Duration) {
 	before := map[string]adminapi.ClassStatus{}
 	for _, c := range last.Classes {
 		before[c.Name] = c
 	}
-	seconds := max(0.001, elapsed.Seconds()) // guards against division by zero
+	seconds := max(0.001, elapsed.Seconds()) // avoids a division by zero
 	for _, c := range s.Classes {
 		b := before[c.Name]
 		fmt.Fprintf(w, "%-14s %8.1f/s served %6.1f/s refused %6.1f/s failed\n", c.Name, float64(c.Served-b.Served)/seconds,
@@ -93,7 +94,7 @@
 	}
 }
 
-// writeServers writes the servers, those with most requests in flight first.
+// writeServers writes the servers, ordered by their requests in flight, the largest number first.
 func (e *env) writeServers(w io.Writer) {
 	list, err := e.client.Servers()
 	if err != nil {
--- a/internal/launch/launch.go
+++ b/internal/launch/launch.go
@@ -1,5 +1,6 @@
-// Package launch finds and executes the program that a command line is for. The daemon has no command line of its own,
-// which would cost it 3 MB of resident memory: reflection on the names of methods keeps all methods in a binary.
+// Package launch finds and executes the program that handles a command line. The daemon's binary contains no
+// command-line parser, which would cost the daemon 3 MB of resident memory: the parser looks up methods by name through
+// reflection, and that keeps all methods in the binary.
 package launch
 
 import (
@@ -13,10 +14,11 @@
 	"linkpass/internal/daemon"
 )
 
-// misused is the exit code when a command line's program could not be executed.
+// misused is the process exit code when the program that handles the command line could not be executed.
 const misused = 2
 
-// Main runs the daemon, or replaces this process with linkpass-ctl for any other command line. It returns the exit code.
+// Main runs the daemon if daemon.Arguments accepts args, the command line without the program's name. For any other
+// command line it replaces this process with linkpass-ctl, and returns only if that failed. It returns the exit code.
 func Main(args []string) int {
 	if file, ok := daemon.Arguments(args); ok {
 		return daemon.Main(file)
@@ -25,8 +27,9 @@
 	return misused
 }
 
-// Exec replaces this process with the named program, which is in this program's directory or else on the PATH; args
-// follow its name. It returns only if it failed, with an error that names the program.
+// Exec replaces this process with the named program, which it looks for in this program's directory and then on the
+// PATH. args are the program's arguments, without its name. Exec returns only if it failed, with an error that names
+// the program.
 func Exec(name string, args []string) error {
 	path, err := find(name)
 	if err != nil {
@@ -35,11 +38,11 @@
 	return fmt.Errorf("%s: %w", path, syscall.Exec(path, append([]string{name}, args...), os.Environ()))
 }
 
-// find returns the path of a program: first in this program's directory, then on the PATH.
+// find returns the path of a program. It looks in this program's directory first and then on the PATH.
 func find(name string) (string, error) {
 	self, err := os.Executable()
 	if err != nil {
-		return "", fmt.Errorf("where this program lies: %w", err)
+		return "", fmt.Errorf("find the path of this program: %w", err)
 	}
 	sibling := filepath.Join(filepath.Dir(self), name)
 	if info, err := os.Stat(sibling); err == nil && info.Mode().IsRegular() {
--- a/internal/launch/launch_test.go
+++ b/internal/launch/launch_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// writeProgram creates an executable file until the test ends.
+// writeProgram creates an executable file and removes it when the test ends.
 func writeProgram(t *testing.T, path string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte("#!/bin/sh\n"), 0o700); err != nil {
@@ -51,6 +51,6 @@
 	t.Setenv("PATH", t.TempDir())
 	const missing = "launch-test-missing"
 	if err := Exec(missing, nil); err == nil || !strings.HasPrefix(err.Error(), missing+" is neither beside ") {
-		t.Errorf("error %v", err)
+		t.Errorf("error = %v, want one that names %s as missing", err, missing)
 	}
 }
