--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -24,7 +24,7 @@
 // any.
 func (c checkCommand) Run(e *env) error {
 	found := c.findings()
-	if err := e.show(found, func(w io.Writer) { findingRows(w, found) }); err != nil {
+	if err := e.show(found, func(w io.Writer) { writeFindingRows(w, found) }); err != nil {
 		return err
 	}
 	if len(found) > 0 {
@@ -63,7 +63,7 @@
 	return found
 }
 
-func findingRows(w io.Writer, found []finding) {
+func writeFindingRows(w io.Writer, found []finding) {
 	for _, f := range found {
 		fmt.Fprintf(w, "%s\t%s\n", f.Where, f.What)
 	}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -62,9 +62,9 @@
 		return ExitMisused
 	}
 	if e.client, err = c.newClient(); err != nil {
-		return e.fail(err)
+		return e.finish(err)
 	}
-	return e.fail(ctx.Run(e))
+	return e.finish(ctx.Run(e))
 }
 
 // exitError is the exit code with which the parser ends the program after it has printed a help text or the version.
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -31,7 +31,7 @@
 	if err != nil || len(files) == 0 {
 		t.Fatalf("scripts in testdata: %v, error %v; want at least one script", files, err)
 	}
-	testscript.Run(t, testscript.Params{Files: append(files, documented(t)...), Setup: func(e *testscript.Env) error {
+	testscript.Run(t, testscript.Params{Files: append(files, writePageScripts(t)...), Setup: func(e *testscript.Env) error {
 		d, err := experiment.StartDemo(1) // one for each script, because the scripts change its state
 		if err != nil {
 			return err
@@ -46,13 +46,13 @@
 		e.Setenv("DOOR", d.AdminListener)
 		e.Setenv("SET", strings.Join(d.ReplicaSets()[0], "+"))
 		e.Setenv("DEAD_SOCKET", e.WorkDir+"/nobody.sock")
-		return listenDeaf(e)
+		return listenUnresponsive(e)
 	}})
 }
 
-// listenDeaf listens on a Unix socket that accepts connections and answers no call. The script finds the socket's path
-// in DEAF_SOCKET.
-func listenDeaf(e *testscript.Env) error {
+// listenUnresponsive listens on a Unix socket that accepts connections and answers no call. The script finds the
+// socket's path in DEAF_SOCKET.
+func listenUnresponsive(e *testscript.Env) error {
 	dir, err := os.MkdirTemp("", "deaf")
 	if err != nil {
 		return err
@@ -116,7 +116,7 @@
 }
 
 // Guards against an error message and a failure when the reader of the output, such as head, closes the pipe early.
-func TestOutputPipeClosed(t *testing.T) {
+func TestMainSucceedsWhenOutputPipeIsClosed(t *testing.T) {
 	d := startDemo(t, 5)
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -181,7 +181,7 @@
 
 func TestWaitTimeoutExitCode(t *testing.T) {
 	e := &env{out: &output{Writer: io.Discard}, err: io.Discard, flags: &commands{}}
-	if got := e.fail(e.wait("it", func() (bool, error) { return false, nil })); got != ExitTimedOut {
+	if got := e.finish(e.wait("it", func() (bool, error) { return false, nil })); got != ExitTimedOut {
 		t.Errorf("exit code = %d, want %d", got, ExitTimedOut)
 	}
 }
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -30,14 +30,14 @@
 	}
 	return e.show(result, func(w io.Writer) {
 		fmt.Fprintln(w, "KEY\tTAKES HOLD")
-		list := func(when string, keys []string) {
+		printKeys := func(when string, keys []string) {
 			for _, k := range keys {
 				fmt.Fprintf(w, "%s\t%s\n", k, when)
 			}
 		}
-		list("now", result.Applied)
-		list("with the next start", result.NeedsRestart)
-		list("never: the store says", result.Replicated)
+		printKeys("now", result.Applied)
+		printKeys("with the next start", result.NeedsRestart)
+		printKeys("never: the store says", result.Replicated)
 	})
 }
 
--- a/internal/cli/docs_test.go
+++ b/internal/cli/docs_test.go
@@ -13,21 +13,21 @@
 )
 
 var (
-	// shown matches a command in a page, either between backquotes or on a line of an indented block.
-	shown = regexp.MustCompile("(?m)`((?:bin/)?linkpass(?:-lab)? [^`]*)`|^    ((?:bin/)?linkpass(?:-lab)? [^#\n]*|curl [^#\n]*)")
+	// commandPattern matches a command in a page, either between backquotes or on a line of an indented block.
+	commandPattern = regexp.MustCompile("(?m)`((?:bin/)?linkpass(?:-lab)? [^`]*)`|^    ((?:bin/)?linkpass(?:-lab)? [^#\n]*|curl [^#\n]*)")
 
-	// samples replaces the placeholders in commands by arguments that work in a script.
-
-	samples = strings.NewReplacer("[serve] ", "", "[", "", "]", "", " …", "", "KIND", "lease", "SLICE SLICE", "1048578 1048579", "move INDEX SLICE", "move players 1048577",
+	// placeholders replaces the placeholders in commands by arguments that work in a script.
+	placeholders = strings.NewReplacer("[serve] ", "", "[", "", "]", "", " …", "", "KIND", "lease", "SLICE SLICE", "1048578 1048579", "move INDEX SLICE", "move players 1048577",
 		"--cell 3", "--cell 0", "SLICE", "1048576", "INDEX", "players", " PLAN", " 1", "BACKUP", "backup.json", "KEY", "search.max_result_window", "PART LEVEL", "peer warn", "--into N", "--into 2", "--to a+b", "--to $SET",
 		"--count N", "--count 2", " ID", " x", "recover --opensearch FILE", "recover --opensearch $FILE", "--opensearch FILE", "--opensearch $FILE", "backup FILE", "backup backup.json")
-	// addresses replaces addresses that a test cannot bind or reach.
+
+	// addresses replaces the addresses in the pages, which a test cannot bind or reach, by those of the demo.
 	addresses = strings.NewReplacer("127.0.0.1:9200", "$SEARCH", "127.0.0.1:19000", "$DOOR")
 )
 
-// elsewhere lists the commands that the page scripts leave out, because they take long, run until they are interrupted
-// or need a certain state. The key is the beginning of a command, the value says which tests run it.
-var elsewhere = map[string]string{
+// omittedCommands lists the commands that the page scripts leave out, because they take long, run until they are
+// interrupted or need a certain state. The key is the beginning of a command, the value says which tests run it.
+var omittedCommands = map[string]string{
 	"linkpass --opensearch":   "TestReloadFollowsDiscoveryAddress of internal/daemon, and each demo",
 	"linkpass demo":           "TestCommandsOfScriptsAndPages runs its scripts against demos",
 	"linkpass page":           "TestServeUntilContextEnds of internal/dashboard runs the function that it calls",
@@ -38,13 +38,13 @@
 	"linkpass store promote":  "store.txtar; a member without a running process does not catch up",
 }
 
-// rejected lists the commands that must fail on a running coordinator without other instances. The key is the beginning
-// of a command, the value matches its error message.
-var rejected = map[string]string{"linkpass store recover": "recovery refused"}
+// rejectedCommands lists the commands that must fail on a running coordinator without other instances. The key is the
+// beginning of a command, the value matches its error message.
+var rejectedCommands = map[string]string{"linkpass store recover": "recovery refused"}
 
-// documented writes one script for each page that shows commands, with all of them in the page's order. Optional words,
-// which the tables of the pages put in brackets, are all included. It returns the paths of the scripts.
-func documented(t *testing.T) (scripts []string) {
+// writePageScripts writes one script for each page that shows commands, with all of them in the page's order. Optional
+// words, which the tables of the pages put in brackets, are all included. It returns the paths of the scripts.
+func writePageScripts(t *testing.T) (scripts []string) {
 	t.Helper()
 	pages, err := filepath.Glob(filepath.Join("..", "..", "docs", "*.md"))
 	if err != nil {
@@ -78,15 +78,15 @@
 	var script bytes.Buffer
 	fmt.Fprintln(&script, "env ROUTER_CONFIG=$CONFIG")
 	n := 0
-	for _, found := range shown.FindAllStringSubmatch(text, -1) {
+	for _, found := range commandPattern.FindAllStringSubmatch(text, -1) {
 		line := addresses.Replace(strings.TrimPrefix(strings.TrimSpace(found[1]+found[2]), "bin/"))
 		if !strings.HasPrefix(line, "curl") {
-			line = samples.Replace(line)
+			line = placeholders.Replace(line)
 		}
-		if valueOfPrefix(elsewhere, line) != "" {
+		if lookupPrefix(omittedCommands, line) != "" {
 			continue
 		}
-		if reason := valueOfPrefix(rejected, line); reason != "" {
+		if reason := lookupPrefix(rejectedCommands, line); reason != "" {
 			fmt.Fprintf(&script, "! %s\nstderr '%s'\n", line, reason)
 		} else {
 			fmt.Fprintln(&script, line)
@@ -96,8 +96,8 @@
 	return script.Bytes(), n
 }
 
-// valueOfPrefix returns the value of a key that line begins with, or "" if there is none.
-func valueOfPrefix(m map[string]string, line string) string {
+// lookupPrefix returns the value of a key that line begins with, or "" if there is none.
+func lookupPrefix(m map[string]string, line string) string {
 	for key, v := range m {
 		if strings.HasPrefix(line, key) {
 			return v
--- a/internal/cli/env.go
+++ b/internal/cli/env.go
@@ -83,15 +83,15 @@
 }
 
 // wait polls a condition until it holds, until it returns an error or until --timeout has passed. After a timeout it
-// returns errTimedOut, wrapped with the text what, which says what has not been reached.
-func (e *env) wait(what string, holds func() (bool, error)) error {
+// returns errTimedOut, wrapped with the text unmet, which says what has not been reached.
+func (e *env) wait(unmet string, condition func() (bool, error)) error {
 	for deadline := time.Now().Add(e.flags.Timeout); ; {
-		ok, err := holds()
+		ok, err := condition()
 		if ok || err != nil {
 			return err
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%w after %s: %s", errTimedOut, e.flags.Timeout, what)
+			return fmt.Errorf("%w after %s: %s", errTimedOut, e.flags.Timeout, unmet)
 		}
 		time.Sleep(waitInterval)
 	}
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -19,9 +19,9 @@
 // errTimedOut means that the condition of a wait did not hold within the timeout.
 var errTimedOut = errors.New("timed out")
 
-// fail prints an error and returns the exit code for it. A nil error gives ExitDone, and so does any error once the
+// finish prints an error and returns the exit code for it. A nil error gives ExitDone, and so does any error once the
 // reader of the output has closed it; then nothing is printed.
-func (e *env) fail(err error) int {
+func (e *env) finish(err error) int {
 	if err == nil || e.out.closed {
 		return ExitDone
 	}
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -26,7 +26,7 @@
 	} `json:"to"`
 }
 
-func planRows(w io.Writer, plans []plan) {
+func writePlanRows(w io.Writer, plans []plan) {
 	fmt.Fprintln(w, "PLAN\tKIND\tSTEP\tFROM\tTO")
 	for _, p := range plans {
 		var from, to []string
--- a/internal/cli/reshard.go
+++ b/internal/cli/reshard.go
@@ -41,7 +41,7 @@
 		if out.DryRun {
 			fmt.Fprintln(w, "dry run: nothing was changed")
 		}
-		planRows(w, plans)
+		writePlanRows(w, plans)
 	}); err != nil {
 		return err
 	}
--- a/internal/cli/server_change.go
+++ b/internal/cli/server_change.go
@@ -21,10 +21,10 @@
 	if err := e.client.Call("GET", "/servers/agreed", nil, &state); err != nil {
 		return err
 	}
-	return e.show(state, func(w io.Writer) { replicatedRows(w, state) })
+	return e.show(state, func(w io.Writer) { writeReplicatedRows(w, state) })
 }
 
-func replicatedRows(w io.Writer, state adminapi.ReplicatedState) {
+func writeReplicatedRows(w io.Writer, state adminapi.ReplicatedState) {
 	fmt.Fprintf(w, "version %d, state %s\nSERVER\tRESTRICTION\tWEIGHT\tADDED AT\tVERSION\n", state.Version, state.Hash)
 	for _, id := range slices.Sorted(maps.Keys(state.Servers)) {
 		s, addr := state.Servers[id], ""
--- a/internal/cli/server_list.go
+++ b/internal/cli/server_list.go
@@ -27,10 +27,10 @@
 	if err != nil {
 		return err
 	}
-	return e.show(list, func(w io.Writer) { serverRows(w, list) })
+	return e.show(list, func(w io.Writer) { writeServerRows(w, list) })
 }
 
-func serverRows(w io.Writer, list []adminapi.Server) {
+func writeServerRows(w io.Writer, list []adminapi.Server) {
 	fmt.Fprintln(w, "SERVER\tSTATE\tOUT\tMEDIAN\tHEALTH\tNOTES")
 	for _, s := range list {
 		worst := 1.0
--- a/internal/cli/shards.go
+++ b/internal/cli/shards.go
@@ -50,10 +50,10 @@
 	if err != nil {
 		return err
 	}
-	return e.show(list, func(w io.Writer) { shardRows(w, list) })
+	return e.show(list, func(w io.Writer) { writeShardRows(w, list) })
 }
 
-func shardRows(w io.Writer, list []shardRow) {
+func writeShardRows(w io.Writer, list []shardRow) {
 	fmt.Fprintln(w, "INDEX\tSLICE\tSTATE\tRANGE\tNODE\tPLAN")
 	for _, s := range list {
 		plan := ""
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -16,10 +16,10 @@
 	if err != nil {
 		return err
 	}
-	return e.show(s, func(w io.Writer) { statusRows(w, s) })
+	return e.show(s, func(w io.Writer) { writeStatusRows(w, s) })
 }
 
-func statusRows(w io.Writer, s adminapi.Status) {
+func writeStatusRows(w io.Writer, s adminapi.Status) {
 	fmt.Fprintf(w, "name\t%s\nprogram\t%s, pid %d\nstate\t%s, up %s\n", s.Name, s.Program, s.PID, s.State,
 		(time.Duration(s.UptimeS) * time.Second).String())
 	if s.Core != "ok" {
--- a/internal/cli/store_diff.go
+++ b/internal/cli/store_diff.go
@@ -23,11 +23,11 @@
 	if err != nil {
 		return err
 	}
-	other, err := c.other(e)
+	baseline, err := c.baseline(e)
 	if err != nil {
 		return err
 	}
-	lines := diffLines(other, current)
+	lines := diffLines(baseline, current)
 	if err := e.show(lines, func(w io.Writer) {
 		for _, line := range lines {
 			fmt.Fprintln(w, line)
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// other returns the document to compare with: that of the backup, or this instance's local one.
-func (c storeDiff) other(e *env) (doc any, err error) {
+// baseline returns the document to compare with: that of the backup, or this instance's local one.
+func (c storeDiff) baseline(e *env) (doc any, err error) {
 	if c.File == "" {
 		return e.document(store.Local, 0)
 	}
--- a/internal/cli/store_members.go
+++ b/internal/cli/store_members.go
@@ -40,10 +40,10 @@
 	if s.Store == nil {
 		return fmt.Errorf("this coordinator has no replicated store")
 	}
-	return e.show(s.Store, func(w io.Writer) { memberRows(w, s.Store) })
+	return e.show(s.Store, func(w io.Writer) { writeMemberRows(w, s.Store) })
 }
 
-func memberRows(w io.Writer, s *adminapi.StoreStatus) {
+func writeMemberRows(w io.Writer, s *adminapi.StoreStatus) {
 	fmt.Fprintln(w, "ID\tRAFT\tHTTP\t")
 	for _, m := range s.Members {
 		role := ""
--- a/internal/cli/tcp_test.go
+++ b/internal/cli/tcp_test.go
@@ -26,7 +26,7 @@
 	return &adminapi.Client{Address: d.Operator, KeyID: "demo", Key: ring["demo"], Timeout: 5 * time.Second}
 }
 
-func TestSignedCallWithWrongClock(t *testing.T) {
+func TestSignedCallRejectedWithWrongClock(t *testing.T) {
 	c := newTCPClient(t, startDemo(t, 4))
 	for _, offset := range []time.Duration{time.Minute, -time.Minute} {
 		t.Run(offset.String(), func(t *testing.T) {
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestSignedCallReplayed(t *testing.T) {
+func TestSignedCallRejectedWhenReplayed(t *testing.T) {
 	d := startDemo(t, 4)
 	key := newTCPClient(t, d).Key
 	signed := signature.Sign("demo", key, signature.Call{Method: "PUT", Target: "/v1/drain"}, time.Now(), "once")
@@ -59,7 +59,7 @@
 
 // Two clients, one at the socket and one over TCP, drain and activate the coordinator concurrently. Each call returns
 // the state that it led to, and the last call determines the final state.
-func TestDrainAndActivateAtTheSameTime(t *testing.T) {
+func TestConcurrentDrainAndActivate(t *testing.T) {
 	d := startDemo(t, 3)
 	clients := []*adminapi.Client{{Socket: d.Socket, Timeout: 5 * time.Second}, newTCPClient(t, d)}
 	var wg sync.WaitGroup
--- a/internal/launch/launch.go
+++ b/internal/launch/launch.go
@@ -14,8 +14,8 @@
 	"linkpass/internal/daemon"
 )
 
-// misused is the process exit code when the program that handles the command line could not be executed.
-const misused = 2
+// exitExecFailed is the process exit code when the program that handles the command line could not be executed.
+const exitExecFailed = 2
 
 // Main runs the daemon if daemon.Arguments accepts args, the command line without the program's name. For any other
 // command line it replaces this process with linkpass-ctl, and returns only if that failed. It returns the exit code.
@@ -24,7 +24,7 @@
 		return daemon.Main(file)
 	}
 	fmt.Fprintln(os.Stderr, "linkpass:", Exec("linkpass-ctl", args))
-	return misused
+	return exitExecFailed
 }
 
 // Exec replaces this process with the named program, which it looks for in this program's directory and then on the
--- a/internal/launch/launch_test.go
+++ b/internal/launch/launch_test.go
@@ -16,7 +16,7 @@
 	t.Cleanup(func() { _ = os.Remove(path) })
 }
 
-func TestFind(t *testing.T) {
+func TestFindPrefersOwnDirectoryToPath(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
