--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -59,7 +59,7 @@
 		return int(exited)
 	case err != nil:
 		fmt.Fprintln(errOut, "linkpass:", err)
-		return ExitMisused
+		return ExitUsage
 	}
 	if e.client, err = c.newClient(); err != nil {
 		return e.finish(err)
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -167,7 +167,7 @@
 		want int
 	}{
 		{"version", []string{"--version"}, ExitDone},
-		{"unknown command", []string{"frobnicate"}, ExitMisused},
+		{"unknown command", []string{"frobnicate"}, ExitUsage},
 		{"no coordinator", []string{"--socket", missing, "status"}, ExitUnreachable},
 		{"missing file", []string{"check", "--file-only", "--opensearch", missing}, ExitFailed},
 	} {
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -11,7 +11,7 @@
 const (
 	ExitDone        = 0
 	ExitFailed      = 1 // the command failed, or the coordinator rejected it
-	ExitMisused     = 2 // the command line is wrong
+	ExitUsage       = 2 // the command line is wrong
 	ExitUnreachable = 3 // no coordinator answers
 	ExitTimedOut    = 4 // the condition of --wait did not hold within --timeout
 )
