--- a/cmd/linkpass/main.go
+++ b/cmd/linkpass/main.go
@@ -1,4 +1,5 @@
-// Linkpass is the coordinator's daemon. Any other command line it hands over to linkpass-ctl.
+// Command linkpass is the coordinator's daemon. It passes every command line that does not start the daemon to
+// linkpass-ctl.
 package main
 
 import (
--- a/cmd/linkpass/main_test.go
+++ b/cmd/linkpass/main_test.go
@@ -8,11 +8,12 @@
 	"testing"
 )
 
-// Guards against a static program: the full fleet's bench loads a library into the process. `make test` sets the folder.
+// Guards against statically linked programs: the bench of the full fleet loads a library into the process. `make test`
+// sets LINKPASS_BUILT to the folder of the programs.
 func TestBuiltProgramsAreDynamic(t *testing.T) {
 	dir := os.Getenv("LINKPASS_BUILT")
 	if dir == "" {
-		t.Skip("LINKPASS_BUILT names no folder; make test does")
+		t.Skip("LINKPASS_BUILT is not set; make test sets it")
 	}
 	for _, name := range []string{"linkpass", "adapter"} {
 		t.Run(name, func(t *testing.T) {
--- a/cmd/linkpass/policy_test.go
+++ b/cmd/linkpass/policy_test.go
@@ -9,10 +9,10 @@
 	"github.com/BurntSushi/toml"
 )
 
-// routingFolder holds the decisions.
+// routingFolder is the folder of the package that decides how queries are routed.
 const routingFolder = "internal/routing"
 
-// Guards against a file of the decisions that the deploy file leaves out, or lists although it was removed.
+// The deploy file lists each file of the routing package except tests, and no file that was removed.
 func TestDeployFileListsRoutingFiles(t *testing.T) {
 	root := filepath.Join("..", "..")
 	var deploy struct {
--- a/internal/daemon/active_settings.go
+++ b/internal/daemon/active_settings.go
@@ -6,10 +6,11 @@
 	"linkpass/internal/searchconfig"
 )
 
-// activeSettings are the search settings in force: the file's, or the store's once it is open.
+// activeSettings holds the search settings in force: those of the operators' file, or those of the replicated store
+// once it is open.
 type activeSettings struct {
-	fromFile atomic.Pointer[searchconfig.Config] // in force where there is no store
-	source   atomic.Pointer[func() *searchconfig.Config]
+	fromFile atomic.Pointer[searchconfig.Config]         // in force while there is no store
+	source   atomic.Pointer[func() *searchconfig.Config] // returns the settings in force
 }
 
 func newActiveSettings(file *searchconfig.Config) *activeSettings {
@@ -21,5 +22,5 @@
 
 func (s *activeSettings) setSource(source func() *searchconfig.Config) { s.source.Store(&source) }
 
-// config is the document in force.
+// config returns the settings in force.
 func (s *activeSettings) config() *searchconfig.Config { return (*s.source.Load())() }
--- a/internal/daemon/admin_api.go
+++ b/internal/daemon/admin_api.go
@@ -16,35 +16,35 @@
 	"linkpass/internal/lifecycle"
 )
 
-// AdminConfig says where the admin API listens: the section `operator` of the operators' file.
+// AdminConfig configures the admin API: the section `operator` of the operators' file.
 type AdminConfig struct {
-	Socket string `toml:"socket"` // of the API; "": there is none
-	Listen string `toml:"listen"` // of the API over TCP; "": not there
-	Keys   string `toml:"keys"`   // file of the keys that sign calls over TCP
-	Window string `toml:"window"`
+	Socket string `toml:"socket"` // path of the API's Unix socket; "" turns it off
+	Listen string `toml:"listen"` // address of the API over TCP; "" turns it off
+	Keys   string `toml:"keys"`   // file with the keys that sign calls over TCP
+	Window string `toml:"window"` // duration: how far the time of a signed call may be off; "": the key's default
 }
 
 const (
-	adminAPIName    = "adminapi" // of the component
-	adminAPIConns   = 8
-	maxAdminBody    = 16 << 20 // bytes: a backup
-	maxUnsignedBody = 1 << 20  // over TCP: a body lies in memory before its signature is verified
+	adminAPIName    = "adminapi" // name of the component
+	adminAPIConns   = 8          // connections at a time, of each listener
+	maxAdminBody    = 16 << 20   // bytes; the largest body is a backup
+	maxUnsignedBody = 1 << 20    // bytes, over TCP; a body is held in memory before its signature is verified
 )
 
-// socketProbeTimeout is for another process to accept a connection at the socket.
+// socketProbeTimeout is how long another process has to accept a connection at the socket.
 const socketProbeTimeout = time.Second
 
-// errSocketInUse is the error of a socket that another process listens at.
+// errSocketInUse means that another process listens at the socket.
 var errSocketInUse = errors.New("another process listens")
 
-// adminAPI serves the admin API, at its socket and over TCP.
+// adminAPI serves the admin API at its Unix socket and over TCP.
 type adminAPI struct {
 	*process
 	core    *queryCore
 	backend *adminBackend
 
-	keys    keyring      // that sign calls over TCP
-	tcpAddr atomic.Value // string: of the API over TCP
+	keys    keyring      // verifies the calls over TCP
+	tcpAddr atomic.Value // string, the address of the API over TCP; unset while it does not listen there
 	bound   []*boundServer
 }
 
@@ -116,8 +116,8 @@
 	}, ln})
 }
 
-// listenSocket listens at a Unix socket. A file that a crash left is replaced; one
-// that another process listens on is not.
+// listenSocket listens at a Unix socket. It replaces a socket file left by a crash. If another process listens at the
+// socket, the error is errSocketInUse.
 func listenSocket(path string) (net.Listener, error) {
 	if _, err := os.Stat(path); err == nil {
 		if conn, err := net.DialTimeout("unix", path, socketProbeTimeout); err == nil {
@@ -125,7 +125,7 @@
 			return nil, fmt.Errorf("%w at %s", errSocketInUse, path)
 		}
 		if err := os.Remove(path); err != nil {
-			return nil, fmt.Errorf("remove the socket that a crash left: %w", err)
+			return nil, fmt.Errorf("remove stale socket: %w", err)
 		}
 	}
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
--- a/internal/daemon/admin_api_test.go
+++ b/internal/daemon/admin_api_test.go
@@ -14,7 +14,7 @@
 	"linkpass/internal/adminapi"
 )
 
-// A socket's file that a crash left is replaced; one that a process listens on is not, nor is a file of another kind.
+// A socket file left by a crash is replaced. One that a process listens at is not, nor is a file of another kind.
 func TestListenSocketReplacesStaleFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "deep", "linkpass.sock")
 	first, err := listenSocket(path)
@@ -22,11 +22,11 @@
 		t.Fatal(err)
 	}
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
-		t.Errorf("%v %v", info, err)
+		t.Errorf("file %v, error %v; want mode 0600", info, err)
 	}
 	_, err = listenSocket(path)
 	if !errors.Is(err, errSocketInUse) || !strings.Contains(err.Error(), "another process listens at "+path) {
-		t.Errorf("beside one that listens: %v", err)
+		t.Errorf("error %v, want errSocketInUse with the path", err)
 	}
 	first.(*net.UnixListener).SetUnlinkOnClose(false) // as a crash would
 	first.Close()
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	if _, err := listenSocket(path); err == nil {
-		t.Error("a directory was taken for a socket")
+		t.Error("listening at a directory that is not empty succeeded, want an error")
 	}
 }
 
@@ -57,9 +57,9 @@
 		_, _ = io.WriteString(nc, "GET /v1/rea") // fails on those that were evicted already
 	}
 	if s, err := (&adminapi.Client{Socket: socket, Timeout: 10 * time.Second}).Status(); err != nil || s.State != "serving" {
-		t.Errorf("%+v %v", s, err)
+		t.Errorf("status %+v, error %v; want state serving", s, err)
 	}
-	// A caller that has begun keeps its connection for a second; then it is evicted.
+	// A caller that has begun a request keeps its connection for a second; then it is evicted.
 	for connect(t, b.p.admin.bound.listener.Addr().String()).do("GET", "/v1/readyz", "", nil).Status != 200 {
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/internal/daemon/admin_backend.go
+++ b/internal/daemon/admin_backend.go
@@ -17,7 +17,8 @@
 
 const coreTimeout = 500 * time.Millisecond // for the core to report its view of the servers
 
-// adminBackend answers the calls of the admin API. Its exported methods are the program's too.
+// adminBackend implements the calls of the admin API. Program embeds it, so its exported methods are methods of Program
+// too.
 type adminBackend struct {
 	*process
 	core     *queryCore
@@ -33,7 +34,7 @@
 
 var _ adminapi.Coordinator = (*adminBackend)(nil)
 
-// Status is the state of the coordinator. It waits for nothing but, for a short time, the core.
+// Status returns the state of the coordinator. It waits for the core for at most coreTimeout, and for nothing else.
 func (b *adminBackend) Status() adminapi.Status {
 	s := adminapi.Status{
 		Name:            b.cfg.name,
@@ -62,7 +63,7 @@
 	return s
 }
 
-// classStatus counts the final answers by class.
+// classStatus returns the counts of final answers by class.
 func (b *adminBackend) classStatus() (out []adminapi.ClassStatus) {
 	for i, name := range b.totals.Classes {
 		out = append(out, adminapi.ClassStatus{Name: name, Served: b.totals.Served[i].Load(),
@@ -104,7 +105,8 @@
 	return s
 }
 
-// Servers is what the router knows of the league servers.
+// Servers returns what the router knows of the league servers, sorted by name. The error is adminapi.ErrCoreBusy if the
+// core does not reply within coreTimeout.
 func (b *adminBackend) Servers() ([]adminapi.Server, error) {
 	list, ok := b.core.core.Snapshot(coreTimeout)
 	if !ok {
@@ -142,13 +144,14 @@
 	return s
 }
 
-// milliseconds is a duration in milliseconds, to the microsecond.
+// milliseconds returns a duration in milliseconds, truncated to whole microseconds.
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// roundToThousandths rounds a share, which is not negative.
+// roundToThousandths rounds a share to three decimals. The share must not be negative.
 func roundToThousandths(share float64) float64 { return float64(int(share*1000+0.5)) / 1000 }
 
-// ShardMaps are the shard maps of the indices whose shards can move, by name.
+// ShardMaps returns the shard maps of the indices whose shards can move, sorted by name. Of each it lists at most
+// adminapi.MaxShards shards and as many plans.
 func (b *adminBackend) ShardMaps() (out []adminapi.IndexShardMap) {
 	c := b.settings.config()
 	for _, name := range slices.Sorted(maps.Keys(c.Indices)) {
@@ -167,22 +170,23 @@
 	return out
 }
 
-// Drain rejects clients from now on, and returns the state after that.
+// Drain starts rejecting clients, and returns the resulting state.
 func (b *adminBackend) Drain() string { return b.readiness.Drain().String() }
 
-// Activate admits clients again, and returns the state after that.
+// Activate admits clients again, and returns the resulting state.
 func (b *adminBackend) Activate() string { return b.readiness.Activate().String() }
 
-// Store is the replicated store; nil: there is none.
+// Store returns the replicated store, or nil if it is off or not open yet.
 func (b *adminBackend) Store() *store.Store { return b.store.get() }
 
-// Search is the search front's handler; nil: there is none.
+// Search returns the search front's handler, or nil if the front is off or not started yet.
 func (b *adminBackend) Search() http1.Handler { return b.fronts.handler("search") }
 
-// Reload reads the configuration again, and reports which keys are applied and which need a restart.
+// Reload reads the configuration again, and reports which keys are applied and which need a restart. If a file is
+// invalid, it changes nothing and returns the error.
 func (b *adminBackend) Reload() (adminapi.ReloadResult, error) { return b.reloader.reload() }
 
-// residentKB is the memory that the process has resident; 0 where the system does not say.
+// residentKB returns the resident memory of the process in KiB, or 0 if the system does not report it.
 func residentKB() int64 {
 	data, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
--- a/internal/daemon/admin_changes.go
+++ b/internal/daemon/admin_changes.go
@@ -16,7 +16,8 @@
 
 const learnerTimeout = 2 * time.Second // from the start of a promotion until the learner has reported its version
 
-// ReplicatedState is what the log has decided of servers, and what is pending.
+// ReplicatedState returns what the replicated log has decided about servers, and the restrictions that are pending. The
+// error is adminapi.ErrNoStore if there is no store.
 func (b *adminBackend) ReplicatedState() (out adminapi.ReplicatedState, err error) {
 	st := b.Store()
 	if st == nil {
@@ -35,7 +36,7 @@
 	return out, nil
 }
 
-// ChangeMember changes the members of the store.
+// ChangeMember changes the members of the store. The error is adminapi.ErrNoStore if there is no store.
 func (b *adminBackend) ChangeMember(ctx context.Context, r adminapi.MemberRequest) error {
 	st := b.Store()
 	if st == nil {
@@ -56,20 +57,21 @@
 	return fmt.Errorf("%w: no such order: %.40q", store.ErrUnknownMember, r.Action)
 }
 
-// checkCaughtUp tells whether a learner has the state of a version.
+// checkCaughtUp returns an error unless the learner's state has reached a version.
 func checkCaughtUp(ctx context.Context, m store.Member, version uint64) error {
 	text, err := callMember(ctx, m.HTTP, "GET", versionPath, nil)
 	if err != nil {
 		return err
 	}
 	if reached, err := strconv.ParseUint(string(text), 10, 64); err != nil || reached < version {
-		return fmt.Errorf("it is at version %.20q of %d", text, version)
+		return fmt.Errorf("the learner is at version %.20q, not yet at %d", text, version)
 	}
 	return nil
 }
 
-// ChangeServer changes a server as an operator asks. Drains and removals take effect here at once and wait for no
-// quorum; all else takes effect once a majority has it.
+// ChangeServer changes a server at an operator's request. Drains and removals take effect on this instance at once and
+// wait for no quorum. All other changes take effect once a majority has stored them. The error is adminapi.ErrNoStore
+// if there is no store.
 func (b *adminBackend) ChangeServer(
 	ctx context.Context, r adminapi.ServerRequest,
 ) (adminapi.ServerResponse, error) {
@@ -107,7 +109,7 @@
 		RestrictionID: pending.ID.String()}, nil
 }
 
-// serverCommand is the command to propose for a request that needs a quorum.
+// serverCommand returns the command to propose for a request that needs a quorum.
 func (b *adminBackend) serverCommand(r adminapi.ServerRequest) (config.Command, error) {
 	c := config.Command{Server: r.Server, ClientID: r.ClientID, Seq: r.Seq, ExpectedVersion: r.ExpectedVersion}
 	switch r.Action {
@@ -124,7 +126,7 @@
 			c.Kind = config.UpdateServer
 		}
 		if r.Spec != nil && r.Spec.Cell >= b.cfg.module.Cells {
-			return c, invalidRequest("there are %d cells", b.cfg.module.Cells)
+			return c, invalidRequest("cell %d does not exist: there are %d cells", r.Spec.Cell, b.cfg.module.Cells)
 		}
 	case "weight":
 		c.Kind, c.Weight = config.SetServerWeight, r.Weight
@@ -134,6 +136,7 @@
 	return c, nil
 }
 
+// invalidRequest returns the error of a request that is rejected with the reason config.Invalid.
 func invalidRequest(format string, args ...any) error {
 	return &endpoints.RejectedError{Result: config.Result{Reason: config.Invalid, Detail: fmt.Sprintf(format, args...)}}
 }
--- a/internal/daemon/admin_listener.go
+++ b/internal/daemon/admin_listener.go
@@ -14,7 +14,7 @@
 	*process
 	core *queryCore
 
-	bound *boundServer // nil: off
+	bound *boundServer // nil if the listener is off
 }
 
 func newAdminListener(p *process, core *queryCore) *adminListener {
--- a/internal/daemon/admin_settings.go
+++ b/internal/daemon/admin_settings.go
@@ -9,7 +9,7 @@
 	"linkpass/internal/adminapi"
 )
 
-// Settings are the keys as they are in force, and the source of each.
+// Settings returns the keys with their values in force and the source of each, sorted by key.
 func (b *adminBackend) Settings() (out []adminapi.Setting) {
 	b.mu.Lock()
 	c, processes := b.cfg, b.share.Processes
@@ -34,7 +34,7 @@
 	return out
 }
 
-// walkKeys calls f with the leaves of the operators' file, by their keys in it.
+// walkKeys calls f with the key and the value of each leaf of the operators' file.
 func walkKeys(prefix string, v reflect.Value, f func(string, reflect.Value)) {
 	t := v.Type()
 	for i := range t.NumField() {
@@ -54,7 +54,7 @@
 				f(key, inner.Elem())
 			}
 		case reflect.Map, reflect.Func, reflect.Interface, reflect.Slice:
-			// Indices, servers and classes are the store's to show: store get. So are members: store members.
+			// Not listed here: `store get` shows indices, servers and classes, `store members` shows members.
 		default:
 			f(key, inner)
 		}
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -80,21 +80,22 @@
 	if len(b.p.fronts.listeners) > 1 {
 		b.search = connect(t, b.p.fronts.listeners[1].Addr().String())
 	}
-	<-b.watchedFrom // the watch goes on from the known list
+	<-b.watchedFrom // the watch continues from the known list
 	return b
 }
 
-// awaitReady waits until the program has taken in discovery's first answer, which newBench only sees being sent.
+// awaitReady waits until the program has applied discovery's first answer. newBench waits only until discovery is asked
+// for it.
 func (b *bench) awaitReady() {
 	b.t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !b.p.readiness.Ready(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			b.t.Fatalf("not ready: %s", b.p.readiness.State())
+			b.t.Fatalf("not ready after 10 s, state %s", b.p.readiness.State())
 		}
 	}
 }
 
-// query sends a query by the platform's protocol.
+// query sends a query by the platform's protocol, and returns the response's status and its body if the status is 200.
 func (b *bench) query(c *client, class string, timeout time.Duration, shards ...int) (status int, out struct {
 	Exact bool
 	Rows  []struct {
@@ -137,13 +138,13 @@
 	Error struct{ Type string }
 }
 
-// searchIndex sends a query by the search protocol.
+// searchIndex sends a query by the search protocol, and returns the response's status and body.
 func (b *bench) searchIndex(index, body string) (status int, out searchResponse) {
 	b.t.Helper()
 	b.queries++
 	res := b.search.do("POST", "/"+index+"/_search", body, nil)
 	if err := json.Unmarshal(res.Body, &out); err != nil {
-		b.t.Fatalf("%s: %v", res.Body, err)
+		b.t.Fatalf("response %s: %v", res.Body, err)
 	}
 	return res.Status, out
 }
@@ -157,33 +158,33 @@
 			return
 		}
 		if res.Status != 503 {
-			b.t.Fatalf("%d %s", res.Status, res.Body)
+			b.t.Fatalf("status = %d, body %s; want 200 or 503", res.Status, res.Body)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// checkInvariants checks every part that ever reached a server: the server has a replica of its
-// shard, no part has more attempts than it may, none outlives its query.
+// checkInvariants checks every part that has reached a server: the server has a replica of its shard, no part has more
+// than 3 attempts, and none may take longer than its query. Every query that was received has ended.
 func (b *bench) checkInvariants() {
 	b.t.Helper()
 	parts, _ := b.since(0)
 	attempts := map[string]int{}
 	for _, p := range parts {
 		if b.servers[p.server].cell != p.shard%3 {
-			b.t.Errorf("shard %d went to %s", p.shard, p.server)
+			b.t.Errorf("a part of shard %d was sent to %s, which has no replica of it", p.shard, p.server)
 		}
 		if attempts[p.name]++; attempts[p.name] > 3 {
-			b.t.Errorf("attempt %d of %s", attempts[p.name], p.name)
+			b.t.Errorf("got attempt %d of part %s, want at most 3", attempts[p.name], p.name)
 		}
 		if p.wait <= 0 || p.wait > 20*time.Second {
-			b.t.Errorf("%s waits %v", p.name, p.wait)
+			b.t.Errorf("part %s may take %v, want more than 0 and at most 20 s", p.name, p.wait)
 		}
 	}
 	count := b.p.counters
 	ended := count.Get("queries_answered") + count.Get("queries_rejected") + count.Get("queries_failed")
 	if taken := count.Get("queries_received"); taken != ended || taken == 0 {
-		b.t.Errorf("%d queries taken, %d ended", taken, ended)
+		b.t.Errorf("%d queries received and %d ended, want the same number above 0", taken, ended)
 	}
 }
 
@@ -196,7 +197,7 @@
 		name, value, _ := strings.Cut(strings.TrimSpace(line), "=")
 		n, err := strconv.Atoi(value)
 		if err != nil || res.Status != 200 || !res.Close {
-			b.t.Fatalf("%d %q", res.Status, line)
+			b.t.Fatalf("status = %d, line %q; want 200, a number on each line and a connection that closes", res.Status, line)
 		}
 		out[name] = n
 	}
--- a/internal/daemon/body_config.go
+++ b/internal/daemon/body_config.go
@@ -11,10 +11,10 @@
 
 // BodyConfig configures the store of search bodies: the section `bodies` of the operators' file.
 type BodyConfig struct {
-	MemoryKiB  int64                      `toml:"memory_kib"`   // of bodies in memory; 0: an eighth of the process's limit
+	MemoryKiB  int64                      `toml:"memory_kib"`   // for bodies in memory; 0: an eighth of the limit
 	LargestKiB int64                      `toml:"largest_kib"`  // a larger body does not stay in memory
-	FilesKiB   int64                      `toml:"files_kib"`    // of bodies in files; 0: memory only
-	Dir        string                     `toml:"dir"`          // for the files
+	FilesKiB   int64                      `toml:"files_kib"`    // for bodies in files; 0: bodies are in memory only
+	Dir        string                     `toml:"dir"`          // directory of the files
 	MaxKiB     int64                      `toml:"max_body_kib"` // a search with a larger body is rejected
 	Off        bool                       `toml:"off"`          // every body stays in memory, without a limit
 	Classes    map[string]BodyClassConfig `toml:"classes"`      // by the name of a query class
@@ -27,12 +27,12 @@
 }
 
 const (
-	defaultMemoryDivisor = 8        // bodies get this fraction of the process's memory limit by default
-	minMemoryDivisor     = 2        // and at most this one: the rest is the program's
-	assumedMemory        = 64 << 20 // bytes: the memory limit where none is set
+	defaultMemoryDivisor = 8        // by default bodies get the process's memory limit divided by this
+	minMemoryDivisor     = 2        // at most they get the limit divided by this; the program needs the rest
+	assumedMemory        = 64 << 20 // bytes; taken as the memory limit if none is set
 )
 
-// check validates the section by itself. The error names the key.
+// check validates the section without the rest of the configuration. The error names the key.
 func (b BodyConfig) check() error {
 	if (b.FilesKiB > 0) != (b.Dir != "") {
 		return errors.New("bodies: files_kib and dir go together")
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// guaranteedKiB is the sum over the classes.
+// guaranteedKiB returns the sum of the classes' guarantees.
 func (b BodyConfig) guaranteedKiB() (sum int64) {
 	for _, c := range b.Classes {
 		sum += c.GuaranteedKiB
@@ -51,8 +51,8 @@
 	return sum
 }
 
-// limits returns the limits of all processes together, for a process with a memory limit in MB (0: none)
-// and query classes. The error names the key that contradicts these.
+// limits returns the limits of all processes of this coordinator together. memoryMB is the memory limit (0: none), and
+// classes are the names of the query classes. The error names the key that contradicts them.
 func (b BodyConfig) limits(memoryMB int, classes []string) (tier.Limits, error) {
 	limit := int64(memoryMB) << 20
 	l := tier.Limits{
@@ -79,7 +79,7 @@
 	return l, nil
 }
 
-// setClassLimits sets the limits of the classes by index in names.
+// setClassLimits sets the limits of the classes; limits has the order of names.
 func (b BodyConfig) setClassLimits(limits []tier.ClassLimits, names []string) error {
 	for name, c := range b.Classes {
 		i := slices.Index(names, name)
--- a/internal/daemon/body_store.go
+++ b/internal/daemon/body_store.go
@@ -14,7 +14,8 @@
 	"linkpass/internal/opensearch"
 )
 
-// noCapacityRetryAfter is the Retry-After for a body without capacity; Settings.MaxRetryAfter bounds it.
+// noCapacityRetryAfter is the Retry-After for a body that the store has no capacity for. Settings.MaxRetryAfter bounds
+// it.
 const noCapacityRetryAfter = 500 * time.Millisecond
 
 // bodyStore is the component that stores the bodies of queries, within this process's share of the limits.
@@ -23,8 +24,8 @@
 	core     *queryCore
 	settings *activeSettings
 
-	totalLimits tier.Limits      // of all processes together; guarded by process.mu
-	store       *bodystore.Store // nil: off
+	totalLimits tier.Limits      // limits of all processes together; guarded by process.mu
+	store       *bodystore.Store // nil if bodies.off is set
 }
 
 func newBodyStore(p *process, core *queryCore, settings *activeSettings) *bodyStore {
@@ -58,7 +59,7 @@
 	return nil
 }
 
-// shareOfTotal is this process's share of the limits, in bytes.
+// shareOfTotal returns this process's share of the limits, in bytes.
 func (b *bodyStore) shareOfTotal() (memory, files int64) {
 	processes := int64(max(1, b.share.Processes))
 	return b.totalLimits.Memory / processes, b.totalLimits.Files / processes
@@ -77,7 +78,8 @@
 	b.applyShare()
 }
 
-// retryAfter is the Retry-After, in seconds, of a client whose body has no capacity; "": none.
+// retryAfter returns the Retry-After, in seconds, for a client whose body the store has no capacity for. It is "" if
+// the settings turn Retry-After off.
 func (b *bodyStore) retryAfter() string {
 	if !b.cfg.module.RetryAfter {
 		return ""
@@ -85,14 +87,14 @@
 	return strconv.FormatFloat(min(noCapacityRetryAfter, b.cfg.module.MaxRetryAfter).Seconds(), 'f', 3, 64)
 }
 
-// newBodySink returns where to write the large body of a search as it arrives; nil: it stays with its
+// newBodySink returns where to write the large body of a search as it arrives, or nil if the body stays with its
 // request.
 func (b *bodyStore) newBodySink(req *http1.Request) http1.BodySink {
 	name, operation, _ := strings.Cut(strings.TrimPrefix(req.Path, "/"), "/")
 	index, ok := b.settings.config().Indices[name]
 	class := slices.Index(b.cfg.host.Classes, index.Class)
 	if !ok || operation != "_search" || class < 0 {
-		return nil // a request that is no search is small, or rejected
+		return nil // a request other than a search is small, or is rejected
 	}
 	return &opensearch.BodyUpload{
 		Writer:    b.store.NewWriter(class, b.cfg.module.Classes[class].PriorityWeight),
@@ -100,7 +102,7 @@
 	}
 }
 
-// logUsage logs what the store contains.
+// logUsage logs how many bodies the store has, and the memory and disk space that they take.
 func (b *bodyStore) logUsage() {
 	if b.store == nil {
 		return
--- a/internal/daemon/body_store_test.go
+++ b/internal/daemon/body_store_test.go
@@ -11,8 +11,8 @@
 	"linkpass/internal/searchconfig"
 )
 
-// Bodies of large searches go through files to servers of both protocols, are read again for a retry, and leave no
-// file behind, not even at a SIGTERM with one in flight.
+// Bodies of large searches go through files to servers of both protocols, are read again for a retry, and leave no file
+// behind, even if the program stops with one in flight.
 func TestLargeSearchBodiesInFiles(t *testing.T) {
 	dir := t.TempDir()
 	b := newBench(t, 3, func(c *Config) {
@@ -28,7 +28,7 @@
 		n = testLargeSearch(t, b, query, n)
 	}
 	if b.p.counters.Get("retries_won_whole") == 0 || b.p.counters.Get("bodies_moved_file_too_large_whole") == 0 {
-		t.Errorf("no retry from a file: %s", b.p.counters)
+		t.Errorf("no retry of a body from a file; counters %s", b.p.counters)
 	}
 	for _, s := range b.servers {
 		s.setMode("wait")
@@ -42,27 +42,28 @@
 	}
 	b.stop()
 	if left, _ := filepath.Glob(filepath.Join(dir, "*")); len(left) != 0 {
-		t.Errorf("left behind: %v", left)
+		t.Errorf("files left behind: %v, want none", left)
 	}
 }
 
-// testLargeSearch checks the answer, and the body in every part received after the first n.
+// testLargeSearch sends a search, and checks its answer and the body in every part received after the first n. It
+// returns the number of parts received by then.
 func testLargeSearch(t *testing.T, b *bench, query string, n int) int {
 	t.Helper()
 	res := b.search.do("POST", "/players/_search", `{"query":`+query+`}`, nil)
 	if res.Status != 200 || !strings.Contains(string(res.Body), `"failed":0`) {
-		t.Fatalf("%d %s", res.Status, res.Body)
+		t.Fatalf("status = %d, body %s; want 200 with no failed shard", res.Status, res.Body)
 	}
 	parts, n := b.since(n)
 	for _, p := range parts {
 		if want := `{"from":0,"query":` + query + `,"size":10}`; p.text != want {
-			t.Fatalf("%s got %d bytes, want %d", p.server, len(p.text), len(want))
+			t.Fatalf("%s received a body of %d bytes, which differs from the %d bytes wanted", p.server, len(p.text), len(want))
 		}
 	}
 	return n
 }
 
-// sendSearch ends with the search's answer or its connection.
+// sendSearch sends a search, and returns once it is answered or its connection has ended.
 func sendSearch(address, query string) {
 	nc, err := net.Dial("tcp", address)
 	if err == nil {
@@ -74,7 +75,7 @@
 
 func TestBodyConfigLimitsDefaults(t *testing.T) {
 	if l, err := (BodyConfig{}).limits(32, []string{"whole", "share"}); err != nil || l.Memory != 4<<20 || l.Files != 0 {
-		t.Errorf("the default in 32 MB: %+v %v", l, err)
+		t.Errorf("limits in 32 MB = %+v, error %v; want 4 MiB of memory and no files", l, err)
 	}
 }
 
@@ -88,7 +89,7 @@
 	} {
 		t.Run(text, func(t *testing.T) {
 			if _, err := b.limits(32, []string{"whole", "share"}); err == nil || !strings.Contains(err.Error(), text) {
-				t.Errorf("%q: %v", text, err)
+				t.Errorf("contradiction %q: error %v, want one with that text", text, err)
 			}
 		})
 	}
@@ -102,7 +103,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if c.check() == nil {
-				t.Errorf("accepted %+v", c)
+				t.Errorf("%+v was accepted, want an error", c)
 			}
 		})
 	}
--- a/internal/daemon/bound_server.go
+++ b/internal/daemon/bound_server.go
@@ -8,7 +8,7 @@
 	"linkpass/internal/http1"
 )
 
-// boundServer is a server and where it listens.
+// boundServer is an HTTP server with the listener that it serves.
 type boundServer struct {
 	server   *http1.Server
 	listener net.Listener
@@ -24,12 +24,12 @@
 	}
 }
 
-// close closes the listener and all connections. A nil server has none.
+// close closes the listener and all connections. It does nothing if b is nil.
 func (b *boundServer) close() error {
 	if b == nil {
 		return nil
 	}
-	_ = b.listener.Close() // it may be closed already
+	_ = b.listener.Close() // fails if it is closed already
 	b.server.Close()
 	return nil
 }
--- a/internal/daemon/client_fronts.go
+++ b/internal/daemon/client_fronts.go
@@ -9,26 +9,27 @@
 	"linkpass/internal/lifecycle"
 )
 
-// clientFronts are the servers of clients' requests. They admit clients, and stop admitting them, all at the same time.
+// clientFronts holds the fronts: the HTTP servers that clients send their requests to. All of them start to admit
+// clients at the same time, and stop at the same time.
 type clientFronts struct {
 	*process
 	core *queryCore
 
-	// Guarded by process.mu. Shutdown reads servers and listeners without it: no front starts any more then.
+	// Guarded by process.mu. Shutdown reads servers and listeners without it, because no front starts any more then.
 	servers   []*http1.Server
-	listeners []net.Listener // of the servers, in their order
-	maxConns  int            // that each server may hold
+	listeners []net.Listener // listeners[i] belongs to servers[i]
+	maxConns  int            // limit on the connections of each server
 
 	admit     chan struct{}  // closed by Serve once clients are to be admitted
-	leaving   chan struct{}  // closed by shutdown once no more are
-	accepting sync.WaitGroup // counts the servers that accept, or will
+	leaving   chan struct{}  // closed by shutdown once no more clients are to be admitted
+	accepting sync.WaitGroup // counts the servers that accept connections or are about to
 }
 
 func newClientFronts(p *process, core *queryCore) *clientFronts {
 	return &clientFronts{process: p, core: core, admit: make(chan struct{}), leaving: make(chan struct{})}
 }
 
-// planned is the number of fronts by the configuration.
+// planned returns the number of fronts that the configuration asks for.
 func (f *clientFronts) planned() int {
 	if f.cfg.Search.Listen != "" {
 		return 2
@@ -36,16 +37,16 @@
 	return 1
 }
 
-// add sets up one front on a listener. The caller holds mu.
+// add sets up a front on a listener; the caller has yet to serve it. The caller holds mu.
 func (f *clientFronts) add(name string, ln net.Listener, h http1.Handler) *boundServer {
 	server := &http1.Server{Name: name, Handler: h, Clock: f.core.core, Counters: f.counters, MaxConns: f.maxConns}
 	f.listeners, f.servers = append(f.listeners, ln), append(f.servers, server)
 	f.readiness.AddFront(server)
-	f.accepting.Add(1) // before it runs: shutdown waits for it
+	f.accepting.Add(1) // before the front runs, so that shutdown waits for it
 	return &boundServer{server, ln}
 }
 
-// limit sets how many connections each front may hold. The caller holds mu.
+// limit sets the limit on the connections of each front. The caller holds mu.
 func (f *clientFronts) limit(maxConns int) {
 	f.maxConns = maxConns
 	for _, server := range f.servers {
@@ -53,7 +54,8 @@
 	}
 }
 
-// serve serves a front's clients from when they are admitted until they no longer are.
+// serve waits until clients are admitted, and then serves the front until its listener is closed or the context ends.
+// It returns without serving if shutdown or the end of the context comes first.
 func (f *clientFronts) serve(ctx context.Context, front *boundServer) {
 	defer f.accepting.Done()
 	select {
@@ -66,7 +68,7 @@
 	front.run(ctx)
 }
 
-// stop lets the connections end once they have their answers.
+// stop lets each connection end once its requests are answered.
 func (f *clientFronts) stop() {
 	for _, server := range f.servers {
 		server.Stop()
@@ -80,7 +82,7 @@
 	}
 }
 
-// addrs are the addresses that the fronts listen on.
+// addrs returns the addresses that the fronts listen on.
 func (f *clientFronts) addrs() (out []net.Addr) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -90,7 +92,7 @@
 	return out
 }
 
-// handler is the handler of the front of that name; nil: there is none.
+// handler returns the handler of the front of that name, or nil if there is none.
 func (f *clientFronts) handler(name string) http1.Handler {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -102,7 +104,8 @@
 	return nil
 }
 
-// frontComponent completes the component of a front. start returns nil for a front that is off.
+// frontComponent sets the Start, Run and Stop functions of a front's component. start returns nil for a front that is
+// off.
 func (f *clientFronts) frontComponent(c lifecycle.Component, start func() (*boundServer, error)) lifecycle.Component {
 	var front *boundServer
 	c.Start = func() (err error) {
--- a/internal/daemon/client_test.go
+++ b/internal/daemon/client_test.go
@@ -7,7 +7,7 @@
 	"linkpass/internal/http1"
 )
 
-// client keeps one connection to a front.
+// client is an HTTP client with one connection to a front.
 type client struct {
 	t  *testing.T
 	nc net.Conn
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -13,21 +13,21 @@
 	"linkpass/internal/settings"
 )
 
-// Config is what the program is started with: the platform's configuration and the operators' file.
+// Config is the configuration that the program starts with: the platform's, and the operators' file in Search.
 type Config struct {
 	name, listen, discovery string
-	operator                string // "": no admin listener
-	listenFD                int    // 0: the process opens its own socket
+	operator                string // address of the admin listener; "" turns it off
+	listenFD                int    // descriptor of the platform's listening socket; 0: the process opens its own
 	seed                    uint64
-	memoryMB, sockets       int
-	cores                   float64
+	memoryMB, sockets       int     // limits; 0: the platform sets none
+	cores                   float64 // limit; 0: the platform sets none
 	known                   discovery.EndpointList
 	module                  routing.Settings
 	host                    settings.Host
 	Search                  SearchConfig
 
-	fileDiscovery string              // what the file names, whether the environment overrides it or not
-	env           func(string) string // the environment at the start; nil: os.Getenv
+	fileDiscovery string              // the file's discovery address, whether the environment overrides it or not
+	env           func(string) string // reads the environment of the start; nil: os.Getenv
 }
 
 // document is the platform's configuration file.
@@ -46,7 +46,8 @@
 	Settings json.RawMessage        `json:"settings"`
 }
 
-// Load reads the configuration that the environment names.
+// Load reads the platform's configuration file, which ROUTER_CONFIG names. Other variables of the environment override
+// some of its values. Search is left at its zero value.
 func Load(env func(string) string) (Config, error) {
 	path := env("ROUTER_CONFIG")
 	if path == "" {
@@ -84,14 +85,14 @@
 	return c, nil
 }
 
-// parse reads the values of the document at path that need decoding, and validates all.
+// parse decodes those values of the document at path that need it, and validates the configuration.
 func (c *Config) parse(path string, d *document) (err error) {
 	if c.listen == "" || c.discovery == "" {
 		return fmt.Errorf("configuration %s: listen or discovery is missing", path)
 	}
 	if fd := c.env("ROUTER_LISTEN_FD"); fd != "" {
 		if c.listenFD, err = strconv.Atoi(fd); err != nil || c.listenFD <= 2 {
-			return fmt.Errorf("ROUTER_LISTEN_FD %q is no descriptor to listen on", fd)
+			return fmt.Errorf("ROUTER_LISTEN_FD %q is not a descriptor above 2", fd)
 		}
 	}
 	if c.seed, err = strconv.ParseUint(d.Seed, 16, 64); err != nil {
@@ -109,7 +110,8 @@
 	return nil
 }
 
-// Check validates the two files against each other, as a start would.
+// Check validates the platform's configuration and the operators' file against each other, as a start would. The error
+// joins all that it finds.
 func (c Config) Check() error {
 	var errs []error
 	if _, err := c.Search.Bodies.limits(c.memoryMB, c.host.Classes); err != nil {
--- a/internal/daemon/config_test.go
+++ b/internal/daemon/config_test.go
@@ -25,25 +25,25 @@
 	}
 	c, err := Load(env(write("good", good)))
 	if err != nil || c.listen != "127.0.0.1:3" || c.seed != 0x8c1f || c.host.MaxStreams != 32 {
-		t.Fatalf("%+v %v", c, err)
+		t.Fatalf("configuration %+v, error %v; want the values of the file, and listen from the environment", c, err)
 	}
 	for _, path := range []string{"", filepath.Join(dir, "none"), write("cut", good[:len(good)/2]),
 		write("seed", strings.Replace(good, "8c1f", "xyz", 1)), write("discovery", strings.Replace(good, `"discovery"`, `"d"`, 1)),
 		write("settings", strings.Replace(good, `"slabs":6`, `"slabs":"x"`, 1)), write("streams", strings.Replace(good, `"max_streams":32`, `"max_streams":0`, 1))} {
 		if _, err := Load(env(path)); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", path, err)
+			t.Errorf("configuration %q: error %v, want one of a single line", path, err)
 		}
 	}
 	for text, ok := range map[string]bool{"listen = ''": true, "listen = ": false, "listen = 5": false, "unheard = 1": false,
 		"[store]\nid = 'a'": false, "[indices.players]\nclass = 'c'": false, "[servers.s-1]\nprotocol = 'telnet'": false} {
 		if _, err := LoadSearchConfig(write("search.toml", text)); (err == nil) != ok {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("operators' file %q: error %v, want valid: %v", text, err, ok)
 		}
 	}
 	if _, err := LoadSearchConfig(filepath.Join(dir, "none")); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a file that is named and missing: %v", err)
+		t.Errorf("missing operators' file that is not the default: error %v, want os.ErrNotExist", err)
 	}
 	if c, err := LoadSearchConfig("../../" + DefaultSearchFile); err != nil || c.Listen != "" {
-		t.Errorf("the file in the repository: %+v %v", c, err)
+		t.Errorf("operators' file of the repository: %+v, error %v; want it valid with the search front off", c, err)
 	}
 }
--- a/internal/daemon/discovery_watcher.go
+++ b/internal/daemon/discovery_watcher.go
@@ -41,7 +41,7 @@
 
 func (d *discoveryWatcher) run(ctx context.Context) { d.watcher.Run(ctx, d.cfg.known) }
 
-// newListReader parses discovery's documents as this coordinator is set up.
+// newListReader returns the converter of discovery's endpoint lists for the zones, kinds and cells of this coordinator.
 func newListReader(p *process, core *queryCore) *discovery.Converter {
 	return &discovery.Converter{
 		Zones:      p.cfg.host.Zones,
@@ -51,7 +51,8 @@
 	}
 }
 
-// discoveryTimeouts is that with one service for all where changes have to be polled, and that with an agent otherwise.
+// discoveryTimeouts returns the timeouts for a discovery service that all coordinators share if changes have to be
+// polled, and those for a local agent otherwise.
 func discoveryTimeouts(set routing.Settings) discovery.Timeouts {
 	if set.SubscribesToEndpoints {
 		return discovery.SharedServiceTimeouts
--- a/internal/daemon/endpoint_fanout.go
+++ b/internal/daemon/endpoint_fanout.go
@@ -11,7 +11,8 @@
 	UpdateEndpoints(coordinator.EndpointUpdate)
 }
 
-// endpointFanout is the core as discovery's watcher sees it; its updates reach the other listeners too.
+// endpointFanout passes updates of the endpoint list to the core and to the other listeners. Discovery's watcher uses
+// it in place of the core.
 type endpointFanout struct {
 	*coordinator.Core
 	others []endpointListener
@@ -27,7 +28,7 @@
 	return fanout
 }
 
-// UpdateEndpoints notifies all listeners, the core last.
+// UpdateEndpoints passes an update to all listeners, to the core last.
 func (f endpointFanout) UpdateEndpoints(update coordinator.EndpointUpdate) {
 	for _, listener := range f.others {
 		listener.UpdateEndpoints(update)
@@ -35,14 +36,14 @@
 	f.Core.UpdateEndpoints(update)
 }
 
-// registryCore is the core as discovery's watcher sees it where instances replicate overrides of the list: the
-// registry receives discovery's updates, and sends the merged ones on.
+// registryCore is used by discovery's watcher in place of the core if instances replicate overrides of the endpoint
+// list: the registry receives discovery's updates, and passes the merged ones on.
 type registryCore struct {
 	*coordinator.Core
 	registry *endpoints.Registry
 }
 
-// UpdateEndpoints hands discovery's update to the registry.
+// UpdateEndpoints passes discovery's update to the registry.
 func (c registryCore) UpdateEndpoints(update coordinator.EndpointUpdate) {
 	c.registry.UpdateEndpoints(update)
 }
--- a/internal/daemon/endpoint_names.go
+++ b/internal/daemon/endpoint_names.go
@@ -10,7 +10,7 @@
 
 // endpointNames maps the router's ids of the listed servers to their names.
 type endpointNames struct {
-	mu    sync.Mutex // guards what follows
+	mu    sync.Mutex // guards names
 	names map[routing.ServerID]string
 }
 
@@ -30,7 +30,7 @@
 	}
 }
 
-// name is the server's name; the number in hexadecimal if it is not listed.
+// name returns the server's name, or its id in hexadecimal if it is not listed.
 func (n *endpointNames) name(id routing.ServerID) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/daemon/endpoint_registry.go
+++ b/internal/daemon/endpoint_registry.go
@@ -12,7 +12,7 @@
 	"linkpass/internal/lifecycle"
 )
 
-// endpointRegistry merges discovery's endpoint list with what the instances of the store have replicated of it.
+// endpointRegistry merges discovery's endpoint list with the overrides of it that the instances of the store replicate.
 type endpointRegistry struct {
 	*process
 	core   *queryCore
@@ -20,7 +20,7 @@
 	shards *shardMaps
 	store  *replicatedStore
 
-	registry *endpoints.Registry // nil: no store
+	registry *endpoints.Registry // nil if there is no store
 }
 
 func newEndpointRegistry(p *process, core *queryCore, names *endpointNames, shards *shardMaps,
@@ -64,7 +64,7 @@
 	}
 }
 
-// resolveEndpoint makes the endpoint of a server that the store has added, as if discovery had listed it.
+// resolveEndpoint returns the endpoint of a server that the store has added, as if discovery had listed it.
 func resolveEndpoint(reader *discovery.Converter, id string, spec config.ServerSpec) (coordinator.Endpoint, error) {
 	server := discovery.Endpoint{ID: id, Addr: spec.Addr, Zone: spec.Zone, Kind: spec.Kind, Cell: spec.Cell,
 		State: discovery.StateInService, Weight: 1}
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -27,10 +27,10 @@
 	mu          sync.Mutex // guards parts, version and changes
 	parts       []receivedPart
 	version     int64
-	changes     []discovery.EndpointList // by version, from 1
-	watchedFrom chan int64               // versions that the watch continues from
-	changed     chan struct{}
-	addr        string
+	changes     []discovery.EndpointList // changes[v-1] leads to version v
+	watchedFrom chan int64               // receives the versions that the watch continues from
+	changed     chan struct{}            // receives a value for each change
+	addr        string                   // of discovery
 }
 
 // listenLocal serves connections at a free port until the test ends, and waits for all of them.
@@ -81,8 +81,8 @@
 	return s
 }
 
-// update changes the list and returns once the coordinator's watch continues from it:
-// a request to the coordinator after that follows the change.
+// update changes the list and returns once the coordinator's watch continues from the change. A request that is sent to
+// the coordinator after that is routed by the new list.
 func (f *fleet) update(lines ...discovery.Endpoint) {
 	f.mu.Lock()
 	f.version++
@@ -94,7 +94,7 @@
 	}
 }
 
-// serveDiscovery answers watches of one connection.
+// serveDiscovery answers the watch calls of one connection.
 func (f *fleet) serveDiscovery(nc net.Conn) {
 	r := http1.NewReader(nc, 0)
 	for {
@@ -107,7 +107,7 @@
 			if f.t.Context().Err() != nil { // the test has ended, and the watch with it
 				return
 			}
-			f.t.Errorf("watch asks %q", req.Query)
+			f.t.Errorf("watch with query %q, want after=N&wait_ms=N", req.Query)
 			return
 		}
 		f.watchedFrom <- after
@@ -117,7 +117,7 @@
 			f.mu.Lock()
 			d = f.changes[after]
 			f.mu.Unlock()
-		case <-time.After(time.Duration(wait) * time.Millisecond): // no change: the watch is renewed
+		case <-time.After(time.Duration(wait) * time.Millisecond): // no change; the watch is renewed
 		case <-f.t.Context().Done(): // the test has ended
 			return
 		}
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -46,7 +46,7 @@
 	return []string{fmt.Sprintf("%s %T", name, v)}
 }
 
-// decoded is a decoded TOML text.
+// decoded returns a decoded TOML text.
 func decoded(t *testing.T, text string) map[string]any {
 	t.Helper()
 	var tree map[string]any
@@ -65,7 +65,7 @@
 	return string(data)
 }
 
-// The platform reads deploy/balancer.toml: its keys, and the programs that run and sim start, are part of the format.
+// The platform reads deploy/balancer.toml, so its keys and the programs that run and sim start are part of the format.
 func TestDeployFileGolden(t *testing.T) {
 	tree := decoded(t, readFile(t, "../../deploy/balancer.toml"))
 	checkGolden(t, "deploy_keys.txt", leafKeys("", tree))
@@ -94,7 +94,7 @@
 	t.Helper()
 	list, ok := value.([]any)
 	if !ok || len(list) == 0 {
-		t.Errorf("%s = %v", key, value)
+		t.Errorf("%s = %v, want a list of paths", key, value)
 	}
 	for _, item := range list {
 		path, ok := item.(string)
@@ -104,7 +104,7 @@
 	}
 }
 
-// The shipped operators' file: the keys that it sets, and those that it has as comments.
+// The keys that the shipped operators' file sets, and those that it has as comments.
 func TestShippedOperatorsFileGoldenKeys(t *testing.T) {
 	text := readFile(t, "../../"+DefaultSearchFile)
 	commented := regexp.MustCompile(`(?m)^#(\[|[a-z_]+ =)`)
@@ -118,7 +118,7 @@
 	checkGolden(t, "shipped_keys.txt", lines)
 }
 
-// Names, types, defaults, bounds and units of the keys are part of the format.
+// Names, types, defaults, ranges and units of the keys are part of the format.
 func TestKeysGolden(t *testing.T) {
 	var lines []string
 	for _, k := range Keys {
@@ -143,10 +143,10 @@
 	got.path, got.values = "", nil
 	want := goldenSearch(t)
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("got  %+v\nwant %+v", got, want)
+		t.Errorf("operators' file: got  %+v\nwant %+v", got, want)
 	}
 	if n := len(got.Indices["scores"].ShardMap.Shards); n != 4 {
-		t.Errorf("the index with an initial sharding has %d shards", n)
+		t.Errorf("the index with an initial sharding has %d shards, want 4", n)
 	}
 }
 
@@ -240,9 +240,9 @@
 			})
 			want := goldenConfiguration()
 			c.set(&want)
-			got.env = nil // a function: not comparable
+			got.env = nil // a function, which is not comparable
 			if err != nil || !reflect.DeepEqual(got, want) {
-				t.Errorf("got  %+v, %v\nwant %+v", got, err, want)
+				t.Errorf("got  %+v, error %v\nwant %+v", got, err, want)
 			}
 		})
 	}
--- a/internal/daemon/golden_values_test.go
+++ b/internal/daemon/golden_values_test.go
@@ -42,7 +42,7 @@
 		},
 		Log: LogConfig{Format: "json", Level: "debug", Levels: map[string]string{"peer": "warn"}},
 	}
-	if err := s.Config.Validate(); err != nil { // it makes the shard maps
+	if err := s.Config.Validate(); err != nil { // creates the shard maps
 		t.Fatal(err)
 	}
 	return s
--- a/internal/daemon/key_reference_test.go
+++ b/internal/daemon/key_reference_test.go
@@ -10,7 +10,7 @@
 
 const referenceHeader = "| key | type | default | range | takes hold | |\n| --- | --- | --- | --- | --- | --- |\n"
 
-// markdownReference returns the reference of the keys, as a table of one row a key.
+// markdownReference returns the reference of the keys: a table with a row for each key.
 func markdownReference(keys schema.Table) string {
 	var b strings.Builder
 	b.WriteString(referenceHeader)
--- a/internal/daemon/key_schema.go
+++ b/internal/daemon/key_schema.go
@@ -2,7 +2,7 @@
 
 import "linkpass/internal/schema"
 
-// Keys are the keys of the operators' file. Their defaults, ranges and units are defined here alone.
+// Keys are the keys of the operators' file. Their defaults, ranges and units are defined only here.
 var Keys = schema.Table{
 	{Name: "listen", Type: schema.Address,
 		Doc: "where searches are taken; empty: the search front is off"},
@@ -82,4 +82,5 @@
 		Doc: "of its search front"},
 }
 
+// logLevels are the log levels, the most verbose first.
 var logLevels = []string{"trace", "debug", "info", "warn", "error", "off"}
--- a/internal/daemon/key_schema_test.go
+++ b/internal/daemon/key_schema_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// fields are the names of all keys that a type reads from a file.
+// fields returns the names of all keys that a type reads from a file. name is the prefix of the names.
 func fields(name string, t reflect.Type) (out []string) {
-	if t.Name() == "Document" { // of a shard map: its reader checks it
+	if t.Name() == "Document" { // of a shard map; what reads it validates it
 		return []string{name}
 	}
 	switch t.Kind() {
@@ -41,7 +41,7 @@
 	return []string{name}
 }
 
-// The schema has every key that the program reads and no other, and each default is valid.
+// The schema has exactly the keys that the program reads, and each default is valid.
 func TestKeysMatchSearchConfig(t *testing.T) {
 	var names []string
 	for _, k := range Keys {
@@ -54,19 +54,19 @@
 			text = "\"" + text + "\""
 		}
 		if _, faults := Keys.Read("default", k.Name+" = "+text); len(faults) > 0 {
-			t.Errorf("the default of %s: %v", k.Name, faults)
+			t.Errorf("the default of %s is invalid: %v", k.Name, faults)
 		}
 	}
 	read := fields("", reflect.TypeFor[SearchConfig]())
 	slices.Sort(names)
 	slices.Sort(read)
 	if !slices.Equal(names, read) {
-		t.Errorf("schema %v\nread   %v", names, read)
+		t.Errorf("keys of the schema %v\nwant those that are read %v", names, read)
 	}
 }
 
-// docs/settings.md has the table that the schema generates; UPDATE_DOCS=1 writes it. The file that comes with the program,
-// with every commented key in it too, is valid by the schema.
+// docs/settings.md has the table that is generated from the schema; UPDATE_DOCS=1 writes it. The shipped operators'
+// file is valid by the schema, with the keys that are comments in it too.
 func TestConfigReferenceIsCurrent(t *testing.T) {
 	path := filepath.Join("..", "..", "docs", "settings.md")
 	page, err := os.ReadFile(path)
@@ -77,13 +77,13 @@
 	before, rest, ok := strings.Cut(string(page), from)
 	_, after, also := strings.Cut(rest, to)
 	if !ok || !also {
-		t.Fatal("the table has no place")
+		t.Fatalf("docs/settings.md lacks the line %q or %q around the table", from, to)
 	}
 	want := before + from + markdownReference(Keys) + to + after
 	if os.Getenv("UPDATE_DOCS") != "" {
 		err = os.WriteFile(path, []byte(want), 0o644)
 	} else if want != string(page) {
-		t.Error("docs/settings.md is not what the schema says: UPDATE_DOCS=1 go test ./internal/daemon writes it")
+		t.Error("the table in docs/settings.md differs from the schema: UPDATE_DOCS=1 go test ./internal/daemon writes it")
 	}
 	text, readErr := os.ReadFile(filepath.Join("..", "..", DefaultSearchFile))
 	if err != nil || readErr != nil {
@@ -97,6 +97,6 @@
 		lines = append(lines, line)
 	}
 	if _, faults := Keys.Read(DefaultSearchFile, strings.Join(lines, "\n")); len(faults) > 0 {
-		t.Error(faults)
+		t.Errorf("%s with the commented keys is invalid: %v", DefaultSearchFile, faults)
 	}
 }
--- a/internal/daemon/keyring.go
+++ b/internal/daemon/keyring.go
@@ -14,11 +14,11 @@
 
 // keyring verifies the signed calls of the admin API.
 type keyring struct {
-	mu       sync.Mutex          // guards what follows
-	verifier *signature.Verifier // nil: every call is rejected
+	mu       sync.Mutex          // guards verifier
+	verifier *signature.Verifier // nil until open; every call is rejected then
 }
 
-// set replaces the keys by those of a reload.
+// set replaces the keys by those of a reload. It does nothing before open.
 func (k *keyring) set(ring signature.KeyRing) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -27,14 +27,14 @@
 	}
 }
 
-// open admits calls that ring signs from now on.
+// open starts to admit calls that are signed with a key of ring and whose time is off by at most window.
 func (k *keyring) open(ring signature.KeyRing, window time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.verifier = signature.NewVerifier(ring, window, time.Now())
 }
 
-// check returns why a call is rejected; nil: it is admitted.
+// check returns why a call is rejected, or nil if it is admitted.
 func (k *keyring) check(header string, c signature.Call) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -47,8 +47,8 @@
 
 const maxKeyFile = 64 << 10 // bytes
 
-// ReadKeys reads a file of keys: TOML, an id and a key in hexadecimal on each line. A file that others may read is
-// rejected.
+// ReadKeys reads a file of keys in TOML, with an id and a key in hexadecimal on each line. It returns an error if other
+// users may read the file.
 func ReadKeys(path string) (signature.KeyRing, error) {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/daemon/league_server_test.go
+++ b/internal/daemon/league_server_test.go
@@ -14,16 +14,16 @@
 	"linkpass/internal/http1"
 )
 
-// leagueServer speaks both protocols, whichever a connection begins with, and
-// answers each part as its mode says.
+// leagueServer is an emulated league server. It speaks both protocols, on each connection the one that the connection
+// begins with, and answers each part by its mode.
 type leagueServer struct {
 	fleet *fleet
 	name  string
 	cell  int
 	addr  string
-	mu    sync.Mutex // guards mode
-	mode  string     // "", "error", "full", "silent", "reset", "wait" (for another), "plain only"
-	delay time.Duration
+	mu    sync.Mutex    // guards mode
+	mode  string        // "", "error", "full", "silent", "reset", "wait" (for another), "plain only"
+	delay time.Duration // before each answer
 }
 
 func (s *leagueServer) setMode(mode string) {
@@ -43,20 +43,21 @@
 	return discovery.Endpoint{ID: s.name, Addr: s.addr, Zone: "ebene", Kind: "m2", Cell: s.cell, State: state, Weight: 1, StartedMS: started}
 }
 
-// record keeps a part and returns the mode in which to answer it.
+// record records a part, waits for the delay and the end of mode "wait", and returns the mode in which to answer the
+// part.
 func (s *leagueServer) record(p receivedPart) (mode string) {
 	p.server = s.name
 	s.fleet.mu.Lock()
 	s.fleet.parts = append(s.fleet.parts, p)
 	s.fleet.mu.Unlock()
-	time.Sleep(s.delay) // the work of the part
+	time.Sleep(s.delay) // as if it worked on the part
 	for s.currentMode() == "wait" {
 		time.Sleep(time.Millisecond)
 	}
 	return s.currentMode()
 }
 
-// serve detects the protocol of a connection by its first byte: a length or a method.
+// serve detects the protocol of a connection by its first byte: that of a length or of an HTTP method.
 func (s *leagueServer) serve(nc net.Conn) {
 	r := bufio.NewReader(nc)
 	first, err := r.Peek(1)
@@ -88,7 +89,7 @@
 			var p receivedPart
 			var ms, size int
 			if _, err := fmt.Sscanf(line, "%s %d d=%d %d", &p.name, &p.shard, &ms, &size); err != nil || size != len(text) {
-				s.fleet.t.Errorf("call %q", rest)
+				s.fleet.t.Errorf("malformed request %q", rest)
 				return
 			}
 			p.text, p.protocol, p.wait = text, "plain", time.Duration(ms)*time.Millisecond
@@ -126,7 +127,7 @@
 			shard, limit, _ := strings.Cut(rest, "&timeout=")
 			var err error
 			if p.shard, err = strconv.Atoi(shard); err != nil {
-				s.fleet.t.Errorf("search asks %q", req.Query)
+				s.fleet.t.Errorf("search with query %q, want the number of a shard as its preference", req.Query)
 			}
 			p.wait, _ = time.ParseDuration(limit)
 			switch s.record(p) {
--- a/internal/daemon/limits_share_test.go
+++ b/internal/daemon/limits_share_test.go
@@ -8,20 +8,21 @@
 	"time"
 )
 
-// However few descriptors there are, clients and league servers have separate shares.
+// With few descriptors too, clients and league servers have at least a quarter of them each.
 func TestShareSockets(t *testing.T) {
 	for _, sockets := range []int{64, 256, 384, 1024} {
 		for fronts := 1; fronts <= 2; fronts++ {
 			clients, servers := shareSockets(sockets, fronts)
 			if clients*fronts+servers+ownSockets > sockets || fronts == 1 && clients < sockets/4 || servers < sockets/4 {
-				t.Errorf("%d descriptors, %d fronts: %d for clients, %d for servers", sockets, fronts, clients, servers)
+				t.Errorf("%d descriptors, %d fronts: got %d for each front and %d for servers, want a quarter for each side within the limit",
+					sockets, fronts, clients, servers)
 			}
 		}
 	}
 }
 
-// A successor takes over the listening socket that the platform owns. The predecessor stops
-// accepting at once, answers all that it accepted, and leaves the socket open.
+// A successor takes over the listening socket that the platform owns. The predecessor stops accepting at once, answers
+// all requests of connections that it has accepted, and leaves the socket open.
 func TestHandoverOfListeningSocket(t *testing.T) {
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -45,7 +46,7 @@
 	predecessor := newBench(t, 3, sameSocket)
 	conn := connect(t, socket.Addr().String())
 	if status, _ := predecessor.query(conn, "whole", 15*time.Second, 0); status != 200 {
-		t.Fatal(status)
+		t.Fatalf("query to the predecessor: status = %d, want 200", status)
 	}
 	predecessor.servers["s-0a"].setMode("wait")
 	predecessor.servers["s-0b"].setMode("wait")
@@ -59,7 +60,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	if n := successor.p.counters.Get("health_checks_success"); n < 6 {
-		t.Errorf("says yes having heard of %d servers", n)
+		t.Errorf("the successor is ready after the health checks of %d servers, want 6", n)
 	}
 	limits := func(p *Program) (processes, clients, room int) {
 		p.mu.Lock()
@@ -69,11 +70,11 @@
 	for _, p := range []*Program{predecessor.p, successor.p} { // each has half of the limits
 		n, clients, room := limits(p)
 		if most, _ := shareSockets(p.cfg.sockets/2, 2); n != 2 || clients != most || room != p.cfg.module.MaxOpen/2 {
-			t.Errorf("%d processes, %d clients, room for %d", n, clients, room)
+			t.Errorf("shares by %d processes: %d connections a front, %d open queries; want half of the limits", n, clients, room)
 		}
 	}
 	if successor.p.cfg.seed == predecessor.p.cfg.seed {
-		t.Error("two processes of one seed")
+		t.Error("predecessor and successor have the same seed, want two")
 	}
 	stopped := make(chan struct{})
 	go func() { defer close(stopped); predecessor.stop() }()
@@ -82,19 +83,20 @@
 	}
 	next := connect(t, socket.Addr().String())
 	if status, _ := successor.query(next, "whole", 15*time.Second, 0); status != 200 {
-		t.Error(status)
+		t.Errorf("query to the successor while the predecessor stops: status = %d, want 200", status)
 	}
 	predecessor.servers["s-0a"].setMode("go")
 	predecessor.servers["s-0b"].setMode("go")
 	if status := <-answered; status != 200 {
-		t.Errorf("what the old process had taken ended with %d", status)
+		t.Errorf("query in flight at the predecessor: status = %d, want 200", status)
 	}
 	<-stopped
-	for n, open := 0, 0; n != 1 || open != successor.p.cfg.module.MaxOpen; n, _, open = limits(successor.p) { // alone: all of it
+	// Alone, the successor has all of the limits.
+	for n, open := 0, 0; n != 1 || open != successor.p.cfg.module.MaxOpen; n, _, open = limits(successor.p) {
 		time.Sleep(time.Millisecond)
 	}
 	if status, _ := successor.query(connect(t, socket.Addr().String()), "whole", 15*time.Second, 1); status != 200 {
-		t.Error(status)
+		t.Errorf("query after the predecessor has ended: status = %d, want 200", status)
 	}
 	for successor.search == nil { // the search front starts once the predecessor has ended
 		successor.p.mu.Lock()
@@ -105,7 +107,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	if status, got := successor.searchIndex("players", ""); status != 200 || got.Shards.Successful != 3 {
-		t.Errorf("%d %+v", status, got)
+		t.Errorf("search after the predecessor has ended: status = %d, response %+v; want 200 with 3 shards", status, got)
 	}
 	predecessor.checkInvariants()
 	successor.checkInvariants()
--- a/internal/daemon/log_config.go
+++ b/internal/daemon/log_config.go
@@ -6,14 +6,14 @@
 	"linkpass/internal/eventlog"
 )
 
-// LogConfig says what is logged, and how: the section `log` of the operators' file.
+// LogConfig sets what is logged, and in which format: the section `log` of the operators' file.
 type LogConfig struct {
-	Format string            `toml:"format"`
-	Level  string            `toml:"level"`
-	Levels map[string]string `toml:"levels"`
+	Format string            `toml:"format"` // text or json; "" is text
+	Level  string            `toml:"level"`  // least level of a line; "" is the key's default
+	Levels map[string]string `toml:"levels"` // the same by component
 }
 
-// Apply lets the log be written to w as the file says.
+// Apply directs the log to w, in the format and at the levels that the file sets.
 func (l LogConfig) Apply(w io.Writer) {
 	eventlog.SetOutput(w, l.Format == "json")
 	l.applyLevels()
@@ -25,7 +25,7 @@
 	if level == "" {
 		level = Keys.MustKey("log.level").Default
 	}
-	_ = eventlog.SetLevel("all", level) // all of them were checked when the file was read
+	_ = eventlog.SetLevel("all", level) // can't fail: the levels were validated when the file was read
 	if level != "error" && level != "off" {
 		_ = eventlog.SetLevel("raft", "warn")
 	}
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -10,8 +10,9 @@
 	"linkpass/internal/eventlog"
 )
 
-// Arguments reads a command line that does no more than start the daemon: nothing, or serve, and the operators' file in
-// any of the forms that were ever accepted. Every other one is for linkpass-ctl.
+// Arguments parses a command line that does no more than start the daemon: it is empty or `serve`, followed by the
+// operators' file in any of the forms that were ever accepted. ok is false for every other command line, which is for
+// linkpass-ctl.
 func Arguments(args []string) (file string, ok bool) {
 	if len(args) > 0 && args[0] == "serve" {
 		args = args[1:]
@@ -31,7 +32,7 @@
 	return "", false
 }
 
-// Main runs the daemon until SIGTERM, and returns the exit code.
+// Main runs the daemon with the operators' file until SIGTERM or an interrupt, and returns the exit code.
 func Main(file string) (code int) {
 	signals := NotifySignals()
 	cfg, err := Load(os.Getenv)
--- a/internal/daemon/member_calls.go
+++ b/internal/daemon/member_calls.go
@@ -14,17 +14,18 @@
 	"linkpass/internal/store"
 )
 
-// The paths at which the members of the store call each other, beside the log.
+// These are the paths at which the members of the store call each other, besides the traffic of the log.
 const (
 	restrictionsPath = "/_linkpass/orders"  // broadcasts pending restrictions
 	versionPath      = "/_linkpass/version" // reads the version of the member's state
 	positionPath     = "/_linkpass/marks"   // reports how far the log of the caller is
 )
 
-// errConflict is a response 409; its body says why.
+// errConflict means a response with status 409, whose body gives the reason.
 var errConflict = errors.New("status 409")
 
-// reportPosition reports to another member how far this one is.
+// reportPosition reports to another member how far this one's log is. The error is rollback.ErrRolledBack if the member
+// rejects the report.
 func reportPosition(ctx context.Context, m store.Member, r rollback.Report) error {
 	body, err := json.Marshal(r)
 	if err != nil {
@@ -37,7 +38,7 @@
 	return err
 }
 
-// broadcastTo makes the function that sends this instance's pending restrictions to the member at an address.
+// broadcastTo returns the function that sends this instance's pending restrictions to the member at addr.
 func broadcastTo(instance, addr string) func(context.Context, []restriction.Request) error {
 	return func(ctx context.Context, pending []restriction.Request) error {
 		body, err := json.Marshal(pending)
@@ -49,7 +50,8 @@
 	}
 }
 
-// callMember makes one call at another member within the context's deadline.
+// callMember makes one HTTP call to another member within the context's deadline, and returns the body of the response.
+// A status other than 200 is an error. With status 409 the error is errConflict, and the body is returned too.
 func callMember(ctx context.Context, addr, method, path string, body []byte) ([]byte, error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	if err != nil {
--- a/internal/daemon/member_golden_test.go
+++ b/internal/daemon/member_golden_test.go
@@ -23,7 +23,7 @@
 	"linkpass/internal/store"
 )
 
-// A report and a request of member "b".
+// A position report and a restriction request of member "b".
 var (
 	goldenReport = rollback.Report{
 		ID:          "b",
@@ -41,7 +41,7 @@
 )
 
 const (
-	memberCallTimeout = 10 * time.Second // ends a test that hangs; nothing is asserted on it
+	memberCallTimeout = 10 * time.Second // ends a test that hangs; no assertion depends on it
 	maxRequestBytes   = 1 << 20
 )
 
@@ -120,15 +120,16 @@
 			return reportPosition(ctx, store.Member{ID: "a", HTTP: addr}, goldenReport)
 		})
 		if err == nil || errors.Is(err, rollback.ErrRolledBack) != rolledBack {
-			t.Errorf("status %d: %v", status, err)
+			t.Errorf("status %d: error %v, want rollback.ErrRolledBack: %v", status, err, rolledBack)
 		}
 	}
 }
 
-// storeTimeScale keeps Raft's timeouts short; nothing is asserted on them.
+// storeTimeScale shortens Raft's timeouts; no assertion depends on them.
 const storeTimeScale = 0.2
 
-// openMember opens a store of instance "a", whose configured members are "a" and those given.
+// openMember opens a store of instance "a", whose configured members are "a" and those given. It returns the registry
+// and the handler of members' calls.
 func openMember(t *testing.T, members ...store.Member) (*endpointRegistry, http1.Handler) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -180,7 +181,7 @@
 	return h.Serve(context.Background(), 0, &http1.Request{Method: method, Path: path, Body: []byte(body)})
 }
 
-// The golden requests, as another member sent them, are decoded completely.
+// The golden requests, as another member sends them, are decoded completely.
 func TestMemberHandlerReadsGoldenRequests(t *testing.T) {
 	registry, handler := openTwoMembers(t)
 	for _, c := range []struct{ file, name, body string }{
@@ -194,7 +195,7 @@
 			t.Fatal(err)
 		}
 		if res := handler.Serve(context.Background(), 0, req); res.Status != 200 || string(res.Body) != c.body {
-			t.Errorf("%s: %d %q", c.name, res.Status, res.Body)
+			t.Errorf("%s: status = %d, body %q; want 200, %q", c.name, res.Status, res.Body, c.body)
 		}
 	}
 	if got := registry.registry.PendingRestrictions(); !reflect.DeepEqual(got, goldenRequests) {
@@ -203,8 +204,8 @@
 	requireRollbackDetected(t, handler)
 }
 
-// requireRollbackDetected requires that every field of the golden report, which a member has received, is remembered: a
-// later start on a disk with an earlier position is rejected.
+// requireRollbackDetected requires that the member remembers every field of the golden report that it has received: a
+// report of a later start on a disk with an earlier position is rejected.
 func requireRollbackDetected(t *testing.T, handler http1.Handler) {
 	t.Helper()
 	for _, c := range []struct {
@@ -226,12 +227,12 @@
 		}
 		res := serveMember(handler, "POST", "/_linkpass/marks", string(body))
 		if res.Status != c.status {
-			t.Errorf("%s: %d %q", c.name, res.Status, res.Body)
+			t.Errorf("%s: status = %d, body %q; want %d", c.name, res.Status, res.Body, c.status)
 		}
 	}
 }
 
-// Invalid calls of members are rejected; what is no call of a member goes to the search front.
+// Invalid calls of members are rejected. Requests that are no calls of members go to the search front.
 func TestMemberHandlerStatusByRequest(t *testing.T) {
 	_, handler := openTwoMembers(t)
 	for _, c := range []struct {
--- a/internal/daemon/member_handler.go
+++ b/internal/daemon/member_handler.go
@@ -16,7 +16,7 @@
 
 const maxRestrictionsBody = 64 << 10 // bytes of one call
 
-// memberHandler serves the calls of the store's other members, and hands all else to the search front.
+// memberHandler serves the calls of the store's other members, and passes all other requests to the search front.
 type memberHandler struct {
 	registry *endpointRegistry
 	front    http1.Handler
@@ -38,12 +38,12 @@
 	return h.front.Serve(ctx, began, req)
 }
 
-// receivePosition takes another member's report of how far its log is.
+// receivePosition handles another member's report of how far its log is.
 func (h *memberHandler) receivePosition(req *http1.Request) *http1.Response {
 	var report rollback.Report
 	if err := json.Unmarshal(req.Body, &report); req.Method != "POST" || err != nil || report.ID == "" {
 		h.registry.counters.Add("position_reports_malformed", 1)
-		return &http1.Response{Status: 400, Body: []byte("this is no report\n")}
+		return &http1.Response{Status: 400, Body: []byte("the body is not a position report\n")}
 	}
 	if err := h.registry.store.get().ObservePosition(report); err != nil {
 		h.registry.counters.Add("position_reports_rejected", 1)
@@ -52,18 +52,18 @@
 	return &http1.Response{Status: 200}
 }
 
-// receiveRestrictions takes another member's broadcast of pending restrictions.
+// receiveRestrictions handles another member's broadcast of pending restrictions.
 func (h *memberHandler) receiveRestrictions(req *http1.Request) *http1.Response {
 	var pending []restriction.Request
 	err := json.Unmarshal(req.Body, &pending)
 	if req.Method != "POST" || err != nil || len(req.Body) > maxRestrictionsBody || len(pending) > restriction.MaxPending {
 		h.registry.counters.Add("restrictions_malformed", 1)
-		return &http1.Response{Status: 400, Body: []byte("these are no orders\n")}
+		return &http1.Response{Status: 400, Body: []byte("the body is not a list of orders, or it is too long\n")}
 	}
 	members := h.registry.store.get().Members()
 	received := len(pending)
-	// A restriction of an instance that never was a member would stay in the state for good: what the log decides
-	// of each is kept.
+	// The state keeps what the log decides of each restriction, so one of an instance that never was a member would
+	// stay in it forever.
 	pending = slices.DeleteFunc(pending, func(r restriction.Request) bool {
 		return !isMember(members, r.ID.Origin.Instance)
 	})
--- a/internal/daemon/platform_front.go
+++ b/internal/daemon/platform_front.go
@@ -47,9 +47,9 @@
 	return f.fronts.add("platform", ln, handler), nil
 }
 
-// clientListener is where clients connect: the platform's socket, if it holds one that
-// outlives this process, or a socket of our own. The platform's is only ever closed
-// here, never shut down: others accept on it too.
+// clientListener returns the listener that clients connect to: the platform's socket, which outlives this process, if
+// the platform passes one as fd, or else a socket of this process at addr. The platform's socket is only ever closed
+// here and never shut down, because other processes accept on it too.
 func clientListener(addr string, fd int) (net.Listener, error) {
 	if fd == 0 {
 		return net.Listen("tcp", addr)
--- a/internal/daemon/platform_front_test.go
+++ b/internal/daemon/platform_front_test.go
@@ -10,9 +10,9 @@
 		t.Fatal(err)
 	}
 	if res, err := b.platform.r.Response(); err != nil || res.Status != 400 || !res.Close {
-		t.Errorf("%+v %v", res, err)
+		t.Errorf("response %+v, error %v; want status 400 and a connection that closes", res, err)
 	}
 	if n := b.p.counters.Get("platform_malformed"); n != 1 {
-		t.Errorf("counted %d", n)
+		t.Errorf("platform_malformed = %d, want 1", n)
 	}
 }
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -9,19 +9,19 @@
 	"linkpass/internal/metrics"
 )
 
-// process is the state that the components share. All else belongs to one component.
+// process is the state that the components share. All other state belongs to one component.
 type process struct {
 	counters  *metrics.Counters
 	totals    *metrics.Totals
 	startedAt time.Time
 	readiness admin.Readiness
 
-	// mu guards what follows, and is held while components start. Of cfg only memoryMB, fileDiscovery and Search
-	// change once all have started; the other fields are read without it.
+	// mu guards the fields below, and is held while components start. Of cfg, only memoryMB, fileDiscovery and Search
+	// change once all components have started; the other fields are read without mu.
 	mu       sync.Mutex
 	cfg      Config
 	share    handover.Share
-	stopping bool // the components are about to stop: no reload is applied any more
+	stopping bool // the components are about to stop, and no reload is applied any more
 }
 
 func newProcess(cfg Config) *process {
@@ -33,10 +33,10 @@
 	}
 }
 
-// isSuccessor tells whether another process of this coordinator ran already when this one started.
+// isSuccessor reports whether another process of this coordinator was already running when this one started.
 func (p *process) isSuccessor() bool { return p.share.Processes > 1 }
 
-// maxDeadline is the longest deadline of a query.
+// maxDeadline returns the longest deadline of a query.
 func (p *process) maxDeadline() (longest time.Duration) {
 	for _, class := range p.cfg.module.Classes {
 		longest = max(longest, class.Deadline)
--- a/internal/daemon/program.go
+++ b/internal/daemon/program.go
@@ -1,6 +1,6 @@
-// Package daemon is the coordinator's program: it makes the components, each with its dependencies, and takes them from
-// start to stop. It owns the configuration and its reload, signals, and the order of a graceful shutdown. How queries
-// are routed, and what the components' own packages do, it does not decide.
+// Package daemon is the coordinator's program. It creates the components, each with its dependencies, starts them and
+// stops them. It owns the configuration and its reload, the handling of signals, and the order of a graceful shutdown.
+// It does not decide how queries are routed, nor what the components' own packages do.
 package daemon
 
 import (
@@ -11,7 +11,7 @@
 	"linkpass/internal/upstream"
 )
 
-// Program is a coordinator that has started: its components, and those of them that Serve talks to.
+// Program is a coordinator that has started. It has all components as a group, and separately those that Serve uses.
 type Program struct {
 	*adminBackend
 	components *lifecycle.Group
@@ -21,8 +21,8 @@
 	shutdown   *shutdown
 }
 
-// Start makes all components and starts them: all, or none and an error that names the component that failed. What
-// a predecessor may still own is started later, by Serve.
+// Start creates the components and starts them. If one fails, none is left running, and the error names the component
+// that failed. Components that need something that a predecessor may still own are started later, by Serve.
 func Start(cfg Config) (*Program, error) {
 	if cfg.cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(cfg.cores)))
@@ -45,11 +45,11 @@
 	return p, nil
 }
 
-// newProgram makes the components, and lists them in the order of their start.
+// newProgram creates the components, and returns them in the order of their start.
 func newProgram(cfg Config) (*Program, []lifecycle.Component) {
 	proc := newProcess(cfg)
 	dials := upstream.NewConnLimiter(0)
-	settings := newActiveSettings(&cfg.Search.Config) // a copy: a reload overwrites that of proc
+	settings := newActiveSettings(&cfg.Search.Config) // proc.cfg is a copy of cfg, and a reload overwrites it
 	st, names := &replicatedStore{}, &endpointNames{}
 
 	core := newQueryCore(proc)
@@ -87,5 +87,5 @@
 	}
 }
 
-// Counters are the program's own.
+// Counters returns the program's counters.
 func (p *Program) Counters() *metrics.Counters { return p.counters }
--- a/internal/daemon/query_core.go
+++ b/internal/daemon/query_core.go
@@ -8,12 +8,13 @@
 )
 
 const (
-	mailboxSize = 1024 // messages that wait for the core's event loop
+	mailboxSize = 1024 // messages that may wait for the core's event loop
 	// successorSeedFactor spreads the bits of a process id over a seed.
 	successorSeedFactor = 0x9e3779b97f4a7c15
 )
 
-// queryCore is the event loop that decides about queries. Serve runs it, as it outlasts the shutdown of the fronts.
+// queryCore holds the core: the event loop that decides how queries are routed. The core has no Run function in its
+// component: Serve runs it, because it has to outlast the shutdown of the fronts.
 type queryCore struct {
 	*process
 	core *coordinator.Core // nil until it has started
@@ -27,7 +28,8 @@
 
 func (c *queryCore) start() (err error) {
 	if c.isSuccessor() {
-		c.cfg.seed ^= uint64(os.Getpid()) * successorSeedFactor // so that random numbers and names differ from the predecessor's
+		// Random numbers and names have to differ from the predecessor's.
+		c.cfg.seed ^= uint64(os.Getpid()) * successorSeedFactor
 	}
 	module := c.cfg.module
 	module.MaxOpen = c.share.MaxOpen
--- a/internal/daemon/query_core_test.go
+++ b/internal/daemon/query_core_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// The totals count what crossed the sockets: every answer that a client read, every
-// attempt that reached a server, once each and by class.
+// The totals count the traffic on the sockets, each answer that a client reads and each attempt that reaches a server
+// once, and the answers by class.
 func TestTotalsMatchTraffic(t *testing.T) {
 	b := newBench(t, 3)
 	want := map[string]int{"app.league_servers_known": 6, "app.league_servers_excluded": 0, "app.in_flight": 0, "app.attempts": 0}
@@ -24,7 +24,7 @@
 		for got := b.metrics(); !maps.Equal(got, want); got = b.metrics() { // servers known and excluded may lag
 			for name, n := range got {
 				if !strings.HasPrefix(name, "app.league_servers") && n != want[name] || len(got) != len(want) {
-					t.Fatalf("%s: %s=%d of %v, want %v", when, name, n, got, want)
+					t.Fatalf("%s: %s = %d in %v, want %v", when, name, n, got, want)
 				}
 			}
 			time.Sleep(time.Millisecond)
@@ -36,7 +36,7 @@
 	hold("at the start")
 	for i := range 12 {
 		class := []string{"whole", "share"}[i%2]
-		if i == 6 { // from here on some are rejected: a shard has no replica with capacity
+		if i == 6 { // from here on some queries are rejected, because no replica of a shard has capacity
 			b.servers["s-0a"].setMode("full")
 			b.servers["s-0b"].setMode("full")
 		}
@@ -44,7 +44,7 @@
 		count(class, status)
 	}
 	if want["app.refused.whole"] == 0 || want["app.served.share"] == 0 {
-		t.Errorf("the mix is none: %v", want)
+		t.Errorf("totals %v, want served and rejected queries", want)
 	}
 	hold("after a mix")
 	b.servers["s-1a"].setMode("wait")
@@ -56,7 +56,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	if got := b.metrics()["app.in_flight"]; got != 1 {
-		t.Errorf("in flight %d", got)
+		t.Errorf("app.in_flight = %d, want 1", got)
 	}
 	b.servers["s-1a"].setMode("")
 	b.servers["s-1b"].setMode("")
--- a/internal/daemon/reloadable.go
+++ b/internal/daemon/reloadable.go
@@ -8,14 +8,15 @@
 	"linkpass/internal/searchconfig"
 )
 
-// isReplicated tells whether a key is in the store's settings, where there is a store.
+// isReplicated reports whether a key belongs to the settings that the store replicates, if there is a store.
 func isReplicated(key string) bool {
 	section, _, _ := strings.Cut(key, ".")
 	return section == "search" || section == "indices" || section == "servers"
 }
 
-// needsRestart tells which reloadable keys need a restart after all: files for bodies that would have to be created or
-// removed, and indices with a shard map, whose versions only the store can advance.
+// needsRestart returns a function that reports whether a key that the schema marks as reloadable needs a restart in
+// this case. That is so for bodies.files_kib if the files would have to be created or removed, and for indices with a
+// shard map, whose versions only the store can advance.
 func (c *SearchConfig) needsRestart(next *SearchConfig) func(key string) bool {
 	return func(key string) bool {
 		if key == "bodies.files_kib" {
@@ -27,14 +28,15 @@
 	}
 }
 
-// hasShardMap tells whether an index has a shard map.
+// hasShardMap reports whether an index has a shard map.
 func (c *SearchConfig) hasShardMap(name string) bool { return hasShardMap(c.Indices[name]) }
 
 func hasShardMap(index searchconfig.Index) bool {
 	return index.ShardMap != nil || index.InitialSharding != nil
 }
 
-// mergeSearchConfig is the new document with the indices of the old one that can't be changed in service.
+// mergeSearchConfig returns the new settings, but with those indices of the old ones that have a shard map, which can't
+// be changed without a restart.
 func mergeSearchConfig(old, next *searchconfig.Config) (*searchconfig.Config, error) {
 	c := searchconfig.Config{
 		Search:  next.Search,
--- a/internal/daemon/reloader.go
+++ b/internal/daemon/reloader.go
@@ -14,7 +14,8 @@
 	"linkpass/internal/schema"
 )
 
-var errStopping = errors.New("the program is about to end")
+// errStopping is the error of a reload during shutdown.
+var errStopping = errors.New("the program is shutting down")
 
 // reloader reads the platform's configuration and the operators' file again while the program runs.
 type reloader struct {
@@ -26,15 +27,15 @@
 	discovery *discoveryWatcher
 	api       *adminAPI
 
-	reloading sync.Mutex    // one reload at a time
-	requested chan struct{} // receives when the configuration is to be read again
+	reloading sync.Mutex    // held during a reload, so that there is one at a time
+	requested chan struct{} // receives a value when the configuration is to be read again; has room for one
 }
 
-// request lets run reload. It does not wait for files: they may be slow, and SIGTERM may come.
+// request makes run reload. It does not wait for the reload: files may be slow, and SIGTERM may come meanwhile.
 func (r *reloader) request() {
 	select {
 	case r.requested <- struct{}{}:
-	default: // the reload that is due already will read the files as they are then
+	default: // a reload is due already, and will read the files as they are then
 	}
 }
 
@@ -51,7 +52,7 @@
 }
 
 // reload reads all files again, and reports which keys are applied and which need a restart. A file that can't be used
-// changes nothing: a coordinator must not end over it.
+// changes nothing and is an error, because a coordinator must not end because of it.
 func (r *reloader) reload() (adminapi.ReloadResult, error) {
 	r.reloading.Lock()
 	defer r.reloading.Unlock()
@@ -69,7 +70,7 @@
 	r.cfg.memoryMB = next.memoryMB
 	r.limits.limitMemory()
 	result := r.applySearch(&next.Search)
-	// The environment stays as it was at the start, so only the file can name another address.
+	// The environment is that of the start, so only the file can change the address.
 	moved := next.fileDiscovery != "" && next.fileDiscovery != r.cfg.fileDiscovery
 	r.cfg.fileDiscovery = next.fileDiscovery
 	r.mu.Unlock()
@@ -86,7 +87,7 @@
 	return result, nil
 }
 
-// read reads all files and validates them.
+// read reads all files and validates them. ring is nil if the keys are not in use.
 func (r *reloader) read() (next Config, ring signature.KeyRing, err error) {
 	env := r.cfg.env
 	if env == nil {
@@ -113,7 +114,8 @@
 	return next, ring, err
 }
 
-// applySearch applies those keys of a new operators' file that can be, and reports which. The caller holds mu.
+// applySearch applies the keys of a new operators' file that can be applied without a restart, and reports how it
+// treats each changed key. The caller holds mu.
 func (r *reloader) applySearch(next *SearchConfig) (result adminapi.ReloadResult) {
 	running := &r.cfg.Search
 	needsRestart := running.needsRestart(next)
@@ -127,7 +129,7 @@
 			result.Applied = append(result.Applied, c.Key)
 		}
 	}
-	// A key that needs a restart keeps the value that it runs with, and is reported again by the next reload.
+	// A key that needs a restart keeps its running value, so the next reload reports it again.
 	applied := func(v schema.Value) bool { return slices.Contains(result.Applied, v.Name) }
 	values := slices.DeleteFunc(slices.Clone(running.values), applied)
 	for _, v := range next.values {
@@ -153,7 +155,7 @@
 	if !running.needsRestart(next)("bodies.files_kib") {
 		running.Bodies.FilesKiB = next.Bodies.FilesKiB
 	}
-	// The error was checked when the file was read.
+	// An error is ignored: the limits were validated when the file was read.
 	if limits, err := running.Bodies.limits(r.cfg.memoryMB, r.cfg.host.Classes); err == nil {
 		r.bodies.setTotalLimits(limits)
 	}
@@ -165,10 +167,11 @@
 	}
 }
 
-// applySettings lets the file's search settings take effect where there is no store. The caller holds mu.
+// applySettings makes the file's search settings take effect; it is called only if there is no store. The caller holds
+// mu.
 func (r *reloader) applySettings(next *SearchConfig) {
 	c, err := mergeSearchConfig(r.settings.fromFile.Load(), &next.Config)
-	if err != nil { // checked when the file was read
+	if err != nil { // ignored: the settings were validated when the file was read
 		return
 	}
 	r.cfg.Search.Config = *c
--- a/internal/daemon/reloader_test.go
+++ b/internal/daemon/reloader_test.go
@@ -12,20 +12,20 @@
 	"linkpass/internal/http1"
 )
 
-// SIGHUP does not end the program: it reloads the configuration, whose address of discovery takes
-// effect at once; one that can't be read changes nothing.
+// SIGHUP does not end the program but reloads the configuration. A new address of discovery takes effect at once. A
+// configuration that can't be read changes nothing.
 func TestReloadFollowsDiscoveryAddress(t *testing.T) {
 	signals := NotifySignals()
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
 	if sig := <-signals; sig != syscall.SIGHUP {
-		t.Errorf("took %v", sig)
+		t.Errorf("signal %v, want SIGHUP", sig)
 	}
 	b := newBench(t, 3)
 	path := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv("ROUTER_CONFIG", path)
-	t.Setenv("ROUTER_DISCOVERY", b.addr) // stays what it was at the start
+	t.Setenv("ROUTER_DISCOVERY", b.addr) // the same as at the start
 	asked := make(chan string)
 	moved := listenLocal(t, func(nc net.Conn) {
 		r := http1.NewReader(nc, 0)
@@ -45,31 +45,31 @@
 		b.signals <- syscall.SIGHUP
 	}
 	write("{")
-	for b.p.counters.Get("config_invalid") == 0 { // read before the next one is written
+	for b.p.counters.Get("config_invalid") == 0 { // the file is read before the next one is written
 		time.Sleep(time.Millisecond)
 	}
 	write(`{"name":"n0","listen":"127.0.0.1:1","discovery":"` + moved + `","seed":"8c1f","known":{"servers":[]},"settings":` + settingsText + `}`)
 	if got := <-asked; got != "" {
-		t.Errorf("asked %q of the new address, not the whole list", got)
+		t.Errorf("first query at the new address %q, want none, for the whole list", got)
 	}
 	if got := <-asked; !strings.HasPrefix(got, "after=7&") {
-		t.Errorf("went on with %q", got)
+		t.Errorf("second query at the new address %q, want a watch after version 7", got)
 	}
 	go func() {
 		for range asked {
 		}
 	}()
 	if status, _ := b.query(b.platform, "whole", 15*time.Second, 0, 1, 2); status != 200 {
-		t.Errorf("%d", status)
+		t.Errorf("query after the reload: status = %d, want 200", status)
 	}
 	if b.p.counters.Get("config_invalid") != 1 || b.p.counters.Get("config_reloaded") != 1 {
-		t.Error(b.p.counters)
+		t.Errorf("counters %s; want config_invalid = 1 and config_reloaded = 1", b.p.counters)
 	}
 	b.checkInvariants()
 }
 
-// SIGHUP names another discovery during the shutdown. Requests in flight are still routed by the
-// list, so the watch continues at the new address, and a file that can't be used changes nothing.
+// SIGHUP during the shutdown reloads a configuration with another address of discovery. Requests in flight are still
+// routed by the endpoint list, so the watch continues at the new address. A file that can't be used changes nothing.
 func TestReloadDuringShutdown(t *testing.T) {
 	b := newBench(t, 3)
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -106,7 +106,7 @@
 		select {
 		case b.signals <- syscall.SIGHUP:
 		case <-time.After(10 * time.Second):
-			t.Fatal("nobody hears of a new configuration")
+			t.Fatal("SIGHUP was not received within 10 s")
 		}
 		for b.p.counters.Get("config_invalid") == 0 {
 			time.Sleep(time.Millisecond)
@@ -116,10 +116,10 @@
 	b.servers["s-0a"].setMode("go")
 	b.servers["s-0b"].setMode("go")
 	if status := <-answered; status != 200 {
-		t.Errorf("what was taken ended with %d", status)
+		t.Errorf("query in flight at the shutdown: status = %d, want 200", status)
 	}
 	<-stopped
 	if n := b.p.counters.Get("discovery_moved"); n != 1 {
-		t.Errorf("moved %d times", n)
+		t.Errorf("discovery_moved = %d, want 1", n)
 	}
 }
--- a/internal/daemon/replicated_store.go
+++ b/internal/daemon/replicated_store.go
@@ -9,10 +9,11 @@
 	"linkpass/internal/store"
 )
 
-// replicatedStore is the replicated store for the components that are made before the search front opens it.
+// replicatedStore gives access to the replicated store. It exists so that components can be created before the search
+// front opens the store.
 type replicatedStore struct{ opened atomic.Pointer[store.Store] }
 
-// get is the store; nil: it is off, or not open yet.
+// get returns the store, or nil if it is off or not open yet.
 func (s *replicatedStore) get() *store.Store { return s.opened.Load() }
 
 func (s *replicatedStore) set(opened *store.Store) { s.opened.Store(opened) }
@@ -24,16 +25,17 @@
 	return nil
 }
 
-// IsLeader reports whether this instance is the leader.
+// IsLeader reports whether this instance is the leader; false while the store is not open.
 func (s *replicatedStore) IsLeader() bool {
 	opened := s.get()
 	return opened != nil && opened.IsLeader()
 }
 
-// Settings is the document as this instance has it. The store is open: only a leader asks.
+// Settings returns the settings as this instance has them. The store must be open; it is, because only a leader calls
+// this.
 func (s *replicatedStore) Settings() *searchconfig.Config { return s.get().Settings() }
 
-// AdvanceShardMap proposes a step of a shard map. The store is open: only a leader asks.
+// AdvanceShardMap proposes a step of a shard map. The store must be open; it is, because only a leader calls this.
 func (s *replicatedStore) AdvanceShardMap(ctx context.Context, index string, c shardmap.Command) error {
 	return s.get().AdvanceShardMap(ctx, index, c)
 }
--- a/internal/daemon/resharding_config.go
+++ b/internal/daemon/resharding_config.go
@@ -6,22 +6,24 @@
 	"linkpass/internal/shardmap/resharding"
 )
 
-// ReshardingConfig paces resharding: the section `reshape` of the operators' file.
+// ReshardingConfig limits the pace of resharding: the section `reshape` of the operators' file. A zero value stands for
+// the key's default.
 type ReshardingConfig struct {
 	Moves       int    `toml:"moves"`        // plans that copy at a time, in all
-	PerServer   int    `toml:"per_server"`   // and for one server
-	Poll        string `toml:"poll"`         // between two calls to every server
-	RetireAfter string `toml:"retire_after"` // old replicas keep their data so long past a switch
-	Patience    string `toml:"patience"`     // a plan without progress for so long is abandoned
-	Replan      *bool  `toml:"replan"`       // whether a part whose shard has moved is planned anew; true
+	PerServer   int    `toml:"per_server"`   // plans that copy at a time for one server
+	Poll        string `toml:"poll"`         // time between two calls to every server
+	RetireAfter string `toml:"retire_after"` // old replicas keep their data for this time after a switch
+	Patience    string `toml:"patience"`     // a plan without progress for this time is abandoned
+	Replan      *bool  `toml:"replan"`       // whether a part whose shard has moved is planned again; nil: true
 }
 
 const (
-	reportTTLPolls    = 3           // polls for which a server's report counts
-	retireDelayMargin = time.Second // past the longest deadline, before old replicas drop their data
+	reportTTLPolls    = 3           // polls for which a server's report is valid
+	retireDelayMargin = time.Second // time after the longest deadline until old replicas drop their data
 )
 
-// limits reads the settings, with their defaults; maxDeadline is the longest deadline of a query.
+// limits returns the limits and the interval of polls, with the defaults of unset keys. maxDeadline is the longest
+// deadline of a query.
 func (r ReshardingConfig) limits(maxDeadline time.Duration) (limits resharding.Limits, poll time.Duration) {
 	poll = Keys.Duration("reshape.poll", r.Poll)
 	limits = resharding.Limits{
--- a/internal/daemon/search_config.go
+++ b/internal/daemon/search_config.go
@@ -18,9 +18,9 @@
 	"linkpass/internal/store"
 )
 
-// SearchConfig is the operators' file: the search front and all that goes with it.
+// SearchConfig is the operators' file: the configuration of the search front and of the components around it.
 type SearchConfig struct {
-	Listen string `toml:"listen"`
+	Listen string `toml:"listen"` // address of the search front; "" turns it off
 	searchconfig.Config
 	Store   store.Config     `toml:"store"`
 	Reshape ReshardingConfig `toml:"reshape"`
@@ -29,15 +29,15 @@
 	Operator AdminConfig `toml:"operator"`
 	Log      LogConfig   `toml:"log"`
 
-	path   string         // of the file
-	values []schema.Value // as the file gives them
+	path   string         // of the operators' file; "" if the configuration was not read from a file
+	values []schema.Value // the keys that the file sets
 }
 
-// DefaultSearchFile is the operators' file where none is named.
+// DefaultSearchFile is the path of the operators' file if the command line names none.
 const DefaultSearchFile = "deploy/opensearch.toml"
 
-// LoadSearchConfig reads the operators' file and reports all that is wrong with it at once, each with its
-// line and key. Without the default file everything is off.
+// LoadSearchConfig reads the operators' file. The error joins all that is wrong with the file, each with its line and
+// key. If the default file does not exist, everything that it configures is off.
 func LoadSearchConfig(path string) (SearchConfig, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) && path == DefaultSearchFile {
@@ -70,7 +70,7 @@
 	return errors.Join(all...)
 }
 
-// validate reports what the keys contradict of each other; each by itself is valid.
+// validate reports the keys that contradict each other. Each key is valid by itself.
 func (c *SearchConfig) validate(report func(key string, err error)) {
 	if err := c.Config.Validate(); err != nil {
 		report("indices", err)
@@ -120,8 +120,8 @@
 	}
 }
 
-// addresses calls f with each address that this instance, or another of the store, is to listen at; not with those
-// whose port the system picks.
+// addresses calls f with each address that this instance or another one of the store is to listen at. It leaves out
+// those whose port the system picks.
 func (c *SearchConfig) addresses(f func(key, addr string)) {
 	visit := func(key, addr string) {
 		if _, port, err := net.SplitHostPort(addr); err == nil && port != "0" {
@@ -132,7 +132,7 @@
 	visit("operator.listen", c.Operator.Listen)
 	for i, m := range c.Store.Members {
 		visit(fmt.Sprintf("store.members.%d.raft", i), m.Raft)
-		if m.ID != c.Store.ID { // its own is listen
+		if m.ID != c.Store.ID { // this instance's own is the key listen
 			visit(fmt.Sprintf("store.members.%d.http", i), m.HTTP)
 		}
 	}
--- a/internal/daemon/search_front.go
+++ b/internal/daemon/search_front.go
@@ -10,8 +10,8 @@
 	"linkpass/internal/store"
 )
 
-// searchFront is the search front, and the store where there is one. It is deferred, as it has an address and files
-// that the predecessor of this process may still use.
+// searchFront is the component of the search front, and of the store if there is one. It is deferred, because the
+// predecessor of this process may still use its address and its files.
 type searchFront struct {
 	*process
 	core     *queryCore
@@ -63,7 +63,7 @@
 	return front, nil
 }
 
-// openStore opens the store; from then on its settings are in force.
+// openStore opens the store, whose settings are in force from then on.
 func (f *searchFront) openStore() (*store.Store, error) {
 	c := f.cfg.Search.Store
 	c.InitialSettings, c.OnSettingsChanged = f.settings.fromFile.Load(), f.shards.publisher.publish
--- a/internal/daemon/search_settings.go
+++ b/internal/daemon/search_settings.go
@@ -8,8 +8,8 @@
 	"linkpass/internal/store"
 )
 
-// searchSettings gives the search front the settings of the store. The front's calls have no context: they end by the
-// store's own timeouts alone.
+// searchSettings gives the search front access to the settings of the store. The front's calls have no context, so only
+// the store's own timeouts end them.
 type searchSettings struct{ store *store.Store }
 
 var (
@@ -17,7 +17,7 @@
 	_ opensearch.SettingsUpdater    = searchSettings{}
 )
 
-// ReadWith returns the settings with the consistency that is asked for.
+// ReadWith returns the settings with the consistency that the options ask for.
 func (s searchSettings) ReadWith(options store.ReadOptions) (*searchconfig.Config, error) {
 	return s.store.ReadWith(context.Background(), options)
 }
@@ -27,7 +27,7 @@
 	return s.store.PatchSettings(context.Background(), patch)
 }
 
-// UpdateSettings replaces the settings by what change makes of them, and returns them.
+// UpdateSettings replaces the settings by the result of change, and returns them.
 func (s searchSettings) UpdateSettings(
 	change func(*searchconfig.Config) (*searchconfig.Config, error),
 ) (*searchconfig.Config, error) {
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -10,15 +10,16 @@
 	"linkpass/internal/eventlog"
 )
 
-// NotifySignals returns a channel of the signals that end nothing: SIGUSR1 asks for the counters,
-// SIGHUP for a reload. Unless they are received SIGHUP would end the program.
+// NotifySignals returns a channel of the signals that do not end the program: SIGUSR1 asks for a log of the counters,
+// SIGHUP for a reload. Unless they are received, SIGHUP would end the program.
 func NotifySignals() <-chan os.Signal {
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGUSR1, syscall.SIGHUP)
 	return signals
 }
 
-// Serve serves until the context ends, then finishes the requests in flight.
+// Serve runs the components and serves requests until the context ends. Then it finishes the requests in flight and
+// stops all components.
 func (p *Program) Serve(term context.Context, signals <-chan os.Signal) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -35,7 +36,7 @@
 	}
 	p.components.Run(context.Background())
 	eventlog.Started.Log(p.cfg.name, p.cfg.discovery, len(p.cfg.known.Endpoints))
-	go p.reloader.run(ctx) // not waited for: files may be slow, and a late reload is rejected once stopping is set
+	go p.reloader.run(ctx) // not waited for, as files may be slow; once stopping is set, a late reload is rejected
 	p.handleEvents(term, signals, successor)
 
 	stopped := make(chan struct{})
@@ -48,14 +49,14 @@
 	<-coreDone
 	select {
 	case <-stopped:
-	case <-time.After(finalWriteTime): // no deadline is enforced any more: a client that does not read now never will
+	case <-time.After(finalWriteTime): // no deadline is enforced any more; a client that has not read by now never will
 		p.fronts.close()
 		<-stopped
 	}
 	return p.stop()
 }
 
-// stop stops all components once the fronts have ended.
+// stop stops all components. The fronts have ended before.
 func (p *Program) stop() error {
 	p.mu.Lock()
 	p.stopping = true
@@ -66,7 +67,8 @@
 	return err
 }
 
-// handleEvents handles signals, and becomes ready when there are servers, until the context ends.
+// handleEvents handles signals until the context ends. Meanwhile it marks the program as usable once there is a list of
+// servers, and starts the deferred components once no other process of this coordinator runs.
 func (p *Program) handleEvents(term context.Context, signals <-chan os.Signal, successor bool) {
 	usable, warm := p.discovery.watcher.Ready(), make(chan struct{})
 	for {
@@ -77,7 +79,7 @@
 				p.readiness.MarkEndpointsUsable()
 				break
 			}
-			// The other process serves meanwhile: this one joins it when it knows its servers.
+			// The other process serves meanwhile. This one joins it once its health checks of all servers have ended.
 			p.core.core.WarmUp(func() { close(warm) })
 		case <-warm:
 			warm = nil
@@ -93,7 +95,7 @@
 	}
 }
 
-// startDeferred starts what the other process of this coordinator owned until it ended.
+// startDeferred starts the components that use what the other process of this coordinator owned until it ended.
 func (p *Program) startDeferred() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,8 +108,8 @@
 	})
 }
 
-// awaitShutdown handles signals until the fronts have stopped. It returns before the platform
-// kills: what is still open is failed then, while its clients can still be answered.
+// awaitShutdown handles signals until the fronts have stopped. It returns in any case before the platform kills the
+// process: queries that are still open are failed then, while their clients can still be answered.
 func (p *Program) awaitShutdown(stopped <-chan struct{}, signals <-chan os.Signal) {
 	kill := time.NewTimer(p.shutdown.timeout())
 	defer kill.Stop()
@@ -117,7 +119,7 @@
 			return
 		case <-kill.C:
 			return
-		case sig := <-signals: // open requests are still sent by the endpoint list, and discovery may move
+		case sig := <-signals: // open requests are still routed by the endpoint list, and discovery may move
 			p.handleSignal(sig)
 		}
 	}
--- a/internal/daemon/shard_map_publisher.go
+++ b/internal/daemon/shard_map_publisher.go
@@ -8,14 +8,15 @@
 	"linkpass/internal/searchconfig"
 )
 
-// shardMapPublisher notifies the core of what changes in the shard maps, one document after another.
+// shardMapPublisher notifies the core of the changes of the shard maps from one version of the settings to the next.
 type shardMapPublisher struct {
 	core *queryCore
 
-	mu   sync.Mutex // guards what follows, and keeps the core's updates in order
-	last *searchconfig.Config
+	mu   sync.Mutex           // guards last, and keeps the core's updates in order
+	last *searchconfig.Config // published last; nil: none yet
 }
 
+// publish notifies the core of what differs between the shard maps of c and those published last.
 func (p *shardMapPublisher) publish(c *searchconfig.Config) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/daemon/shard_maps.go
+++ b/internal/daemon/shard_maps.go
@@ -8,7 +8,7 @@
 	"linkpass/internal/reshardexec"
 )
 
-// minPollTimeout bounds a poll of a server from below, however short the interval.
+// minPollTimeout is the least timeout of a poll of a server, however short the interval between polls is.
 const minPollTimeout = time.Second
 
 // shardMaps publishes the shard maps to the core and, where there is a store, executes resharding.
@@ -18,7 +18,7 @@
 	store *replicatedStore
 
 	publisher *shardMapPublisher
-	executor  *reshardexec.Executor // works once the store is open; nil: no store
+	executor  *reshardexec.Executor // works once the store is open; nil if there is no store
 }
 
 func newShardMaps(p *process, core *queryCore, store *replicatedStore) *shardMaps {
@@ -52,7 +52,7 @@
 	}
 }
 
-// queryTotals counts the queries that have ended, and those of them that were rejected.
+// queryTotals returns the number of queries that have ended, and of those among them that were rejected.
 func (s *shardMaps) queryTotals() (ended, rejected int64) {
 	for i := range s.totals.Classes {
 		r := s.totals.Rejected[i].Load()
@@ -62,7 +62,7 @@
 	return ended, rejected
 }
 
-// applyLimits lets reloaded limits take effect. The caller holds process.mu.
+// applyLimits applies reloaded limits. The caller holds process.mu.
 func (s *shardMaps) applyLimits(r ReshardingConfig) {
 	if s.executor != nil {
 		limits, poll := r.limits(s.maxDeadline())
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	grace         = 450 * time.Millisecond // after SIGTERM new connections are still accepted
-	acceptBacklog = 50 * time.Millisecond  // past that, for the connections that wait in the backlog
-	idleGrace     = 600 * time.Millisecond // after SIGTERM idle connections are kept
+	grace         = 450 * time.Millisecond // after SIGTERM, while new connections are still accepted
+	acceptBacklog = 50 * time.Millisecond  // after that, to accept the connections that wait in the backlog
+	idleGrace     = 600 * time.Millisecond // after SIGTERM, while idle connections are kept
 
 	// The platform kills the process once the longest deadline of a query, at most maxQueryWait, and 700 ms have passed
 	// since SIGTERM.
 	maxQueryWait   = 3 * time.Second
-	answerMargin   = 350 * time.Millisecond // of the 700 ms: for the last answers
-	finalWriteTime = 150 * time.Millisecond // for those answers to be written
+	answerMargin   = 350 * time.Millisecond // part of the 700 ms, for the last answers
+	finalWriteTime = 150 * time.Millisecond // for writing those answers
 )
 
-// shutdown ends the fronts while the other components still run.
+// shutdown stops the fronts while the other components still run.
 type shutdown struct {
 	*process
 	core   *queryCore
@@ -27,9 +27,9 @@
 	limits *limitsShare
 }
 
-// run admits clients for the grace period, then finishes the requests in flight. Where the platform holds
-// the socket another process accepts on it, and this one stops at once. Elsewhere nobody
-// else would accept what waits in the backlog: the socket is closed only once that is accepted.
+// run admits clients for the grace period, and then finishes the requests in flight. If the platform holds the
+// listening socket, another process accepts on it, and this one stops accepting at once. Otherwise nobody else would
+// accept the connections that wait in the backlog, so the socket is closed only once they are accepted.
 func (s *shutdown) run() {
 	s.readiness.Shutdown()
 	wait := grace
@@ -49,13 +49,14 @@
 	s.fronts.stop()
 }
 
-// timeout is how long after SIGTERM queries may take: the rest of the time until the kill is for the end of the process.
+// timeout returns how long after SIGTERM queries may take. The rest of the time until the platform kills the process is
+// for ending it.
 func (s *shutdown) timeout() time.Duration {
 	return min(s.maxDeadline(), maxQueryWait) + answerMargin
 }
 
-// closeListeners draws the line behind which no client is admitted. Listeners shared with other processes are closed
-// at once; for our own all of the backlog is accepted first. accepted waits until that is done.
+// closeListeners closes the listeners, after which no client is admitted. Those shared with other processes are closed
+// at once. Of this process's own, the whole backlog is accepted first; accepted waits until that is done.
 func closeListeners(own, shared []net.Listener, accepted func()) {
 	for _, ln := range shared {
 		_ = ln.Close()
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -41,7 +41,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	if status, _ := b.query(b.platform, "whole", 15*time.Second, 1, 2); status != 200 {
-		t.Errorf("%d", status)
+		t.Errorf("query after a client has disconnected: status = %d, want 200", status)
 	}
 	slow := connect(t, b.p.admin.bound.listener.Addr().String()) // a caller that never completes its call
 	if _, err := slow.nc.Write([]byte("GET /v1")); err != nil {
@@ -50,15 +50,15 @@
 	for b.p.counters.Get("operator_conns") == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	b.stop() // ends, though servers and callers are silent, with every query answered
+	b.stop() // ends although servers and callers are silent; every query is answered
 	b.checkInvariants()
 	if _, err := b.platform.r.Response(); err == nil {
-		t.Error("an idle connection outlived the program")
+		t.Error("an idle connection is still open after the program has ended")
 	}
 }
 
-// SIGTERM while the configuration is read from a disk that does not answer: the shutdown begins all
-// the same, and what is read after it changes nothing.
+// The program is stopped while it reads the configuration from a disk that does not answer. The shutdown does not wait
+// for the disk, and what is read later changes nothing.
 func TestShutdownDoesNotWaitForReload(t *testing.T) {
 	b := newBench(t, 3)
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -79,11 +79,11 @@
 	b.p.reloader.reloading.Lock() // the reload has ended
 	defer b.p.reloader.reloading.Unlock()
 	if n := b.p.counters.Get("config_reloaded"); n != 0 {
-		t.Errorf("reloaded %d times", n)
+		t.Errorf("config_reloaded = %d, want 0", n)
 	}
 }
 
-// SIGTERM twice ends the program once, in good order.
+// Repeated SIGTERM, at each step of the start and of the shutdown, ends the program with exit code 0.
 func TestRepeatedSIGTERM(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -91,7 +91,7 @@
 		t.Fatal(err)
 	}
 	t.Setenv("ROUTER_CONFIG", path)
-	guard := make(chan os.Signal, 9) // without it one that comes before Main listens would end the tests
+	guard := make(chan os.Signal, 9) // without it a signal that comes before Main listens would end the tests
 	signal.Notify(guard, syscall.SIGTERM)
 	defer signal.Stop(guard)
 	code := make(chan int, 1)
@@ -104,9 +104,9 @@
 		select {
 		case got := <-code:
 			if ended = true; got != 0 {
-				t.Errorf("exit code %d", got)
+				t.Errorf("exit code = %d, want 0", got)
 			}
-		case <-time.After(100 * time.Millisecond): // again, at each step of its start and its shutdown
+		case <-time.After(100 * time.Millisecond): // send it again, at each step of the start and the shutdown
 		}
 	}
 }
@@ -119,8 +119,8 @@
 
 func (l blockedListener) Accept() (net.Conn, error) { <-l.release; return l.TCPListener.Accept() }
 
-// Clients have connected and sent a request, and the listener is to be closed before they were accepted. They
-// are accepted and answered; a close would have reset them.
+// Clients have connected and sent a request, but are not accepted yet when the listener is to be closed. They are still
+// accepted and answered. If the listener were closed at once, their connections would be reset.
 func TestShutdownAcceptsListenBacklog(t *testing.T) {
 	b := newBench(t, 3)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -150,16 +150,16 @@
 	<-drawn
 	for _, c := range clients {
 		if res, err := c.r.Response(); err != nil || res.Status != 200 {
-			t.Errorf("%+v %v", res, err)
+			t.Errorf("response %+v, error %v; want status 200", res, err)
 		}
 	}
 	if _, err := net.Dial("tcp", ln.Addr().String()); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("one that comes behind the line: %v", err)
+		t.Errorf("connect after the listener is closed: error %v, want ECONNREFUSED", err)
 	}
 	server.Stop()
 }
 
-// SIGTERM before there is any endpoint list, and again, ends the program once, in good order.
+// A stop before there is any endpoint list, repeated, ends the program without an error.
 func TestShutdownBeforeFirstList(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	cfg := Config{name: fmt.Sprint("n", os.Getpid()), listen: "127.0.0.1:0", discovery: "127.0.0.1:1", seed: 5, memoryMB: 64, sockets: 256}
@@ -178,6 +178,6 @@
 		t.Error(err)
 	}
 	if p.readiness.Ready() {
-		t.Error("ready after its end")
+		t.Error("the program is ready after its end")
 	}
 }
--- a/internal/daemon/upstream_links.go
+++ b/internal/daemon/upstream_links.go
@@ -9,7 +9,7 @@
 	"linkpass/internal/upstream"
 )
 
-// upstreamLinks are the connections to the league servers.
+// upstreamLinks holds the connections to the league servers.
 type upstreamLinks struct {
 	*process
 	core     *queryCore
@@ -38,7 +38,8 @@
 	return nil
 }
 
-// protocols maps each league server to the protocol that it speaks.
+// protocols returns the constructors of the transports by protocol, and the choice of the protocol that a league server
+// speaks.
 func (u *upstreamLinks) protocols() transport.Protocols {
 	common := upstream.Config{
 		Sink:              u.core.core,
--- a/internal/daemon/version.go
+++ b/internal/daemon/version.go
@@ -5,7 +5,8 @@
 // revisionDigits is the length of the shortened revision.
 const revisionDigits = 12
 
-// ProgramVersion is the build's version, or else its revision.
+// ProgramVersion returns the build's revision, shortened and with "+changes" if the tree was modified. It returns the
+// module's version if the build has no revision, and "unknown" if it has no information at all.
 func ProgramVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/daemon/wire_golden_test.go
+++ b/internal/daemon/wire_golden_test.go
@@ -20,7 +20,8 @@
 	"linkpass/internal/store"
 )
 
-// Every key of docs/settings.md is in the schema under its name, type, default, bounds and unit.
+// The schema has the keys with the names, types, defaults, ranges and units of the golden file, and docs/settings.md
+// names every key.
 func TestSettingsSchemaGolden(t *testing.T) {
 	var rows []map[string]any
 	for _, k := range Keys {
@@ -183,8 +184,8 @@
 	}
 }
 
-// keyPattern matches the names of a key in a file: a * of its name stands for a name that the operators choose, and an
-// opaque key holds keys of its own.
+// keyPattern returns a pattern of the names that a key may have in a file. A * in its name stands for a name that the
+// operators choose, and an opaque key has keys of its own below it.
 func keyPattern(k schema.Key) *regexp.Regexp {
 	pattern := "^" + strings.ReplaceAll(regexp.QuoteMeta(k.Name), `\*`, `[^.]+`)
 	if k.Type != schema.Opaque {
@@ -193,7 +194,7 @@
 	return regexp.MustCompile(pattern)
 }
 
-// Names, values and sources of the keys, as `linkpass config show` and GET /v1/config list them.
+// Names, values and sources of the keys are as `linkpass config show` and GET /v1/config list them.
 func TestSettingsShownGolden(t *testing.T) {
 	for file, search := range map[string]SearchConfig{
 		"settings_shown.json":         loadAllSettings(t),
@@ -209,7 +210,7 @@
 		}}}
 		shown := b.Settings()
 		if c := b.cfg.Search; c.path != "" {
-			// A known fault: a bool that is true by default and false in the file is shown as true.
+			// Known fault: a bool that is true by default and false in the file is shown as true.
 			shown = slices.DeleteFunc(shown, func(s adminapi.Setting) bool {
 				return s.Key == "reshape.replan" || s.Key == "search.default_allow_partial_results"
 			})
