--- a/internal/daemon/admin_api.go
+++ b/internal/daemon/admin_api.go
@@ -25,10 +25,10 @@
 }
 
 const (
-	adminAPIName    = "adminapi" // name of the component
-	adminAPIConns   = 8          // connections at a time, of each listener
-	maxAdminBody    = 16 << 20   // bytes; the largest body is a backup
-	maxUnsignedBody = 1 << 20    // bytes, over TCP; a body is held in memory before its signature is verified
+	adminAPIName     = "adminapi" // name of the component
+	maxAdminAPIConns = 8          // connections at a time, of each listener
+	maxAdminBody     = 16 << 20   // bytes; the largest body is a backup
+	maxUnsignedBody  = 1 << 20    // bytes, over TCP; a body is held in memory before its signature is verified
 )
 
 // socketProbeTimeout is how long another process has to accept a connection at the socket.
@@ -111,7 +111,7 @@
 		Handler:  h,
 		Clock:    a.core.core,
 		Counters: a.counters,
-		MaxConns: adminAPIConns,
+		MaxConns: maxAdminAPIConns,
 		MaxBody:  maxBody,
 	}, ln})
 }
--- a/internal/daemon/admin_api_test.go
+++ b/internal/daemon/admin_api_test.go
@@ -46,7 +46,7 @@
 // Slow callers on every connection of the admin listener block neither the admin API nor, for long, the listener.
 func TestStatusWhileAdminListenerIsFlooded(t *testing.T) {
 	socket := filepath.Join(t.TempDir(), "api.sock")
-	b := newBench(t, 3, func(c *Config) { c.operator, c.Search.Operator.Socket = "127.0.0.1:0", socket })
+	b := newTestbed(t, 3, func(c *Config) { c.adminListen, c.Search.Operator.Socket = "127.0.0.1:0", socket })
 	b.awaitReady()
 	for range 3 * admin.MaxConns {
 		nc, err := net.Dial("tcp", b.p.admin.bound.listener.Addr().String())
--- a/internal/daemon/admin_backend.go
+++ b/internal/daemon/admin_backend.go
@@ -15,7 +15,7 @@
 	"linkpass/internal/store"
 )
 
-const coreTimeout = 500 * time.Millisecond // for the core to report its view of the servers
+const snapshotTimeout = 500 * time.Millisecond // for the core to report its view of the servers
 
 // adminBackend implements the calls of the admin API. Program embeds it, so its exported methods are methods of Program
 // too.
@@ -34,7 +34,7 @@
 
 var _ adminapi.Coordinator = (*adminBackend)(nil)
 
-// Status returns the state of the coordinator. It waits for the core for at most coreTimeout, and for nothing else.
+// Status returns the state of the coordinator. It waits for the core for at most snapshotTimeout, and for nothing else.
 func (b *adminBackend) Status() adminapi.Status {
 	s := adminapi.Status{
 		Name:            b.cfg.name,
@@ -49,7 +49,7 @@
 		ServersExcluded: b.totals.ServersExcluded.Load(),
 		ResidentKB:      residentKB(),
 	}
-	if _, ok := b.core.core.Snapshot(coreTimeout); !ok {
+	if _, ok := b.core.core.Snapshot(snapshotTimeout); !ok {
 		s.Core = "busy"
 	}
 	s.Classes = b.classStatus()
@@ -76,9 +76,9 @@
 	if b.bodies.store == nil {
 		return nil
 	}
-	f := b.bodies.store.Totals()
-	return &adminapi.BodyStatus{Stored: f.Bodies, Shared: f.Shared, Arriving: f.ArrivingBodies, Waiting: f.PendingBodies,
-		Memory: f.Memory, Files: f.Files, Disk: f.Disk}
+	t := b.bodies.store.Totals()
+	return &adminapi.BodyStatus{Stored: t.Bodies, Shared: t.Shared, Arriving: t.ArrivingBodies, Waiting: t.PendingBodies,
+		Memory: t.Memory, Files: t.Files, Disk: t.Disk}
 }
 
 func (b *adminBackend) shardMapSummaries() (out []adminapi.ShardMapSummary) {
@@ -106,9 +106,9 @@
 }
 
 // Servers returns what the router knows of the league servers, sorted by name. The error is adminapi.ErrCoreBusy if the
-// core does not reply within coreTimeout.
+// core does not reply within snapshotTimeout.
 func (b *adminBackend) Servers() ([]adminapi.Server, error) {
-	list, ok := b.core.core.Snapshot(coreTimeout)
+	list, ok := b.core.core.Snapshot(snapshotTimeout)
 	if !ok {
 		return nil, adminapi.ErrCoreBusy
 	}
--- a/internal/daemon/admin_changes.go
+++ b/internal/daemon/admin_changes.go
@@ -46,10 +46,10 @@
 	case "join":
 		return st.AddLearner(ctx, store.Member{ID: r.ID, Raft: r.Raft, HTTP: r.HTTP})
 	case "promote":
-		asking, cancel := context.WithTimeout(ctx, learnerTimeout)
+		learnerCtx, cancel := context.WithTimeout(ctx, learnerTimeout)
 		defer cancel()
 		return st.PromoteLearner(ctx, r.ID, func(m store.Member, version uint64) error {
-			return checkCaughtUp(asking, m, version)
+			return checkCaughtUp(learnerCtx, m, version)
 		})
 	case "leave":
 		return st.RemoveMember(ctx, r.ID)
@@ -125,8 +125,8 @@
 		if r.Action == "change" {
 			c.Kind = config.UpdateServer
 		}
-		if r.Spec != nil && r.Spec.Cell >= b.cfg.module.Cells {
-			return c, invalidRequest("cell %d does not exist: there are %d cells", r.Spec.Cell, b.cfg.module.Cells)
+		if r.Spec != nil && r.Spec.Cell >= b.cfg.routingSettings.Cells {
+			return c, invalidRequest("cell %d does not exist: there are %d cells", r.Spec.Cell, b.cfg.routingSettings.Cells)
 		}
 	case "weight":
 		c.Kind, c.Weight = config.SetServerWeight, r.Weight
--- a/internal/daemon/admin_listener.go
+++ b/internal/daemon/admin_listener.go
@@ -27,10 +27,10 @@
 }
 
 func (a *adminListener) start() error {
-	if a.cfg.operator == "" {
+	if a.cfg.adminListen == "" {
 		return nil
 	}
-	ln, err := net.Listen("tcp", a.cfg.operator)
+	ln, err := net.Listen("tcp", a.cfg.adminListen)
 	if err != nil {
 		return err
 	}
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -26,8 +26,8 @@
 {"aim":8000.0,"hard_limit":20000.0,"idempotency":"free","importance":1.0,"late_share":0.3,"name":"share"}],
 "rules":{"answer_slack":20.0,"cold":18000.0,"cold_from":0.17,"drain_grace":1000.0,"fall_multiple":2.0,"tip_after":3000.0}}`
 
-// bench is a coordinator with emulated clients, league servers and discovery.
-type bench struct {
+// testbed is a coordinator with emulated clients, league servers and discovery.
+type testbed struct {
 	*fleet
 	p        *Program
 	signals  chan os.Signal
@@ -37,19 +37,19 @@
 	queries  int
 }
 
-func newBench(t *testing.T, cells int, changes ...func(*Config)) *bench {
+func newTestbed(t *testing.T, cells int, changes ...func(*Config)) *testbed {
 	t.Setenv("TMPDIR", t.TempDir())
-	b := &bench{fleet: newFleet(t), signals: make(chan os.Signal)}
-	cfg := Config{name: "n0", listen: "127.0.0.1:0", operator: "127.0.0.1:0", discovery: b.addr, seed: 5, memoryMB: 192, sockets: 1024}
+	b := &testbed{fleet: newFleet(t), signals: make(chan os.Signal)}
+	cfg := Config{name: "n0", listen: "127.0.0.1:0", adminListen: "127.0.0.1:0", discovery: b.addr, seed: 5, memoryMB: 192, sockets: 1024}
 	var err error
-	if cfg.module, cfg.host, err = settings.ParseJSON([]byte(settingsText)); err != nil {
+	if cfg.routingSettings, cfg.host, err = settings.ParseJSON([]byte(settingsText)); err != nil {
 		t.Fatal(err)
 	}
-	cfg.known = discovery.EndpointList{Version: 0, Full: true}
+	cfg.initialEndpoints = discovery.EndpointList{Version: 0, Full: true}
 	for cell := range cells {
-		for _, twin := range []string{"a", "b"} {
-			s := b.add(fmt.Sprintf("s-%d%s", cell, twin), cell)
-			cfg.known.Endpoints = append(cfg.known.Endpoints, s.entry("in_service", 0))
+		for _, replica := range []string{"a", "b"} {
+			s := b.addServer(fmt.Sprintf("s-%d%s", cell, replica), cell)
+			cfg.initialEndpoints.Endpoints = append(cfg.initialEndpoints.Endpoints, s.entry("in_service", 0))
 		}
 	}
 	raft, err := net.Listen("tcp", "127.0.0.1:0")
@@ -84,9 +84,9 @@
 	return b
 }
 
-// awaitReady waits until the program has applied discovery's first answer. newBench waits only until discovery is asked
-// for it.
-func (b *bench) awaitReady() {
+// awaitReady waits until the program has applied discovery's first answer. newTestbed waits only until discovery is
+// asked for it.
+func (b *testbed) awaitReady() {
 	b.t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !b.p.readiness.Ready(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
@@ -96,7 +96,7 @@
 }
 
 // query sends a query by the platform's protocol, and returns the response's status and its body if the status is 200.
-func (b *bench) query(c *client, class string, timeout time.Duration, shards ...int) (status int, out struct {
+func (b *testbed) query(c *client, class string, timeout time.Duration, shards ...int) (status int, out struct {
 	Exact bool
 	Rows  []struct {
 		ID   int
@@ -139,7 +139,7 @@
 }
 
 // searchIndex sends a query by the search protocol, and returns the response's status and body.
-func (b *bench) searchIndex(index, body string) (status int, out searchResponse) {
+func (b *testbed) searchIndex(index, body string) (status int, out searchResponse) {
 	b.t.Helper()
 	b.queries++
 	res := b.search.do("POST", "/"+index+"/_search", body, nil)
@@ -150,7 +150,7 @@
 }
 
 // putSettings changes the settings, once the store has a leader.
-func (b *bench) putSettings(patch string) {
+func (b *testbed) putSettings(patch string) {
 	b.t.Helper()
 	for {
 		res := b.search.do("PUT", "/_cluster/settings", `{"persistent":`+patch+`}`, nil)
@@ -166,9 +166,9 @@
 
 // checkInvariants checks every part that has reached a server: the server has a replica of its shard, no part has more
 // than 3 attempts, and none may take longer than its query. Every query that was received has ended.
-func (b *bench) checkInvariants() {
+func (b *testbed) checkInvariants() {
 	b.t.Helper()
-	parts, _ := b.since(0)
+	parts, _ := b.partsSince(0)
 	attempts := map[string]int{}
 	for _, p := range parts {
 		if b.servers[p.server].cell != p.shard%3 {
@@ -183,13 +183,13 @@
 	}
 	count := b.p.counters
 	ended := count.Get("queries_answered") + count.Get("queries_rejected") + count.Get("queries_failed")
-	if taken := count.Get("queries_received"); taken != ended || taken == 0 {
-		b.t.Errorf("%d queries received and %d ended, want the same number above 0", taken, ended)
+	if received := count.Get("queries_received"); received != ended || received == 0 {
+		b.t.Errorf("%d queries received and %d ended, want the same number above 0", received, ended)
 	}
 }
 
 // metrics reads the metrics at the admin listener.
-func (b *bench) metrics() map[string]int {
+func (b *testbed) metrics() map[string]int {
 	b.t.Helper()
 	res := connect(b.t, b.p.admin.bound.listener.Addr().String()).do("GET", "/v1/metrics", "", nil)
 	out := map[string]int{}
--- a/internal/daemon/body_store.go
+++ b/internal/daemon/body_store.go
@@ -81,10 +81,10 @@
 // retryAfter returns the Retry-After, in seconds, for a client whose body the store has no capacity for. It is "" if
 // the settings turn Retry-After off.
 func (b *bodyStore) retryAfter() string {
-	if !b.cfg.module.RetryAfter {
+	if !b.cfg.routingSettings.RetryAfter {
 		return ""
 	}
-	return strconv.FormatFloat(min(noCapacityRetryAfter, b.cfg.module.MaxRetryAfter).Seconds(), 'f', 3, 64)
+	return strconv.FormatFloat(min(noCapacityRetryAfter, b.cfg.routingSettings.MaxRetryAfter).Seconds(), 'f', 3, 64)
 }
 
 // newBodySink returns where to write the large body of a search as it arrives, or nil if the body stays with its
@@ -97,7 +97,7 @@
 		return nil // a request other than a search is small, or is rejected
 	}
 	return &opensearch.BodyUpload{
-		Writer:    b.store.NewWriter(class, b.cfg.module.Classes[class].PriorityWeight),
+		Writer:    b.store.NewWriter(class, b.cfg.routingSettings.Classes[class].PriorityWeight),
 		Rejection: &http1.Error{Status: 429, Reason: "no room for the search's body", RetryAfter: b.retryAfter()},
 	}
 }
--- a/internal/daemon/body_store_test.go
+++ b/internal/daemon/body_store_test.go
@@ -15,7 +15,7 @@
 // behind, even if the program stops with one in flight.
 func TestLargeSearchBodiesInFiles(t *testing.T) {
 	dir := t.TempDir()
-	b := newBench(t, 3, func(c *Config) {
+	b := newTestbed(t, 3, func(c *Config) {
 		c.Search.Bodies = BodyConfig{MemoryKiB: 64, LargestKiB: 8, FilesKiB: 4096, Dir: dir}
 		c.Search.Servers = map[string]searchconfig.Server{"s-0a": {Protocol: "search"}, "s-0b": {Protocol: "search"}}
 	})
@@ -48,13 +48,13 @@
 
 // testLargeSearch sends a search, and checks its answer and the body in every part received after the first n. It
 // returns the number of parts received by then.
-func testLargeSearch(t *testing.T, b *bench, query string, n int) int {
+func testLargeSearch(t *testing.T, b *testbed, query string, n int) int {
 	t.Helper()
 	res := b.search.do("POST", "/players/_search", `{"query":`+query+`}`, nil)
 	if res.Status != 200 || !strings.Contains(string(res.Body), `"failed":0`) {
 		t.Fatalf("status = %d, body %s; want 200 with no failed shard", res.Status, res.Body)
 	}
-	parts, n := b.since(n)
+	parts, n := b.partsSince(n)
 	for _, p := range parts {
 		if want := `{"from":0,"query":` + query + `,"size":10}`; p.text != want {
 			t.Fatalf("%s received a body of %d bytes, which differs from the %d bytes wanted", p.server, len(p.text), len(want))
--- a/internal/daemon/client_fronts.go
+++ b/internal/daemon/client_fronts.go
@@ -20,17 +20,17 @@
 	listeners []net.Listener // listeners[i] belongs to servers[i]
 	maxConns  int            // limit on the connections of each server
 
-	admit     chan struct{}  // closed by Serve once clients are to be admitted
-	leaving   chan struct{}  // closed by shutdown once no more clients are to be admitted
-	accepting sync.WaitGroup // counts the servers that accept connections or are about to
+	admit         chan struct{}  // closed by Serve once clients are to be admitted
+	stopAdmitting chan struct{}  // closed by shutdown once no more clients are to be admitted
+	accepting     sync.WaitGroup // counts the servers that accept connections or are about to
 }
 
 func newClientFronts(p *process, core *queryCore) *clientFronts {
-	return &clientFronts{process: p, core: core, admit: make(chan struct{}), leaving: make(chan struct{})}
+	return &clientFronts{process: p, core: core, admit: make(chan struct{}), stopAdmitting: make(chan struct{})}
 }
 
-// planned returns the number of fronts that the configuration asks for.
-func (f *clientFronts) planned() int {
+// configuredCount returns the number of fronts that the configuration asks for.
+func (f *clientFronts) configuredCount() int {
 	if f.cfg.Search.Listen != "" {
 		return 2
 	}
@@ -46,8 +46,8 @@
 	return &boundServer{server, ln}
 }
 
-// limit sets the limit on the connections of each front. The caller holds mu.
-func (f *clientFronts) limit(maxConns int) {
+// setMaxConns sets the setMaxConns on the connections of each front. The caller holds mu.
+func (f *clientFronts) setMaxConns(maxConns int) {
 	f.maxConns = maxConns
 	for _, server := range f.servers {
 		server.SetMaxConns(maxConns)
@@ -60,7 +60,7 @@
 	defer f.accepting.Done()
 	select {
 	case <-f.admit:
-	case <-f.leaving:
+	case <-f.stopAdmitting:
 		return
 	case <-ctx.Done():
 		return
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -16,13 +16,13 @@
 // Config is the configuration that the program starts with: the platform's, and the operators' file in Search.
 type Config struct {
 	name, listen, discovery string
-	operator                string // address of the admin listener; "" turns it off
+	adminListen             string // address of the admin listener; "" turns it off
 	listenFD                int    // descriptor of the platform's listening socket; 0: the process opens its own
 	seed                    uint64
 	memoryMB, sockets       int     // limits; 0: the platform sets none
 	cores                   float64 // limit; 0: the platform sets none
-	known                   discovery.EndpointList
-	module                  routing.Settings
+	initialEndpoints        discovery.EndpointList
+	routingSettings         routing.Settings
 	host                    settings.Host
 	Search                  SearchConfig
 
@@ -61,23 +61,23 @@
 	if err := json.Unmarshal(data, &d); err != nil {
 		return Config{}, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	either := func(name, otherwise string) string {
+	envOr := func(name, fallback string) string {
 		if v := env(name); v != "" {
 			return v
 		}
-		return otherwise
+		return fallback
 	}
 	c := Config{
-		name:          either("ROUTER_NAME", d.Name),
-		listen:        either("ROUTER_LISTEN", d.Listen),
-		discovery:     either("ROUTER_DISCOVERY", d.Discovery),
-		operator:      either("ROUTER_OPERATOR", d.Operator),
-		known:         d.Known,
-		env:           env,
-		fileDiscovery: d.Discovery,
-		memoryMB:      d.Limits.MemoryMB,
-		sockets:       d.Limits.Sockets,
-		cores:         d.Limits.Cores,
+		name:             envOr("ROUTER_NAME", d.Name),
+		listen:           envOr("ROUTER_LISTEN", d.Listen),
+		discovery:        envOr("ROUTER_DISCOVERY", d.Discovery),
+		adminListen:      envOr("ROUTER_OPERATOR", d.Operator),
+		initialEndpoints: d.Known,
+		env:              env,
+		fileDiscovery:    d.Discovery,
+		memoryMB:         d.Limits.MemoryMB,
+		sockets:          d.Limits.Sockets,
+		cores:            d.Limits.Cores,
 	}
 	if err := c.parse(path, &d); err != nil {
 		return Config{}, err
@@ -101,10 +101,10 @@
 	if len(d.Settings) == 0 {
 		return fmt.Errorf("configuration %s: settings are missing", path)
 	}
-	if c.module, c.host, err = settings.ParseJSON(d.Settings); err != nil {
+	if c.routingSettings, c.host, err = settings.ParseJSON(d.Settings); err != nil {
 		return fmt.Errorf("configuration %s: %w", path, err)
 	}
-	if c.host.MaxStreams <= 0 || c.host.ConnectTimeout <= 0 || c.module.Tick <= 0 {
+	if c.host.MaxStreams <= 0 || c.host.ConnectTimeout <= 0 || c.routingSettings.Tick <= 0 {
 		return fmt.Errorf("configuration %s: max_streams, connect_timeout and tick must be above 0", path)
 	}
 	return nil
@@ -118,7 +118,7 @@
 		errs = append(errs, err)
 	}
 	seen := map[string]string{}
-	platform := map[string]string{"listen of the platform": c.listen, "operator of the platform": c.operator}
+	platform := map[string]string{"listen of the platform": c.listen, "operator of the platform": c.adminListen}
 	for key, addr := range platform {
 		if other, ok := seen[addr]; ok && addr != "" && !strings.HasSuffix(addr, ":0") {
 			errs = append(errs, fmt.Errorf("%s is the address of %s too: %s", max(key, other), min(key, other), addr))
--- a/internal/daemon/config_test.go
+++ b/internal/daemon/config_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestInvalidConfigIsReported(t *testing.T) {
+func TestLoadRejectsInvalidConfig(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
 		path := filepath.Join(dir, name)
@@ -17,19 +17,19 @@
 		}
 		return path
 	}
-	good := `{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f","known":{"servers":[]},"settings":` + settingsText + `}`
+	valid := `{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f","known":{"servers":[]},"settings":` + settingsText + `}`
 	env := func(path string) func(string) string {
 		return func(name string) string {
 			return map[string]string{"ROUTER_CONFIG": path, "ROUTER_LISTEN": "127.0.0.1:3"}[name]
 		}
 	}
-	c, err := Load(env(write("good", good)))
+	c, err := Load(env(write("good", valid)))
 	if err != nil || c.listen != "127.0.0.1:3" || c.seed != 0x8c1f || c.host.MaxStreams != 32 {
 		t.Fatalf("configuration %+v, error %v; want the values of the file, and listen from the environment", c, err)
 	}
-	for _, path := range []string{"", filepath.Join(dir, "none"), write("cut", good[:len(good)/2]),
-		write("seed", strings.Replace(good, "8c1f", "xyz", 1)), write("discovery", strings.Replace(good, `"discovery"`, `"d"`, 1)),
-		write("settings", strings.Replace(good, `"slabs":6`, `"slabs":"x"`, 1)), write("streams", strings.Replace(good, `"max_streams":32`, `"max_streams":0`, 1))} {
+	for _, path := range []string{"", filepath.Join(dir, "none"), write("cut", valid[:len(valid)/2]),
+		write("seed", strings.Replace(valid, "8c1f", "xyz", 1)), write("discovery", strings.Replace(valid, `"discovery"`, `"d"`, 1)),
+		write("settings", strings.Replace(valid, `"slabs":6`, `"slabs":"x"`, 1)), write("streams", strings.Replace(valid, `"max_streams":32`, `"max_streams":0`, 1))} {
 		if _, err := Load(env(path)); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("configuration %q: error %v, want one of a single line", path, err)
 		}
--- a/internal/daemon/discovery_watcher.go
+++ b/internal/daemon/discovery_watcher.go
@@ -33,20 +33,21 @@
 	if d.registry.registry != nil {
 		target = registryCore{d.core.core, d.registry.registry}
 	}
-	d.watcher = discovery.NewWatcher(d.cfg.discovery, newListReader(d.process, d.core), target, d.counters)
+	d.watcher = discovery.NewWatcher(d.cfg.discovery, newEndpointConverter(d.process, d.core), target, d.counters)
 	d.watcher.Seed = d.cfg.seed
-	d.watcher.Timeouts = discoveryTimeouts(d.cfg.module)
+	d.watcher.Timeouts = discoveryTimeouts(d.cfg.routingSettings)
 	return nil
 }
 
-func (d *discoveryWatcher) run(ctx context.Context) { d.watcher.Run(ctx, d.cfg.known) }
+func (d *discoveryWatcher) run(ctx context.Context) { d.watcher.Run(ctx, d.cfg.initialEndpoints) }
 
-// newListReader returns the converter of discovery's endpoint lists for the zones, kinds and cells of this coordinator.
-func newListReader(p *process, core *queryCore) *discovery.Converter {
+// newEndpointConverter returns the converter of discovery's endpoint lists for the zones, kinds and cells of this
+// coordinator.
+func newEndpointConverter(p *process, core *queryCore) *discovery.Converter {
 	return &discovery.Converter{
 		Zones:      p.cfg.host.Zones,
 		Kinds:      p.cfg.host.Kinds,
-		Cells:      p.cfg.module.Cells,
+		Cells:      p.cfg.routingSettings.Cells,
 		ToCoreTime: core.core.FromUnixMilli,
 	}
 }
--- a/internal/daemon/endpoint_fanout.go
+++ b/internal/daemon/endpoint_fanout.go
@@ -15,7 +15,7 @@
 // it in place of the core.
 type endpointFanout struct {
 	*coordinator.Core
-	others []endpointListener
+	listeners []endpointListener
 }
 
 var _ discovery.Core = endpointFanout{}
@@ -23,14 +23,14 @@
 func newEndpointFanout(core *queryCore, names *endpointNames, shards *shardMaps) endpointFanout {
 	fanout := endpointFanout{core.core, []endpointListener{names}}
 	if shards.executor != nil {
-		fanout.others = append(fanout.others, shards.executor)
+		fanout.listeners = append(fanout.listeners, shards.executor)
 	}
 	return fanout
 }
 
 // UpdateEndpoints passes an update to all listeners, to the core last.
 func (f endpointFanout) UpdateEndpoints(update coordinator.EndpointUpdate) {
-	for _, listener := range f.others {
+	for _, listener := range f.listeners {
 		listener.UpdateEndpoints(update)
 	}
 	f.Core.UpdateEndpoints(update)
--- a/internal/daemon/endpoint_registry.go
+++ b/internal/daemon/endpoint_registry.go
@@ -44,7 +44,7 @@
 			broadcast[m.ID] = broadcastTo(c.ID, m.HTTP)
 		}
 	}
-	reader := newListReader(r.process, r.core)
+	converter := newEndpointConverter(r.process, r.core)
 	r.registry = endpoints.New(endpoints.Config{
 		InstanceID:  c.ID,
 		Incarnation: uint64(time.Now().UnixNano()),
@@ -52,7 +52,7 @@
 		Broadcast:   broadcast,
 		Counters:    r.counters,
 		ResolveEndpoint: func(id string, spec config.ServerSpec) (coordinator.Endpoint, error) {
-			return resolveEndpoint(reader, id, spec)
+			return resolveEndpoint(converter, id, spec)
 		},
 	})
 	return nil
@@ -65,10 +65,10 @@
 }
 
 // resolveEndpoint returns the endpoint of a server that the store has added, as if discovery had listed it.
-func resolveEndpoint(reader *discovery.Converter, id string, spec config.ServerSpec) (coordinator.Endpoint, error) {
+func resolveEndpoint(converter *discovery.Converter, id string, spec config.ServerSpec) (coordinator.Endpoint, error) {
 	server := discovery.Endpoint{ID: id, Addr: spec.Addr, Zone: spec.Zone, Kind: spec.Kind, Cell: spec.Cell,
 		State: discovery.StateInService, Weight: 1}
-	list, err := reader.Convert(discovery.EndpointList{Endpoints: []discovery.Endpoint{server}})
+	list, err := converter.Convert(discovery.EndpointList{Endpoints: []discovery.Endpoint{server}})
 	if err != nil {
 		return coordinator.Endpoint{}, err
 	}
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -74,16 +74,16 @@
 	return f
 }
 
-func (f *fleet) add(name string, cell int) *leagueServer {
+func (f *fleet) addServer(name string, cell int) *leagueServer {
 	s := &leagueServer{fleet: f, name: name, cell: cell}
 	s.addr = listenLocal(f.t, s.serve)
 	f.servers[name] = s
 	return s
 }
 
-// update changes the list and returns once the coordinator's watch continues from the change. A request that is sent to
-// the coordinator after that is routed by the new list.
-func (f *fleet) update(lines ...discovery.Endpoint) {
+// updateList changes the list and returns once the coordinator's watch continues from the change. A request that is
+// sent to the coordinator after that is routed by the new list.
+func (f *fleet) updateList(lines ...discovery.Endpoint) {
 	f.mu.Lock()
 	f.version++
 	version := f.version
@@ -128,8 +128,8 @@
 	}
 }
 
-// since returns the parts received after the first n, and how many there are now.
-func (f *fleet) since(n int) ([]receivedPart, int) {
+// partsSince returns the parts received after the first n, and how many there are now.
+func (f *fleet) partsSince(n int) ([]receivedPart, int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]receivedPart(nil), f.parts[n:]...), len(f.parts)
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -153,17 +153,17 @@
 // goldenConfiguration is the content of testdata/configuration.json.
 func goldenConfiguration() Config {
 	return Config{
-		name:          "router-1",
-		listen:        "127.0.0.1:8080",
-		discovery:     "127.0.0.1:8500",
-		operator:      "127.0.0.1:8081",
-		seed:          0x9b1f03aa5c7e2d41,
-		memoryMB:      256,
-		sockets:       400,
-		cores:         1.5,
-		fileDiscovery: "127.0.0.1:8500",
-		known:         goldenEndpoints(),
-		module:        goldenModuleSettings(),
+		name:             "router-1",
+		listen:           "127.0.0.1:8080",
+		discovery:        "127.0.0.1:8500",
+		adminListen:      "127.0.0.1:8081",
+		seed:             0x9b1f03aa5c7e2d41,
+		memoryMB:         256,
+		sockets:          400,
+		cores:            1.5,
+		fileDiscovery:    "127.0.0.1:8500",
+		initialEndpoints: goldenEndpoints(),
+		routingSettings:  goldenRoutingSettings(),
 		host: settings.Host{
 			Zones:          []string{"ebene"},
 			Kinds:          []string{"std-2core"},
@@ -192,7 +192,7 @@
 	}
 }
 
-func goldenModuleSettings() routing.Settings {
+func goldenRoutingSettings() routing.Settings {
 	return routing.Settings{
 		Tick:             5500 * time.Microsecond,
 		Coordinators:     3,
@@ -227,7 +227,7 @@
 				"ROUTER_LISTEN_FD": "7",
 			},
 			func(c *Config) {
-				c.name, c.listen, c.discovery, c.operator, c.listenFD = "n", "l:1", "d:2", "o:3", 7
+				c.name, c.listen, c.discovery, c.adminListen, c.listenFD = "n", "l:1", "d:2", "o:3", 7
 			},
 		},
 	} {
--- a/internal/daemon/key_schema_test.go
+++ b/internal/daemon/key_schema_test.go
@@ -9,19 +9,19 @@
 	"testing"
 )
 
-// fields returns the names of all keys that a type reads from a file. name is the prefix of the names.
-func fields(name string, t reflect.Type) (out []string) {
+// tomlKeys returns the names of all keys that a type reads from a file. name is the prefix of the names.
+func tomlKeys(name string, t reflect.Type) (out []string) {
 	if t.Name() == "Document" { // of a shard map; what reads it validates it
 		return []string{name}
 	}
 	switch t.Kind() {
 	case reflect.Pointer:
-		return fields(name, t.Elem())
+		return tomlKeys(name, t.Elem())
 	case reflect.Map:
-		return fields(name+".*", t.Elem())
+		return tomlKeys(name+".*", t.Elem())
 	case reflect.Slice:
 		if t.Elem().Kind() == reflect.Struct {
-			return fields(name+".*", t.Elem())
+			return tomlKeys(name+".*", t.Elem())
 		}
 	case reflect.Struct:
 		for i := range t.NumField() {
@@ -34,7 +34,7 @@
 			if tag != "" {
 				inner = strings.TrimPrefix(name+"."+tag, ".")
 			}
-			out = append(out, fields(inner, f.Type)...)
+			out = append(out, tomlKeys(inner, f.Type)...)
 		}
 		return out
 	}
@@ -57,7 +57,7 @@
 			t.Errorf("the default of %s is invalid: %v", k.Name, faults)
 		}
 	}
-	read := fields("", reflect.TypeFor[SearchConfig]())
+	read := tomlKeys("", reflect.TypeFor[SearchConfig]())
 	slices.Sort(names)
 	slices.Sort(read)
 	if !slices.Equal(names, read) {
@@ -75,8 +75,8 @@
 	}
 	const from, to = "<!-- keys -->\n", "<!-- end -->\n"
 	before, rest, ok := strings.Cut(string(page), from)
-	_, after, also := strings.Cut(rest, to)
-	if !ok || !also {
+	_, after, hasEnd := strings.Cut(rest, to)
+	if !ok || !hasEnd {
 		t.Fatalf("docs/settings.md lacks the line %q or %q around the table", from, to)
 	}
 	want := before + from + markdownReference(Keys) + to + after
--- a/internal/daemon/limits_share.go
+++ b/internal/daemon/limits_share.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	memoryShare    = 0.6  // of the memory limit is for the garbage collector; the rest is for what it does not see
+	gcMemoryShare  = 0.6  // of the memory limit is for the garbage collector; the rest is for what it does not see
 	defaultSockets = 1024 // descriptors, if the platform sets no limit
 	// ownSockets are the descriptors that the program needs itself: streams, listeners, discovery, the store, the admin
 	// listener.
@@ -23,18 +23,18 @@
 // applies this process's share to the components.
 type limitsShare struct {
 	*process
-	dials  *upstream.ConnLimiter // limits the connections to all league servers together
-	core   *queryCore
-	bodies *bodyStore
-	fronts *clientFronts
+	connLimiter *upstream.ConnLimiter // limits the connections to all league servers together
+	core        *queryCore
+	bodies      *bodyStore
+	fronts      *clientFronts
 
 	group *handover.Group
 	alone chan struct{} // receives a value when no other process of this coordinator runs
 }
 
-func newLimitsShare(p *process, dials *upstream.ConnLimiter, core *queryCore, bodies *bodyStore,
+func newLimitsShare(p *process, connLimiter *upstream.ConnLimiter, core *queryCore, bodies *bodyStore,
 	fronts *clientFronts) *limitsShare {
-	return &limitsShare{process: p, dials: dials, core: core, bodies: bodies, fronts: fronts,
+	return &limitsShare{process: p, connLimiter: connLimiter, core: core, bodies: bodies, fronts: fronts,
 		alone: make(chan struct{}, 1)}
 }
 
@@ -46,9 +46,9 @@
 // start, because the share decides which of them are deferred.
 func (l *limitsShare) join() {
 	var err error
-	if l.group, err = handover.Join(os.TempDir(), l.cfg.name, l.cfg.module.MaxOpen, l.apply); err != nil {
+	if l.group, err = handover.Join(os.TempDir(), l.cfg.name, l.cfg.routingSettings.MaxOpen, l.apply); err != nil {
 		eventlog.HandoverFailed.Log(err) // a process that runs alone needs no handover
-		l.apply(handover.Share{Processes: 1, MaxOpen: l.cfg.module.MaxOpen})
+		l.apply(handover.Share{Processes: 1, MaxOpen: l.cfg.routingSettings.MaxOpen})
 	}
 }
 
@@ -61,9 +61,9 @@
 	}
 	l.share = s
 	l.limitMemory()
-	clients, servers := shareSockets(l.cfg.sockets/s.Processes, l.fronts.planned())
-	l.fronts.limit(clients)
-	l.dials.SetLimit(servers)
+	clients, servers := shareSockets(l.cfg.sockets/s.Processes, l.fronts.configuredCount())
+	l.fronts.setMaxConns(clients)
+	l.connLimiter.SetLimit(servers)
 	if l.core.core != nil {
 		l.core.core.SetMaxOpen(s.MaxOpen)
 	}
@@ -79,7 +79,7 @@
 // limitMemory sets the garbage collector's memory limit by this process's share. The caller holds mu.
 func (l *limitsShare) limitMemory() {
 	if l.cfg.memoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(l.cfg.memoryMB) * (1 << 20) / float64(l.share.Processes)))
+		debug.SetMemoryLimit(int64(gcMemoryShare * float64(l.cfg.memoryMB) * (1 << 20) / float64(l.share.Processes)))
 	}
 }
 
--- a/internal/daemon/limits_share_test.go
+++ b/internal/daemon/limits_share_test.go
@@ -43,7 +43,7 @@
 	}
 	dir := t.TempDir()
 	sameSocket := func(c *Config) { t.Setenv("TMPDIR", dir); c.listenFD = fd() }
-	predecessor := newBench(t, 3, sameSocket)
+	predecessor := newTestbed(t, 3, sameSocket)
 	conn := connect(t, socket.Addr().String())
 	if status, _ := predecessor.query(conn, "whole", 15*time.Second, 0); status != 200 {
 		t.Fatalf("query to the predecessor: status = %d, want 200", status)
@@ -52,25 +52,25 @@
 	predecessor.servers["s-0b"].setMode("wait")
 	answered := make(chan int)
 	go func() { status, _ := predecessor.query(conn, "whole", 15*time.Second, 0); answered <- status }()
-	for n := 0; n < 2; _, n = predecessor.since(0) {
+	for n := 0; n < 2; _, n = predecessor.partsSince(0) {
 		time.Sleep(time.Millisecond)
 	}
-	successor := newBench(t, 3, sameSocket)
+	successor := newTestbed(t, 3, sameSocket)
 	for !successor.p.readiness.Ready() {
 		time.Sleep(time.Millisecond)
 	}
 	if n := successor.p.counters.Get("health_checks_success"); n < 6 {
 		t.Errorf("the successor is ready after the health checks of %d servers, want 6", n)
 	}
-	limits := func(p *Program) (processes, clients, room int) {
+	limits := func(p *Program) (processes, clients, maxOpen int) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return p.share.Processes, p.fronts.maxConns, p.share.MaxOpen
 	}
 	for _, p := range []*Program{predecessor.p, successor.p} { // each has half of the limits
-		n, clients, room := limits(p)
-		if most, _ := shareSockets(p.cfg.sockets/2, 2); n != 2 || clients != most || room != p.cfg.module.MaxOpen/2 {
-			t.Errorf("shares by %d processes: %d connections a front, %d open queries; want half of the limits", n, clients, room)
+		n, clients, maxOpen := limits(p)
+		if wantClients, _ := shareSockets(p.cfg.sockets/2, 2); n != 2 || clients != wantClients || maxOpen != p.cfg.routingSettings.MaxOpen/2 {
+			t.Errorf("shares by %d processes: %d connections a front, %d open queries; want half of the limits", n, clients, maxOpen)
 		}
 	}
 	if successor.p.cfg.seed == predecessor.p.cfg.seed {
@@ -92,7 +92,7 @@
 	}
 	<-stopped
 	// Alone, the successor has all of the limits.
-	for n, open := 0, 0; n != 1 || open != successor.p.cfg.module.MaxOpen; n, _, open = limits(successor.p) {
+	for n, open := 0, 0; n != 1 || open != successor.p.cfg.routingSettings.MaxOpen; n, _, open = limits(successor.p) {
 		time.Sleep(time.Millisecond)
 	}
 	if status, _ := successor.query(connect(t, socket.Addr().String()), "whole", 15*time.Second, 1); status != 200 {
--- a/internal/daemon/platform_front.go
+++ b/internal/daemon/platform_front.go
@@ -31,13 +31,13 @@
 		Core:       f.core.core,
 		Classes:    f.cfg.host.Classes,
 		Tenants:    f.cfg.host.Tenants,
-		ShardCount: f.cfg.module.Shards,
+		ShardCount: f.cfg.routingSettings.Shards,
 		Counters:   f.counters,
 		Ready:      f.readiness.Ready,
 		BodyStore:  f.bodies.store,
 		RetryAfter: f.bodies.retryAfter(),
 	}
-	for _, class := range f.cfg.module.Classes {
+	for _, class := range f.cfg.routingSettings.Classes {
 		handler.PriorityWeights = append(handler.PriorityWeights, class.PriorityWeight)
 	}
 	ln, err := clientListener(f.cfg.listen, f.cfg.listenFD)
--- a/internal/daemon/platform_front_test.go
+++ b/internal/daemon/platform_front_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-func TestMalformedPlatformRequest(t *testing.T) {
-	b := newBench(t, 1)
+func TestPlatformFrontRejectsMalformedRequest(t *testing.T) {
+	b := newTestbed(t, 1)
 	if _, err := b.platform.nc.Write([]byte("POST /whole HTTP/1.1\r\nHost: x\r\nContent-Length: many\r\n\r\n")); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -38,7 +38,7 @@
 
 // maxDeadline returns the longest deadline of a query.
 func (p *process) maxDeadline() (longest time.Duration) {
-	for _, class := range p.cfg.module.Classes {
+	for _, class := range p.cfg.routingSettings.Classes {
 		longest = max(longest, class.Deadline)
 	}
 	return longest
--- a/internal/daemon/program.go
+++ b/internal/daemon/program.go
@@ -48,15 +48,15 @@
 // newProgram creates the components, and returns them in the order of their start.
 func newProgram(cfg Config) (*Program, []lifecycle.Component) {
 	proc := newProcess(cfg)
-	dials := upstream.NewConnLimiter(0)
+	connLimiter := upstream.NewConnLimiter(0)
 	settings := newActiveSettings(&cfg.Search.Config) // proc.cfg is a copy of cfg, and a reload overwrites it
 	st, names := &replicatedStore{}, &endpointNames{}
 
 	core := newQueryCore(proc)
 	bodies := newBodyStore(proc, core, settings)
 	fronts := newClientFronts(proc, core)
-	limits := newLimitsShare(proc, dials, core, bodies, fronts)
-	upstreams := newUpstreamLinks(proc, core, settings, dials)
+	limits := newLimitsShare(proc, connLimiter, core, bodies, fronts)
+	upstreams := newUpstreamLinks(proc, core, settings, connLimiter)
 	shards := newShardMaps(proc, core, st)
 	registry := newEndpointRegistry(proc, core, names, shards, st)
 	watcher := newDiscoveryWatcher(proc, core, names, shards, registry)
--- a/internal/daemon/program_test.go
+++ b/internal/daemon/program_test.go
@@ -12,21 +12,21 @@
 )
 
 // A start that fails returns the cause and releases what it has acquired. It must not end in a panic, as it once did.
-func TestFailedStartReleasesAll(t *testing.T) {
+func TestStartReleasesAllOnFailure(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer taken.Close()
 	t.Setenv("TMPDIR", t.TempDir())
-	cfg := Config{name: "n0", listen: "127.0.0.1:0", operator: taken.Addr().String(), discovery: "127.0.0.1:1", seed: 5, memoryMB: 192, sockets: 1024}
-	if cfg.module, cfg.host, err = settings.ParseJSON([]byte(settingsText)); err != nil {
+	cfg := Config{name: "n0", listen: "127.0.0.1:0", adminListen: taken.Addr().String(), discovery: "127.0.0.1:1", seed: 5, memoryMB: 192, sockets: 1024}
+	if cfg.routingSettings, cfg.host, err = settings.ParseJSON([]byte(settingsText)); err != nil {
 		t.Fatal(err)
 	}
 	if p, err := Start(cfg); err == nil || p != nil || !strings.Contains(err.Error(), "admin: listen") {
 		t.Fatalf("start with an address in use: error %v, want that of the component admin", err)
 	}
-	cfg.operator = ""
+	cfg.adminListen = ""
 	p, err := Start(cfg) // the failed start has left the handover group
 	if err != nil {
 		t.Fatal(err)
@@ -44,7 +44,7 @@
 // TestPlainAndSearchProtocolsTogether mixes clients and servers of both protocols, and checks the invariants over all
 // of their traffic.
 func TestPlainAndSearchProtocolsTogether(t *testing.T) {
-	b := newBench(t, 3)
+	b := newTestbed(t, 3)
 	b.putSettings(`{"servers":{"s-0a":{"protocol":"search"},"s-0b":{"protocol":"search"}}}`)
 
 	// The answers are complete, whichever protocol each part was sent by.
@@ -67,11 +67,11 @@
 	}
 
 	// A shard that the coordinator does not know gives its error, and no part is sent.
-	_, n := b.since(0)
+	_, n := b.partsSince(0)
 	if status, got := b.searchIndex("lost", ``); status != 404 || got.Error.Type != "shard_not_found_exception" {
 		t.Errorf("unknown shard: status = %d, response %+v; want 404, shard_not_found_exception", status, got)
 	}
-	if sent, _ := b.since(n); len(sent) != 0 {
+	if sent, _ := b.partsSince(n); len(sent) != 0 {
 		t.Errorf("unknown shard: parts sent %+v, want none", sent)
 	}
 
@@ -79,11 +79,11 @@
 	b.servers["s-0a"].setMode("plain only")
 	b.servers["s-0b"].setMode("plain only")
 	b.putSettings(`{"servers":{"s-0a":{"protocol":"plain"},"s-0b":null}}`)
-	_, n = b.since(0)
+	_, n = b.partsSince(0)
 	if status, got := b.searchIndex("players", ``); status != 200 || got.Shards.Successful != 3 || got.Hits.Total.Value != 3 {
 		t.Errorf("after the change of protocol: status = %d, response %+v; want 200 with 3 shards and 3 hits", status, got)
 	}
-	sent, _ := b.since(n)
+	sent, _ := b.partsSince(n)
 	for _, p := range sent {
 		if p.protocol != "plain" {
 			t.Errorf("part sent by the old protocol: %+v", p)
@@ -94,15 +94,15 @@
 	}
 
 	// A server that drains or is removed gets no part once the coordinator is notified.
-	b.update(b.servers["s-1a"].entry("terminating", 0), b.servers["s-2b"].entry("terminated", 0))
-	_, n = b.since(0)
+	b.updateList(b.servers["s-1a"].entry("terminating", 0), b.servers["s-2b"].entry("terminated", 0))
+	_, n = b.partsSince(0)
 	for range 5 {
 		if status, out := b.query(b.platform, "whole", 15*time.Second, 1, 2, 4); status != 200 || !out.Exact {
 			t.Errorf("query while a server drains: status = %d, response %+v; want a complete answer", status, out)
 		}
 		b.searchIndex("players", ``)
 	}
-	sent, _ = b.since(n)
+	sent, _ = b.partsSince(n)
 	for _, p := range sent {
 		if p.server == "s-1a" || p.server == "s-2b" {
 			t.Errorf("part sent to a server that drains or is removed: %+v", p)
@@ -136,7 +136,7 @@
 }
 
 func TestPartialAnswersAreNotMarkedComplete(t *testing.T) {
-	b := newBench(t, 3)
+	b := newTestbed(t, 3)
 	b.servers["s-0a"].setMode("silent")
 	b.servers["s-0b"].setMode("silent")
 	// Class "share" needs half of the shards: the parts that have arrived are enough, and the missing ones are
@@ -160,17 +160,17 @@
 // A server that has just started gets fewer parts from both fronts together than the warm replica of its shard. Without
 // slow start both would get the same.
 func TestWarmingServerGetsLessFromBothFronts(t *testing.T) {
-	b := newBench(t, 3)
+	b := newTestbed(t, 3)
 	for _, s := range b.servers {
 		s.delay = 15 * time.Millisecond
 	}
-	b.update(b.servers["s-0a"].entry("in_service", time.Now().UnixMilli()))
-	_, n := b.since(0)
+	b.updateList(b.servers["s-0a"].entry("in_service", time.Now().UnixMilli()))
+	_, n := b.partsSince(0)
 	for range 25 {
 		b.query(b.platform, "whole", 15*time.Second, 0)
 		b.searchIndex("players", `{"size":1}`)
 	}
-	sent, _ := b.since(n)
+	sent, _ := b.partsSince(n)
 	got := map[string]int{}
 	for _, p := range sent {
 		got[p.server]++
--- a/internal/daemon/query_core.go
+++ b/internal/daemon/query_core.go
@@ -31,10 +31,10 @@
 		// Random numbers and names have to differ from the predecessor's.
 		c.cfg.seed ^= uint64(os.Getpid()) * successorSeedFactor
 	}
-	module := c.cfg.module
-	module.MaxOpen = c.share.MaxOpen
+	settings := c.cfg.routingSettings
+	settings.MaxOpen = c.share.MaxOpen
 	c.core, err = coordinator.New(coordinator.Config{
-		Settings:           module,
+		Settings:           settings,
 		Seed:               c.cfg.seed,
 		HealthCheckTimeout: c.cfg.host.ConnectTimeout,
 		Counters:           c.counters,
--- a/internal/daemon/reloader_test.go
+++ b/internal/daemon/reloader_test.go
@@ -22,19 +22,19 @@
 	if sig := <-signals; sig != syscall.SIGHUP {
 		t.Errorf("signal %v, want SIGHUP", sig)
 	}
-	b := newBench(t, 3)
+	b := newTestbed(t, 3)
 	path := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv("ROUTER_CONFIG", path)
 	t.Setenv("ROUTER_DISCOVERY", b.addr) // the same as at the start
-	asked := make(chan string)
-	moved := listenLocal(t, func(nc net.Conn) {
+	queries := make(chan string)
+	newAddr := listenLocal(t, func(nc net.Conn) {
 		r := http1.NewReader(nc, 0)
 		for {
 			req, err := r.Request()
 			if err != nil {
 				return
 			}
-			asked <- req.Query
+			queries <- req.Query
 			_ = http1.WriteResponse(nc, &http1.Response{Status: 200, Body: []byte(`{"version":7,"full":false,"servers":[]}`)})
 		}
 	})
@@ -48,15 +48,15 @@
 	for b.p.counters.Get("config_invalid") == 0 { // the file is read before the next one is written
 		time.Sleep(time.Millisecond)
 	}
-	write(`{"name":"n0","listen":"127.0.0.1:1","discovery":"` + moved + `","seed":"8c1f","known":{"servers":[]},"settings":` + settingsText + `}`)
-	if got := <-asked; got != "" {
+	write(`{"name":"n0","listen":"127.0.0.1:1","discovery":"` + newAddr + `","seed":"8c1f","known":{"servers":[]},"settings":` + settingsText + `}`)
+	if got := <-queries; got != "" {
 		t.Errorf("first query at the new address %q, want none, for the whole list", got)
 	}
-	if got := <-asked; !strings.HasPrefix(got, "after=7&") {
+	if got := <-queries; !strings.HasPrefix(got, "after=7&") {
 		t.Errorf("second query at the new address %q, want a watch after version 7", got)
 	}
 	go func() {
-		for range asked {
+		for range queries {
 		}
 	}()
 	if status, _ := b.query(b.platform, "whole", 15*time.Second, 0, 1, 2); status != 200 {
@@ -71,14 +71,14 @@
 // SIGHUP during the shutdown reloads a configuration with another address of discovery. Requests in flight are still
 // routed by the endpoint list, so the watch continues at the new address. A file that can't be used changes nothing.
 func TestReloadDuringShutdown(t *testing.T) {
-	b := newBench(t, 3)
+	b := newTestbed(t, 3)
 	path := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv("ROUTER_CONFIG", path)
 	b.servers["s-0a"].setMode("wait")
 	b.servers["s-0b"].setMode("wait")
 	answered := make(chan int)
 	go func() { status, _ := b.query(b.platform, "whole", 15*time.Second, 0); answered <- status }()
-	for n := 0; n == 0; _, n = b.since(0) {
+	for n := 0; n == 0; _, n = b.partsSince(0) {
 		time.Sleep(time.Millisecond)
 	}
 	stopped := make(chan struct{})
@@ -86,20 +86,20 @@
 	for b.p.readiness.Ready() {
 		time.Sleep(time.Millisecond)
 	}
-	asked := make(chan struct{}, 1)
-	moved := listenLocal(t, func(nc net.Conn) {
+	watched := make(chan struct{}, 1)
+	newAddr := listenLocal(t, func(nc net.Conn) {
 		for r := http1.NewReader(nc, 0); ; {
 			if _, err := r.Request(); err != nil {
 				return
 			}
 			select {
-			case asked <- struct{}{}:
+			case watched <- struct{}{}:
 			default:
 			}
 			_ = http1.WriteResponse(nc, &http1.Response{Status: 200, Body: []byte(`{"version":7,"full":false,"servers":[]}`), Close: true})
 		}
 	})
-	for _, text := range []string{"{", `{"name":"n0","listen":"127.0.0.1:1","discovery":"` + moved + `","seed":"8c1f","known":{"servers":[]},"settings":` + settingsText + `}`} {
+	for _, text := range []string{"{", `{"name":"n0","listen":"127.0.0.1:1","discovery":"` + newAddr + `","seed":"8c1f","known":{"servers":[]},"settings":` + settingsText + `}`} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -112,7 +112,7 @@
 			time.Sleep(time.Millisecond)
 		}
 	}
-	<-asked
+	<-watched
 	b.servers["s-0a"].setMode("go")
 	b.servers["s-0b"].setMode("go")
 	if status := <-answered; status != 200 {
--- a/internal/daemon/search_front.go
+++ b/internal/daemon/search_front.go
@@ -42,20 +42,20 @@
 		return nil, nil
 	}
 	f.shards.publisher.publish(f.settings.fromFile.Load())
-	answers := opensearch.FixedSettingsHandler(f.settings.fromFile.Load)
+	settingsHandler := opensearch.FixedSettingsHandler(f.settings.fromFile.Load)
 	if f.cfg.Search.Store.ID != "" {
 		s, err := f.openStore()
 		if err != nil {
 			return nil, err
 		}
-		answers = opensearch.StoreSettingsHandler(searchSettings{s})
+		settingsHandler = opensearch.StoreSettingsHandler(searchSettings{s})
 	}
 	ln, err := net.Listen("tcp", f.cfg.Search.Listen)
 	if err != nil {
 		_ = f.store.close()
 		return nil, err
 	}
-	front := f.fronts.add("search", ln, &memberHandler{registry: f.registry, front: f.handler(answers)})
+	front := f.fronts.add("search", ln, &memberHandler{registry: f.registry, front: f.handler(settingsHandler)})
 	front.server.MaxBody = Keys.Int("bodies.max_body_kib", f.cfg.Search.Bodies.MaxKiB) << 10
 	if f.bodies.store != nil {
 		front.server.NewBodySink = f.bodies.newBodySink
@@ -78,13 +78,13 @@
 	return s, nil
 }
 
-func (f *searchFront) handler(answers http1.Handler) *opensearch.Front {
+func (f *searchFront) handler(settingsHandler http1.Handler) *opensearch.Front {
 	front := &opensearch.Front{
 		Core:         f.core.core,
-		Shards:       f.cfg.module.Shards,
+		Shards:       f.cfg.routingSettings.Shards,
 		Counters:     f.counters,
 		SearchConfig: *f.settings.source.Load(),
-		Settings:     answers,
+		Settings:     settingsHandler,
 		Prefix:       strconv.FormatUint(f.cfg.seed, 16),
 		BodyStore:    f.bodies.store,
 	}
@@ -92,7 +92,7 @@
 		front.SettingsUpdater = searchSettings{s}
 	}
 	for i, name := range f.cfg.host.Classes {
-		class := f.cfg.module.Classes[i]
+		class := f.cfg.routingSettings.Classes[i]
 		front.Classes = append(front.Classes, opensearch.Class{Name: name, Deadline: class.Deadline, PriorityWeight: class.PriorityWeight})
 	}
 	return front
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -35,7 +35,7 @@
 		close(p.fronts.admit)
 	}
 	p.components.Run(context.Background())
-	eventlog.Started.Log(p.cfg.name, p.cfg.discovery, len(p.cfg.known.Endpoints))
+	eventlog.Started.Log(p.cfg.name, p.cfg.discovery, len(p.cfg.initialEndpoints.Endpoints))
 	go p.reloader.run(ctx) // not waited for, as files may be slow; once stopping is set, a late reload is rejected
 	p.handleEvents(term, signals, successor)
 
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	grace         = 450 * time.Millisecond // after SIGTERM, while new connections are still accepted
-	acceptBacklog = 50 * time.Millisecond  // after that, to accept the connections that wait in the backlog
-	idleGrace     = 600 * time.Millisecond // after SIGTERM, while idle connections are kept
+	acceptGrace       = 450 * time.Millisecond // after SIGTERM, while new connections are still accepted
+	acceptBacklogTime = 50 * time.Millisecond  // after that, to accept the connections that wait in the backlog
+	idleGrace         = 600 * time.Millisecond // after SIGTERM, while idle connections are kept
 
 	// The platform kills the process once the longest deadline of a query, at most maxQueryWait, and 700 ms have passed
 	// since SIGTERM.
@@ -32,13 +32,13 @@
 // accept the connections that wait in the backlog, so the socket is closed only once they are accepted.
 func (s *shutdown) run() {
 	s.readiness.Shutdown()
-	wait := grace
+	wait := acceptGrace
 	if s.cfg.listenFD != 0 {
 		wait = 0
 	}
 	eventlog.Stopping.Log(wait.Milliseconds())
 	time.Sleep(wait)
-	close(s.fronts.leaving)
+	close(s.fronts.stopAdmitting)
 	own, shared := s.fronts.listeners, []net.Listener(nil)
 	if s.cfg.listenFD != 0 {
 		own, shared = own[1:], own[:1]
@@ -62,7 +62,7 @@
 		_ = ln.Close()
 	}
 	for _, ln := range own {
-		_ = ln.(*net.TCPListener).SetDeadline(time.Now().Add(acceptBacklog))
+		_ = ln.(*net.TCPListener).SetDeadline(time.Now().Add(acceptBacklogTime))
 	}
 	accepted()
 	for _, ln := range own {
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -17,11 +17,11 @@
 )
 
 func TestClientDisconnectAndGracefulShutdown(t *testing.T) {
-	b := newBench(t, 3)
+	b := newTestbed(t, 3)
 	b.servers["s-0a"].setMode("silent")
 	b.servers["s-0b"].setMode("silent")
 	first := connect(t, b.p.fronts.listeners[1].Addr().String())
-	_, n := b.since(0)
+	_, n := b.partsSince(0)
 	if err := first.nc.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +32,7 @@
 	}
 	for sent := 0; sent < 3; { // until its parts are sent
 		var list []receivedPart
-		list, _ = b.since(n)
+		list, _ = b.partsSince(n)
 		sent = len(list)
 		time.Sleep(time.Millisecond)
 	}
@@ -60,7 +60,7 @@
 // The program is stopped while it reads the configuration from a disk that does not answer. The shutdown does not wait
 // for the disk, and what is read later changes nothing.
 func TestShutdownDoesNotWaitForReload(t *testing.T) {
-	b := newBench(t, 3)
+	b := newTestbed(t, 3)
 	path := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv("ROUTER_CONFIG", path)
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
@@ -122,7 +122,7 @@
 // Clients have connected and sent a request, but are not accepted yet when the listener is to be closed. They are still
 // accepted and answered. If the listener were closed at once, their connections would be reset.
 func TestShutdownAcceptsListenBacklog(t *testing.T) {
-	b := newBench(t, 3)
+	b := newTestbed(t, 3)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -142,12 +142,12 @@
 		}
 		clients = append(clients, c)
 	}
-	drawn := make(chan struct{})
+	closed := make(chan struct{})
 	go func() {
-		defer close(drawn)
+		defer close(closed)
 		closeListeners([]net.Listener{blocked.TCPListener}, nil, func() { close(blocked.release); <-done })
 	}()
-	<-drawn
+	<-closed
 	for _, c := range clients {
 		if res, err := c.r.Response(); err != nil || res.Status != 200 {
 			t.Errorf("response %+v, error %v; want status 200", res, err)
@@ -164,7 +164,7 @@
 	t.Setenv("TMPDIR", t.TempDir())
 	cfg := Config{name: fmt.Sprint("n", os.Getpid()), listen: "127.0.0.1:0", discovery: "127.0.0.1:1", seed: 5, memoryMB: 64, sockets: 256}
 	var err error
-	if cfg.module, cfg.host, err = settings.ParseJSON([]byte(settingsText)); err != nil {
+	if cfg.routingSettings, cfg.host, err = settings.ParseJSON([]byte(settingsText)); err != nil {
 		t.Fatal(err)
 	}
 	p, err := Start(cfg)
--- a/internal/daemon/upstream_links.go
+++ b/internal/daemon/upstream_links.go
@@ -12,15 +12,15 @@
 // upstreamLinks holds the connections to the league servers.
 type upstreamLinks struct {
 	*process
-	core     *queryCore
-	settings *activeSettings
-	dials    *upstream.ConnLimiter
+	core        *queryCore
+	settings    *activeSettings
+	connLimiter *upstream.ConnLimiter
 
 	links *transport.Set
 }
 
-func newUpstreamLinks(p *process, core *queryCore, settings *activeSettings, dials *upstream.ConnLimiter) *upstreamLinks {
-	return &upstreamLinks{process: p, core: core, settings: settings, dials: dials}
+func newUpstreamLinks(p *process, core *queryCore, settings *activeSettings, connLimiter *upstream.ConnLimiter) *upstreamLinks {
+	return &upstreamLinks{process: p, core: core, settings: settings, connLimiter: connLimiter}
 }
 
 func (u *upstreamLinks) component() lifecycle.Component {
@@ -45,18 +45,18 @@
 		Sink:              u.core.core,
 		Counters:          u.counters,
 		Totals:            u.totals,
-		ConnLimiter:       u.dials,
+		ConnLimiter:       u.connLimiter,
 		ConnectTimeout:    u.cfg.host.ConnectTimeout,
 		ServerIdleTimeout: u.cfg.host.Keepalive,
 	}
-	factory := func(d upstream.Codec) transport.Constructor {
-		return func(name, addr string) transport.Transport { return upstream.New(common, d, name, addr) }
+	newConstructor := func(codec upstream.Codec) transport.Constructor {
+		return func(name, addr string) transport.Transport { return upstream.New(common, codec, name, addr) }
 	}
 	names := u.cfg.host.ReportNames
 	return transport.Protocols{
 		Constructors: map[string]transport.Constructor{
-			searchconfig.ProtocolPlain:  factory(frame.Codec{MaxStreams: u.cfg.host.MaxStreams, ReportNames: names}),
-			searchconfig.ProtocolSearch: factory(opensearch.Codec{ReportNames: names}),
+			searchconfig.ProtocolPlain:  newConstructor(frame.Codec{MaxStreams: u.cfg.host.MaxStreams, ReportNames: names}),
+			searchconfig.ProtocolSearch: newConstructor(opensearch.Codec{ReportNames: names}),
 		},
 		ForServer: func(server string) string { return u.settings.config().Protocol(server) },
 	}
