--- a/internal/cli/env.go
+++ b/internal/cli/env.go
@@ -47,7 +47,7 @@
 	if c.Address == "" {
 		return client, nil
 	}
-	keys, err := daemon.ReadKeys(c.KeyFile)
+	keys, err := daemon.ReadKeyRing(c.KeyFile)
 	if err != nil {
 		return nil, fmt.Errorf("--key-file: %w", err)
 	}
--- a/internal/cli/tcp_test.go
+++ b/internal/cli/tcp_test.go
@@ -19,7 +19,7 @@
 // newTCPClient returns a client that calls the admin API over TCP and signs its calls with the demo's key.
 func newTCPClient(t *testing.T, d *experiment.Demo) *adminapi.Client {
 	t.Helper()
-	ring, err := daemon.ReadKeys(d.KeyFile)
+	ring, err := daemon.ReadKeyRing(d.KeyFile)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/admin_api.go
+++ b/internal/daemon/admin_api.go
@@ -91,7 +91,7 @@
 	if c.Listen == "" {
 		return nil
 	}
-	ring, err := ReadKeys(c.Keys)
+	ring, err := ReadKeyRing(c.Keys)
 	if err != nil {
 		return err
 	}
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -131,7 +131,7 @@
 		}
 	})
 	if c.Search.Operator.Listen != "" && c.Search.Operator.Keys != "" {
-		if _, err := ReadKeys(c.Search.Operator.Keys); err != nil {
+		if _, err := ReadKeyRing(c.Search.Operator.Keys); err != nil {
 			errs = append(errs, err)
 		}
 	}
--- a/internal/daemon/keyring.go
+++ b/internal/daemon/keyring.go
@@ -47,9 +47,9 @@
 
 const maxKeyFile = 64 << 10 // bytes
 
-// ReadKeys reads a file of keys in TOML, with an id and a key in hexadecimal on each line. It returns an error if other
+// ReadKeyRing reads a file of keys in TOML, with an id and a key in hexadecimal on each line. It returns an error if other
 // users may read the file.
-func ReadKeys(path string) (signature.KeyRing, error) {
+func ReadKeyRing(path string) (signature.KeyRing, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
--- a/internal/daemon/reloader.go
+++ b/internal/daemon/reloader.go
@@ -109,7 +109,7 @@
 		return next, nil, err
 	}
 	if running.Operator.Listen != "" && next.Search.Operator.Keys != "" {
-		ring, err = ReadKeys(next.Search.Operator.Keys)
+		ring, err = ReadKeyRing(next.Search.Operator.Keys)
 	}
 	return next, ring, err
 }
