--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -10,10 +10,10 @@
 	"linkpass/internal/eventlog"
 )
 
-// Arguments parses a command line that does no more than start the daemon: it is empty or `serve`, followed by the
+// ParseArguments parses a command line that does no more than start the daemon: it is empty or `serve`, followed by the
 // operators' file in any of the forms that were ever accepted. ok is false for every other command line, which is for
 // linkpass-ctl.
-func Arguments(args []string) (file string, ok bool) {
+func ParseArguments(args []string) (file string, ok bool) {
 	if len(args) > 0 && args[0] == "serve" {
 		args = args[1:]
 	}
--- a/internal/launch/launch.go
+++ b/internal/launch/launch.go
@@ -20,7 +20,7 @@
 // Main runs the daemon if daemon.Arguments accepts args, the command line without the program's name. For any other
 // command line it replaces this process with linkpass-ctl, and returns only if that failed. It returns the exit code.
 func Main(args []string) int {
-	if file, ok := daemon.Arguments(args); ok {
+	if file, ok := daemon.ParseArguments(args); ok {
 		return daemon.Main(file)
 	}
 	fmt.Fprintln(os.Stderr, "linkpass:", Exec("linkpass-ctl", args))
