--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -165,7 +165,8 @@
 }
 
 // checkInvariants checks every part that has reached a server: the server has a replica of its shard, no part has more
-// than 3 attempts, and none may take longer than its query. Every query that was received has ended.
+// than 3 attempts, and none may take longer than 20 s, the longest deadline of a query. Every query that was received
+// has ended.
 func (b *testbed) checkInvariants() {
 	b.t.Helper()
 	parts, _ := b.partsSince(0)
--- a/internal/daemon/client_fronts.go
+++ b/internal/daemon/client_fronts.go
@@ -46,7 +46,7 @@
 	return &boundServer{server, ln}
 }
 
-// setMaxConns sets the setMaxConns on the connections of each front. The caller holds mu.
+// setMaxConns sets the limit on the connections of each front. The caller holds mu.
 func (f *clientFronts) setMaxConns(maxConns int) {
 	f.maxConns = maxConns
 	for _, server := range f.servers {
--- a/internal/daemon/keyring.go
+++ b/internal/daemon/keyring.go
@@ -15,7 +15,7 @@
 // keyring verifies the signed calls of the admin API.
 type keyring struct {
 	mu       sync.Mutex          // guards verifier
-	verifier *signature.Verifier // nil until open; every call is rejected then
+	verifier *signature.Verifier // nil before open, when every call is rejected
 }
 
 // set replaces the keys by those of a reload. It does nothing before open.
@@ -47,8 +47,8 @@
 
 const maxKeyFile = 64 << 10 // bytes
 
-// ReadKeyRing reads a file of keys in TOML, with an id and a key in hexadecimal on each line. It returns an error if other
-// users may read the file.
+// ReadKeyRing reads a file of keys in TOML, with an id and a key in hexadecimal on each line. It returns an error if
+// other users may read the file.
 func ReadKeyRing(path string) (signature.KeyRing, error) {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/daemon/query_core.go
+++ b/internal/daemon/query_core.go
@@ -13,8 +13,8 @@
 	successorSeedFactor = 0x9e3779b97f4a7c15
 )
 
-// queryCore holds the core: the event loop that decides how queries are routed. The core has no Run function in its
-// component: Serve runs it, because it has to outlast the shutdown of the fronts.
+// queryCore holds the core, the event loop that decides how queries are routed. Its component has no Run function:
+// Serve runs the core, because the core has to outlast the shutdown of the fronts.
 type queryCore struct {
 	*process
 	core *coordinator.Core // nil until it has started
--- a/internal/daemon/reloader.go
+++ b/internal/daemon/reloader.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// reload reads all files again, and reports which keys are applied and which need a restart. A file that can't be used
-// changes nothing and is an error, because a coordinator must not end because of it.
+// reload reads all files again, and reports which keys are applied and which need a restart. If a file can't be used,
+// it changes nothing and returns the error: a coordinator must not end because of such a file.
 func (r *reloader) reload() (adminapi.ReloadResult, error) {
 	r.reloading.Lock()
 	defer r.reloading.Unlock()
