--- a/Makefile
+++ b/Makefile
@@ -1,18 +1,19 @@
-# The tasks of the project; .ci/run calls the same test command.
-# The decisions; deploy/balancer.toml names the same files.
+# The tasks of the project. .ci/run runs the target test.
+# The source files of the routing policy. deploy/balancer.toml names the same files.
 POLICY = $(filter-out %_test.go,$(wildcard internal/routing/*.go))
 
-# Packages that decide and touch no I/O, clock or goroutine; lint holds them to it.
+# Packages without I/O, clock or goroutines. lint checks this.
 PURE = internal/routing internal/bodystore/tier internal/config internal/config/restriction internal/config/rollback internal/config/endpointmerge internal/adminapi/signature internal/shardmap internal/shardmap/coverage internal/shardmap/replan internal/shardmap/resharding internal/schema
-# Packages that hold state and do I/O.
+# Packages that keep state and do I/O.
 STATE = internal/endpoints internal/bodystore internal/searchconfig internal/coordinator internal/reshardexec internal/lifecycle internal/store
 
-# The linters are pinned in a module of their own; tools/go.mod would take tools/knownred out of the program's.
+# The linters have a module of their own, which pins their versions. It is not tools/go.mod, as that would take
+# tools/knownred out of the program's module.
 LINTER = go tool -modfile=tools/lint/go.mod
 
 .PHONY: build test lint run demo
 
-# As deploy/balancer.toml builds: linked against the C library, into which the full fleet's bench loads its own.
+# Builds as deploy/balancer.toml does: linked against the C library, into which the full fleet's bench loads its own.
 build:
 	mkdir -p bin
 	CGO_ENABLED=1 go build -ldflags=-linkmode=external -o bin/ ./cmd/...
@@ -38,10 +39,10 @@
 test: lint build
 	LINKPASS_BUILT=$(CURDIR)/bin go run ./tools/knownred -race -count=1 -timeout 180s
 
-# A fleet, discovery and a coordinator on this machine, to try.
+# Runs a fleet, discovery and a coordinator on this machine, to try the program.
 demo: build
 	exec bin/linkpass demo
 
-# Needs the environment that README.md describes.
+# Needs the environment variables that README.md describes.
 run: build
 	exec bin/linkpass
--- a/internal/eventlog/counter_renames_test.go
+++ b/internal/eventlog/counter_renames_test.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// counterRename is a counter's name in the release before, which alerts may still look for, and the one that took its place.
+// counterRename is a counter's name in the previous release, which alerts may still match, and its present name.
 type counterRename struct {
 	Old, New string
-	IsPrefix bool // for all counters whose name begins so, but for those that have a row of their own
+	IsPrefix bool // applies to all counters whose name begins with Old, except those with a row of their own
 }
 
 // counterRenames are the counters that this release renames. The list is kept for one release.
@@ -52,7 +52,7 @@
 	{Old: "sends_stray", New: "sends_of_unknown_parts"},
 }
 
-// markdownCounterRenames returns the rows «kind, old name, new name» of the renamed counters, for the table in
+// markdownCounterRenames returns a row (kind, old name, new name) for each renamed counter, for the table in
 // docs/oncall.md.
 func markdownCounterRenames() string {
 	var b strings.Builder
@@ -66,11 +66,11 @@
 	return b.String()
 }
 
-// outcomeRename is the word for an outcome in the release before, and the one that took its place.
+// outcomeRename is an outcome's name in the previous release, and its present name.
 type outcomeRename struct{ Old, New string }
 
-// outcomeRenames are the outcomes that this release renames. Their words stand in log lines behind outcome=, and end the
-// names of the counters that begin with attempts_, health_checks_ and upstream_conn_ended_.
+// outcomeRenames are the outcomes that this release renames. Log lines show their names after outcome=, and the
+// counters that begin with attempts_, health_checks_ and upstream_conn_ended_ end with them.
 var outcomeRenames = []outcomeRename{
 	{"served", "success"},
 	{"turned_away", "rejected"},
@@ -91,7 +91,7 @@
 	{"unkept", "body_evicted"},
 }
 
-// markdownOutcomeRenames returns the rows «kind, old name, new name» of the renamed outcomes, for the table in
+// markdownOutcomeRenames returns a row (kind, old name, new name) for each renamed outcome, for the table in
 // docs/oncall.md.
 func markdownOutcomeRenames() string {
 	var b strings.Builder
--- a/internal/eventlog/event.go
+++ b/internal/eventlog/event.go
@@ -1,10 +1,10 @@
-// Package eventlog is the program's log. Every line is an event of one registry, written as key=value text or as
-// JSON by the logger of the component that it comes from.
+// Package eventlog writes the program's log. Every line is an event from one registry, written as key=value text or as
+// JSON by the logger of the event's component.
 //
-// It owns the registry of events, the loggers with their levels, and the output that they share. The registry is
-// also the source of the tables in docs/oncall.md: what each event means to those on call, and its name a release ago.
-// It does not decide when an event is worth a line; its callers do, with RateLimited where others can cause lines at
-// will.
+// The package owns the registry of events, the loggers with their levels, and the output that they share. The registry
+// is also the source of the tables in docs/oncall.md: what each event means to an operator on call, and its name in the
+// previous release. The callers decide when an event is logged. They use RateLimited for events that clients or servers
+// can cause at will.
 package eventlog
 
 import (
@@ -14,33 +14,34 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// Event is a kind of event. All are registered in this package's events_*.go files.
+// Event describes one kind of log line. All events are registered in this package's events_*.go files.
 type Event struct {
 	Component string   // names the logger, and the key under log.levels in the operators' file
-	Name      string   // the value of the line's event field; alerts look for it
-	Fields    []string // in the order in which Log takes their values
+	Name      string   // value of the line's event field; alerts match it
+	Fields    []string // names of the further fields, in the order in which Log takes their values
 	Level     hclog.Level
-	Meaning   string // for those on call, in Markdown
-	Action    string // what they should do, in Markdown
+	Meaning   string // what it tells an operator on call, in Markdown
+	Action    string // what the operator should do, in Markdown
 
-	FormerName   string   // the name in the release before, "" if it is the same
-	FormerFields []Rename // the fields that had another name in the release before
+	FormerName   string   // name in the previous release, "" if it is the same
+	FormerFields []Rename // fields that had another name in the previous release
 }
 
-// Rename is a name that alerts may still look for, and the one that took its place.
+// Rename is a field's name in the previous release, which alerts may still match, and its present name.
 type Rename struct {
 	Old, New string
 }
 
 var registry []*Event
 
+// register adds an event to the registry. It is called only while package variables are initialized.
 func register(e Event) *Event {
 	registry = append(registry, &e)
 	return &e
 }
 
-// Log writes the event with the values of its fields in their order; values beyond those are further keys and values in
-// turn. It is safe for concurrent use.
+// Log writes the event, unless the level of its component is higher than its own. The first values are those of Fields,
+// in that order; the values after them are alternating keys and values. It is safe for concurrent use.
 func (e *Event) Log(values ...any) {
 	l := loggers.get(e.Component)
 	if e.Level < l.GetLevel() {
@@ -57,10 +58,10 @@
 	l.Log(e.Level, e.message(), args...)
 }
 
-// message is the name as plain text, which a line shows first.
+// message returns the name as plain text, which is the line's message.
 func (e *Event) message() string { return strings.ReplaceAll(e.Name, "_", " ") }
 
-// singleLine replaces line breaks, so that a value from outside can't forge a line of its own.
+// singleLine replaces line breaks, so that a value from outside the program cannot forge a log line.
 func singleLine(v any) any {
 	var s string
 	switch v := v.(type) {
--- a/internal/eventlog/events_bodies.go
+++ b/internal/eventlog/events_bodies.go
@@ -2,19 +2,19 @@
 
 import "github.com/hashicorp/go-hclog"
 
-// Events of the store that keeps request bodies until no attempt needs them any more.
+// Events of the store that keeps request bodies until no attempt needs them.
 var (
 	Bodies = register(Event{
 		Component: "bodies", Name: "bodies", Level: hclog.Info,
 		Fields:       []string{"stored", "shared", "arriving", "waiting", "memory", "files", "disk"},
 		FormerFields: []Rename{{"held", "stored"}},
-		Meaning:      "where the bodies of queries are stored, and which failures there were",
+		Meaning:      "where the bodies of queries are stored, and which failures occurred",
 		Action:       "see [bodies.md](bodies.md)",
 	})
 	BodyFilesUnavailable = register(Event{
 		Component: "bodies", Name: "body_files_unavailable", FormerName: "bodies_memory_only", Level: hclog.Warn,
 		Fields:  []string{"dir", "err"},
-		Meaning: "files for bodies can't be used at all; bodies are kept in memory only",
+		Meaning: "body files can't be used at all; bodies are kept in memory only",
 		Action:  "see [bodies.md](bodies.md); free the directory, then restart",
 	})
 	BodyFilesRecovered = register(Event{
@@ -26,7 +26,7 @@
 		Component: "bodies", Name: "body_files_suspended", FormerName: "bodies_files_rest", Level: hclog.Warn,
 		Fields:  []string{"ms", "err"},
 		Meaning: "a write to a file failed; no body is written to files for `ms` milliseconds",
-		Action:  "see that the disk has room; bodies go to memory meanwhile",
+		Action:  "make sure that the disk has free space; bodies are kept in memory meanwhile",
 	})
 	BodyLost = register(Event{
 		Component: "bodies", Name: "body_lost", Level: hclog.Warn,
--- a/internal/eventlog/events_daemon.go
+++ b/internal/eventlog/events_daemon.go
@@ -2,7 +2,7 @@
 
 import "github.com/hashicorp/go-hclog"
 
-// Events of the process: start, configuration, end.
+// Events of the process: its start, configuration and end.
 var (
 	Started = register(Event{
 		Component: "daemon", Name: "started", Level: hclog.Info,
@@ -14,13 +14,13 @@
 		Component: "daemon", Name: "failed", Level: hclog.Error,
 		Fields:  []string{"err"},
 		Meaning: "the program could not start, or ended with an error; exit code 1",
-		Action:  "most often an address in use or a store's directory that can't be written",
+		Action:  "see `err`; most often an address is in use or a store's directory can't be written",
 	})
 	Stopping = register(Event{
 		Component: "daemon", Name: "stopping", Level: hclog.Info,
 		Fields: []string{"grace_ms"},
-		Meaning: "SIGTERM was received and the graceful shutdown begins; new connections are accepted for `grace_ms` more " +
-			"(0 where the platform owns the socket)",
+		Meaning: "SIGTERM was received and the graceful shutdown begins; new connections are accepted for `grace_ms` " +
+			"more (0 where the platform owns the socket)",
 		Action: "nothing; `event=stopped` follows once all queries are answered",
 	})
 	Stopped = register(Event{
@@ -32,35 +32,35 @@
 		Component: "daemon", Name: "config_invalid", FormerName: "config_bad", Level: hclog.Error,
 		Fields:  []string{"err"},
 		Meaning: "the configuration is invalid; exit code 1",
-		Action:  "the line names the file and the key: correct it, start again",
+		Action:  "correct the file and key that the line names, then start again",
 	})
 	ConfigReloaded = register(Event{
 		Component: "daemon", Name: "config_reloaded", Level: hclog.Info,
 		Fields:       []string{"discovery", "applied", "needs_restart"},
 		FormerFields: []Rename{{"held", "applied"}, {"waiting", "needs_restart"}},
-		Meaning: "a reload (SIGHUP or `linkpass config reload`): the platform's address of discovery and limit on memory " +
-			"are in force now, and so are the keys of the operators' file in `applied`; those in `needs_restart` take effect " +
-			"with the next start",
-		Action: "nothing; `event=discovery_moved` follows if the address is another one",
+		Meaning: "the configuration was reloaded (SIGHUP or `linkpass config reload`): the platform's discovery " +
+			"address and memory limit are in force now, and so are the keys of the operators' file that `applied` " +
+			"lists; those in `needs_restart` take effect at the next start",
+		Action: "nothing; `event=discovery_moved` follows if the discovery address changed",
 	})
 	ConfigReloadFailed = register(Event{
 		Component: "daemon", Name: "config_reload_failed", FormerName: "config_kept", Level: hclog.Warn,
 		Fields:  []string{"err"},
 		Meaning: "a reload was requested, but one of the files is invalid; the configuration stays as it was",
-		Action:  "correct the file that the line names, reload again",
+		Action:  "correct the file that the line names, then reload again",
 	})
 	LogLevel = register(Event{
 		Component: "daemon", Name: "log_level", Level: hclog.Info,
 		Fields:       []string{"component", "level"},
 		FormerFields: []Rename{{"of", "component"}},
-		Meaning:      "an operator set the least level of a component's lines; it is in force until the next start or reload",
+		Meaning:      "an operator set the lowest level that a component logs; it is in force until the next start or reload",
 		Action:       "nothing",
 	})
 	Counters = register(Event{
 		Component: "daemon", Name: "counters", Level: hclog.Info,
 		Fields:       []string{"reason"},
 		FormerFields: []Rename{{"why", "reason"}},
-		Meaning:      "the counters, on SIGUSR1 or at exit",
+		Meaning:      "the values of all counters, logged on SIGUSR1 and at exit",
 		Action:       "see below",
 	})
 )
--- a/internal/eventlog/events_discovery.go
+++ b/internal/eventlog/events_discovery.go
@@ -2,16 +2,16 @@
 
 import "github.com/hashicorp/go-hclog"
 
-// Events of the watch on discovery's endpoint list.
+// Events of the watcher of discovery's endpoint list.
 var (
 	DiscoveryFailed = register(Event{
 		Component: "discovery", Name: "discovery_failed", Level: hclog.Warn,
 		Fields: []string{"addr", "err"},
-		Meaning: "the watch on the endpoint list broke or timed out: where lists are pushed after 1 s and a quarter of " +
-			"`drain_grace` without an event, where they are polled after 1.75 s (2.5 s for the first); or discovery " +
-			"rejected the call (`status 503`). It is retried after 50 ms (a twentieth of `drain_grace`) with a backoff " +
-			"up to 1.6 s (a fifth), without further lines until it has recovered",
-		Action: "the last list stays in force; if it goes on, look at discovery's agent",
+		Meaning: "the watch on the endpoint list broke or timed out, or discovery rejected the call (`status 503`). " +
+			"Timeout: 1 s plus a quarter of `drain_grace` without an event where lists are pushed, 1.75 s (2.5 s for " +
+			"the first) where they are polled. It is retried with a backoff of a twentieth to a fifth of `drain_grace` " +
+			"(pushed) or 50 ms to 1.6 s (polled), without further lines until it has recovered",
+		Action: "the last list stays in force; if the failure persists, check discovery's agent",
 	})
 	DiscoveryRecovered = register(Event{
 		Component: "discovery", Name: "discovery_recovered", FormerName: "discovery_back", Level: hclog.Info,
@@ -28,8 +28,8 @@
 	EndpointListInvalid = register(Event{
 		Component: "discovery", Name: "endpoint_list_invalid", FormerName: "list_bad", Level: hclog.Warn,
 		Fields: []string{"err"},
-		Meaning: "discovery sent an invalid endpoint list, or a watch event older than one before " +
+		Meaning: "discovery sent an invalid endpoint list, or a watch event older than an earlier one " +
 			"(`version 8 after 9`); it was dropped and the complete list is requested",
-		Action: "the line names the entry: correct the registry; versions that go back mean two sources behind one address",
+		Action: "correct the registry entry that the line names; versions that go back mean two sources behind one address",
 	})
 )
--- a/internal/eventlog/events_fronts.go
+++ b/internal/eventlog/events_fronts.go
@@ -2,13 +2,13 @@
 
 import "github.com/hashicorp/go-hclog"
 
-// Events of the listeners for clients, and of the requests and queries that come in there.
+// Events of the listeners for clients, and of the requests and queries that arrive there.
 var (
 	Listening = register(Event{
 		Component: "fronts", Name: "listening", Level: hclog.Info,
 		Fields:  []string{"front", "addr"},
 		Meaning: "a front (`platform`, `search`) or the admin listener (`operator`) accepts connections",
-		Action: "on the platform only `platform` and `operator` may show; " +
+		Action: "on the platform only `platform` and `operator` may appear; " +
 			"if `search` does, empty `listen` in `deploy/opensearch.toml`",
 	})
 	FrontFailed = register(Event{
@@ -20,22 +20,22 @@
 	AcceptFailed = register(Event{
 		Component: "fronts", Name: "accept_failed", Level: hclog.Warn,
 		Fields:  []string{"front", "err"},
-		Meaning: "no connection could be accepted, most often for want of file descriptors",
-		Action:  "compare open descriptors with the limit; see `platform_conns_over`",
+		Meaning: "no connection could be accepted, most often because no file descriptor was free",
+		Action:  "compare the open descriptors with their limit; see `platform_conns_over`",
 	})
 	RequestMalformed = register(Event{
 		Component: "fronts", Name: "request_malformed", Level: hclog.Warn,
 		Fields: []string{"front", "status", "reason"},
-		Meaning: "a client sent invalid HTTP, or its request timed out (408: 2.5 s from connecting; 2 s for a later one); " +
-			"its connection was closed",
+		Meaning: "a client sent invalid HTTP, or its request timed out (408: 2.5 s after connecting, 2 s for later " +
+			"ones); its connection was closed",
 		Action: "if frequent, find the client; no query is affected",
 	})
 	QueryRejected = register(Event{
 		Component: "platform", Name: "query_rejected", Level: hclog.Warn,
 		Fields: []string{"front", "status", "err"},
-		Meaning: "a valid HTTP request that is no valid query, names a tenant that is not in the settings, or has the name " +
-			"of a query that is in flight (409); answered 4xx",
-		Action: "the line says what is wrong with it",
+		Meaning: "a valid HTTP request was rejected with 4xx: it is not a valid query, names a tenant that is not in " +
+			"the settings, or has the name of a query that is in flight (409)",
+		Action: "see `err` for what is wrong with it",
 	})
 	SearchFailed = register(Event{
 		Component: "search", Name: "search_failed", Level: hclog.Error,
@@ -46,7 +46,7 @@
 	SearchRejected = register(Event{
 		Component: "search", Name: "search_rejected", Level: hclog.Warn,
 		Fields:  []string{"status", "type", "reason"},
-		Meaning: "a search that can't be served (unknown index or shard, unsupported query); no part of it was sent",
+		Meaning: "a search was rejected (unknown index or shard, unsupported query); no part of it was sent",
 		Action: "for `index_not_found_exception` and `shard_not_found_exception` compare the settings' indices " +
 			"with the deployment's shards",
 	})
@@ -54,6 +54,6 @@
 		Component: "core", Name: "query_overdue", Level: hclog.Error,
 		Fields:  []string{"query", "class"},
 		Meaning: "the router did not end a query by its deadline; the core failed it",
-		Action:  "a fault of the program: keep the log, tell the developers",
+		Action:  "this is a bug: keep the log and report it to the developers",
 	})
 )
--- a/internal/eventlog/events_handover.go
+++ b/internal/eventlog/events_handover.go
@@ -16,13 +16,13 @@
 		Fields: []string{"err"},
 		Meaning: "`$TMPDIR` can't be used to find another process of this coordinator, or that one sent a malformed " +
 			"message",
-		Action: "the program serves with the whole limits; " +
-			"see that `$TMPDIR` can be written before the next change of version",
+		Action: "the program serves with the full limits; " +
+			"make sure that `$TMPDIR` can be written before the next change of version",
 	})
 	HandoverMessageInvalid = register(Event{
 		Component: "handover", Name: "handover_message_invalid", FormerName: "handover_bad", Level: hclog.Warn,
 		Fields:  []string{"line"},
 		Meaning: "another process of this coordinator sent a malformed message",
-		Action:  "bring both to one version",
+		Action:  "run both processes with the same version",
 	})
 )
--- a/internal/eventlog/events_resharding.go
+++ b/internal/eventlog/events_resharding.go
@@ -8,7 +8,7 @@
 		Component: "reshape", Name: "shard_map_changed", FormerName: "layout_changed", Level: hclog.Info,
 		Fields:       []string{"index", "version", "shards_added", "shards_removed"},
 		FormerFields: []Rename{{"came", "shards_added"}, {"went", "shards_removed"}},
-		Meaning:      "a version of a shard map is in force; the numbers of shards that it added and removed",
+		Meaning:      "another version of a shard map is in force; it added and removed these numbers of shards",
 		Action:       "nothing; see [slices.md](slices.md)",
 	})
 	ReshardingLeader = register(Event{
@@ -20,14 +20,14 @@
 		Component: "reshape", Name: "assignment_failed", FormerName: "duty_failed", Level: hclog.Warn,
 		Fields:  []string{"server", "err"},
 		Meaning: "a league server did not accept its shard assignments; plans treat it as unhealthy",
-		Action:  "look at that server; searches go on",
+		Action:  "check that server; searches continue",
 	})
 	ReshardingStep = register(Event{
 		Component: "reshape", Name: "resharding_step", FormerName: "reshape_step", Level: hclog.Info,
 		Fields:       []string{"index", "plan", "step", "reason"},
 		FormerFields: []Rename{{"why", "reason"}},
 		Meaning:      "a plan went to its next step, or was abandoned",
-		Action:       "for `abandoned` see `reason`, then `resume` it",
+		Action:       "for `abandoned` see `reason`, then `resume` the plan",
 	})
 	ReshardingStepFailed = register(Event{
 		Component: "reshape", Name: "resharding_step_failed", FormerName: "reshape_step_failed", Level: hclog.Warn,
--- a/internal/eventlog/events_store.go
+++ b/internal/eventlog/events_store.go
@@ -8,23 +8,23 @@
 		Component: "store", Name: "store_failed", Level: hclog.Warn,
 		Fields:  []string{"err"},
 		Meaning: "a read or a change of the settings failed",
-		Action: "`no leader` or `a majority did not confirm`: see that a quorum of the members runs and that they reach " +
-			"each other; searches go on with the settings last known",
+		Action: "for `no leader` or `a majority did not confirm` make sure that a quorum of the members runs and " +
+			"that they reach each other; searches continue with the settings last known",
 	})
 	StoreHalted = register(Event{
 		Component: "store", Name: "store_halted", Level: hclog.Error,
 		Fields: []string{"index", "err"},
-		Meaning: "a log entry has a format of a later version of the program; this instance applies no further entry, " +
-			"and the state that it has stays in force here",
-		Action: "bring this instance to the others' version and restart it; searches go on meanwhile",
+		Meaning: "a log entry has a format of a later version of the program; this instance applies no further " +
+			"entry, and the state that it has stays in force here",
+		Action: "upgrade this instance to the others' version and restart it; searches continue meanwhile",
 	})
 	StoreRolledBack = register(Event{
 		Component: "store", Name: "store_rolled_back", FormerName: "store_restored", Level: hclog.Error,
 		Fields: []string{"err"},
-		Meaning: "another instance has seen this one at a later position than its disk has: the disk is an old image or a " +
-			"copy; this instance votes no more, and the state that it has stays in force here",
-		Action: "stop it, remove it from the members (`linkpass store leave ID`), empty its directory, let it join under a " +
-			"new id: see [raft.md](raft.md)",
+		Meaning: "another instance has seen this one at a later log position than its disk has: the disk is an old " +
+			"image or a copy; this instance no longer votes, and the state that it has stays in force here",
+		Action: "stop it, remove it from the members (`linkpass store leave ID`), empty its directory and let it " +
+			"join under a new id: see [raft.md](raft.md)",
 	})
 	SettingsChanged = register(Event{
 		Component: "store", Name: "settings_changed", Level: hclog.Info,
@@ -36,7 +36,7 @@
 		Component: "store", Name: "settings_rejected", FormerName: "settings_bad", Level: hclog.Warn,
 		Fields:  []string{"index", "err"},
 		Meaning: "a log entry was rejected; the replicated state stays as it was",
-		Action:  "the line says why: most often two changes raced",
+		Action:  "see `err`; most often two changes raced",
 	})
 	RestrictionReceived = register(Event{
 		Component: "store", Name: "restriction_received", FormerName: "order_heard", Level: hclog.Info,
@@ -50,6 +50,6 @@
 		Fields:       []string{"restriction", "server", "level", "reason"},
 		FormerFields: []Rename{{"order", "restriction"}, {"kind", "level"}, {"why", "reason"}},
 		Meaning:      "the log rejected a request for a restriction; it is no longer in force anywhere",
-		Action:       "see `reason`; request it again, with force if it is meant",
+		Action:       "see `reason`; request it again, with force if it is intended",
 	})
 )
--- a/internal/eventlog/events_upstream.go
+++ b/internal/eventlog/events_upstream.go
@@ -8,19 +8,19 @@
 		Component: "peer", Name: "dial_failed", Level: hclog.Warn,
 		Fields:       []string{"server", "addr", "outcome"},
 		FormerFields: []Rename{{"end", "outcome"}},
-		Meaning: "no connection to a league server: `dial_refused` (no process), `dial_timeout` (machine down or network " +
-			"partition), `dial_failed`",
-		Action: "if one server: look at it; if all of a data centre: look at the links",
+		Meaning: "a connection to a league server could not be opened: `dial_refused` (no process), `dial_timeout` " +
+			"(machine down or network partition), `dial_failed` (another reason)",
+		Action: "for one server, check that server; for all servers of a data centre, check the links",
 	})
 	ConnLost = register(Event{
 		Component: "peer", Name: "conn_lost", Level: hclog.Warn,
 		Fields:       []string{"server", "outcome", "parts", "probes"},
 		FormerFields: []Rename{{"end", "outcome"}},
 		Meaning: "a connection ended with requests in flight: `conn_reset`, `conn_closed`, `malformed_response`, " +
-			"`bad_request` (the server could not use what it got). `timeout` is not logged: a health check got no " +
-			"response for a fifth of the connect timeout, and nothing else was in flight or the server answered on " +
-			"another connection meanwhile",
-		Action: "`conn_reset` follows a server's death or restart, a reset of the network, or a write that blocked for the " +
+			"`bad_request` (the server could not use what it got). An end by `timeout` is not logged: a health check " +
+			"got no response for a fifth of the connect timeout, and nothing else was in flight or the server " +
+			"answered on another connection meanwhile",
+		Action: "`conn_reset` follows a server's crash or restart, a network reset, or a write that blocked for the " +
 			"connect timeout; the router retries the parts on other replicas",
 	})
 	MessageMalformed = register(Event{
@@ -28,12 +28,12 @@
 		Fields:       []string{"server", "outcome", "err"},
 		FormerFields: []Rename{{"end", "outcome"}},
 		Meaning:      "a league server sent a malformed message; the connection was closed",
-		Action:       "if it goes on, the server speaks another protocol than the settings say, or another version",
+		Action:       "if it persists, the server uses another protocol than the settings say, or another version",
 	})
 	ProtocolChanged = register(Event{
 		Component: "peer", Name: "protocol_changed", Level: hclog.Info,
 		Fields:  []string{"server", "from", "to"},
-		Meaning: "later parts to that server are sent in the new protocol",
+		Meaning: "further parts for that server are sent in the new protocol",
 		Action:  "nothing, if the settings were changed on purpose",
 	})
 )
--- a/internal/eventlog/log_test.go
+++ b/internal/eventlog/log_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// capture returns what log writes.
+// capture returns the output of the events that log writes.
 func capture(asJSON bool, log func()) string {
 	var out bytes.Buffer
 	SetOutput(&out, asJSON)
@@ -21,7 +21,7 @@
 	return out.String()
 }
 
-// However many bad requests a second come, the log has one line a second for them.
+// After the burst, the log gets one line a second, however many events a second occur.
 func TestRateLimitedBoundsLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		got := capture(false, func() {
@@ -32,12 +32,12 @@
 			}
 		})
 		if n := strings.Count(got, "event=endpoint_list_invalid"); n <= burst || n > burst+10 {
-			t.Errorf("%d lines", n)
+			t.Errorf("%d lines logged, want more than %d and at most %d", n, burst, burst+10)
 		}
 	})
 }
 
-// What comes from outside cannot forge a line, as text or as JSON.
+// A value from outside the program cannot forge a log line, neither as text nor as JSON.
 func TestLogEscapesLineBreaks(t *testing.T) {
 	err := errors.Join(errors.New("one"), errors.New("event=stopped"))
 	log := func() {
@@ -50,19 +50,19 @@
 		"front=platform status=400",
 	} {
 		if !strings.Contains(text, want) || strings.Count(text, "\n") != 2 {
-			t.Errorf("%q lacks %q", text, want)
+			t.Errorf("got %q, want 2 lines that contain %q", text, want)
 		}
 	}
 	for _, line := range strings.Split(strings.TrimSpace(capture(true, log)), "\n") {
 		var v map[string]any
 		err := json.Unmarshal([]byte(line), &v)
 		if err != nil || v["event"] == nil || v["@level"] != "warn" || v["@module"] == "" {
-			t.Errorf("%s: %v", line, err)
+			t.Errorf("line %s: error %v, want JSON with an event, level warn and a module", line, err)
 		}
 	}
 }
 
-// A component's level is in force at once, for that component alone, and stays when the output changes.
+// A component's level applies at once and to that component only, and stays when the output changes.
 func TestSetLevelPerComponent(t *testing.T) {
 	defer func() {
 		_ = SetLevel("all", "info")
@@ -83,14 +83,14 @@
 	if strings.Contains(got, "endpoint_list_invalid") || strings.Contains(got, "talk") ||
 		!strings.Contains(got, "event=stopped") || !strings.Contains(got, "lost: event=raft") ||
 		Levels()["discovery"] != "error" {
-		t.Error(got)
+		t.Errorf("got %q, want stopped and the Raft warning only, and level error for discovery", got)
 	}
 	if err := SetLevel("all", "off"); err != nil || capture(false, func() { Failed.Log("x") }) != "" {
-		t.Error("off is not off", err)
+		t.Errorf("level off: error %v, or a line was logged", err)
 	}
 }
 
-// docs/oncall.md has the table that the registry makes; UPDATE_DOCS=1 writes it.
+// docs/oncall.md contains the table of the registered events. UPDATE_DOCS=1 writes it.
 func TestOncallEventTableMatchesRegistry(t *testing.T) {
 	path := filepath.Join("..", "..", "docs", "oncall.md")
 	page, err := os.ReadFile(path)
@@ -101,14 +101,14 @@
 	before, rest, begins := strings.Cut(string(page), begin)
 	_, after, ends := strings.Cut(rest, end)
 	if !begins || !ends {
-		t.Fatal("docs/oncall.md has no lines that mark the table of events")
+		t.Fatal("docs/oncall.md lacks the lines that mark the table of events")
 	}
 	want := before + begin + MarkdownTable() + end + after
 	if os.Getenv("UPDATE_DOCS") != "" {
 		err = os.WriteFile(path, []byte(want), 0o644)
 	}
 	if err != nil || want != string(page) && os.Getenv("UPDATE_DOCS") == "" {
-		t.Errorf("docs/oncall.md is not what the registry says "+
+		t.Errorf("docs/oncall.md differs from the registry of events "+
 			"(UPDATE_DOCS=1 go test ./internal/eventlog writes it): %v", err)
 	}
 }
--- a/internal/eventlog/loggers.go
+++ b/internal/eventlog/loggers.go
@@ -12,32 +12,32 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// raftComponent is the logger of the Raft library. Its lines are not in the registry: they all are event=raft.
+// raftComponent names the logger of the Raft library. Its lines are not in the registry; all of them have event=raft.
 const raftComponent = "raft"
 
-// timeFormat is RFC 3339 with microseconds; times are UTC.
+// timeFormat is RFC 3339 with microseconds. Its Z is literal: times are converted to UTC first.
 const timeFormat = "2006-01-02T15:04:05.000000Z"
 
 // loggerSet holds one logger per component; all of them write to one output.
 type loggerSet struct {
-	lineMu sync.Mutex // shared by the loggers, so that none writes into another's line
+	lineMu sync.Mutex // shared by all loggers, so that their lines do not mix in the output
 
-	mu          sync.Mutex // guards the fields below
-	out         io.Writer  // nil: standard error
-	json        bool
-	byComponent map[string]hclog.Logger // made at first use
+	mu          sync.Mutex              // guards the fields below
+	out         io.Writer               // nil: standard error
+	json        bool                    // lines are JSON instead of text
+	byComponent map[string]hclog.Logger // created at first use
 }
 
 var loggers loggerSet
 
-// get returns the component's logger.
+// get returns the component's logger, which it creates at first use.
 func (s *loggerSet) get(component string) hclog.Logger {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.getLocked(component)
 }
 
-// getLocked is get for callers that hold mu.
+// getLocked is like get. The caller must hold mu.
 func (s *loggerSet) getLocked(component string) hclog.Logger {
 	if l := s.byComponent[component]; l != nil {
 		return l
@@ -62,7 +62,7 @@
 	return l
 }
 
-// setOutput replaces the loggers by ones that write to w, with the levels that they had.
+// setOutput replaces the loggers with new ones that write to w and keep the levels.
 func (s *loggerSet) setOutput(w io.Writer, json bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,7 +73,7 @@
 	}
 }
 
-// defaultLevel is info, but for the Raft library, which logs much at that level.
+// defaultLevel returns info, or warn for the Raft library, which logs a lot at info.
 func defaultLevel(component string) hclog.Level {
 	if component == raftComponent {
 		return hclog.Warn
@@ -81,7 +81,7 @@
 	return hclog.Info
 }
 
-// Components returns the names of the loggers, sorted.
+// Components returns the names of all components, sorted; each has a logger.
 func Components() []string {
 	names := []string{raftComponent}
 	for _, e := range registry {
@@ -91,20 +91,22 @@
 	return slices.Compact(names)
 }
 
-// SetOutput sends all lines to w from now on, as JSON or as text. Levels stay.
+// SetOutput directs all further lines to w, as JSON or as text. The default is text to standard error. The levels
+// stay as they are.
 func SetOutput(w io.Writer, json bool) { loggers.setOutput(w, json) }
 
-// SetLevel sets the least level (trace, debug, info, warn, error or off) at which a component's events are logged.
-// The component "all" stands for every one.
+// SetLevel sets the lowest level (trace, debug, info, warn, error or off) at which a component's events are logged. The
+// component "all" stands for all of them. An unknown component or level is an error.
 func SetLevel(component, level string) error {
 	l := hclog.LevelFromString(level)
 	if l == hclog.NoLevel {
-		return fmt.Errorf("log level %q is none of trace, debug, info, warn, error and off", level)
+		return fmt.Errorf("unknown log level %q: must be trace, debug, info, warn, error or off", level)
 	}
 	selected := Components()
 	if component != "all" {
 		if !slices.Contains(selected, component) {
-			return fmt.Errorf("log part %q is none of %s", component, strings.Join(selected, ", "))
+			return fmt.Errorf("unknown log component %q: must be all or one of %s",
+				component, strings.Join(selected, ", "))
 		}
 		selected = []string{component}
 	}
@@ -114,7 +116,7 @@
 	return nil
 }
 
-// Levels returns the level of each component.
+// Levels returns the name of each component's level.
 func Levels() map[string]string {
 	levels := map[string]string{}
 	for _, name := range Components() {
@@ -123,5 +125,5 @@
 	return levels
 }
 
-// RaftLogger returns the logger for the Raft library; its lines are events named raft.
+// RaftLogger returns the logger for the Raft library. Its lines have event=raft.
 func RaftLogger() hclog.Logger { return loggers.get(raftComponent).With("event", "raft") }
--- a/internal/eventlog/markdown_test.go
+++ b/internal/eventlog/markdown_test.go
@@ -12,7 +12,7 @@
 	return slices.SortedFunc(slices.Values(registry), byName)
 }
 
-// MarkdownTable returns the table of all events in Markdown, as docs/oncall.md has it.
+// MarkdownTable returns the table of all events in Markdown, for docs/oncall.md.
 func MarkdownTable() string {
 	var b strings.Builder
 	b.WriteString("| line | component, level | what it means | what to do |\n| --- | --- | --- | --- |\n")
@@ -23,8 +23,8 @@
 	return b.String()
 }
 
-// MarkdownRenames returns the rows «kind, old name, new name» of the events and fields that this release renames,
-// for the table in docs/oncall.md.
+// MarkdownRenames returns a row (kind, old name, new name) for each event and field that this release renames, for the
+// table in docs/oncall.md.
 func MarkdownRenames() string {
 	var names, fields strings.Builder
 	for _, e := range Events() {
--- a/internal/eventlog/oncall_renames_test.go
+++ b/internal/eventlog/oncall_renames_test.go
@@ -17,17 +17,17 @@
 	"linkpass/internal/outcome"
 )
 
-// The renames stand in docs/oncall.md between these lines, under this header.
+// The table of renames in docs/oncall.md is between these lines and has this header.
 const (
 	renamesBegin  = "<!-- renames -->\n"
 	renamesEnd    = "<!-- end -->\n"
 	renamesHeader = "| kind | old name | new name |\n| --- | --- | --- |\n"
 )
 
-// renameRow is a row of the page's table.
+// renameRow is a row of the table of renames.
 type renameRow struct{ kind, old, new string }
 
-// readPage returns docs/oncall.md, as the text before the table of renames, the table, and the text after it.
+// readPage returns docs/oncall.md in three parts: the text before the table of renames, the table, the text after it.
 func readPage(t *testing.T) (before, table, after string) {
 	t.Helper()
 	page, err := os.ReadFile(oncallPath())
@@ -37,14 +37,14 @@
 	before, rest, begins := strings.Cut(string(page), renamesBegin)
 	table, after, ends := strings.Cut(rest, renamesEnd)
 	if !begins || !ends {
-		t.Fatal("docs/oncall.md has no lines that mark the table of renames")
+		t.Fatal("docs/oncall.md lacks the lines that mark the table of renames")
 	}
 	return before, table, after
 }
 
 func oncallPath() string { return filepath.Join("..", "..", "docs", "oncall.md") }
 
-// readRenames returns the rows of the page's table, as a reader of the page sees them.
+// readRenames returns the rows of the table of renames, as a reader of the page sees them.
 func readRenames(t *testing.T) []renameRow {
 	t.Helper()
 	_, table, _ := readPage(t)
@@ -52,7 +52,7 @@
 	for line := range strings.Lines(strings.TrimPrefix(table, renamesHeader)) {
 		cells := strings.Split(strings.Trim(strings.TrimSpace(line), "|"), " | ")
 		if len(cells) != 3 {
-			t.Fatalf("a row of %d cells: %s", len(cells), line)
+			t.Fatalf("row has %d cells, want 3: %s", len(cells), line)
 		}
 		for i, c := range cells {
 			cells[i] = strings.TrimSpace(c)
@@ -62,7 +62,8 @@
 	return rows
 }
 
-// newName returns what the page's table gives for the old name of that kind; where it has no row, the old name.
+// newName returns the new name that the table of renames has for an old name of that kind, or the old name if it has no
+// row.
 func newName(rows []renameRow, kind, old string) string {
 	i := slices.IndexFunc(rows, func(r renameRow) bool { return r.kind == kind && r.old == old })
 	if i < 0 {
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// sourceStrings returns every string literal of the program, without its tests and the registry of events.
+// sourceStrings returns every string literal of the program, except those of tests and of the registry of events.
 func sourceStrings(t *testing.T) map[string]bool {
 	t.Helper()
 	literals := map[string]bool{}
@@ -115,7 +116,7 @@
 		}
 		ast.Inspect(file, func(n ast.Node) bool {
 			if lit, ok := n.(*ast.BasicLit); ok && lit.Kind == token.STRING {
-				text, _ := strconv.Unquote(lit.Value) // the parser has checked it
+				text, _ := strconv.Unquote(lit.Value) // cannot fail: the parser accepted the literal
 				literals[text] = true
 			}
 			return true
@@ -130,7 +131,8 @@
 	return literals
 }
 
-// The page has a row for each rename that the registries know, and no other; UPDATE_DOCS=1 writes the table.
+// The page has a row for each registered rename of an event, field, counter or outcome, and no other row. UPDATE_DOCS=1
+// writes the table.
 func TestOncallRenameTableMatchesRegistries(t *testing.T) {
 	before, table, after := readPage(t)
 	want := renamesHeader + eventlog.MarkdownRenames() + markdownCounterRenames() + markdownOutcomeRenames()
@@ -142,12 +144,12 @@
 		return
 	}
 	if table != want {
-		t.Errorf("docs/oncall.md has other renames than the registries "+
+		t.Errorf("docs/oncall.md differs from the registered renames "+
 			"(UPDATE_DOCS=1 go test ./internal/eventlog writes them)\ngot\n%s\nwant\n%s", table, want)
 	}
 }
 
-// A new name is one that the program logs or counts under, an old one is not, and none has two rows.
+// The program uses every new name in the table and none of the old ones, and no old name has two rows of one kind.
 func TestRenamesLeadToRegisteredNames(t *testing.T) {
 	literals := sourceStrings(t)
 	seen := map[renameRow]bool{}
@@ -155,11 +157,11 @@
 		t.Run(row.kind+" "+row.old, func(t *testing.T) {
 			key := renameRow{kind: row.kind, old: row.old}
 			if seen[key] {
-				t.Error("a second row")
+				t.Errorf("%s %s has a second row", row.kind, row.old)
 			}
 			seen[key] = true
 			if row.old == row.new {
-				t.Error("old and new name are the same")
+				t.Errorf("old and new name are both %s", row.old)
 			}
 			checkRow(t, row, literals)
 		})
@@ -172,10 +174,10 @@
 	switch {
 	case row.kind == "event":
 		if eventByName(strings.TrimPrefix(row.new, "event=")) == nil {
-			t.Errorf("%s is not registered", row.new)
+			t.Errorf("new name %s is not registered", row.new)
 		}
 		if eventByName(strings.TrimPrefix(row.old, "event=")) != nil {
-			t.Errorf("%s is still registered", row.old)
+			t.Errorf("old name %s is still registered", row.old)
 		}
 	case isField:
 		e := eventByName(strings.TrimPrefix(strings.Trim(ofEvent, "`"), "event="))
@@ -190,20 +192,21 @@
 		}
 	case row.kind == "counter" || row.kind == "counters that begin with":
 		if !literals[row.new] {
-			t.Errorf("nothing counts %s", row.new)
+			t.Errorf("no source file has the new counter name %s", row.new)
 		}
 		if literals[row.old] {
-			t.Errorf("something still counts %s", row.old)
+			t.Errorf("a source file still has the old counter name %s", row.old)
 		}
 	case row.kind == "outcome":
 		checkOutcomeRow(t, row)
 	default:
-		t.Errorf("unknown kind %q", row.kind)
+		t.Errorf("row has the unknown kind %q", row.kind)
 	}
 }
 
-// An alert of the release before looks for event=NAME, or for a field of that line. testdata/former_events.txt has all
-// events of that release with their fields; whoever follows the page's table finds the line that the program logs now.
+// Alerts written for the previous release match event=NAME, or a field of that line. testdata/former_events.txt has
+// all events of that release with their fields. The table of renames leads from each of them to the present line and
+// fields.
 func TestFormerEventLinesFoundByRenameTable(t *testing.T) {
 	rows := readRenames(t)
 	found := map[string]bool{}
@@ -213,7 +216,7 @@
 			pattern := newName(rows, "event", "event="+words[0])
 			e := eventByName(strings.TrimPrefix(pattern, "event="))
 			if e == nil {
-				t.Fatalf("the page leads to %s, which is not registered", pattern)
+				t.Fatalf("the table leads to %s, which is not registered", pattern)
 			}
 			found[e.Name] = true
 			var fields []string
@@ -221,21 +224,21 @@
 				fields = append(fields, strings.TrimSuffix(newName(rows, "field of `"+pattern+"`", field+"="), "="))
 			}
 			if !slices.Equal(fields, e.Fields) {
-				t.Errorf("the page leads to the fields %v, the line has %v", fields, e.Fields)
+				t.Errorf("the table leads to the fields %v, want the line's fields %v", fields, e.Fields)
 			}
 			if line := logged(e); !strings.Contains(line+" ", " "+pattern+" ") {
-				t.Errorf("%s is not in the line %q", pattern, line)
+				t.Errorf("line = %q, want it to contain %s", line, pattern)
 			}
 		})
 	}
 	for _, e := range eventlog.Events() {
 		if e.FormerName != "" && !found[e.Name] {
-			t.Errorf("event=%s has the former name %s, which that release did not log", e.Name, e.FormerName)
+			t.Errorf("event=%s has the former name %s, which the previous release did not log", e.Name, e.FormerName)
 		}
 	}
 }
 
-// logged returns the text line of the event, without the line break.
+// logged returns the line that the event writes as text, without the line break.
 func logged(e *eventlog.Event) string {
 	var out bytes.Buffer
 	eventlog.SetOutput(&out, false)
@@ -248,8 +251,8 @@
 	return strings.TrimSuffix(out.String(), "\n")
 }
 
-// checkOutcomeRow checks that the new word is one of an outcome. The old one is none any more, or has passed to another
-// outcome, which has a row that says so.
+// checkOutcomeRow checks that the new name is that of an outcome. The old name must no longer be in use, unless another
+// outcome has taken it over and has a row that says so.
 func checkOutcomeRow(t *testing.T, row renameRow) {
 	t.Helper()
 	words := map[string]bool{}
@@ -257,30 +260,30 @@
 		words[outcome.Outcome(o).String()] = true
 	}
 	if !words[row.new] {
-		t.Errorf("no outcome is %s", row.new)
+		t.Errorf("new name %s is not that of an outcome", row.new)
 	}
 	passedOn := slices.ContainsFunc(outcomeRenames, func(r outcomeRename) bool { return r.New == row.old })
 	if words[row.old] && !passedOn {
-		t.Errorf("%s is still an outcome", row.old)
+		t.Errorf("old name %s is still that of an outcome", row.old)
 	}
 }
 
-// Every outcome of the release before leads to one of this release.
+// The table of renames leads from every outcome of the previous release to the same outcome's present name.
 func TestFormerOutcomesFoundByRenameTable(t *testing.T) {
 	former := readLines(t, "former_outcomes.txt")
 	if len(former) != outcome.Count {
-		t.Errorf("%d former outcomes, %d today", len(former), outcome.Count)
+		t.Errorf("former outcomes = %d, want %d", len(former), outcome.Count)
 	}
 	rows := readRenames(t)
 	for i, old := range former {
 		if got, want := newName(rows, "outcome", old), outcome.Outcome(i).String(); got != want {
-			t.Errorf("the page leads from %s to %s, want %s", old, got, want)
+			t.Errorf("the table leads from %s to %s, want %s", old, got, want)
 		}
 	}
 }
 
-// testdata/former_counters.txt has the names and prefixes under which the release before counted; each is still counted
-// under, or the page's table has the name that took its place.
+// testdata/former_counters.txt has the counter names and prefixes of the previous release. Each is still in use, or the
+// table of renames leads to a name that is.
 func TestFormerCountersFoundByRenameTable(t *testing.T) {
 	rows, literals := readRenames(t), sourceStrings(t)
 	former := readLines(t, "former_counters.txt")
@@ -291,13 +294,13 @@
 				name = newName(rows, "counters that begin with", old)
 			}
 			if !literals[name] {
-				t.Errorf("the page leads to %s, under which nothing is counted", name)
+				t.Errorf("the table leads to %s, which no source file has", name)
 			}
 		})
 	}
 	for _, r := range counterRenames {
 		if !slices.Contains(former, r.Old) || r.IsPrefix != strings.HasSuffix(r.Old, "_") {
-			t.Errorf("%+v is no counter of that release, or a prefix that is not marked as one", r)
+			t.Errorf("%+v: not a counter of the previous release, or IsPrefix is wrong", r)
 		}
 	}
 }
--- a/internal/goldentest/entries.go
+++ b/internal/goldentest/entries.go
@@ -10,14 +10,14 @@
 	"testing"
 )
 
-// Entry is one named line of a golden file of entries.
+// Entry is one line of a golden file that CheckEntries compares.
 type Entry struct {
-	Name string
-	Data string
+	Name string // unique in the file; without ": "
+	Data string // any text
 }
 
-// CheckEntries compares entries with a golden file directly under testdata, byte for byte. The file holds one quoted entry
-// a line, so that control characters and line ends of a protocol can be read.
+// CheckEntries compares entries with a golden file directly under testdata, byte for byte. The file has one entry a
+// line, with its data quoted, so that control characters and line ends of a protocol are readable.
 func CheckEntries(t testing.TB, file string, entries []Entry) {
 	t.Helper()
 	var got bytes.Buffer
@@ -27,7 +27,7 @@
 	Bytes(t, filepath.Join("..", file), got.Bytes())
 }
 
-// ReadEntries reads the entries of a golden file directly under testdata, by name.
+// ReadEntries returns the data of the entries of a golden file directly under testdata, by name.
 func ReadEntries(t testing.TB, file string) map[string]string {
 	t.Helper()
 	entries := map[string]string{}
@@ -36,7 +36,7 @@
 		name, quoted, ok := strings.Cut(lines.Text(), ": ")
 		text, err := strconv.Unquote(quoted)
 		if _, twice := entries[name]; !ok || err != nil || twice {
-			t.Fatalf("%s: unusable line %q", file, lines.Text())
+			t.Fatalf("%s: malformed line or repeated name: %q", file, lines.Text())
 		}
 		entries[name] = text
 	}
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,7 +1,7 @@
-// Package goldentest compares bytes and values with golden files under testdata/wire of the package under test. It is for
-// tests only: the golden files hold the wire format as deployed, so that a renamed field or tag cannot pass unnoticed.
+// Package goldentest compares bytes and values with golden files under testdata/wire of the package under test. It is
+// for tests only. The golden files hold the deployed wire format, so that a renamed field or tag fails a test.
 //
-// Tests only read golden files. `go test PACKAGE -update` writes them anew, for a deliberate change of the format.
+// Tests only read golden files. `go test PACKAGE -update` rewrites them after a deliberate change of the format.
 package goldentest
 
 import (
@@ -18,9 +18,9 @@
 	"time"
 )
 
-var update = flag.Bool("update", false, "write the golden files under testdata/wire anew")
+var update = flag.Bool("update", false, "rewrite the golden files under testdata/wire")
 
-// Read returns the contents of a golden file.
+// Read returns the contents of a golden file. It ends the test if the file can't be read.
 func Read(t testing.TB, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(path(name))
@@ -30,7 +30,7 @@
 	return data
 }
 
-// Bytes compares got with a golden file byte for byte.
+// Bytes compares got with a golden file byte for byte. With -update it writes the file first.
 func Bytes(t testing.TB, name string, got []byte) {
 	t.Helper()
 	if *update {
@@ -41,8 +41,9 @@
 	}
 }
 
-// JSON checks both directions of value's JSON form: encoding value gives the golden file's bytes, and decoding the file,
-// with unknown keys rejected, gives a value equal to it. Every field of value must be set, so that no tag is left out.
+// JSON checks the JSON form of value in both directions: encoding value gives the golden file's bytes, and decoding the
+// file, with unknown keys rejected, gives a value equal to it. Every field of value must be set, so that every tag is
+// checked.
 func JSON[T any](t testing.TB, name string, value T) {
 	t.Helper()
 	if fields := Unset(value); len(fields) > 0 {
@@ -62,8 +63,8 @@
 	Bytes(t, name, data)
 }
 
-// Decodes checks that decoding the golden file, with unknown keys rejected, gives a value equal to want. encoding/json
-// accepts a key in another case: that the case is right, Encodes shows.
+// Decodes checks that decoding the golden file, with unknown keys rejected, gives a value equal to want. It does not
+// check the case of keys, which encoding/json ignores; Encodes does.
 func Decodes[T any](t testing.TB, name string, want T) {
 	t.Helper()
 	data := Read(t, name)
@@ -91,14 +92,17 @@
 	}
 }
 
-// Unset lists the exported fields of value, at any depth, that have their zero value. A field of a list's or map's
-// elements counts as set if one of the elements has it set. Fields tagged "-" are no part of the encoded form.
+// Unset returns the exported fields of value, at any depth, that have their zero value. A field of the elements of a
+// list or map counts as set if at least one element has it set. Fields tagged "-" are skipped, as they are not
+// encoded.
 func Unset(value any) []string {
 	var out []string
 	unset("", reflect.ValueOf(value), map[reflect.Type]bool{}, func(field string) { out = append(out, field) })
 	return out
 }
 
+// unset reports the unset fields of v, which is the field of that name. Types that encode themselves are not searched.
+// enclosing holds the struct types of the values around v.
 func unset(name string, v reflect.Value, outer map[reflect.Type]bool, report func(string)) {
 	if !v.IsValid() || v.IsZero() {
 		report(name)
@@ -112,7 +116,7 @@
 	case reflect.Pointer, reflect.Interface:
 		unset(name, v.Elem(), outer, report)
 	case reflect.Struct:
-		if outer[v.Type()] { // a recursive type: its fields are checked at the outermost value
+		if outer[v.Type()] { // recursive type: its fields are checked in the outermost value
 			return
 		}
 		outer[v.Type()] = true
@@ -131,7 +135,7 @@
 	}
 }
 
-// elements reports the fields that no element has set.
+// elements reports the fields that none of the n elements of a list or map has set. at returns the i-th element.
 func elements(name string, n int, at func(int) reflect.Value, outer map[reflect.Type]bool, report func(string)) {
 	if n == 0 {
 		report(name)
--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -1,8 +1,8 @@
 // Package metrics counts what the program receives, sends and answers.
 //
-// Counters are made at first use, by name; docs/oncall.md explains each. Totals are the few figures that the admin API
-// and the dashboard read all the time. The package does not export to any monitoring system: the counters are one line
-// of the log, on SIGUSR1 and at exit.
+// Counters are created by name at first use; docs/oncall.md explains each of them. Totals are the few figures that the
+// admin API and the dashboard read all the time. The package does not export to any monitoring system: the counters are
+// logged in one line, on SIGUSR1 and at exit.
 package metrics
 
 import (
@@ -25,13 +25,13 @@
 // NewCounters returns an empty set.
 func NewCounters() *Counters { return &Counters{counts: map[string]*atomic.Int64{}} }
 
-// Add adds n to the counter.
+// Add adds n to the counter of that name.
 func (c *Counters) Add(name string, n int64) { c.counter(name).Add(n) }
 
-// Get returns the counter's value.
+// Get returns the value of the counter of that name, 0 if nothing was added.
 func (c *Counters) Get(name string) int64 { return c.counter(name).Load() }
 
-// counter returns the counter of that name, made where there is none yet.
+// counter returns the counter of that name, which it creates if there is none.
 func (c *Counters) counter(name string) *atomic.Int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -43,7 +43,7 @@
 	return count
 }
 
-// each calls f with every counter, sorted by name.
+// each calls f with the name and value of every counter, sorted by name. It holds mu meanwhile: f must not use c.
 func (c *Counters) each(f func(name string, n int64)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,7 +64,7 @@
 	return b.String()
 }
 
-// Log logs every counter in one line, with the reason for it.
+// Log logs all counters in one line, with the reason for logging them.
 func (c *Counters) Log(reason string) {
 	values := []any{reason}
 	c.each(func(name string, n int64) { values = append(values, name, n) })
--- a/internal/metrics/counters_test.go
+++ b/internal/metrics/counters_test.go
@@ -18,6 +18,6 @@
 	wg.Wait()
 	s.Add("answered", 1)
 	if got := s.String(); got != "answered=1 sent=1600" {
-		t.Errorf("%q", got)
+		t.Errorf("String() = %q, want answered=1 sent=1600", got)
 	}
 }
--- a/internal/metrics/totals.go
+++ b/internal/metrics/totals.go
@@ -2,19 +2,19 @@
 
 import "sync/atomic"
 
-// Totals are the figures that operators read most. Each is changed in one place: where that which it counts happens.
+// Totals are the figures that operators read most. Each is changed in one place only: where the counted event happens.
 type Totals struct {
-	Classes         []string
+	Classes         []string       // names; the lists below have a counter for each class
 	Served          []atomic.Int64 // final answers, by class
 	Rejected        []atomic.Int64 // by class
 	Failed          []atomic.Int64 // by class
 	Attempts        atomic.Int64   // attempts written completely to league servers
 	InFlight        atomic.Int64   // queries submitted to the core and not yet ended
 	ServersKnown    atomic.Int64   // servers in the endpoint list
-	ServersExcluded atomic.Int64   // those of them that drain, are unreachable, or are ejected for every class
+	ServersExcluded atomic.Int64   // servers in the list that drain, are unreachable, or are ejected for every class
 }
 
-// NewTotals returns totals for classes of these names, all 0.
+// NewTotals returns totals for the classes of these names. All figures are 0.
 func NewTotals(classes []string) *Totals {
 	n := len(classes)
 	return &Totals{
--- a/internal/schema/changes.go
+++ b/internal/schema/changes.go
@@ -9,7 +9,7 @@
 // Change is a key whose value differs between two versions of a file.
 type Change struct {
 	Key        string // dotted name
-	Reloadable bool
+	Reloadable bool   // a reload applies the change
 }
 
 // Changes returns the keys that were added, removed or changed between two lists of values, sorted by name.
@@ -28,7 +28,7 @@
 	return changes
 }
 
-// valuesByName maps names to type and value as text, since lists and tables are not comparable.
+// valuesByName maps names to type and value as text, because lists and tables are not comparable.
 func valuesByName(values []Value) map[string]string {
 	byName := make(map[string]string, len(values))
 	for _, v := range values {
--- a/internal/schema/check.go
+++ b/internal/schema/check.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// check returns what is wrong with a decoded value of the key, nil if nothing is. The error does not name the key.
+// check returns an error if a decoded value is not valid for the key. The error does not name the key.
 func (k Key) check(v any) error {
 	switch k.Type {
 	case Opaque:
@@ -47,7 +47,7 @@
 	return k.wrongType(v)
 }
 
-// checkString checks a value that is written as a string. The empty string counts as a key that is not set.
+// checkString checks a value that is written as a string. An empty string means that the key is not set, and is valid.
 func (k Key) checkString(s string) error {
 	switch {
 	case s == "":
@@ -62,6 +62,7 @@
 	return nil
 }
 
+// checkDuration checks the text of a value of type Duration.
 func (k Key) checkDuration(s string) error {
 	d, err := time.ParseDuration(s)
 	if err != nil {
@@ -126,7 +127,7 @@
 	return true
 }
 
-// checkRange compares a number with the bounds of the key, which parse converts to the unit of the number.
+// checkRange checks a number against the bounds of the key. parse converts a bound to the unit of the number.
 func (k Key) checkRange(n float64, parse func(string) float64) error {
 	tooLow := k.Min != "" && n < parse(k.Min)
 	tooHigh := k.Max != "" && n > parse(k.Max)
@@ -136,13 +137,13 @@
 	return nil
 }
 
-// parseNumber converts a bound of the table, which is a constant of the program.
+// parseNumber converts a bound of an Int or Float. Bounds are constants of the program, so errors are ignored.
 func parseNumber(s string) float64 {
 	n, _ := strconv.ParseFloat(s, 64)
 	return n
 }
 
-// parseNanoseconds converts a bound of a Duration, which is a constant of the program too.
+// parseNanoseconds converts a bound of a Duration, which is a constant of the program as well.
 func parseNanoseconds(s string) float64 {
 	d, _ := time.ParseDuration(s)
 	return float64(d)
@@ -152,8 +153,8 @@
 	return fmt.Errorf("is %s, %w %s", describe(v), ErrWrongType, k.Type)
 }
 
-// describe formats a value for an error. A list is not written out, as it may be long; tables never come here, because
-// walk descends into them.
+// describe formats a value for an error text. A list is not written out, because it may be long. Tables are never
+// passed, because walk descends into them.
 func describe(v any) string {
 	switch v := v.(type) {
 	case string:
--- a/internal/schema/error.go
+++ b/internal/schema/error.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// What can be wrong with a key or its value. An Error wraps one of them, or the message of the TOML parser. The texts
-// are parts of longer ones.
+// Faults of a key or its value. An Error wraps one of them, or the message of the TOML parser. The texts are parts of
+// sentences that the checks complete with names and values.
 var (
 	ErrUnknownKey      = errors.New("unknown key")
 	ErrWrongType       = errors.New("not a value of type")
@@ -17,12 +17,12 @@
 	ErrOutOfRange      = errors.New("is out of its range")
 )
 
-// Error is one fault of a file.
+// Error is one fault in a file.
 type Error struct {
-	File string
-	Line int
-	Key  string // dotted name of the key at fault, "" where the file could not be parsed; Err already names it
-	Err  error
+	File string // as passed to Read
+	Line int    // counted from 1
+	Key  string // dotted name of the key at fault, which Err names too; "" if the file could not be parsed
+	Err  error  // reason
 }
 
 // Error returns the position and the reason.
--- a/internal/schema/error_test.go
+++ b/internal/schema/error_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// The texts reach the bodies of HTTP replies, so they are compared word for word. A kind of nil stands for an error of
-// the TOML parser.
+// The error texts appear in the bodies of HTTP responses, so they are compared word for word. A case without a kind
+// is an error of the TOML parser.
 func TestReadErrorText(t *testing.T) {
 	table := append(slices.Clone(table),
 		Key{Name: "low", Type: Int, Min: "2"},
@@ -115,16 +115,16 @@
 		t.Run(c.name, func(t *testing.T) {
 			_, errs := table.Read("f", c.text)
 			if len(errs) != 1 {
-				t.Fatalf("%v, want one error", errs)
+				t.Fatalf("errors = %v, want one", errs)
 			}
 			if got := errs[0].Error(); got != c.want {
 				t.Errorf("got  %s\nwant %s", got, c.want)
 			}
 			if got := errs[0].Key; got != c.key {
-				t.Errorf("key %q, want %q", got, c.key)
+				t.Errorf("Key = %q, want %q", got, c.key)
 			}
 			if c.kind != nil && !errors.Is(errs[0], c.kind) {
-				t.Errorf("%v is not of the kind %q", errs[0], c.kind)
+				t.Errorf("error %v does not wrap %q", errs[0], c.kind)
 			}
 		})
 	}
--- a/internal/schema/key.go
+++ b/internal/schema/key.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// Type is the type of a key's value. Its text stands in the reference and in errors.
+// Type is the type of a key's value. Its text appears in the reference of the keys and in errors.
 type Type string
 
 // The types that a key can have.
@@ -23,15 +23,15 @@
 type Key struct {
 	Name       string // dotted; a segment * matches any name, or an index in an array of tables
 	Type       Type
-	Default    string // as written in the file, without quotes; "": none, or as Doc says
-	Min, Max   string // bounds for Int, Float and Duration, inclusive; "": no bound
-	OneOf      []string
-	Unit       string
-	Reloadable bool // a reload applies a new value; other keys need a restart
-	Doc        string
+	Default    string   // as written in the file, without quotes; "": none, or described in Doc
+	Min, Max   string   // bounds for Int, Float and Duration, inclusive; "": no bound
+	OneOf      []string // allowed values; empty: all
+	Unit       string   // for the reference; "": none
+	Reloadable bool     // a reload applies a new value; other keys need a restart
+	Doc        string   // description in the reference
 }
 
-// Range describes the allowed values, "" where all are.
+// Range describes the allowed values, "" if all are allowed.
 func (k Key) Range() string {
 	switch {
 	case len(k.OneOf) > 0:
@@ -46,7 +46,7 @@
 	return ""
 }
 
-// matches reports whether the segments of a dotted name are this key, or lie below it where it is opaque.
+// matches reports whether the segments are those of this key's name, or of a name below it if the key is Opaque.
 func (k Key) matches(segments []string) bool {
 	pattern := strings.Split(k.Name, ".")
 	if len(segments) < len(pattern) {
--- a/internal/schema/line_numbers.go
+++ b/internal/schema/line_numbers.go
@@ -8,13 +8,13 @@
 // LineNumbers maps the dotted names of sections and keys to their lines, counted from 1.
 type LineNumbers map[string]int
 
-// ParseLineNumbers finds the lines of the sections and keys of a TOML text, which the TOML decoder does not keep. It
-// looks at one line at a time: a text that is not TOML, or a string of several lines, may lead to wrong lines, never to
-// a panic.
+// ParseLineNumbers finds the lines of the sections and keys of a TOML text, which the TOML decoder does not report.
+// It looks at one line at a time: a text that is not TOML, or has a string of several lines, may give wrong line
+// numbers, but never a panic.
 func ParseLineNumbers(text string) LineNumbers {
 	lines := LineNumbers{}
 	section := ""
-	tables := map[string]int{} // tables so far of each array of tables
+	tables := map[string]int{} // number of tables seen so far in each array of tables
 	for i, line := range strings.Split(text, "\n") {
 		number := i + 1
 		line = strings.TrimSpace(line)
@@ -36,7 +36,8 @@
 	return lines
 }
 
-// Line returns the line of a name, or else of the nearest section or key above it; 1 where there is none.
+// Line returns the line of a name, or that of the nearest section or key above it in the name, or 1 if there is
+// neither.
 func (l LineNumbers) Line(name string) int {
 	for name != "" {
 		if line, ok := l[name]; ok {
@@ -47,14 +48,15 @@
 	return 1
 }
 
-// add sets the line of a name unless it has one: the first counts.
+// add sets the line of a name, unless an earlier line has set it.
 func (l LineNumbers) add(name string, line int) {
 	if _, ok := l[name]; !ok {
 		l[name] = line
 	}
 }
 
-// isHeader reports whether a line starts a table. A line with = is part of a list of several lines.
+// isHeader reports whether a line starts a table. A line that begins with [ and has an = belongs to a list of several
+// lines.
 func isHeader(line string) bool {
 	return strings.HasPrefix(line, "[") && !strings.Contains(line, "=")
 }
--- a/internal/schema/line_numbers_test.go
+++ b/internal/schema/line_numbers_test.go
@@ -32,7 +32,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := lines.Line(c.name); got != c.want {
-				t.Errorf("line %d, want %d", got, c.want)
+				t.Errorf("Line(%q) = %d, want %d", c.name, got, c.want)
 			}
 		})
 	}
--- a/internal/schema/read.go
+++ b/internal/schema/read.go
@@ -15,11 +15,11 @@
 type Value struct {
 	Name string // dotted name of its key
 	Raw  any    // as the TOML decoder returns it
-	Line int
+	Line int    // counted from 1
 }
 
-// Read parses a text into its values, sorted by name within each table, and checks each of them against the table of
-// keys. It returns all errors; just one where the text is not TOML.
+// Read parses the text of a file into its values, sorted by name within each table, and checks each value against the
+// table of keys. It returns all errors, or a single one if the text is not TOML. file is the name that errors show.
 func (t Table) Read(file, text string) ([]Value, []Error) {
 	var tree map[string]any
 	if _, err := toml.Decode(text, &tree); err != nil {
@@ -38,7 +38,8 @@
 	return values, errs
 }
 
-// parseError gives an error of the TOML decoder the form of the others: its own text repeats the position.
+// parseError converts an error of the TOML decoder. It takes only the message of a syntax error, whose full text would
+// repeat the position.
 func parseError(file string, err error) Error {
 	var syntax toml.ParseError
 	if errors.As(err, &syntax) {
@@ -47,7 +48,7 @@
 	return Error{File: file, Line: 1, Err: err}
 }
 
-// check checks the value of a dotted name.
+// check returns an error if there is no key of that dotted name, or if the value is not valid for it.
 func (t Table) check(name string, v any) error {
 	k, ok := t.find(name)
 	if !ok {
@@ -59,7 +60,8 @@
 	return nil
 }
 
-// walk calls visit with every value below a name, in sorted order. An opaque key is one value, whatever it contains.
+// walk calls visit for every value below a name, sorted by name within each table. An Opaque key is a single value,
+// whatever it contains.
 func (t Table) walk(name string, v any, visit func(name string, v any)) {
 	if k, ok := t.find(name); ok && k.Type == Opaque {
 		visit(name, v)
--- a/internal/schema/read_test.go
+++ b/internal/schema/read_test.go
@@ -10,13 +10,14 @@
 	_ "linkpass/internal/testrand"
 )
 
-// fileLine is a line that a file may have. Only a valid one is read without an error.
+// fileLine is a line that drawFile may put in a file: its section, its text and its key. Read reports an error for it
+// unless it is valid.
 type fileLine struct {
 	section, text, key string
 	valid              bool
 }
 
-// fileLines are sorted by section.
+// fileLines are grouped by section, as drawFile writes each header once.
 var fileLines = []fileLine{
 	{"", `listen = "127.0.0.1:9"`, "listen", true},
 	{"", `listen = "here"`, "listen", false},
@@ -46,26 +47,27 @@
 	{"rest", `what = { ever = 1 }`, "rest", true},
 }
 
-// Every error is reported at once, each at its line, and nothing else is.
+// One call of Read reports every error of a file with its line, and no other error.
 func TestReadReportsEveryErrorAtItsLine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text, want := drawFile(t)
 		_, errs := table.Read("f.toml", text)
 		if len(errs) != len(want) {
-			t.Fatalf("%v, want %v in\n%s", errs, want, text)
+			t.Fatalf("errors = %v, want %v in\n%s", errs, want, text)
 		}
 		for _, err := range errs {
 			if got := positionAndKey(err); !want[got] {
-				t.Fatalf("%v is none of %v in\n%s", err, want, text)
+				t.Fatalf("error %v is not one of %v in\n%s", err, want, text)
 			}
 			if got := fmt.Sprintf("%s:%d: %s", err.File, err.Line, err.Key); !want[got] {
-				t.Fatalf("fields %s are none of %v in\n%s", got, want, text)
+				t.Fatalf("error fields %s are not one of %v in\n%s", got, want, text)
 			}
 		}
 	})
 }
 
-// drawFile returns a file of some of the lines, each key at most once, and position and key of the errors in it.
+// drawFile returns the text of a file with some of the lines, each key at most once, and the position and key of each
+// error in it.
 func drawFile(t *rapid.T) (text string, want map[string]bool) {
 	var b strings.Builder
 	want = map[string]bool{}
@@ -90,7 +92,7 @@
 	return b.String(), want
 }
 
-// positionAndKey cuts "file:line: key" out of the text of an error.
+// positionAndKey returns the part "file:line: key" of an error's text.
 func positionAndKey(err Error) string {
 	text := strings.Replace(err.Error(), "unknown key ", "", 1)
 	text, _, _ = strings.Cut(text, " is ")
@@ -99,11 +101,11 @@
 	return text[:keyStart] + key
 }
 
-// A text that is not TOML has one error, with its line, and never leads to a panic.
+// A text that is not TOML gives one error with its line, and never a panic.
 func TestReadInvalidTOML(t *testing.T) {
 	_, errs := table.Read("f", "on = true\n[pace\nwait = 5")
 	if len(errs) != 1 || errs[0].Line < 2 {
-		t.Error(errs)
+		t.Errorf("errors = %v, want one at line 2 or later", errs)
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringOf(rapid.SampledFrom([]rune("[]{}=.,\"'#\\\n ab1"))).Draw(t, "text")
@@ -114,6 +116,6 @@
 func TestReadAcceptsEmptyStrings(t *testing.T) {
 	_, errs := table.Read("f", "listen = \"\"\n[pace]\nwait = \"\"\n[share.x]\nkind = \"\"")
 	if len(errs) != 0 {
-		t.Error(errs)
+		t.Errorf("errors = %v, want none", errs)
 	}
 }
--- a/internal/schema/table_test.go
+++ b/internal/schema/table_test.go
@@ -22,22 +22,22 @@
 func TestDefaultsAndChanges(t *testing.T) {
 	t.Run("default of a duration", func(t *testing.T) {
 		if got := table.Duration("pace.wait", ""); got != time.Second {
-			t.Error(got)
+			t.Errorf("Duration = %v, want 1s", got)
 		}
 	})
 	t.Run("duration set", func(t *testing.T) {
 		if got := table.Duration("pace.wait", "2s"); got != 2*time.Second {
-			t.Error(got)
+			t.Errorf("Duration = %v, want 2s", got)
 		}
 	})
 	t.Run("default of an integer", func(t *testing.T) {
 		if got := table.Int("pace.moves", 0); got != 4 {
-			t.Error(got)
+			t.Errorf("Int = %d, want 4", got)
 		}
 	})
 	t.Run("integer set", func(t *testing.T) {
 		if got := table.Int("pace.moves", 7); got != 7 {
-			t.Error(got)
+			t.Errorf("Int = %d, want 7", got)
 		}
 	})
 	t.Run("changes", func(t *testing.T) {
@@ -45,18 +45,18 @@
 		after, _ := table.Read("b", "names = [\"a\"]\n[pace]\nmoves = 3\nwait = \"2s\"")
 		got := fmt.Sprint(table.Changes(before, after))
 		if got != "[{on true} {pace.moves false} {pace.wait true}]" {
-			t.Error(got)
+			t.Errorf("Changes = %s, want on, pace.moves and pace.wait, all but pace.moves reloadable", got)
 		}
 	})
 }
 
 func TestMustKeyPanicsForUnknownKey(t *testing.T) {
 	if k := table.MustKey("share.x.kind"); k.Name != "share.*.kind" {
-		t.Errorf("%+v", k)
+		t.Errorf("MustKey = %+v, want the key share.*.kind", k)
 	}
 	defer func() {
 		if got := recover(); got != "schema: no key share.x" {
-			t.Errorf("panic %v", got)
+			t.Errorf("panic = %v, want schema: no key share.x", got)
 		}
 	}()
 	table.MustKey("share.x")
--- a/internal/settings/flatten.go
+++ b/internal/settings/flatten.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// flatten returns the leaves of a JSON object by their dotted keys, with the values written as in the simulator's lines.
+// flatten returns the leaf values of a JSON object by their dotted keys, written as in the simulator's lines.
 func flatten(object map[string]any) map[string]string {
 	out := map[string]string{}
 	flattenObject(out, "", object)
@@ -30,7 +30,8 @@
 	}
 }
 
-// flattenList writes a list of objects under their places and KEY.count, and a list without objects as one value.
+// flattenList writes the objects of a list under KEY.0, KEY.1 and so on, with their number under KEY.count; other
+// elements of such a list are dropped. A list without objects becomes one comma-separated value.
 func flattenList(out map[string]string, key string, list []any) {
 	var scalars []string
 	objects := 0
@@ -49,6 +50,7 @@
 	}
 }
 
+// scalar formats a value that is neither an object nor a list; null becomes "".
 func scalar(v any) string {
 	switch v := v.(type) {
 	case nil:
@@ -61,7 +63,8 @@
 	return fmt.Sprint(v)
 }
 
-// EncodeName returns a name as the simulator's lines have it, where a space separates fields and a comma the items of a list.
+// EncodeName returns a name as the simulator's lines have it. There a space separates fields and a comma separates the
+// items of a list, so both become underscores.
 func EncodeName(s string) string { return nameReplacer.Replace(s) }
 
 var nameReplacer = strings.NewReplacer(" ", "_", ",", "_")
--- a/internal/settings/golden_keys_test.go
+++ b/internal/settings/golden_keys_test.go
@@ -12,14 +12,14 @@
 	"linkpass/internal/routing"
 )
 
-// A field that no golden file sets could lose its key unnoticed.
+// The golden files set every field. Otherwise a field's key could be renamed without a failing test.
 func TestGoldenSettingsSetEveryField(t *testing.T) {
 	set := goldenSettings()
 	for _, v := range []any{set, goldenHost(), set.Tenants[0]} {
 		value := reflect.ValueOf(v)
 		for i := range value.NumField() {
 			if value.Field(i).IsZero() {
-				t.Errorf("%s.%s is zero", value.Type(), value.Type().Field(i).Name)
+				t.Errorf("%s.%s is zero in the golden settings", value.Type(), value.Type().Field(i).Name)
 			}
 		}
 	}
@@ -27,12 +27,12 @@
 	for i := range class.NumField() {
 		isSet := func(c routing.Class) bool { return !reflect.ValueOf(c).Field(i).IsZero() }
 		if !slices.ContainsFunc(set.Classes, isSet) {
-			t.Errorf("Class.%s is zero in every class", class.Field(i).Name)
+			t.Errorf("Class.%s is zero in every class of the golden settings", class.Field(i).Name)
 		}
 	}
 }
 
-// Every key of the golden object is read: if it is renamed, the settings differ or an error names it.
+// Every key of the golden object is read: renaming any of them changes the settings or leads to an error.
 func TestPlatformSettingsGoldenEveryKeyRead(t *testing.T) {
 	data := readGolden(t, "platform.json")
 	var tree map[string]any
@@ -46,11 +46,12 @@
 	})
 	const minKeys = 60
 	if want := strings.Count(string(data), `":`); keys != want || keys < minKeys {
-		t.Errorf("%d keys of %d", keys, want)
+		t.Errorf("visited %d keys, want %d and at least %d", keys, want, minKeys)
 	}
 }
 
-// forEachKey visits every key of every object within a decoded JSON value, in the order of the keys.
+// forEachKey calls visit for every key of every object in a decoded JSON value. The keys of an object are in sorted
+// order.
 func forEachKey(path string, v any, visit func(path string, object map[string]any, key string)) {
 	switch v := v.(type) {
 	case []any:
@@ -66,7 +67,7 @@
 	}
 }
 
-// requireKeyRead requires that a tree with one of its keys renamed is read as other settings, or is an error.
+// requireKeyRead requires that renaming one key of the tree changes the settings or leads to an error.
 func requireKeyRead(t *testing.T, tree map[string]any, path string, object map[string]any, key string) {
 	t.Helper()
 	value, renamed := object[key], "old_"+key
@@ -80,9 +81,9 @@
 	}
 	set, host, err := ParseJSON(changed)
 	if value == false {
-		return // a bool that is missing is false as well
+		return // a missing bool is read as false, so that the settings stay the same
 	}
 	if err == nil && reflect.DeepEqual(set, goldenSettings()) && reflect.DeepEqual(host, goldenHost()) {
-		t.Errorf("nothing reads %s", path)
+		t.Errorf("renaming %s changes no setting and gives no error", path)
 	}
 }
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -10,7 +10,7 @@
 	"linkpass/internal/routing"
 )
 
-// readGolden reads a golden file.
+// readGolden returns the contents of a golden file.
 func readGolden(t *testing.T, file string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", file))
@@ -42,13 +42,13 @@
 	}
 }
 
-// goldenVariant is a change of the golden object and the change of the settings that it causes.
+// goldenVariant replaces the text old of the golden object with new; change is the effect on the settings.
 type goldenVariant struct {
 	name, old, new string
 	change         func(*routing.Settings, *Host)
 }
 
-// goldenVariants are changes of the golden object, whose tenants are given as text.
+// goldenVariants returns the variants. tenants is the text of the golden object's tenants.
 func goldenVariants(tenants string) []goldenVariant {
 	withoutTenants := func(s *routing.Settings, h *Host) { s.Tenants, h.Tenants = nil, nil }
 	return []goldenVariant{
@@ -70,14 +70,14 @@
 	}
 }
 
-// One change of the golden object changes only the settings that depend on it.
+// A change of one key of the golden object changes only the settings that depend on it.
 func TestPlatformSettingsGoldenVariants(t *testing.T) {
 	golden := string(readGolden(t, "platform.json"))
 	tenants := golden[strings.Index(golden, `"tenants":`):strings.Index(golden, `  "tick"`)]
 	for _, c := range goldenVariants(tenants) {
 		t.Run(c.name, func(t *testing.T) {
 			if strings.Count(golden, c.old) != 1 {
-				t.Fatalf("the golden object has %q %d times", c.old, strings.Count(golden, c.old))
+				t.Fatalf("the golden object has %q %d times, want once", c.old, strings.Count(golden, c.old))
 			}
 			set, host, err := ParseJSON([]byte(strings.Replace(golden, c.old, c.new, 1)))
 			wantSet, wantHost := goldenSettings(), goldenHost()
--- a/internal/settings/golden_values_test.go
+++ b/internal/settings/golden_values_test.go
@@ -6,8 +6,8 @@
 	"linkpass/internal/routing"
 )
 
-// goldenSettings are the settings of testdata/platform.json and testdata/simulator.txt. Numbers differ where one could be
-// mistaken for another.
+// goldenSettings returns the settings of testdata/platform.json and testdata/simulator.txt. The numbers differ from
+// each other where a test would otherwise not notice that two of them are swapped.
 func goldenSettings() routing.Settings {
 	return routing.Settings{
 		Tick:                  5500 * time.Microsecond,
@@ -98,7 +98,7 @@
 	}
 }
 
-// goldenHost is the host of testdata/platform.json.
+// goldenHost returns the Host of testdata/platform.json.
 func goldenHost() Host {
 	return Host{
 		Zones:          []string{"ebene", "port_louis"},
--- a/internal/settings/host.go
+++ b/internal/settings/host.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Host is what the program around the policy module needs.
+// Host holds the settings that the program needs outside the router.
 type Host struct {
-	Zones, Kinds, Classes []string
-	Tenants               []string      // none on some sites
+	Zones, Kinds, Classes []string      // names, in the order of the settings' lists
+	Tenants               []string      // names, in the order of the settings' list; none on some sites
 	ReportNames           []string      // names of a load report's values, in the order of the router's ReportFields
-	MaxStreams            int           // requests that one connection carries at a time
-	ConnectTimeout        time.Duration // a connection that is not up by then has failed
-	Keepalive             time.Duration // the other side closes an idle connection after this
+	MaxStreams            int           // limit of the requests that one connection carries at a time
+	ConnectTimeout        time.Duration // a dial that takes longer has failed
+	Keepalive             time.Duration // the other side closes a connection that is idle for this long
 }
 
-// host reads what the program around the policy module needs.
+// host reads the settings that the program needs outside the router.
 func (r *reader) host() Host {
 	h := Host{
 		Zones:          r.names("dcs"),
--- a/internal/settings/key_error.go
+++ b/internal/settings/key_error.go
@@ -5,16 +5,16 @@
 	"fmt"
 )
 
-// ErrMissing is the reason of a KeyError for a required key that is absent.
+// ErrMissing is wrapped by the KeyError of a required key that is absent.
 var ErrMissing = errors.New("missing")
 
-// KeyError says which key can't be read, and why.
+// KeyError reports a key that can't be read.
 type KeyError struct {
 	Key string // dotted, as in request_classes.0.aim
-	Err error
+	Err error  // reason
 }
 
-// Error names the key and the reason.
+// Error returns a text with the key and the reason.
 func (e *KeyError) Error() string { return fmt.Sprintf("settings: %s: %s", e.Key, e.Err) }
 
 // Unwrap returns the reason.
--- a/internal/settings/module.go
+++ b/internal/settings/module.go
@@ -6,14 +6,15 @@
 	"linkpass/internal/routing"
 )
 
-// effects are the values of a class's idempotency.
+// effects maps the values of a class's setting idempotency.
 var effects = map[string]routing.Idempotency{
 	"free":        routing.Idempotent,
 	"guarded":     routing.IdempotentWithKey,
 	"single_shot": routing.NonIdempotent,
 }
 
-// reportFields are the names of a load report's values. The module skips values of other names.
+// reportFields maps the names of a load report's values. A value with another name is a FieldUnknown, which the router
+// skips.
 var reportFields = map[string]routing.ReportField{
 	"active":  routing.FieldInFlight,
 	"waiting": routing.FieldQueueLength,
@@ -23,7 +24,7 @@
 	"err_rps": routing.FieldErrorRate,
 }
 
-// module reads the settings of the policy module. Unknown keys are ignored, for the platform may add some.
+// module reads the settings of the router. Unknown keys are ignored, because the platform may add some.
 func (r *reader) module() routing.Settings {
 	out := routing.Settings{
 		Tick:                  r.milliseconds("tick"),
@@ -50,7 +51,7 @@
 	return out
 }
 
-// shards reads how the data is spread over servers, and what a request to one costs.
+// shards reads how the shards are placed on servers, and what a request to a server costs.
 func (r *reader) shards(out *routing.Settings) {
 	out.Shards = int(r.required("extra.slabs"))
 	out.Cells = int(r.required("extra.places"))
@@ -60,7 +61,7 @@
 	out.CachesKeys = r.flag("extra.warm_keys")
 }
 
-// bounds reads limits, and which means the router may use.
+// bounds reads limits, and which techniques the router may use.
 func (r *reader) bounds(out *routing.Settings) {
 	out.MaxAttempts = int(r.number("bounds.max_attempts"))
 	out.MaxOpen = int(r.number("bounds.max_open"))
@@ -71,7 +72,7 @@
 	out.RetryAfter = r.flag("bounds.retry_after")
 }
 
-// rules reads deadlines, the warm-up of servers, and the retry budget.
+// rules reads time limits, the warm-up of servers, and the retry budget.
 func (r *reader) rules(out *routing.Settings) {
 	out.AnswerSlack = r.milliseconds("rules.answer_slack")
 	out.PollWithin = r.milliseconds("rules.ask_within")
@@ -84,7 +85,8 @@
 	out.RetryBudgetRatio = r.number("rules.extra_ratio")
 }
 
-// classes reads the classes of queries. Some of their figures stand in lists of their own, a number for each class.
+// classes reads the classes of queries. Some of their figures are in separate lists, which have a number for each
+// class.
 func (r *reader) classes() []routing.Class {
 	const list = "request_classes"
 	n := r.count(list)
@@ -111,11 +113,11 @@
 	return out
 }
 
-// effect reads whether a query may be repeated.
+// effect reads whether a query may be run more than once.
 func (r *reader) effect(key string) routing.Idempotency {
 	effect, ok := effects[r.values[key]]
 	if !ok {
-		r.fail(key, fmt.Errorf("unknown: %q", r.values[key]))
+		r.fail(key, fmt.Errorf("unknown value %q", r.values[key]))
 	}
 	return effect
 }
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -7,16 +7,17 @@
 	"time"
 )
 
-// maxListLength bounds the lists of objects, as a length comes from outside and memory is allocated for it.
+// maxListLength limits the length of a list of objects. The length comes from outside the program, and memory is
+// allocated for it.
 const maxListLength = 10000
 
-// reader reads values by their dotted keys. It keeps the first error, and goes on with zero values.
+// reader reads values by their dotted keys. After an error it continues with zero values; err is the first error.
 type reader struct {
 	values map[string]string
 	err    error
 }
 
-// fail records an error, unless there is one already.
+// fail records an error, unless one is recorded already.
 func (r *reader) fail(key string, err error) {
 	if r.err == nil {
 		r.err = &KeyError{Key: key, Err: err}
@@ -32,7 +33,7 @@
 	return v
 }
 
-// number returns the number of an optional key, 0 where it is absent or empty.
+// number returns the number of an optional key, 0 if the key is absent or empty.
 func (r *reader) number(key string) float64 {
 	text := r.values[key]
 	if text == "" {
@@ -41,7 +42,7 @@
 	return r.parse(key, text)
 }
 
-// required is number for keys that must be there.
+// required returns the number of a key that must be present; its value may be empty, which is read as 0.
 func (r *reader) required(key string) float64 {
 	if _, ok := r.values[key]; !ok {
 		r.fail(key, ErrMissing)
@@ -49,14 +50,13 @@
 	return r.number(key)
 }
 
-// milliseconds returns the time of an optional key.
+// milliseconds returns the duration of an optional key, whose value is in milliseconds.
 func (r *reader) milliseconds(key string) time.Duration { return FromMilliseconds(r.number(key)) }
 
-// flag returns whether the key is true.
+// flag reports whether the key's value is true.
 func (r *reader) flag(key string) bool { return r.values[key] == "true" }
 
-// numbers returns a comma-separated list of n numbers. Those that the key lacks are the default; those beyond n are
-// dropped.
+// numbers returns n numbers from a comma-separated list. Missing ones get the default; those beyond n are dropped.
 func (r *reader) numbers(key string, n int, byDefault float64) []float64 {
 	out := make([]float64, n)
 	for i := range out {
@@ -71,7 +71,7 @@
 	return out
 }
 
-// names returns a comma-separated list.
+// names returns the items of a comma-separated list, none if the key is absent or empty.
 func (r *reader) names(key string) []string {
 	if r.values[key] == "" {
 		return nil
@@ -84,13 +84,14 @@
 	key := list + ".count"
 	n := r.required(key)
 	if n < 0 || n > maxListLength || n != float64(int(n)) {
-		r.fail(key, fmt.Errorf("not a length: %v", n))
+		r.fail(key, fmt.Errorf("not a valid list length: %v", n))
 		return 0
 	}
 	return int(n)
 }
 
-// tenantCount returns the number of tenants; sites without any may have an empty list, or one that holds no objects.
+// tenantCount returns the number of tenants. A site without tenants may have an empty list, or a list without objects,
+// which flatten writes as one value.
 func (r *reader) tenantCount() int {
 	if r.values["tenants"] != "" {
 		return 0
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,9 +1,9 @@
 // Package settings reads the deployment's settings, which the platform gives the program at start.
 //
-// They come as nested JSON on the platform and as key=value lines on the simulator's wire; keys and units (milliseconds,
-// shares) are the same in both. The package turns them into the policy module's routing.Settings and into what the host
-// around it needs. It does not read the operators' file, which internal/schema and internal/daemon do, and it checks only
-// that values can be read, not that they make sense together.
+// The platform sends them as nested JSON, the simulator as key=value lines; keys and units (milliseconds, shares) are
+// the same in both. The package converts them to the router's routing.Settings and to the settings that the program
+// needs outside the router. It checks only that each value can be read, not that the values fit together. It does not
+// read the operators' file, which internal/schema and internal/daemon do.
 package settings
 
 import (
@@ -16,7 +16,7 @@
 	"linkpass/internal/routing"
 )
 
-// ParseText reads the simulator's key=value lines.
+// ParseText reads the simulator's key=value lines. An error of a key is a *KeyError.
 func ParseText(text string) (routing.Settings, error) {
 	values := map[string]string{}
 	for line := range strings.Lines(text) {
@@ -34,7 +34,7 @@
 	return r.module(), r.err
 }
 
-// ParseJSON reads the platform's nested object.
+// ParseJSON reads the platform's nested object. An error of a key is a *KeyError.
 func ParseJSON(data []byte) (routing.Settings, Host, error) {
 	var tree map[string]any
 	if err := json.Unmarshal(data, &tree); err != nil {
@@ -46,10 +46,11 @@
 	return module, host, r.err
 }
 
-// maxMilliseconds is about 31 years; longer times count as that.
+// maxMilliseconds is about 31 years, the longest time that FromMilliseconds returns.
 const maxMilliseconds = 1e12
 
-// FromMilliseconds converts milliseconds, rounded to the microsecond. NaN counts as 0, values out of range as the nearest in it.
+// FromMilliseconds converts milliseconds to a duration, rounded to the microsecond. NaN gives 0; a value out of range
+// (about 31 years, positive or negative) gives the limit that it exceeds.
 func FromMilliseconds(ms float64) time.Duration {
 	if math.IsNaN(ms) {
 		return 0
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -17,23 +17,22 @@
 "request_classes":[{"aim":2000.0,"hard_limit":5000.0,"idempotency":"free","name":"league-table"},
 {"aim":1000.0,"hard_limit":2500.0,"idempotency":"guarded","name":"team-lookup"}]}`
 
-// Reports on the sockets use the settings' own words (active, avg_ms, waiting),
-// not those of the protocol's example: read by others every report is dropped,
-// and the module chooses without any.
+// Load reports on the wire use the value names of the settings (active, avg_ms, waiting), not those of the protocol's
+// example. With any other names every report would be dropped, and the router would select servers without reports.
 func TestParseJSONReportNames(t *testing.T) {
 	set, host, err := ParseJSON([]byte(object))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if want := []string{"active", "avg_ms", "waiting"}; !slices.Equal(host.ReportNames, want) {
-		t.Errorf("report names %v, want %v", host.ReportNames, want)
+		t.Errorf("ReportNames = %v, want %v", host.ReportNames, want)
 	}
 	if len(set.ReportFields) != 3 || set.Tick != 5*time.Millisecond || set.Zone != 1 || !set.HealthChecks ||
 		set.Classes[1].RequiredWeight != 0.5 || set.Classes[1].Deadline != 2500*time.Millisecond || len(set.Tenants) != 0 {
-		t.Errorf("module's settings %+v", set)
+		t.Errorf("router's settings = %+v, want those of the object", set)
 	}
 	if !slices.Equal(host.Zones, []string{"ebene", "port_louis"}) || host.Classes[1] != "team-lookup" || host.MaxStreams != 32 {
-		t.Errorf("host's settings %+v", host)
+		t.Errorf("host's settings = %+v, want those of the object", host)
 	}
 }
 
@@ -43,7 +42,7 @@
 		if rapid.Bool().Draw(t, "cut") {
 			data = []byte(object[:rapid.IntRange(0, len(object)-1).Draw(t, "at")])
 			if _, _, err := ParseJSON(data); err == nil {
-				t.Fatalf("took the cut settings %q", data)
+				t.Fatalf("ParseJSON accepted the truncated settings %q", data)
 			}
 		}
 		_, _, _ = ParseJSON(data)
--- a/internal/testrand/testrand.go
+++ b/internal/testrand/testrand.go
@@ -1,5 +1,5 @@
-// Package testrand is imported by property tests for its side effect: it gives rapid a fixed seed and keeps it from
-// writing files, so that every run of the tests has the same result. Flags on the command line take precedence.
+// Package testrand is imported by property tests for its side effect: it sets a fixed seed for rapid and stops rapid
+// from writing files, so that every run of the tests has the same result. Flags on the command line take precedence.
 package testrand
 
 import (
@@ -8,7 +8,7 @@
 	_ "pgregory.net/rapid" // registers the flags
 )
 
-// seed is the default of -rapid.seed.
+// seed is the value of -rapid.seed unless the command line sets it.
 const seed = "20261201"
 
 func init() {
--- a/tools/knownred/knownred_test.go
+++ b/tools/knownred/knownred_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// entry is a well-formed entry of the list, with no empty line after it.
+// entry returns a well-formed entry of the list, without an empty line after it.
 func entry(pkg, test string) string {
 	return fmt.Sprintf("test: %s %s\ncommand: SEED=3 go test %s\nseen: 2 of 4 answers\nissue: 7\n", pkg, test, pkg)
 }
@@ -44,13 +44,13 @@
 	}
 }
 
-// first is the entry that the lists begin with.
+// first is the first entry of the lists in the cases.
 var first = entry("./a", "TestA")
 
-// change replaces the first place of a text in that entry.
+// change returns the entry first with the first occurrence of from replaced by to.
 func change(from, to string) string { return strings.Replace(first, from, to, 1) }
 
-// malformedLists have one line each that is not in order; the error names the line and the field.
+// malformedLists have one malformed line each. The error must have its line and field.
 var malformedLists = []struct {
 	name, text string
 	line       int
@@ -104,7 +104,7 @@
 				t.Fatalf("got %+v, %v; want a listSyntaxError", list, err)
 			}
 			if syntax.Line != c.line || syntax.Field != c.field || syntax.Reason == "" {
-				t.Errorf("%v; want line %d, field %q and a reason", err, c.line, c.field)
+				t.Errorf("error %v; want line %d, field %q and a reason", err, c.line, c.field)
 			}
 		})
 	}
@@ -128,7 +128,7 @@
 	}
 }
 
-// testModule is a module in a directory of its own, for the go command.
+// testModule is a Go module in a temporary directory, in which the go command can run.
 type testModule struct{ dir string }
 
 func newTestModule(t *testing.T) testModule {
@@ -149,14 +149,14 @@
 	}
 }
 
-// addTest writes a test to a file of its own.
+// addTest adds a test function to a package, in a separate file.
 func (m testModule) addTest(t *testing.T, pkg, name, body string) {
 	t.Helper()
 	text := "package x\n\nimport \"testing\"\n\nfunc " + name + "(t *testing.T) { " + body + " }\n"
 	m.write(t, pkg+"/"+strings.ToLower(name)+"_test.go", text)
 }
 
-// runList tests the module with a list.
+// runList writes the list to the module, runs the module's tests and returns what run prints.
 func (m testModule) runList(t *testing.T, list string) (printed string, err error) {
 	t.Helper()
 	m.write(t, listFile, list)
@@ -165,7 +165,8 @@
 	return out.String(), err
 }
 
-// Listed tests run, are printed and do not decide; every other test does, also one of the same name elsewhere.
+// Listed tests run and are printed, but do not affect the result. Every other test does, including a test of the same
+// name in another package.
 func TestRunPassesOverListedFailuresAlone(t *testing.T) {
 	m := newTestModule(t)
 	m.addTest(t, "a", "TestRed", `panic("t")`)
@@ -184,13 +185,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			printed, err := m.runList(t, c.list)
 			if (err == nil) != c.passes || !strings.Contains(printed, c.prints) {
-				t.Errorf("%v\n%s", err, printed)
+				t.Errorf("error %v, want none: %t; want %q in the output\n%s", err, c.passes, c.prints, printed)
 			}
 		})
 	}
 }
 
-// More than three entries: the list has no fixed number of them.
+// The list has more than three entries: their number is not limited.
 func TestRunPrintsEveryListedTest(t *testing.T) {
 	m := newTestModule(t)
 	var list []string
@@ -200,7 +201,7 @@
 	}
 	printed, err := m.runList(t, strings.Join(list, "\n"))
 	if err != nil || strings.Count(printed, "known red: ./a Test") != len(list) {
-		t.Errorf("%v\n%s", err, printed)
+		t.Errorf("error %v, want none and %d listed tests in the output\n%s", err, len(list), printed)
 	}
 }
 
@@ -209,7 +210,7 @@
 	m.addTest(t, "a", "TestRed", "t.Fail()")
 	m.addTest(t, "a", "TestOther", "t.Fail()")
 	if printed, err := m.runList(t, entry("./a", "TestRed")); err == nil {
-		t.Errorf("a failure beside a listed one did not decide\n%s", printed)
+		t.Errorf("run returned no error for a failure that is not listed\n%s", printed)
 	}
 }
 
@@ -229,7 +230,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			printed, err := m.runList(t, c.list)
 			if !errors.As(err, c.want) || !strings.HasPrefix(err.Error(), listFile+": ") {
-				t.Errorf("%v, want %T and the file's name\n%s", err, c.want, printed)
+				t.Errorf("error %v, want one of type %T that begins with the file's name\n%s", err, c.want, printed)
 			}
 		})
 	}
--- a/tools/knownred/list.go
+++ b/tools/knownred/list.go
@@ -7,19 +7,19 @@
 	"strings"
 )
 
-// knownFailure is an entry of the list: a test that fails for a real fault that is not mended yet.
+// knownFailure is an entry of the list: a test that fails because of a real fault that is not fixed yet.
 type knownFailure struct {
 	Package string // as go test takes it, "." or "./internal/x"
 	Test    string // the name of one test function
-	Command string // what was run, with its seed
-	Seen    string // what was seen
-	Issue   int    // the open issue, above 0
+	Command string // command that showed the failure, with its seed
+	Seen    string // result of that command
+	Issue   int    // number of the open issue, above 0
 }
 
-// listSyntaxError is a line of the list that is not in the list's form.
+// listSyntaxError reports a malformed line of the list.
 type listSyntaxError struct {
-	Line   int    // from 1
-	Field  string // the field that the line should have held; empty between two entries
+	Line   int    // counted from 1
+	Field  string // field that was expected in the line; empty between two entries
 	Reason string
 }
 
@@ -30,14 +30,14 @@
 	return fmt.Sprintf("line %d: %s: %s", e.Line, e.Field, e.Reason)
 }
 
-// field is a line of an entry: its key, and how its value is read. The reason of a value that is refused is returned;
-// it is empty when the value is in order.
+// field is a line of an entry: its key, and the function that reads its value into the entry. The function returns the
+// reason why it rejects a value, "" if it accepts it.
 type field struct {
 	key  string
 	read func(failure *knownFailure, value string) (reason string)
 }
 
-// fields are the lines of an entry, in their order.
+// fields are the lines of an entry, in order.
 var fields = []field{
 	{"test", readTest},
 	{"command", func(failure *knownFailure, value string) string { failure.Command = value; return "" }},
@@ -65,7 +65,8 @@
 	return ""
 }
 
-// parseList reads the list: entries of one line a field, parted by one empty line. Its error is a *listSyntaxError.
+// parseList reads the list. An entry has one line per field; one empty line separates two entries. An error is a
+// *listSyntaxError.
 func parseList(text string) ([]knownFailure, error) {
 	if text == "" {
 		return nil, nil
@@ -93,7 +94,7 @@
 	}
 }
 
-// parseEntry reads the entry that begins at an index of the lines.
+// parseEntry reads the entry that begins at lines[first]. An error is a *listSyntaxError.
 func parseEntry(lines []string, first int) (knownFailure, error) {
 	var failure knownFailure
 	for i, f := range fields {
@@ -113,7 +114,7 @@
 	return failure, nil
 }
 
-// isListed says whether the list has the test of an entry.
+// isListed reports whether the list has an entry for the same test.
 func isListed(list []knownFailure, failure knownFailure) bool {
 	for _, listed := range list {
 		if listed.Package == failure.Package && listed.Test == failure.Test {
@@ -123,7 +124,7 @@
 	return false
 }
 
-// skipPatterns is, for each package that has listed tests, the go test pattern that matches exactly these.
+// skipPatterns returns, for each package with listed tests, the go test pattern that matches exactly those tests.
 func skipPatterns(list []knownFailure) map[string]string {
 	names := map[string][]string{}
 	for _, failure := range list {
--- a/tools/knownred/main.go
+++ b/tools/knownred/main.go
@@ -1,6 +1,8 @@
-// Command knownred runs all tests of the module. Those that KNOWN-RED.txt lists run apart: each is printed with its
-// result, and does not decide. Every other failure does, and so does a list that is not in order. Its arguments are
-// go test's. Exit code 1: a test failed, or the list is not in order.
+// Command knownred runs all tests of the module. The tests that KNOWN-RED.txt lists run separately: the result of
+// each is printed, but does not affect the exit code. The arguments are flags of go test.
+//
+// The exit code is 1 if a test that is not listed fails, if the list is malformed or names a test that does not
+// exist, or if the go command fails.
 package main
 
 import (
@@ -14,6 +16,7 @@
 	"strings"
 )
 
+// listFile is the list of known failures, in the root of the module.
 const listFile = "KNOWN-RED.txt"
 
 func main() {
@@ -23,7 +26,7 @@
 	}
 }
 
-// run tests the module in a directory. A fault of the list is a *listSyntaxError or a *missingTestError.
+// run tests the module in dir. The error for a fault of the list wraps a *listSyntaxError or a *missingTestError.
 func run(dir string, flags []string, out io.Writer) error {
 	list, err := readList(dir)
 	if err != nil {
@@ -38,7 +41,7 @@
 	return runner.runOthers(skipPatterns(list))
 }
 
-// readList reads the list of a module; no file is an empty list.
+// readList reads the list of the module in dir. A module without the file has an empty list.
 func readList(dir string) ([]knownFailure, error) {
 	text, err := os.ReadFile(filepath.Join(dir, listFile))
 	if errors.Is(err, os.ErrNotExist) {
@@ -54,20 +57,20 @@
 	return list, nil
 }
 
-// missingTestError is an entry of the list whose test does not exist.
+// missingTestError reports an entry of the list whose test does not exist.
 type missingTestError struct {
 	Package string
 	Test    string
 }
 
 func (e *missingTestError) Error() string {
-	return fmt.Sprintf("there is no %s in %s", e.Test, e.Package)
+	return fmt.Sprintf("test %s does not exist in %s", e.Test, e.Package)
 }
 
-// testRunner calls the go command in a module.
+// testRunner runs the go command in a module.
 type testRunner struct {
 	dir   string
-	flags []string // of go test, for every call
+	flags []string // flags for every call of go test
 	out   io.Writer
 }
 
@@ -77,14 +80,15 @@
 	return cmd
 }
 
-// runKnown runs a listed test and prints its result. Its error is a *missingTestError.
+// runKnown runs a listed test and prints its result. A failure of the test is not an error. An error is a
+// *missingTestError.
 func (r testRunner) runKnown(failure knownFailure) error {
 	pattern := "^" + failure.Test + "$"
 	found, err := r.goCommand("test", "-list", pattern, failure.Package).Output()
 	if err != nil || !slices.Contains(strings.Split(string(found), "\n"), failure.Test) {
 		return &missingTestError{Package: failure.Package, Test: failure.Test}
 	}
-	result := "passes now: take it off the list"
+	result := "passes now: remove it from the list"
 	args := slices.Concat([]string{"test"}, r.flags, []string{"-run", pattern, failure.Package})
 	if err := r.goCommand(args...).Run(); err != nil {
 		result = "fails, as known"
@@ -93,7 +97,8 @@
 	return nil
 }
 
-// runOthers runs all tests but the listed ones, whose patterns it takes by package; their failures decide.
+// runOthers runs all tests except the listed ones and returns an error if one of them fails. skip has the patterns of
+// the listed tests by package.
 func (r testRunner) runOthers(skip map[string]string) error {
 	packages, err := r.listPackages("./...")
 	if err != nil {
@@ -114,7 +119,7 @@
 	return errors.Join(faults...)
 }
 
-// listPackages gives the import paths that a package pattern matches.
+// listPackages returns the import paths that a package pattern matches.
 func (r testRunner) listPackages(pattern string) ([]string, error) {
 	paths, err := r.goCommand("list", "-f", "{{.ImportPath}}", pattern).Output()
 	if err != nil {
@@ -123,6 +128,7 @@
 	return strings.Fields(string(paths)), nil
 }
 
+// runTests runs go test and copies its output to out.
 func (r testRunner) runTests(args ...string) error {
 	cmd := r.goCommand(slices.Concat([]string{"test"}, r.flags, args)...)
 	cmd.Stdout, cmd.Stderr = r.out, r.out
