--- a/internal/eventlog/log_test.go
+++ b/internal/eventlog/log_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// capture returns the output of the events that log writes.
-func capture(asJSON bool, log func()) string {
+// captureLog returns the output of the events that log writes.
+func captureLog(asJSON bool, log func()) string {
 	var out bytes.Buffer
 	SetOutput(&out, asJSON)
 	defer SetOutput(os.Stderr, false)
@@ -22,12 +22,12 @@
 }
 
 // After the burst, the log gets one line a second, however many events a second occur.
-func TestRateLimitedBoundsLines(t *testing.T) {
+func TestRateLimitedLogsOneLineASecondAfterBurst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		got := capture(false, func() {
-			var lines RateLimited
+		got := captureLog(false, func() {
+			var limited RateLimited
 			for range 1000 { // ten seconds
-				lines.Log(EndpointListInvalid, "x")
+				limited.Log(EndpointListInvalid, "x")
 				time.Sleep(10 * time.Millisecond)
 			}
 		})
@@ -44,7 +44,7 @@
 		EndpointListInvalid.Log(err)
 		QueryRejected.Log("platform", 400, "a\r\nb \"c\"")
 	}
-	text := capture(false, log)
+	text := captureLog(false, log)
 	for _, want := range []string{
 		`discovery: endpoint list invalid: event=endpoint_list_invalid err="one; event=stopped"`,
 		"front=platform status=400",
@@ -53,7 +53,7 @@
 			t.Errorf("got %q, want 2 lines that contain %q", text, want)
 		}
 	}
-	for _, line := range strings.Split(strings.TrimSpace(capture(true, log)), "\n") {
+	for _, line := range strings.Split(strings.TrimSpace(captureLog(true, log)), "\n") {
 		var v map[string]any
 		err := json.Unmarshal([]byte(line), &v)
 		if err != nil || v["event"] == nil || v["@level"] != "warn" || v["@module"] == "" {
@@ -74,7 +74,7 @@
 	if err := SetLevel("discovery", "error"); err != nil {
 		t.Fatal(err)
 	}
-	got := capture(false, func() {
+	got := captureLog(false, func() {
 		EndpointListInvalid.Log("x")
 		Stopped.Log()
 		RaftLogger().Info("talk")
@@ -85,7 +85,7 @@
 		Levels()["discovery"] != "error" {
 		t.Errorf("got %q, want stopped and the Raft warning only, and level error for discovery", got)
 	}
-	if err := SetLevel("all", "off"); err != nil || capture(false, func() { Failed.Log("x") }) != "" {
+	if err := SetLevel("all", "off"); err != nil || captureLog(false, func() { Failed.Log("x") }) != "" {
 		t.Errorf("level off: error %v, or a line was logged", err)
 	}
 }
--- a/internal/eventlog/oncall_renames_test.go
+++ b/internal/eventlog/oncall_renames_test.go
@@ -27,8 +27,9 @@
 // renameRow is a row of the table of renames.
 type renameRow struct{ kind, old, new string }
 
-// readPage returns docs/oncall.md in three parts: the text before the table of renames, the table, the text after it.
-func readPage(t *testing.T) (before, table, after string) {
+// readOncallPage returns docs/oncall.md in three parts: the text before the table of renames, the table, the text
+// after it.
+func readOncallPage(t *testing.T) (before, table, after string) {
 	t.Helper()
 	page, err := os.ReadFile(oncallPath())
 	if err != nil {
@@ -47,7 +48,7 @@
 // readRenames returns the rows of the table of renames, as a reader of the page sees them.
 func readRenames(t *testing.T) []renameRow {
 	t.Helper()
-	_, table, _ := readPage(t)
+	_, table, _ := readOncallPage(t)
 	var rows []renameRow
 	for line := range strings.Lines(strings.TrimPrefix(table, renamesHeader)) {
 		cells := strings.Split(strings.Trim(strings.TrimSpace(line), "|"), " | ")
@@ -134,7 +135,7 @@
 // The page has a row for each registered rename of an event, field, counter or outcome, and no other row. UPDATE_DOCS=1
 // writes the table.
 func TestOncallRenameTableMatchesRegistries(t *testing.T) {
-	before, table, after := readPage(t)
+	before, table, after := readOncallPage(t)
 	want := renamesHeader + eventlog.MarkdownRenames() + markdownCounterRenames() + markdownOutcomeRenames()
 	if os.Getenv("UPDATE_DOCS") != "" {
 		page := before + renamesBegin + want + renamesEnd + after
@@ -150,7 +151,7 @@
 }
 
 // The program uses every new name in the table and none of the old ones, and no old name has two rows of one kind.
-func TestRenamesLeadToRegisteredNames(t *testing.T) {
+func TestRenameTableHasPresentNames(t *testing.T) {
 	literals := sourceStrings(t)
 	seen := map[renameRow]bool{}
 	for _, row := range readRenames(t) {
@@ -170,7 +171,7 @@
 
 func checkRow(t *testing.T, row renameRow, literals map[string]bool) {
 	t.Helper()
-	ofEvent, isField := strings.CutPrefix(row.kind, "field of ")
+	event, isField := strings.CutPrefix(row.kind, "field of ")
 	switch {
 	case row.kind == "event":
 		if eventByName(strings.TrimPrefix(row.new, "event=")) == nil {
@@ -180,15 +181,15 @@
 			t.Errorf("old name %s is still registered", row.old)
 		}
 	case isField:
-		e := eventByName(strings.TrimPrefix(strings.Trim(ofEvent, "`"), "event="))
+		e := eventByName(strings.TrimPrefix(strings.Trim(event, "`"), "event="))
 		if e == nil {
-			t.Fatalf("%s is not registered", ofEvent)
+			t.Fatalf("%s is not registered", event)
 		}
 		if !slices.Contains(e.Fields, strings.TrimSuffix(row.new, "=")) {
-			t.Errorf("%s has no field %s", ofEvent, row.new)
+			t.Errorf("%s has no field %s", event, row.new)
 		}
 		if slices.Contains(e.Fields, strings.TrimSuffix(row.old, "=")) {
-			t.Errorf("%s still has a field %s", ofEvent, row.old)
+			t.Errorf("%s still has a field %s", event, row.old)
 		}
 	case row.kind == "counter" || row.kind == "counters that begin with":
 		if !literals[row.new] {
@@ -226,7 +227,7 @@
 			if !slices.Equal(fields, e.Fields) {
 				t.Errorf("the table leads to the fields %v, want the line's fields %v", fields, e.Fields)
 			}
-			if line := logged(e); !strings.Contains(line+" ", " "+pattern+" ") {
+			if line := textLine(e); !strings.Contains(line+" ", " "+pattern+" ") {
 				t.Errorf("line = %q, want it to contain %s", line, pattern)
 			}
 		})
@@ -238,8 +239,8 @@
 	}
 }
 
-// logged returns the line that the event writes as text, without the line break.
-func logged(e *eventlog.Event) string {
+// textLine returns the line that the event writes as text, without the line break.
+func textLine(e *eventlog.Event) string {
 	var out bytes.Buffer
 	eventlog.SetOutput(&out, false)
 	defer eventlog.SetOutput(os.Stderr, false)
@@ -255,15 +256,15 @@
 // outcome has taken it over and has a row that says so.
 func checkOutcomeRow(t *testing.T, row renameRow) {
 	t.Helper()
-	words := map[string]bool{}
+	names := map[string]bool{}
 	for o := range outcome.Count {
-		words[outcome.Outcome(o).String()] = true
+		names[outcome.Outcome(o).String()] = true
 	}
-	if !words[row.new] {
+	if !names[row.new] {
 		t.Errorf("new name %s is not that of an outcome", row.new)
 	}
-	passedOn := slices.ContainsFunc(outcomeRenames, func(r outcomeRename) bool { return r.New == row.old })
-	if words[row.old] && !passedOn {
+	reused := slices.ContainsFunc(outcomeRenames, func(r outcomeRename) bool { return r.New == row.old })
+	if names[row.old] && !reused {
 		t.Errorf("old name %s is still that of an outcome", row.old)
 	}
 }
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -23,7 +23,7 @@
 // Read returns the contents of a golden file. It ends the test if the file can't be read.
 func Read(t testing.TB, name string) []byte {
 	t.Helper()
-	data, err := os.ReadFile(path(name))
+	data, err := os.ReadFile(goldenPath(name))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,7 +34,7 @@
 func Bytes(t testing.TB, name string, got []byte) {
 	t.Helper()
 	if *update {
-		write(t, name, got)
+		writeGolden(t, name, got)
 	}
 	if want := Read(t, name); !bytes.Equal(got, want) {
 		t.Errorf("%s differs:\ngot  %q\nwant %q", name, got, want)
@@ -80,14 +80,14 @@
 	}
 }
 
-func path(name string) string { return filepath.Join("testdata", "wire", name) }
+func goldenPath(name string) string { return filepath.Join("testdata", "wire", name) }
 
-func write(t testing.TB, name string, data []byte) {
+func writeGolden(t testing.TB, name string, data []byte) {
 	t.Helper()
-	if err := os.MkdirAll(filepath.Dir(path(name)), 0o755); err != nil {
+	if err := os.MkdirAll(filepath.Dir(goldenPath(name)), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(path(name), data, 0o644); err != nil {
+	if err := os.WriteFile(goldenPath(name), data, 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -103,7 +103,7 @@
 
 // unset reports the unset fields of v, which is the field of that name. Types that encode themselves are not searched.
 // enclosing holds the struct types of the values around v.
-func unset(name string, v reflect.Value, outer map[reflect.Type]bool, report func(string)) {
+func unset(name string, v reflect.Value, enclosing map[reflect.Type]bool, report func(string)) {
 	if !v.IsValid() || v.IsZero() {
 		report(name)
 		return
@@ -114,29 +114,30 @@
 	}
 	switch v.Kind() {
 	case reflect.Pointer, reflect.Interface:
-		unset(name, v.Elem(), outer, report)
+		unset(name, v.Elem(), enclosing, report)
 	case reflect.Struct:
-		if outer[v.Type()] { // recursive type: its fields are checked in the outermost value
+		if enclosing[v.Type()] { // recursive type: its fields are checked in the outermost value
 			return
 		}
-		outer[v.Type()] = true
+		enclosing[v.Type()] = true
 		for i := range v.NumField() {
 			f := v.Type().Field(i)
 			if f.IsExported() && f.Tag.Get("json") != "-" {
-				unset(strings.TrimPrefix(name+"."+f.Name, "."), v.Field(i), outer, report)
+				unset(strings.TrimPrefix(name+"."+f.Name, "."), v.Field(i), enclosing, report)
 			}
 		}
-		delete(outer, v.Type())
+		delete(enclosing, v.Type())
 	case reflect.Slice, reflect.Array:
-		elements(name, v.Len(), v.Index, outer, report)
+		unsetInElements(name, v.Len(), v.Index, enclosing, report)
 	case reflect.Map:
 		keys := v.MapKeys()
-		elements(name, len(keys), func(i int) reflect.Value { return v.MapIndex(keys[i]) }, outer, report)
+		unsetInElements(name, len(keys), func(i int) reflect.Value { return v.MapIndex(keys[i]) }, enclosing, report)
 	}
 }
 
-// elements reports the fields that none of the n elements of a list or map has set. at returns the i-th element.
-func elements(name string, n int, at func(int) reflect.Value, outer map[reflect.Type]bool, report func(string)) {
+// unsetInElements reports the fields that none of the n unsetInElements of a list or map has set. at returns the i-th
+// element.
+func unsetInElements(name string, n int, at func(int) reflect.Value, enclosing map[reflect.Type]bool, report func(string)) {
 	if n == 0 {
 		report(name)
 		return
@@ -146,7 +147,7 @@
 	}
 	missing := map[string]int{}
 	for i := range n {
-		unset(fmt.Sprintf("%s[]", name), at(i), outer, func(field string) { missing[field]++ })
+		unset(fmt.Sprintf("%s[]", name), at(i), enclosing, func(field string) { missing[field]++ })
 	}
 	for field, count := range missing {
 		if count == n {
--- a/internal/metrics/counters_test.go
+++ b/internal/metrics/counters_test.go
@@ -6,18 +6,18 @@
 )
 
 func TestCountersSumConcurrentAdds(t *testing.T) {
-	s := NewCounters()
+	counters := NewCounters()
 	var wg sync.WaitGroup
 	for range 8 {
 		wg.Go(func() {
 			for range 100 {
-				s.Add("sent", 2)
+				counters.Add("sent", 2)
 			}
 		})
 	}
 	wg.Wait()
-	s.Add("answered", 1)
-	if got := s.String(); got != "answered=1 sent=1600" {
+	counters.Add("answered", 1)
+	if got := counters.String(); got != "answered=1 sent=1600" {
 		t.Errorf("String() = %q, want answered=1 sent=1600", got)
 	}
 }
--- a/internal/schema/line_numbers_test.go
+++ b/internal/schema/line_numbers_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestLineNumbers(t *testing.T) {
+func TestParseLineNumbers(t *testing.T) {
 	lines := ParseLineNumbers(`on = true
 # on = false
 on = false
--- a/internal/schema/read_test.go
+++ b/internal/schema/read_test.go
@@ -102,7 +102,7 @@
 }
 
 // A text that is not TOML gives one error with its line, and never a panic.
-func TestReadInvalidTOML(t *testing.T) {
+func TestReadReportsOneErrorForInvalidTOML(t *testing.T) {
 	_, errs := table.Read("f", "on = true\n[pace\nwait = 5")
 	if len(errs) != 1 || errs[0].Line < 2 {
 		t.Errorf("errors = %v, want one at line 2 or later", errs)
--- a/internal/schema/table_test.go
+++ b/internal/schema/table_test.go
@@ -19,7 +19,7 @@
 	{Name: "rest", Type: Opaque},
 }
 
-func TestDefaultsAndChanges(t *testing.T) {
+func TestTableDefaultsAndChanges(t *testing.T) {
 	t.Run("default of a duration", func(t *testing.T) {
 		if got := table.Duration("pace.wait", ""); got != time.Second {
 			t.Errorf("Duration = %v, want 1s", got)
--- a/internal/settings/golden_keys_test.go
+++ b/internal/settings/golden_keys_test.go
@@ -15,7 +15,7 @@
 // The golden files set every field. Otherwise a field's key could be renamed without a failing test.
 func TestGoldenSettingsSetEveryField(t *testing.T) {
 	set := goldenSettings()
-	for _, v := range []any{set, goldenHost(), set.Tenants[0]} {
+	for _, v := range []any{set, goldenProgramSettings(), set.Tenants[0]} {
 		value := reflect.ValueOf(v)
 		for i := range value.NumField() {
 			if value.Field(i).IsZero() {
@@ -79,11 +79,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set, host, err := ParseJSON(changed)
+	set, program, err := ParseJSON(changed)
 	if value == false {
 		return // a missing bool is read as false, so that the settings stay the same
 	}
-	if err == nil && reflect.DeepEqual(set, goldenSettings()) && reflect.DeepEqual(host, goldenHost()) {
+	if err == nil && reflect.DeepEqual(set, goldenSettings()) && reflect.DeepEqual(program, goldenProgramSettings()) {
 		t.Errorf("renaming %s changes no setting and gives no error", path)
 	}
 }
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -21,15 +21,15 @@
 }
 
 func TestPlatformSettingsGolden(t *testing.T) {
-	set, host, err := ParseJSON(readGolden(t, "platform.json"))
+	set, program, err := ParseJSON(readGolden(t, "platform.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if want := goldenSettings(); !reflect.DeepEqual(set, want) {
 		t.Errorf("settings\ngot  %+v\nwant %+v", set, want)
 	}
-	if want := goldenHost(); !reflect.DeepEqual(host, want) {
-		t.Errorf("host\ngot  %+v\nwant %+v", host, want)
+	if want := goldenProgramSettings(); !reflect.DeepEqual(program, want) {
+		t.Errorf("program settings\ngot  %+v\nwant %+v", program, want)
 	}
 }
 
@@ -79,11 +79,11 @@
 			if strings.Count(golden, c.old) != 1 {
 				t.Fatalf("the golden object has %q %d times, want once", c.old, strings.Count(golden, c.old))
 			}
-			set, host, err := ParseJSON([]byte(strings.Replace(golden, c.old, c.new, 1)))
-			wantSet, wantHost := goldenSettings(), goldenHost()
-			c.change(&wantSet, &wantHost)
-			if err != nil || !reflect.DeepEqual(set, wantSet) || !reflect.DeepEqual(host, wantHost) {
-				t.Errorf("got  %+v %+v, %v\nwant %+v %+v", set, host, err, wantSet, wantHost)
+			set, program, err := ParseJSON([]byte(strings.Replace(golden, c.old, c.new, 1)))
+			wantSet, wantProgram := goldenSettings(), goldenProgramSettings()
+			c.change(&wantSet, &wantProgram)
+			if err != nil || !reflect.DeepEqual(set, wantSet) || !reflect.DeepEqual(program, wantProgram) {
+				t.Errorf("got  %+v %+v, %v\nwant %+v %+v", set, program, err, wantSet, wantProgram)
 			}
 		})
 	}
--- a/internal/settings/golden_values_test.go
+++ b/internal/settings/golden_values_test.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// goldenHost returns the Host of testdata/platform.json.
-func goldenHost() Host {
+// goldenProgramSettings returns the Host of testdata/platform.json.
+func goldenProgramSettings() Host {
 	return Host{
 		Zones:          []string{"ebene", "port_louis"},
 		Kinds:          []string{"std-2core", "big__8core"},
--- a/internal/settings/host.go
+++ b/internal/settings/host.go
@@ -12,8 +12,8 @@
 	Keepalive             time.Duration // the other side closes a connection that is idle for this long
 }
 
-// host reads the settings that the program needs outside the router.
-func (r *reader) host() Host {
+// programSettings reads the settings that the program needs outside the router.
+func (r *reader) programSettings() Host {
 	h := Host{
 		Zones:          r.names("dcs"),
 		Kinds:          r.names("kinds"),
@@ -22,11 +22,11 @@
 		ConnectTimeout: r.milliseconds("bounds.connect_timeout"),
 		Keepalive:      r.milliseconds("bounds.keepalive"),
 	}
-	for i := range r.count("request_classes") {
-		h.Classes = append(h.Classes, r.values[item("request_classes", i, "name")])
+	for i := range r.listLength("request_classes") {
+		h.Classes = append(h.Classes, r.values[itemKey("request_classes", i, "name")])
 	}
 	for i := range r.tenantCount() {
-		h.Tenants = append(h.Tenants, r.values[item("tenants", i, "name")])
+		h.Tenants = append(h.Tenants, r.values[itemKey("tenants", i, "name")])
 	}
 	return h
 }
--- a/internal/settings/module.go
+++ b/internal/settings/module.go
@@ -6,8 +6,8 @@
 	"linkpass/internal/routing"
 )
 
-// effects maps the values of a class's setting idempotency.
-var effects = map[string]routing.Idempotency{
+// idempotencies maps the values of a class's setting idempotency.
+var idempotencies = map[string]routing.Idempotency{
 	"free":        routing.Idempotent,
 	"guarded":     routing.IdempotentWithKey,
 	"single_shot": routing.NonIdempotent,
@@ -24,8 +24,8 @@
 	"err_rps": routing.FieldErrorRate,
 }
 
-// module reads the settings of the router. Unknown keys are ignored, because the platform may add some.
-func (r *reader) module() routing.Settings {
+// routerSettings reads the settings of the router. Unknown keys are ignored, because the platform may add some.
+func (r *reader) routerSettings() routing.Settings {
 	out := routing.Settings{
 		Tick:                  r.milliseconds("tick"),
 		Coordinators:          int(r.required("peers_total")),
@@ -41,8 +41,8 @@
 	out.Classes = r.classes()
 	for i := range r.tenantCount() {
 		out.Tenants = append(out.Tenants, routing.Tenant{
-			QuotaPerSecond: r.number(item("tenants", i, "quota_per_s")),
-			Share:          r.number(item("tenants", i, "share")),
+			QuotaPerSecond: r.number(itemKey("tenants", i, "quota_per_s")),
+			Share:          r.number(itemKey("tenants", i, "share")),
 		})
 	}
 	for _, name := range r.names("report.fields") {
@@ -89,35 +89,35 @@
 // class.
 func (r *reader) classes() []routing.Class {
 	const list = "request_classes"
-	n := r.count(list)
-	needs := r.numbers("extra.class_need", n, 1)
-	floors := r.numbers("extra.least_share", n, 1)
-	partials := r.numbers("extra.partial_earns", n, 0)
-	fetches := r.numbers("extra.class_fetch", n, 0)
+	n := r.listLength(list)
+	requiredWeights := r.numbers("extra.class_need", n, 1)
+	minWeights := r.numbers("extra.least_share", n, 1)
+	partialValues := r.numbers("extra.partial_earns", n, 0)
+	fetchParts := r.numbers("extra.class_fetch", n, 0)
 	var out []routing.Class
 	for i := range n {
 		out = append(out, routing.Class{
-			LatencyObjective:  FromMilliseconds(r.required(item(list, i, "aim"))),
-			Deadline:          FromMilliseconds(r.required(item(list, i, "hard_limit"))),
-			IdempotencyWindow: r.milliseconds(item(list, i, "dedup_window")),
-			PriorityWeight:    r.number(item(list, i, "importance")),
-			LateValue:         r.number(item(list, i, "late_share")),
-			RequiredWeight:    needs[i],
-			MinWeight:         floors[i],
-			PartialValue:      partials[i],
-			FetchParts:        int(fetches[i]),
-			Stream:            r.flag(item(list, i, "stream")),
-			Idempotency:       r.effect(item(list, i, "idempotency")),
+			LatencyObjective:  FromMilliseconds(r.required(itemKey(list, i, "aim"))),
+			Deadline:          FromMilliseconds(r.required(itemKey(list, i, "hard_limit"))),
+			IdempotencyWindow: r.milliseconds(itemKey(list, i, "dedup_window")),
+			PriorityWeight:    r.number(itemKey(list, i, "importance")),
+			LateValue:         r.number(itemKey(list, i, "late_share")),
+			RequiredWeight:    requiredWeights[i],
+			MinWeight:         minWeights[i],
+			PartialValue:      partialValues[i],
+			FetchParts:        int(fetchParts[i]),
+			Stream:            r.flag(itemKey(list, i, "stream")),
+			Idempotency:       r.idempotency(itemKey(list, i, "idempotency")),
 		})
 	}
 	return out
 }
 
-// effect reads whether a query may be run more than once.
-func (r *reader) effect(key string) routing.Idempotency {
-	effect, ok := effects[r.values[key]]
+// idempotency reads whether a query may be run more than once.
+func (r *reader) idempotency(key string) routing.Idempotency {
+	value, ok := idempotencies[r.values[key]]
 	if !ok {
 		r.fail(key, fmt.Errorf("unknown value %q", r.values[key]))
 	}
-	return effect
+	return value
 }
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -57,10 +57,10 @@
 func (r *reader) flag(key string) bool { return r.values[key] == "true" }
 
 // numbers returns n numbers from a comma-separated list. Missing ones get the default; those beyond n are dropped.
-func (r *reader) numbers(key string, n int, byDefault float64) []float64 {
+func (r *reader) numbers(key string, n int, defaultValue float64) []float64 {
 	out := make([]float64, n)
 	for i := range out {
-		out[i] = byDefault
+		out[i] = defaultValue
 	}
 	for i, item := range r.names(key) {
 		v := r.parse(key, item)
@@ -79,8 +79,8 @@
 	return strings.Split(r.values[key], ",")
 }
 
-// count returns the length of a list of objects.
-func (r *reader) count(list string) int {
+// listLength returns the length of a list of objects.
+func (r *reader) listLength(list string) int {
 	key := list + ".count"
 	n := r.required(key)
 	if n < 0 || n > maxListLength || n != float64(int(n)) {
@@ -99,7 +99,7 @@
 	return int(r.number("tenants.count"))
 }
 
-// item returns the key of a field in the i-th object of a list.
-func item(list string, i int, field string) string {
+// itemKey returns the key of a field in the i-th object of a list.
+func itemKey(list string, i int, field string) string {
 	return list + "." + strconv.Itoa(i) + "." + field
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -31,7 +31,7 @@
 		values[key] = value
 	}
 	r := &reader{values: values}
-	return r.module(), r.err
+	return r.routerSettings(), r.err
 }
 
 // ParseJSON reads the platform's nested object. An error of a key is a *KeyError.
@@ -41,9 +41,9 @@
 		return routing.Settings{}, Host{}, fmt.Errorf("settings: %w", err)
 	}
 	r := &reader{values: flatten(tree)}
-	module, host := r.module(), r.host()
-	module.MaxWriteDelay = host.ConnectTimeout // an attempt may have to wait for a connection
-	return module, host, r.err
+	router, program := r.routerSettings(), r.programSettings()
+	router.MaxWriteDelay = program.ConnectTimeout // an attempt may have to wait for a connection
+	return router, program, r.err
 }
 
 // maxMilliseconds is about 31 years, the longest time that FromMilliseconds returns.
--- a/tools/knownred/knownred_test.go
+++ b/tools/knownred/knownred_test.go
@@ -25,11 +25,11 @@
 		want       []knownFailure
 	}{
 		{"empty list", "", nil},
-		{"one entry", first, []knownFailure{failure("./a", "TestA")}},
-		{"no line break at the end", strings.TrimSuffix(first, "\n"), []knownFailure{failure("./a", "TestA")}},
-		{"same test name in two packages", first + "\n" + entry("./a/b", "TestA"),
+		{"one entry", firstEntry, []knownFailure{failure("./a", "TestA")}},
+		{"no line break at the end", strings.TrimSuffix(firstEntry, "\n"), []knownFailure{failure("./a", "TestA")}},
+		{"same test name in two packages", firstEntry + "\n" + entry("./a/b", "TestA"),
 			[]knownFailure{failure("./a", "TestA"), failure("./a/b", "TestA")}},
-		{"five entries", first + "\n" + entry(".", "TestA") + "\n" + entry("./a", "TestB") + "\n" + entry("./b", "TestC") + "\n" + entry("./a", "TestD"),
+		{"five entries", firstEntry + "\n" + entry(".", "TestA") + "\n" + entry("./a", "TestB") + "\n" + entry("./b", "TestC") + "\n" + entry("./a", "TestD"),
 			[]knownFailure{failure("./a", "TestA"), failure(".", "TestA"), failure("./a", "TestB"), failure("./b", "TestC"), failure("./a", "TestD")}},
 		{"colons and signs in a value", "test: . TestA\ncommand: go test -run '^TestA$' . # seed: 9\nseen: got: 2, want: 4\nissue: 12\n",
 			[]knownFailure{{Package: ".", Test: "TestA", Command: "go test -run '^TestA$' . # seed: 9", Seen: "got: 2, want: 4", Issue: 12}}},
@@ -44,11 +44,11 @@
 	}
 }
 
-// first is the first entry of the lists in the cases.
-var first = entry("./a", "TestA")
+// firstEntry is the firstEntry entry of the lists in the cases.
+var firstEntry = entry("./a", "TestA")
 
-// change returns the entry first with the first occurrence of from replaced by to.
-func change(from, to string) string { return strings.Replace(first, from, to, 1) }
+// changedEntry returns firstEntry with the first occurrence of from replaced by to.
+func changedEntry(from, to string) string { return strings.Replace(firstEntry, from, to, 1) }
 
 // malformedLists have one malformed line each. The error must have its line and field.
 var malformedLists = []struct {
@@ -56,43 +56,43 @@
 	line       int
 	field      string
 }{
-	{"same test twice", first + "\n" + first, 6, "test"},
-	{"same test twice, not in turn", first + "\n" + entry("./b", "TestB") + "\n" + first, 11, "test"},
+	{"same test twice", firstEntry + "\n" + firstEntry, 6, "test"},
+	{"same test twice, not in turn", firstEntry + "\n" + entry("./b", "TestB") + "\n" + firstEntry, 11, "test"},
 	{"empty line alone", "\n", 1, "test"},
-	{"empty line first", "\n" + first, 1, "test"},
-	{"empty line at the end", first + "\n", 6, "test"},
-	{"two empty lines between entries", first + "\n\n" + entry("./b", "TestB"), 6, "test"},
-	{"no empty line between entries", first + entry("./b", "TestB"), 5, ""},
-	{"space in place of the empty line", first + " \n" + entry("./b", "TestB"), 5, ""},
-	{"remark before an entry", "# a remark\n" + first, 1, "test"},
-	{"remark after an entry", first + "# a remark\n", 5, ""},
-	{"further field", first + "owner: me\n", 5, ""},
-	{"field given twice", change("seen: ", "command: "), 3, "seen"},
-	{"fields in another order", change("test: ./a TestA\ncommand: SEED=3 go test ./a\n", "command: SEED=3 go test ./a\ntest: ./a TestA\n"), 1, "test"},
+	{"empty line first", "\n" + firstEntry, 1, "test"},
+	{"empty line at the end", firstEntry + "\n", 6, "test"},
+	{"two empty lines between entries", firstEntry + "\n\n" + entry("./b", "TestB"), 6, "test"},
+	{"no empty line between entries", firstEntry + entry("./b", "TestB"), 5, ""},
+	{"space in place of the empty line", firstEntry + " \n" + entry("./b", "TestB"), 5, ""},
+	{"remark before an entry", "# a remark\n" + firstEntry, 1, "test"},
+	{"remark after an entry", firstEntry + "# a remark\n", 5, ""},
+	{"further field", firstEntry + "owner: me\n", 5, ""},
+	{"field given twice", changedEntry("seen: ", "command: "), 3, "seen"},
+	{"fields in another order", changedEntry("test: ./a TestA\ncommand: SEED=3 go test ./a\n", "command: SEED=3 go test ./a\ntest: ./a TestA\n"), 1, "test"},
 	{"form of the release before", "./a TestA: it is so (issue 7)\n", 1, "test"},
-	{"no test", change("test: ./a TestA\n", ""), 1, "test"},
-	{"no package", change("./a TestA", "TestA"), 1, "test"},
-	{"package without ./", change("./a TestA", "a TestA"), 1, "test"},
-	{"no test name", change("./a TestA", "./a"), 1, "test"},
-	{"benchmark", change("TestA", "BenchmarkA"), 1, "test"},
-	{"two tests in one entry", change("TestA", "TestA|TestB"), 1, "test"},
-	{"pattern for a test name", change("TestA", "Test.*"), 1, "test"},
-	{"no command", change("command: SEED=3 go test ./a\n", ""), 2, "command"},
-	{"empty command", change("SEED=3 go test ./a", ""), 2, "command"},
-	{"space for a command", change("SEED=3 go test ./a", " "), 2, "command"},
-	{"no seen", change("seen: 2 of 4 answers\n", ""), 3, "seen"},
-	{"empty seen", change("2 of 4 answers", ""), 3, "seen"},
-	{"seen on two lines", change("2 of 4", "2\nof 4"), 4, "issue"},
-	{"space at the end of seen", change("answers", "answers "), 3, "seen"},
-	{"no space after the colon", change("seen: ", "seen:"), 3, "seen"},
-	{"line ends of another system", strings.ReplaceAll(first, "\n", "\r\n"), 1, "test"},
-	{"no issue", change("issue: 7\n", ""), 4, "issue"},
-	{"no issue before a next entry", change("issue: 7\n", "") + "\n" + entry("./b", "TestB"), 4, "issue"},
-	{"empty issue", change("issue: 7", "issue: "), 4, "issue"},
-	{"issue in words", change("issue: 7", "issue: seven"), 4, "issue"},
-	{"issue with a sign", change("issue: 7", "issue: +7"), 4, "issue"},
-	{"issue of 0", change("issue: 7", "issue: 0"), 4, "issue"},
-	{"issue of a second entry", first + "\n" + strings.Replace(entry("./b", "TestB"), "7", "-7", 1), 9, "issue"},
+	{"no test", changedEntry("test: ./a TestA\n", ""), 1, "test"},
+	{"no package", changedEntry("./a TestA", "TestA"), 1, "test"},
+	{"package without ./", changedEntry("./a TestA", "a TestA"), 1, "test"},
+	{"no test name", changedEntry("./a TestA", "./a"), 1, "test"},
+	{"benchmark", changedEntry("TestA", "BenchmarkA"), 1, "test"},
+	{"two tests in one entry", changedEntry("TestA", "TestA|TestB"), 1, "test"},
+	{"pattern for a test name", changedEntry("TestA", "Test.*"), 1, "test"},
+	{"no command", changedEntry("command: SEED=3 go test ./a\n", ""), 2, "command"},
+	{"empty command", changedEntry("SEED=3 go test ./a", ""), 2, "command"},
+	{"space for a command", changedEntry("SEED=3 go test ./a", " "), 2, "command"},
+	{"no seen", changedEntry("seen: 2 of 4 answers\n", ""), 3, "seen"},
+	{"empty seen", changedEntry("2 of 4 answers", ""), 3, "seen"},
+	{"seen on two lines", changedEntry("2 of 4", "2\nof 4"), 4, "issue"},
+	{"space at the end of seen", changedEntry("answers", "answers "), 3, "seen"},
+	{"no space after the colon", changedEntry("seen: ", "seen:"), 3, "seen"},
+	{"line ends of another system", strings.ReplaceAll(firstEntry, "\n", "\r\n"), 1, "test"},
+	{"no issue", changedEntry("issue: 7\n", ""), 4, "issue"},
+	{"no issue before a next entry", changedEntry("issue: 7\n", "") + "\n" + entry("./b", "TestB"), 4, "issue"},
+	{"empty issue", changedEntry("issue: 7", "issue: "), 4, "issue"},
+	{"issue in words", changedEntry("issue: 7", "issue: seven"), 4, "issue"},
+	{"issue with a sign", changedEntry("issue: 7", "issue: +7"), 4, "issue"},
+	{"issue of 0", changedEntry("issue: 7", "issue: 0"), 4, "issue"},
+	{"issue of a second entry", firstEntry + "\n" + strings.Replace(entry("./b", "TestB"), "7", "-7", 1), 9, "issue"},
 }
 
 func TestParseListRejectsMalformedLine(t *testing.T) {
@@ -167,7 +167,7 @@
 
 // Listed tests run and are printed, but do not affect the result. Every other test does, including a test of the same
 // name in another package.
-func TestRunPassesOverListedFailuresAlone(t *testing.T) {
+func TestRunIgnoresOnlyListedFailures(t *testing.T) {
 	m := newTestModule(t)
 	m.addTest(t, "a", "TestRed", `panic("t")`)
 	m.addTest(t, "a", "TestGreen", "")
@@ -205,7 +205,7 @@
 	}
 }
 
-func TestRunFailsBesideListedFailure(t *testing.T) {
+func TestRunFailsOnUnlistedFailureBesideListedOne(t *testing.T) {
 	m := newTestModule(t)
 	m.addTest(t, "a", "TestRed", "t.Fail()")
 	m.addTest(t, "a", "TestOther", "t.Fail()")
@@ -214,7 +214,7 @@
 	}
 }
 
-func TestRunFailsOnFaultOfList(t *testing.T) {
+func TestRunRejectsInvalidList(t *testing.T) {
 	m := newTestModule(t)
 	m.addTest(t, "a", "TestRed", "t.Fail()")
 	cases := []struct {
--- a/tools/knownred/list.go
+++ b/tools/knownred/list.go
@@ -45,10 +45,10 @@
 	{"issue", readIssue},
 }
 
-var testForm = regexp.MustCompile(`^(\./\S+|\.) (Test\w+)$`)
+var testValuePattern = regexp.MustCompile(`^(\./\S+|\.) (Test\w+)$`)
 
 func readTest(failure *knownFailure, value string) string {
-	match := testForm.FindStringSubmatch(value)
+	match := testValuePattern.FindStringSubmatch(value)
 	if match == nil {
 		return fmt.Sprintf("want «./PACKAGE TestNAME», not %q", value)
 	}
--- a/tools/knownred/main.go
+++ b/tools/knownred/main.go
@@ -34,11 +34,11 @@
 	}
 	runner := testRunner{dir: dir, flags: flags, out: out}
 	for _, failure := range list {
-		if err := runner.runKnown(failure); err != nil {
+		if err := runner.runListed(failure); err != nil {
 			return fmt.Errorf("%s: %w", listFile, err)
 		}
 	}
-	return runner.runOthers(skipPatterns(list))
+	return runner.runUnlisted(skipPatterns(list))
 }
 
 // readList reads the list of the module in dir. A module without the file has an empty list.
@@ -80,9 +80,9 @@
 	return cmd
 }
 
-// runKnown runs a listed test and prints its result. A failure of the test is not an error. An error is a
+// runListed runs a listed test and prints its result. A failure of the test is not an error. An error is a
 // *missingTestError.
-func (r testRunner) runKnown(failure knownFailure) error {
+func (r testRunner) runListed(failure knownFailure) error {
 	pattern := "^" + failure.Test + "$"
 	found, err := r.goCommand("test", "-list", pattern, failure.Package).Output()
 	if err != nil || !slices.Contains(strings.Split(string(found), "\n"), failure.Test) {
@@ -97,9 +97,9 @@
 	return nil
 }
 
-// runOthers runs all tests except the listed ones and returns an error if one of them fails. skip has the patterns of
+// runUnlisted runs all tests except the listed ones and returns an error if one of them fails. skip has the patterns of
 // the listed tests by package.
-func (r testRunner) runOthers(skip map[string]string) error {
+func (r testRunner) runUnlisted(skip map[string]string) error {
 	packages, err := r.listPackages("./...")
 	if err != nil {
 		return err
