--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -23,7 +23,7 @@
 	cores                   float64 // limit; 0: the platform sets none
 	initialEndpoints        discovery.EndpointList
 	routingSettings         routing.Settings
-	host                    settings.Host
+	host                    settings.ProgramSettings
 	Search                  SearchConfig
 
 	fileDiscovery string              // the file's discovery address, whether the environment overrides it or not
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -45,28 +45,28 @@
 // goldenVariant replaces the text old of the golden object with new; change is the effect on the settings.
 type goldenVariant struct {
 	name, old, new string
-	change         func(*routing.Settings, *Host)
+	change         func(*routing.Settings, *ProgramSettings)
 }
 
 // goldenVariants returns the variants. tenants is the text of the golden object's tenants.
 func goldenVariants(tenants string) []goldenVariant {
-	withoutTenants := func(s *routing.Settings, h *Host) { s.Tenants, h.Tenants = nil, nil }
+	withoutTenants := func(s *routing.Settings, h *ProgramSettings) { s.Tenants, h.Tenants = nil, nil }
 	return []goldenVariant{
-		{"nominal weights", `"rough"`, `"nominal"`, func(*routing.Settings, *Host) {}},
-		{"weights without sizes", `"rough"`, `"none"`, func(s *routing.Settings, _ *Host) { s.WeightsAreCapacities = false }},
-		{"polled list", `"subscribe"`, `"poll"`, func(s *routing.Settings, _ *Host) { s.SubscribesToEndpoints = false }},
+		{"nominal weights", `"rough"`, `"nominal"`, func(*routing.Settings, *ProgramSettings) {}},
+		{"weights without sizes", `"rough"`, `"none"`, func(s *routing.Settings, _ *ProgramSettings) { s.WeightsAreCapacities = false }},
+		{"polled list", `"subscribe"`, `"poll"`, func(s *routing.Settings, _ *ProgramSettings) { s.SubscribesToEndpoints = false }},
 		{"no tenants", tenants, `"tenants": [],`, withoutTenants},
 		{"tenants that are no objects", tenants,
 			`"tenants": ["none"], "tenants.count": 1, "tenants.0.name": "north",`, withoutTenants},
 		{"no report", `["cpu", "active", "novelty", "waiting", "avg_ms", "rps", "err_rps"]`, `[]`,
-			func(s *routing.Settings, h *Host) { s.ReportFields, h.ReportNames = nil, nil }},
-		{"no weights of classes", `"class_need"`, `"old_class_need"`, func(s *routing.Settings, _ *Host) {
+			func(s *routing.Settings, h *ProgramSettings) { s.ReportFields, h.ReportNames = nil, nil }},
+		{"no weights of classes", `"class_need"`, `"old_class_need"`, func(s *routing.Settings, _ *ProgramSettings) {
 			for i := range s.Classes {
 				s.Classes[i].RequiredWeight = 1
 			}
 		}},
 		{"null for a number", `"max_open": 5000`, `"max_open": null`,
-			func(s *routing.Settings, _ *Host) { s.MaxOpen = 0 }},
+			func(s *routing.Settings, _ *ProgramSettings) { s.MaxOpen = 0 }},
 	}
 }
 
--- a/internal/settings/golden_values_test.go
+++ b/internal/settings/golden_values_test.go
@@ -99,8 +99,8 @@
 }
 
 // goldenProgramSettings returns the Host of testdata/platform.json.
-func goldenProgramSettings() Host {
-	return Host{
+func goldenProgramSettings() ProgramSettings {
+	return ProgramSettings{
 		Zones:          []string{"ebene", "port_louis"},
 		Kinds:          []string{"std-2core", "big__8core"},
 		Classes:        []string{"league-table", "team-lookup", "trade"},
--- a/internal/settings/host.go
+++ b/internal/settings/host.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Host holds the settings that the program needs outside the router.
-type Host struct {
+// ProgramSettings holds the settings that the program needs outside the router.
+type ProgramSettings struct {
 	Zones, Kinds, Classes []string      // names, in the order of the settings' lists
 	Tenants               []string      // names, in the order of the settings' list; none on some sites
 	ReportNames           []string      // names of a load report's values, in the order of the router's ReportFields
@@ -13,8 +13,8 @@
 }
 
 // programSettings reads the settings that the program needs outside the router.
-func (r *reader) programSettings() Host {
-	h := Host{
+func (r *reader) programSettings() ProgramSettings {
+	h := ProgramSettings{
 		Zones:          r.names("dcs"),
 		Kinds:          r.names("kinds"),
 		ReportNames:    r.names("report.fields"),
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -35,10 +35,10 @@
 }
 
 // ParseJSON reads the platform's nested object. An error of a key is a *KeyError.
-func ParseJSON(data []byte) (routing.Settings, Host, error) {
+func ParseJSON(data []byte) (routing.Settings, ProgramSettings, error) {
 	var tree map[string]any
 	if err := json.Unmarshal(data, &tree); err != nil {
-		return routing.Settings{}, Host{}, fmt.Errorf("settings: %w", err)
+		return routing.Settings{}, ProgramSettings{}, fmt.Errorf("settings: %w", err)
 	}
 	r := &reader{values: flatten(tree)}
 	router, program := r.routerSettings(), r.programSettings()
