--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -170,7 +170,7 @@
 			Classes:        []string{"league-table"},
 			MaxStreams:     32,
 			ConnectTimeout: 251500 * time.Microsecond,
-			Keepalive:      30 * time.Second,
+			ServerIdleTimeout:      30 * time.Second,
 		},
 	}
 }
--- a/internal/daemon/upstream_links.go
+++ b/internal/daemon/upstream_links.go
@@ -47,7 +47,7 @@
 		Totals:            u.totals,
 		ConnLimiter:       u.connLimiter,
 		ConnectTimeout:    u.cfg.host.ConnectTimeout,
-		ServerIdleTimeout: u.cfg.host.Keepalive,
+		ServerIdleTimeout: u.cfg.host.ServerIdleTimeout,
 	}
 	newConstructor := func(codec upstream.Codec) transport.Constructor {
 		return func(name, addr string) transport.Transport { return upstream.New(common, codec, name, addr) }
--- a/internal/settings/golden_values_test.go
+++ b/internal/settings/golden_values_test.go
@@ -108,6 +108,6 @@
 		ReportNames:    []string{"cpu", "active", "novelty", "waiting", "avg_ms", "rps", "err_rps"},
 		MaxStreams:     32,
 		ConnectTimeout: 251500 * time.Microsecond,
-		Keepalive:      30 * time.Second,
+		ServerIdleTimeout:      30 * time.Second,
 	}
 }
--- a/internal/settings/host.go
+++ b/internal/settings/host.go
@@ -9,7 +9,7 @@
 	ReportNames           []string      // names of a load report's values, in the order of the router's ReportFields
 	MaxStreams            int           // limit of the requests that one connection carries at a time
 	ConnectTimeout        time.Duration // a dial that takes longer has failed
-	Keepalive             time.Duration // the other side closes a connection that is idle for this long
+	ServerIdleTimeout             time.Duration // the other side closes a connection that is idle for this long
 }
 
 // programSettings reads the settings that the program needs outside the router.
@@ -20,7 +20,7 @@
 		ReportNames:    r.names("report.fields"),
 		MaxStreams:     int(r.number("bounds.max_streams")),
 		ConnectTimeout: r.milliseconds("bounds.connect_timeout"),
-		Keepalive:      r.milliseconds("bounds.keepalive"),
+		ServerIdleTimeout:      r.milliseconds("bounds.keepalive"),
 	}
 	for i := range r.listLength("request_classes") {
 		h.Classes = append(h.Classes, r.values[itemKey("request_classes", i, "name")])
