--- a/internal/eventlog/event.go
+++ b/internal/eventlog/event.go
@@ -24,11 +24,11 @@
 	Action    string // what the operator should do, in Markdown
 
 	FormerName   string   // name in the previous release, "" if it is the same
-	FormerFields []Rename // fields that had another name in the previous release
+	FormerFields []FieldRename // fields that had another name in the previous release
 }
 
-// Rename is a field's name in the previous release, which alerts may still match, and its present name.
-type Rename struct {
+// FieldRename is a field's name in the previous release, which alerts may still match, and its present name.
+type FieldRename struct {
 	Old, New string
 }
 
--- a/internal/eventlog/events_admin.go
+++ b/internal/eventlog/events_admin.go
@@ -19,7 +19,7 @@
 	CallRejected = register(Event{
 		Component: "control", Name: "call_rejected", FormerName: "call_refused", Level: hclog.Warn,
 		Fields:       []string{"reason"},
-		FormerFields: []Rename{{"why", "reason"}},
+		FormerFields: []FieldRename{{"why", "reason"}},
 		Meaning: "a call of the admin API over TCP was rejected with 401 or 429: its signature is missing or " +
 			"invalid, or it is a replay",
 		Action: "for `the call's time is off` correct the clocks; otherwise find the caller",
--- a/internal/eventlog/events_bodies.go
+++ b/internal/eventlog/events_bodies.go
@@ -7,7 +7,7 @@
 	Bodies = register(Event{
 		Component: "bodies", Name: "bodies", Level: hclog.Info,
 		Fields:       []string{"stored", "shared", "arriving", "waiting", "memory", "files", "disk"},
-		FormerFields: []Rename{{"held", "stored"}},
+		FormerFields: []FieldRename{{"held", "stored"}},
 		Meaning:      "where the bodies of queries are stored, and which failures occurred",
 		Action:       "see [bodies.md](bodies.md)",
 	})
--- a/internal/eventlog/events_daemon.go
+++ b/internal/eventlog/events_daemon.go
@@ -37,7 +37,7 @@
 	ConfigReloaded = register(Event{
 		Component: "daemon", Name: "config_reloaded", Level: hclog.Info,
 		Fields:       []string{"discovery", "applied", "needs_restart"},
-		FormerFields: []Rename{{"held", "applied"}, {"waiting", "needs_restart"}},
+		FormerFields: []FieldRename{{"held", "applied"}, {"waiting", "needs_restart"}},
 		Meaning: "the configuration was reloaded (SIGHUP or `linkpass config reload`): the platform's discovery " +
 			"address and memory limit are in force now, and so are the keys of the operators' file that `applied` " +
 			"lists; those in `needs_restart` take effect at the next start",
@@ -52,14 +52,14 @@
 	LogLevel = register(Event{
 		Component: "daemon", Name: "log_level", Level: hclog.Info,
 		Fields:       []string{"component", "level"},
-		FormerFields: []Rename{{"of", "component"}},
+		FormerFields: []FieldRename{{"of", "component"}},
 		Meaning:      "an operator set the lowest level that a component logs; it is in force until the next start or reload",
 		Action:       "nothing",
 	})
 	Counters = register(Event{
 		Component: "daemon", Name: "counters", Level: hclog.Info,
 		Fields:       []string{"reason"},
-		FormerFields: []Rename{{"why", "reason"}},
+		FormerFields: []FieldRename{{"why", "reason"}},
 		Meaning:      "the values of all counters, logged on SIGUSR1 and at exit",
 		Action:       "see below",
 	})
--- a/internal/eventlog/events_resharding.go
+++ b/internal/eventlog/events_resharding.go
@@ -7,7 +7,7 @@
 	ShardMapChanged = register(Event{
 		Component: "reshape", Name: "shard_map_changed", FormerName: "layout_changed", Level: hclog.Info,
 		Fields:       []string{"index", "version", "shards_added", "shards_removed"},
-		FormerFields: []Rename{{"came", "shards_added"}, {"went", "shards_removed"}},
+		FormerFields: []FieldRename{{"came", "shards_added"}, {"went", "shards_removed"}},
 		Meaning:      "another version of a shard map is in force; it added and removed these numbers of shards",
 		Action:       "nothing; see [slices.md](slices.md)",
 	})
@@ -25,7 +25,7 @@
 	ReshardingStep = register(Event{
 		Component: "reshape", Name: "resharding_step", FormerName: "reshape_step", Level: hclog.Info,
 		Fields:       []string{"index", "plan", "step", "reason"},
-		FormerFields: []Rename{{"why", "reason"}},
+		FormerFields: []FieldRename{{"why", "reason"}},
 		Meaning:      "a plan went to its next step, or was abandoned",
 		Action:       "for `abandoned` see `reason`, then `resume` the plan",
 	})
--- a/internal/eventlog/events_store.go
+++ b/internal/eventlog/events_store.go
@@ -41,14 +41,14 @@
 	RestrictionReceived = register(Event{
 		Component: "store", Name: "restriction_received", FormerName: "order_heard", Level: hclog.Info,
 		Fields:       []string{"restriction", "server", "level", "from"},
-		FormerFields: []Rename{{"order", "restriction"}, {"kind", "level"}},
+		FormerFields: []FieldRename{{"order", "restriction"}, {"kind", "level"}},
 		Meaning:      "a drain or a removal of a league server is in force here from now on, before the log has committed it",
 		Action:       "nothing; see [raft.md](raft.md)",
 	})
 	RestrictionRejected = register(Event{
 		Component: "store", Name: "restriction_rejected", FormerName: "order_withdrawn", Level: hclog.Warn,
 		Fields:       []string{"restriction", "server", "level", "reason"},
-		FormerFields: []Rename{{"order", "restriction"}, {"kind", "level"}, {"why", "reason"}},
+		FormerFields: []FieldRename{{"order", "restriction"}, {"kind", "level"}, {"why", "reason"}},
 		Meaning:      "the log rejected a request for a restriction; it is no longer in force anywhere",
 		Action:       "see `reason`; request it again, with force if it is intended",
 	})
--- a/internal/eventlog/events_upstream.go
+++ b/internal/eventlog/events_upstream.go
@@ -7,7 +7,7 @@
 	DialFailed = register(Event{
 		Component: "peer", Name: "dial_failed", Level: hclog.Warn,
 		Fields:       []string{"server", "addr", "outcome"},
-		FormerFields: []Rename{{"end", "outcome"}},
+		FormerFields: []FieldRename{{"end", "outcome"}},
 		Meaning: "a connection to a league server could not be opened: `dial_refused` (no process), `dial_timeout` " +
 			"(machine down or network partition), `dial_failed` (another reason)",
 		Action: "for one server, check that server; for all servers of a data centre, check the links",
@@ -15,7 +15,7 @@
 	ConnLost = register(Event{
 		Component: "peer", Name: "conn_lost", Level: hclog.Warn,
 		Fields:       []string{"server", "outcome", "parts", "probes"},
-		FormerFields: []Rename{{"end", "outcome"}},
+		FormerFields: []FieldRename{{"end", "outcome"}},
 		Meaning: "a connection ended with requests in flight: `conn_reset`, `conn_closed`, `malformed_response`, " +
 			"`bad_request` (the server could not use what it got). An end by `timeout` is not logged: a health check " +
 			"got no response for a fifth of the connect timeout, and nothing else was in flight or the server " +
@@ -26,7 +26,7 @@
 	MessageMalformed = register(Event{
 		Component: "peer", Name: "message_malformed", FormerName: "message_bad", Level: hclog.Warn,
 		Fields:       []string{"server", "outcome", "err"},
-		FormerFields: []Rename{{"end", "outcome"}},
+		FormerFields: []FieldRename{{"end", "outcome"}},
 		Meaning:      "a league server sent a malformed message; the connection was closed",
 		Action:       "if it persists, the server uses another protocol than the settings say, or another version",
 	})
