--- a/internal/adminapi/handler.go
+++ b/internal/adminapi/handler.go
@@ -79,7 +79,7 @@
 	if err := eventlog.SetLevel(component, level); err != nil {
 		return errorResponse(400, err)
 	}
-	eventlog.LogLevel.Log(component, level)
+	eventlog.LogLevelChanged.Log(component, level)
 	return jsonResponse(eventlog.Levels())
 }
 
--- a/internal/eventlog/events_daemon.go
+++ b/internal/eventlog/events_daemon.go
@@ -49,7 +49,7 @@
 		Meaning: "a reload was requested, but one of the files is invalid; the configuration stays as it was",
 		Action:  "correct the file that the line names, then reload again",
 	})
-	LogLevel = register(Event{
+	LogLevelChanged = register(Event{
 		Component: "daemon", Name: "log_level", Level: hclog.Info,
 		Fields:       []string{"component", "level"},
 		FormerFields: []FieldRename{{"of", "component"}},
