--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -46,7 +46,7 @@
 // checked.
 func JSON[T any](t testing.TB, name string, value T) {
 	t.Helper()
-	if fields := Unset(value); len(fields) > 0 {
+	if fields := UnsetFields(value); len(fields) > 0 {
 		t.Errorf("%s: fields not set: %s", name, strings.Join(fields, ", "))
 	}
 	Encodes(t, name, value)
@@ -92,10 +92,10 @@
 	}
 }
 
-// Unset returns the exported fields of value, at any depth, that have their zero value. A field of the elements of a
+// UnsetFields returns the exported fields of value, at any depth, that have their zero value. A field of the elements of a
 // list or map counts as set if at least one element has it set. Fields tagged "-" are skipped, as they are not
 // encoded.
-func Unset(value any) []string {
+func UnsetFields(value any) []string {
 	var out []string
 	unset("", reflect.ValueOf(value), map[reflect.Type]bool{}, func(field string) { out = append(out, field) })
 	return out
--- a/internal/goldentest/goldentest_test.go
+++ b/internal/goldentest/goldentest_test.go
@@ -33,7 +33,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			v := set
 			c.change(&v)
-			got := Unset(v)
+			got := UnsetFields(v)
 			slices.Sort(got)
 			if !reflect.DeepEqual(got, c.want) {
 				t.Errorf("got %v, want %v", got, c.want)
