--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -165,12 +165,12 @@
 		initialEndpoints: goldenEndpoints(),
 		routingSettings:  goldenRoutingSettings(),
 		host: settings.ProgramSettings{
-			Zones:          []string{"ebene"},
-			Kinds:          []string{"std-2core"},
-			Classes:        []string{"league-table"},
-			MaxStreams:     32,
-			ConnectTimeout: 251500 * time.Microsecond,
-			ServerIdleTimeout:      30 * time.Second,
+			Zones:             []string{"ebene"},
+			Kinds:             []string{"std-2core"},
+			Classes:           []string{"league-table"},
+			MaxStreams:        32,
+			ConnectTimeout:    251500 * time.Microsecond,
+			ServerIdleTimeout: 30 * time.Second,
 		},
 	}
 }
--- a/internal/eventlog/event.go
+++ b/internal/eventlog/event.go
@@ -23,7 +23,7 @@
 	Meaning   string // what it tells an operator on call, in Markdown
 	Action    string // what the operator should do, in Markdown
 
-	FormerName   string   // name in the previous release, "" if it is the same
+	FormerName   string        // name in the previous release, "" if it is the same
 	FormerFields []FieldRename // fields that had another name in the previous release
 }
 
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -92,9 +92,8 @@
 	}
 }
 
-// UnsetFields returns the exported fields of value, at any depth, that have their zero value. A field of the elements of a
-// list or map counts as set if at least one element has it set. Fields tagged "-" are skipped, as they are not
-// encoded.
+// UnsetFields returns the exported fields of value, at any depth, that have their zero value. A field of the elements of
+// a list or map counts as set if at least one element has it set. Fields tagged "-" are skipped, as they are not encoded.
 func UnsetFields(value any) []string {
 	var out []string
 	unset("", reflect.ValueOf(value), map[reflect.Type]bool{}, func(field string) { out = append(out, field) })
@@ -135,8 +134,7 @@
 	}
 }
 
-// unsetInElements reports the fields that none of the n unsetInElements of a list or map has set. at returns the i-th
-// element.
+// unsetInElements reports the fields that none of the n elements of a list or map has set. at returns the i-th element.
 func unsetInElements(name string, n int, at func(int) reflect.Value, enclosing map[reflect.Type]bool, report func(string)) {
 	if n == 0 {
 		report(name)
--- a/internal/settings/golden_values_test.go
+++ b/internal/settings/golden_values_test.go
@@ -98,16 +98,16 @@
 	}
 }
 
-// goldenProgramSettings returns the Host of testdata/platform.json.
+// goldenProgramSettings returns the program's settings of testdata/platform.json.
 func goldenProgramSettings() ProgramSettings {
 	return ProgramSettings{
-		Zones:          []string{"ebene", "port_louis"},
-		Kinds:          []string{"std-2core", "big__8core"},
-		Classes:        []string{"league-table", "team-lookup", "trade"},
-		Tenants:        []string{"north", "south_coast"},
-		ReportNames:    []string{"cpu", "active", "novelty", "waiting", "avg_ms", "rps", "err_rps"},
-		MaxStreams:     32,
-		ConnectTimeout: 251500 * time.Microsecond,
-		ServerIdleTimeout:      30 * time.Second,
+		Zones:             []string{"ebene", "port_louis"},
+		Kinds:             []string{"std-2core", "big__8core"},
+		Classes:           []string{"league-table", "team-lookup", "trade"},
+		Tenants:           []string{"north", "south_coast"},
+		ReportNames:       []string{"cpu", "active", "novelty", "waiting", "avg_ms", "rps", "err_rps"},
+		MaxStreams:        32,
+		ConnectTimeout:    251500 * time.Microsecond,
+		ServerIdleTimeout: 30 * time.Second,
 	}
 }
--- a/internal/settings/module.go
+++ b/internal/settings/module.go
@@ -115,9 +115,9 @@
 
 // idempotency reads whether a query may be run more than once.
 func (r *reader) idempotency(key string) routing.Idempotency {
-	value, ok := idempotencies[r.values[key]]
+	idempotency, ok := idempotencies[r.values[key]]
 	if !ok {
 		r.fail(key, fmt.Errorf("unknown value %q", r.values[key]))
 	}
-	return value
+	return idempotency
 }
--- a/tools/knownred/knownred_test.go
+++ b/tools/knownred/knownred_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// firstEntry is the firstEntry entry of the lists in the cases.
+// firstEntry is the first entry of the lists in the cases.
 var firstEntry = entry("./a", "TestA")
 
 // changedEntry returns firstEntry with the first occurrence of from replaced by to.
