--- a/cmd/linkpass-lab/main.go
+++ b/cmd/linkpass-lab/main.go
@@ -1,5 +1,6 @@
-// Linkpass-lab runs experiments on an emulated fleet, and the fleet itself to try a coordinator by hand. Everything
-// listens on the loopback. It exits with 1 if an experiment failed or a rule was broken.
+// Linkpass-lab runs experiments on an emulated fleet. It also runs such a fleet alone, for trying a coordinator by
+// hand. By default everything listens on loopback addresses. It exits with status 1 if an experiment failed or a rule
+// was broken.
 package main
 
 import (
@@ -17,19 +18,19 @@
 
 type commands struct {
 	Run struct {
-		Reshape reshapeCommand `cmd:"" help:"Reshape slices under load, against a still layout and against refusing moved parts."`
-		Bodies  bodiesCommand  `cmd:"" help:"Keep bodies in memory, in files and nowhere, with servers that fail and stall."`
-		Drains  drainsCommand  `cmd:"" help:"Drain servers at any of five coordinators, with and without a majority, and measure when it holds."`
-	} `cmd:"" help:"Run an experiment; its last line is figures, and it exits 1 if a rule broke."`
-	Demo  demoCommand  `cmd:"" help:"A fleet, discovery and a coordinator, ready to be tried."`
+		Reshape reshapeCommand `cmd:"" help:"Change slices under load; compare with no changes, and with moved parts being refused."`
+		Bodies  bodiesCommand  `cmd:"" help:"Keep bodies in memory, in files or nowhere, while servers fail and pause."`
+		Drains  drainsCommand  `cmd:"" help:"Drain servers at any of five coordinators, with and without a majority, and measure when each drain takes effect."`
+	} `cmd:"" help:"Run an experiment; its last line of output has the figures, and its exit status is 1 if a rule was broken."`
+	Demo  demoCommand  `cmd:"" help:"Run an emulated fleet, discovery and a coordinator to try."`
 	Hold  holdCommand  `cmd:"" hidden:""`
-	Fleet fleetCommand `cmd:"" help:"Run a stand-in fleet and its discovery in the foreground, and print how to start a coordinator against it."`
+	Fleet fleetCommand `cmd:"" help:"Run an emulated fleet and its discovery in the foreground, and print how to start a coordinator against it."`
 }
 
-// errRuleBroken ends an experiment whose results break a rule.
-var errRuleBroken = errors.New("a rule broke")
+// errRuleBroken is the error of an experiment whose results break a rule.
+var errRuleBroken = errors.New("a rule was broken")
 
-// checkRules turns the result of an experiment into an error.
+// checkRules returns the error of an experiment, or errRuleBroken if there is none and ok is false.
 func checkRules(ok bool, err error) error {
 	if err == nil && !ok {
 		return errRuleBroken
@@ -40,13 +41,13 @@
 // runFlags are the flags of every experiment.
 type runFlags struct {
 	Seed    uint64 `help:"First seed." default:"1"`
-	Seeds   int    `help:"How many seeds, from the first on." default:"1"`
-	Seconds int    `help:"Length of each run." default:"20"`
-	Out     string `help:"Folder for tables and charts; none are written without."`
-	Log     string `help:"File for the coordinators' log lines; dropped without."`
+	Seeds   int    `help:"Number of consecutive seeds, from the first on." default:"1"`
+	Seconds int    `help:"Seconds that each run takes." default:"20"`
+	Out     string `help:"Directory for tables and charts; if not set, none are written."`
+	Log     string `help:"File for the coordinators' log lines; if not set, they are discarded."`
 }
 
-// seeds lists the seeds of the runs.
+// seeds returns the seeds of the runs, in ascending order.
 func (c runFlags) seeds() (out []uint64) {
 	for i := range c.Seeds {
 		out = append(out, c.Seed+uint64(i))
@@ -54,7 +55,8 @@
 	return out
 }
 
-// redirectLog sends the coordinators' log lines to the file, or drops them. The file stays open until the process ends.
+// redirectLog sends the coordinators' log lines to the file Log, or discards them if Log is empty. The file stays open
+// until the process ends.
 func (c runFlags) redirectLog() error {
 	eventlog.SetOutput(io.Discard, false)
 	if c.Log == "" {
@@ -73,9 +75,9 @@
 
 type reshapeCommand struct {
 	runFlags
-	Servers int           `help:"League servers." default:"12"`
-	Rate    float64       `help:"Queries a second in each run." default:"40"`
-	Every   time.Duration `help:"Between two changes of each index." default:"2s"`
+	Servers int           `help:"Number of league servers." default:"12"`
+	Rate    float64       `help:"Queries per second in each run." default:"40"`
+	Every   time.Duration `help:"Time between two changes of each index." default:"2s"`
 }
 
 // Run runs the experiment.
@@ -95,9 +97,9 @@
 
 type bodiesCommand struct {
 	runFlags
-	Rate    float64 `help:"Queries a second in each run." default:"30"`
+	Rate    float64 `help:"Queries per second in each run." default:"30"`
 	BodyKiB int     `name:"body-kib" help:"Size of a query's body." default:"24"`
-	Memory  bool    `help:"Measure resident memory with 10,000 bodies too." default:"true" negatable:""`
+	Memory  bool    `help:"Also measure resident memory with 10,000 bodies." default:"true" negatable:""`
 }
 
 // Run runs the experiment.
@@ -117,8 +119,8 @@
 
 type drainsCommand struct {
 	runFlags
-	Orders int     `help:"Drains of each run." default:"24"`
-	Rate   float64 `help:"Queries a second." default:"60"`
+	Orders int     `help:"Number of drains in each run." default:"24"`
+	Rate   float64 `help:"Queries per second." default:"60"`
 }
 
 // Run runs the experiment.
@@ -136,7 +138,7 @@
 
 type demoCommand struct {
 	Seed uint64 `help:"Seed." default:"1"`
-	Log  string `help:"File for the coordinator's log lines; dropped without."`
+	Log  string `help:"File for the coordinator's log lines; if not set, they are discarded."`
 }
 
 // Run runs the demo.
@@ -148,20 +150,20 @@
 }
 
 type holdCommand struct {
-	What   string `arg:"" enum:"distinct,shared,tight" help:"distinct, shared, or tight: under the default budget of 32 MB."`
-	Bodies int    `help:"How many." default:"10000"`
+	What   string `arg:"" enum:"distinct,shared,tight" help:"What the bodies contain: distinct, shared, or tight (distinct, under the default budget of 32 MB)."`
+	Bodies int    `help:"Number of bodies." default:"10000"`
 }
 
-// Run holds many bodies and prints what that takes; run bodies starts it.
+// Run stores many bodies and prints the memory that this takes. The command "run bodies" runs it in separate processes.
 func (c *holdCommand) Run() error { return experiment.HoldBodies(c.What, c.Bodies) }
 
 type fleetCommand struct {
-	Servers   int    `help:"League servers." default:"6"`
-	Slices    int    `help:"Slices of the index at the start." default:"4"`
-	Records   int    `help:"Records of the league." default:"500"`
-	Discovery string `help:"Where discovery listens." default:"127.0.0.1:9500"`
-	Search    string `help:"Where the coordinator's search front is to listen." default:"127.0.0.1:9200"`
-	Dir       string `help:"Folder for the coordinator's files." default:"fleet"`
+	Servers   int    `help:"Number of league servers." default:"6"`
+	Slices    int    `help:"Number of slices of the index at the start." default:"4"`
+	Records   int    `help:"Number of records of the league." default:"500"`
+	Discovery string `help:"Address where discovery listens." default:"127.0.0.1:9500"`
+	Search    string `help:"Address where the coordinator's search front is to listen." default:"127.0.0.1:9200"`
+	Dir       string `help:"Directory for the coordinator's files." default:"fleet"`
 	Seed      uint64 `help:"Seed." default:"1"`
 }
 
@@ -180,6 +182,6 @@
 
 func main() {
 	ctx := kong.Parse(&commands{}, kong.Name("linkpass-lab"), kong.UsageOnError(),
-		kong.Description("Experiments on a stand-in fleet, on the loopback."))
+		kong.Description("Experiments on an emulated fleet, on loopback addresses."))
 	ctx.FatalIfErrorf(ctx.Run())
 }
--- a/internal/experiment/api.go
+++ b/internal/experiment/api.go
@@ -21,13 +21,14 @@
 	pathShards          = "/_cat/shards?format=json"
 )
 
-// States of a shardRow in which a shard is not to be changed.
+// States of a shardRow in which the experiment requests no change of the shard.
 const (
 	shardInitializing = "INITIALIZING"
 	shardRetiring     = "RETIRING"
 )
 
-// call makes one call at a coordinator's search front, within callTimeout; redirects to the leader are followed.
+// call sends one request to a coordinator's search front and returns status and body of the response. It follows
+// redirects to the leader. It fails if the response is not complete within callTimeout.
 func (w *world) call(n *node, method, path, body string) (status int, response []byte, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -44,17 +45,18 @@
 	return res.StatusCode, response, err
 }
 
-// shardRow is one replica of a shard in the list of shards.
+// shardRow is one replica of a shard in the response to pathShards.
 type shardRow struct {
 	Index  string `json:"index"`
 	Shard  uint64 `json:"shard"`
 	State  string `json:"state"`
 	Range  string `json:"range"`
 	Server string `json:"node"`
-	Plan   uint64 `json:"plan"` // 0: none
+	Plan   uint64 `json:"plan"` // 0 if no plan changes the shard
 }
 
-// shardRows lists the shards as the first coordinator has them; nil: it did not answer.
+// shardRows returns the shards as the first coordinator lists them, or nil if it did not answer or its answer could not
+// be decoded.
 func (w *world) shardRows() (rows []shardRow) {
 	_, body, err := w.call(w.nodes[0], "GET", pathShards, "")
 	if err != nil || json.Unmarshal(body, &rows) != nil {
@@ -63,7 +65,7 @@
 	return rows
 }
 
-// shardCommand orders a change of shards.
+// shardCommand is a command that changes the shards of an index.
 type shardCommand struct {
 	kind  string // orderSplit, orderMerge or orderMove
 	index string
@@ -72,7 +74,7 @@
 	to    []string // servers of the replica set
 }
 
-// reroute orders a change at a coordinator; it is false if the change was rejected.
+// reroute sends a command to a coordinator. It returns false if the call failed or the command was rejected.
 func (w *world) reroute(n *node, command shardCommand) bool {
 	to, _ := json.Marshal([][]string{command.to})
 	shards := fmt.Sprintf(`"shard":%d`, command.shard)
@@ -84,7 +86,7 @@
 	return err == nil && status == http.StatusOK
 }
 
-// searchResponse is the part of a search's response that an experiment checks.
+// searchResponse holds the fields of a search response that an experiment checks.
 type searchResponse struct {
 	TimedOut bool `json:"timed_out"`
 	Shards   struct {
@@ -116,7 +118,7 @@
 	return ids
 }
 
-// missingRanges lists the ranges that the response says are missing.
+// missingRanges returns the ranges that the response reports as missing. It skips a range that it cannot parse.
 func (r *searchResponse) missingRanges() (ranges []shardmap.Range) {
 	for _, failure := range r.Shards.Failures {
 		if keys, err := shardmap.ParseRange(failure.Range); err == nil {
--- a/internal/experiment/backup_test.go
+++ b/internal/experiment/backup_test.go
@@ -11,7 +11,8 @@
 	"linkpass/internal/http1"
 )
 
-// A backup is one revision; its restore brings settings, but neither members nor shard maps.
+// Guards against a backup that mixes two revisions because settings are written while it is taken, and against a
+// restore that changes more than settings: members and shard maps must stay.
 func TestBackupDuringWritesIntoAnotherCluster(t *testing.T) {
 	isolate(t)
 	here, there := startCluster(t, 11, 3), startCluster(t, 12, 1)
@@ -22,7 +23,7 @@
 	<-written
 	before, members := there.nodes[0].program.ShardMaps(), fmt.Sprint(there.nodes[0].program.Store().Members())
 	if res := callAdmin(there.nodes[0], "PUT", "/store/document", last); res.Status != 200 {
-		t.Fatalf("%d %s", res.Status, res.Body)
+		t.Fatalf("PUT /store/document: status = %d, want 200, body %s", res.Status, res.Body)
 	}
 	doc, err := adminapi.ReadBackup(last)
 	if err != nil {
@@ -30,13 +31,13 @@
 	}
 	now := there.nodes[0].program.Store().Settings()
 	if now.Search.MaxResultWindow != doc.Search.MaxResultWindow || revision < 2 {
-		t.Errorf("%+v, backup %+v of revision %d", now.Search, doc.Search, revision)
+		t.Errorf("restored search settings = %+v, want %+v of the backup, whose revision is %d (want at least 2)", now.Search, doc.Search, revision)
 	}
 	if after := there.nodes[0].program.ShardMaps(); !reflect.DeepEqual(before, after) || fmt.Sprint(there.nodes[0].program.Store().Members()) != members {
-		t.Error("the restore moved slices or members")
+		t.Error("the restore changed shard maps or members, want both unchanged")
 	}
 	if status, body, err := there.call(there.nodes[0], "POST", "/players/_search", `{"size":1}`); err != nil || !strings.Contains(string(body), `"failed":0`) {
-		t.Errorf("%d %s %v", status, body, err)
+		t.Errorf("search after the restore: status %d, body %s, error %v, want \"failed\":0", status, body, err)
 	}
 }
 
@@ -44,7 +45,7 @@
 	return adminapi.Handler{Coordinator: n.program}.Serve(context.Background(), 0, &http1.Request{Method: method, Path: "/v1" + path, Body: body})
 }
 
-// writeSettings changes two settings together until stop closes, then sends the number of the next change.
+// writeSettings changes two settings together in a loop until stop is closed, then sends the number of the next change.
 func writeSettings(t *testing.T, w *world, stop <-chan struct{}, written chan<- int) {
 	for i := 1; ; i++ {
 		select {
@@ -53,20 +54,21 @@
 			return
 		default:
 		}
-		// Both keys change together: a backup with one alone would be torn.
+		// Both settings change in one call, so a backup that has only one of the new values is torn.
 		text := fmt.Sprintf(`{"persistent":{"search.max_result_window":%d,"search.default_search_timeout":"%dms"}}`, 1000+i, 1000+i)
 		if status, body, err := w.call(w.nodes[i%3], "PUT", "/_cluster/settings", text); err != nil || status != 200 {
-			t.Errorf("%d %s %v", status, body, err)
+			t.Errorf("change %d of the settings: status = %d, want 200, body %s, error %v", i, status, body, err)
 		}
 	}
 }
 
-// takeBackups returns the last backup and its revision, and fails if one is torn or older than the one before.
+// takeBackups takes backups at the leader and returns the last one and its revision. It fails the test if a backup is
+// torn or has a lower revision than the backup before.
 func takeBackups(t *testing.T, w *world) (last []byte, revision uint64) {
 	t.Helper()
 	for taken := 0; taken < 20; {
 		res := callAdmin(w.nodes[taken%3], "GET", "/store/backup", nil)
-		if res.Status != 200 { // it does not lead
+		if res.Status != 200 { // not the leader: try the next coordinator
 			taken = (taken + 1) % 3
 			continue
 		}
@@ -75,7 +77,7 @@
 			t.Fatal(err)
 		}
 		if want := fmt.Sprintf("%dms", doc.Search.MaxResultWindow); doc.Search.Timeout != "" && doc.Search.Timeout != want || doc.Revision < revision {
-			t.Fatalf("torn or old: %+v, revision %d after %d", doc.Search, doc.Revision, revision)
+			t.Fatalf("backup of revision %[2]d after revision %[3]d is torn or older: search settings %+[1]v, want timeout %[4]s", doc.Search, doc.Revision, revision, want)
 		}
 		last, revision = res.Body, doc.Revision
 		taken += 3
--- a/internal/experiment/bodies.go
+++ b/internal/experiment/bodies.go
@@ -12,21 +12,22 @@
 )
 
 const (
-	bodiesErrorShare    = 0.1 // of the parts at a faulty server
-	bodiesFaultyServers = 3   // one server of so many is faulty
+	bodiesErrorShare    = 0.1 // share of the parts that fail at a faulty server
+	bodiesFaultyServers = 3   // one in three servers is faulty
 )
 
-// BodiesConfig sets up the experiment on the tiers in which bodies are kept for retries.
+// BodiesConfig configures RunBodies, the experiment on the tiers in which bodies are kept for retries.
 type BodiesConfig struct {
 	Seeds   []uint64
-	Seconds int     // length of a run
-	Rate    float64 // queries a second
-	BodyKiB int     // size of a query's body
-	Memory  bool    // measure resident memory too, in a process of its own
-	Out     string  // directory of the results; "": none are written
+	Seconds int     // duration of a run
+	Rate    float64 // queries per second
+	BodyKiB int     // approximate size of a query's body
+	Memory  bool    // also measure resident memory, in separate processes
+	Out     string  // directory of table and chart; if empty, none are written
 }
 
-// bodiesRuns force each tier by the settings.
+// bodiesRuns are the runs that are compared. The settings of each force bodies into one tier; "before" does not keep
+// bodies. DIR stands for a directory of the coordinator's own.
 var bodiesRuns = []struct{ name, settings string }{
 	{"before", "off = true"},
 	{"memory", "memory_kib = 65536\nlargest_kib = 65536"},
@@ -34,15 +35,15 @@
 	{"none", "memory_kib = 65536\nlargest_kib = 4"},
 }
 
-// bodiesResult is the result of one run of one seed.
+// bodiesResult is the result of one run with one seed.
 type bodiesResult struct {
 	*loadResult
 	run      string
 	seed     uint64
-	counters map[string]int64 // growth during the run, by counter and class
+	counters map[string]int64 // increase during the run, by counter and class: counter_class
 }
 
-// Counters of a class, whose name follows after an underscore.
+// Counters that are kept for each class. The full name of a counter ends in an underscore and the class.
 const (
 	counterRetriesNeeded  = "retries_needed"
 	counterRetriesMade    = "retries_made"
@@ -51,17 +52,19 @@
 	counterHedgesForgone  = "hedges_forgone"
 	counterBodiesEvicted  = "queries_body_evicted"
 
-	// counterEvictedFinalMS counts, by bucket, the time from the eviction of a query's body to its end.
+	// counterEvictedFinalMS begins the names of a histogram's buckets: the time from the eviction of a query's body to
+	// the end of the query.
 	counterEvictedFinalMS = "body_evicted_final_ms_"
 )
 
 var bodiesCounters = []string{counterRetriesNeeded, counterRetriesMade, counterRetriesWon, counterRetriesForgone, counterHedgesForgone, counterBodiesEvicted}
 
-// evictedFinalBuckets are the upper bounds of the buckets, in milliseconds.
+// evictedFinalBuckets are the upper bounds of the buckets of counterEvictedFinalMS, in milliseconds.
 var evictedFinalBuckets = []string{"5", "10", "20", "50", "100", "500", "more"}
 
-// RunBodies forces each tier under servers that fail and pause. It is false if a rule was broken, and fails if a run
-// could not start or a result could not be written.
+// RunBodies runs queries against servers that fail and pause, in one run for each tier that keeps bodies. The runs of a
+// seed are concurrent. RunBodies returns false if a rule was broken, and an error if a run could not start or a result
+// could not be written.
 func RunBodies(c BodiesConfig) (bool, error) {
 	var all []bodiesResult
 	for _, seed := range c.Seeds {
@@ -102,7 +105,7 @@
 	}
 }
 
-// runBodies is one run in a world of its own.
+// runBodies performs run i of a seed in a world of its own.
 func runBodies(c BodiesConfig, seed uint64, i int) (bodiesResult, error) {
 	w, err := newWorld(bodiesWorld(c, seed, i))
 	if err != nil {
@@ -129,7 +132,7 @@
 	return out, nil
 }
 
-// bodiesCounters sums the counters of the experiment over the coordinators.
+// bodiesCounters returns the experiment's counters by full name, each summed over the coordinators.
 func (w *world) bodiesCounters() map[string]int64 {
 	counters := map[string]int64{}
 	add := func(name string) { counters[name] = w.counterSum(name) }
@@ -144,7 +147,7 @@
 	return counters
 }
 
-// drawSearchBody draws a search whose body has about so many KiB.
+// drawSearchBody draws the body of a search, at least kib KiB long and little more.
 func drawSearchBody(rng *rand.Rand, kib int) string {
 	var b strings.Builder
 	b.WriteString(`{"size":100000,"query":{"terms":{"id":[`)
--- a/internal/experiment/bodies_report.go
+++ b/internal/experiment/bodies_report.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// reportBodies writes table and chart, measures resident memory if asked to, and prints the line of figures. It is
-// false if a rule was broken.
+// reportBodies writes table and chart, measures resident memory if c.Memory is set, and prints the line of figures. It
+// returns false if a rule was broken: a query was lost, or an answer was falsely complete or had a duplicate record.
 func reportBodies(c BodiesConfig, all []bodiesResult) (bool, error) {
 	if err := bodiesTable(all).write(c.Out); err != nil {
 		return false, err
@@ -25,7 +25,7 @@
 
 func (r bodiesResult) counter(name string, c class) int64 { return r.counters[name+"_"+c.name] }
 
-// evictedFinal is the histogram of a class, by bucket.
+// evictedFinal returns a class's histogram of counterEvictedFinalMS, by bucket.
 func (r bodiesResult) evictedFinal(c class) map[string]int64 {
 	histogram := map[string]int64{}
 	for _, bucket := range evictedFinalBuckets {
@@ -49,14 +49,14 @@
 	return table
 }
 
-// bodiesTotals sums the seeds.
+// bodiesTotals sums the results of all runs and seeds.
 type bodiesTotals struct {
 	lost    int
-	broken  int                  // answers that were falsely complete, and duplicate records
-	needed  map[string]int64     // retries, by run
-	won     map[string]int64     // retries, by run
-	service map[string][]float64 // of each seed, by run
-	final   map[string]int64     // of the team lookups of all runs, by bucket
+	broken  int                  // falsely complete answers and duplicate records
+	needed  map[string]int64     // retries needed, by run
+	won     map[string]int64     // retries that led to an answer, by run
+	service map[string][]float64 // service of each seed, by run
+	final   map[string]int64     // evictedFinal of the team lookups of all runs, by bucket
 }
 
 func sumBodies(all []bodiesResult) bodiesTotals {
@@ -76,7 +76,7 @@
 	return t
 }
 
-// retrySuccess is the share of the retries needed that led to an answer, from 0 to 1.
+// retrySuccess returns the share of the needed retries that led to an answer, from 0 to 1.
 func (t bodiesTotals) retrySuccess(run string) float64 {
 	return float64(t.won[run]) / float64(max(1, t.needed[run]))
 }
@@ -90,7 +90,7 @@
 	fmt.Printf("resident_over_budget_mb=%.1f of_that_before_any_body_mb=%.1f shared_part=%.4f\n", m.overBudgetMB, m.baseMB, m.sharedShare)
 }
 
-// bucketQuantile is the bucket in which a quantile, from 0 to 1, lies; "-": nothing was counted.
+// bucketQuantile returns the bucket that contains a quantile, from 0 to 1, or "-" if the histogram is empty.
 func bucketQuantile(histogram map[string]int64, quantile float64) string {
 	total := int64(0)
 	for _, n := range histogram {
--- a/internal/experiment/body_memory.go
+++ b/internal/experiment/body_memory.go
@@ -19,11 +19,11 @@
 	"linkpass/internal/metrics"
 )
 
-// Contents of the bodies that HoldBodies keeps.
+// Values of the contents parameter of HoldBodies.
 const (
-	holdDistinct = "distinct" // all differ
-	holdShared   = "shared"   // holdSharedContents contents
-	holdTight    = "tight"    // all differ, under the default budget
+	holdDistinct = "distinct" // all bodies differ
+	holdShared   = "shared"   // there are holdSharedContents different bodies
+	holdTight    = "tight"    // all bodies differ, under the default budget
 )
 
 const (
@@ -31,20 +31,20 @@
 	holdBodyBytes      = 64 << 10
 	holdBudgetBytes    = 16 << 20
 	holdSharedContents = 100
-	holdMemoryLimit    = 24 << 20 // what the program sets for a limit of 40 MB
+	holdMemoryLimit    = 24 << 20 // bytes; what the program sets for a limit of 40 MB
 
-	holdTightBudgetBytes = 4 << 20  // the default budget
-	holdTightMemoryLimit = 19 << 20 // what the program sets for a limit of 32 MB
+	holdTightBudgetBytes = 4 << 20  // bytes; the default budget
+	holdTightMemoryLimit = 19 << 20 // bytes; what the program sets for a limit of 32 MB
 )
 
-// memoryFigures is what processes took that held many bodies.
+// memoryFigures is the memory use of processes that hold holdBodies bodies.
 type memoryFigures struct {
-	overBudgetMB float64 // resident memory at its largest, beyond the budget; -1: not measured
-	baseMB       float64 // of that before the first body
-	sharedShare  float64 // share of the bytes that is held where bodies share contents, from 0 to 1
+	overBudgetMB float64 // peak resident memory minus the budget; -1 if not measured
+	baseMB       float64 // peak resident memory before the first body, contained in overBudgetMB
+	sharedShare  float64 // bytes held over bytes written if bodies share contents, from 0 to 1
 }
 
-// measureMemory runs HoldBodies in processes of their own.
+// measureMemory runs HoldBodies in separate processes, once with distinct and once with shared contents.
 func measureMemory() (m memoryFigures, err error) {
 	distinct, err := runHold(holdDistinct)
 	if err != nil {
@@ -61,11 +61,11 @@
 	}, nil
 }
 
-// runHold runs this program's command hold and reads the figures that it prints.
+// runHold runs this program's command hold in a separate process and parses the figures that it prints, by their names.
 func runHold(contents string) (figures map[string]float64, err error) {
 	self, err := os.Executable()
 	if err != nil {
-		return nil, fmt.Errorf("experiment: path of this program: %w", err)
+		return nil, fmt.Errorf("experiment: find the path of this program: %w", err)
 	}
 	out, err := exec.Command(self, "hold", contents).Output()
 	if err != nil {
@@ -79,8 +79,10 @@
 	return figures, nil
 }
 
-// HoldBodies keeps so many bodies, reads each once more and prints what the process took at its largest. Contents is
-// distinct, shared or tight.
+// HoldBodies stores count bodies, reads each of them once and prints one line of figures: the peak resident memory
+// before the first body and at the end, and what the store held in memory, in files and on disk, all in bytes. Contents
+// is "distinct", "shared" or "tight". HoldBodies fails if the bodies' directory cannot be created, or a body cannot be
+// stored or read.
 func HoldBodies(contents string, count int) error {
 	base := peakResidentBytes()
 	budget, limit := int64(holdBudgetBytes), int64(holdMemoryLimit)
@@ -90,7 +92,7 @@
 	debug.SetMemoryLimit(limit)
 	dir, err := os.MkdirTemp("", "linkpass-hold-")
 	if err != nil {
-		return fmt.Errorf("experiment: directory of bodies: %w", err)
+		return fmt.Errorf("experiment: create a directory for bodies: %w", err)
 	}
 	defer os.RemoveAll(dir)
 	store := openHoldStore(dir, budget)
@@ -100,7 +102,7 @@
 		return err
 	}
 	totals := store.Totals()
-	for i, body := range bodies { // as for a retry
+	for i, body := range bodies { // a retry reads a body in the same way
 		if err := readBody(body); err != nil {
 			return fmt.Errorf("experiment: read body %d: %w", i, err)
 		}
@@ -124,7 +126,7 @@
 	})
 }
 
-// keepBodies keeps bodies of random content that differ in their first bytes.
+// keepBodies stores count bodies of the same random bytes, except that the first eight bytes differ between contents.
 func keepBodies(store *bodystore.Store, contents string, count int) (bodies []*bodystore.Body, err error) {
 	data := make([]byte, holdBodyBytes)
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -139,14 +141,14 @@
 		binary.LittleEndian.PutUint64(data, uint64(n))
 		body, err := keepBody(store, data)
 		if err != nil {
-			return nil, fmt.Errorf("experiment: keep body %d: %w", i, err)
+			return nil, fmt.Errorf("experiment: store body %d: %w", i, err)
 		}
 		bodies = append(bodies, body)
 	}
 	return bodies, nil
 }
 
-// keepBody repeats the write while the store has no capacity, as a client would.
+// keepBody stores a body. It retries while the store has no capacity, as a client would.
 func keepBody(store *bodystore.Store, data []byte) (*bodystore.Body, error) {
 	for {
 		w := store.NewWriter(0, 1)
@@ -179,7 +181,7 @@
 	}
 }
 
-// peakResidentBytes is the most that this process had resident; 0: the system does not say.
+// peakResidentBytes returns the peak resident memory of this process, or 0 if the system does not report it.
 func peakResidentBytes() int {
 	status, err := os.ReadFile("/proc/self/status")
 	if err != nil {
--- a/internal/experiment/chart.go
+++ b/internal/experiment/chart.go
@@ -12,19 +12,19 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Sizes of a chart.
+// Dimensions of a chart.
 const (
 	chartBarWidth     = 40  // points
 	chartWidthPerRun  = 120 // points
-	chartLeastRuns    = 3   // a chart is as wide as for so many
+	chartLeastRuns    = 3   // a chart with fewer runs is as wide as with this many
 	chartHeight       = 320 // points
-	chartLargestRatio = 1.1
+	chartLargestRatio = 1.1 // upper end of the y axis
 )
 
 var chartBarColor = color.RGBA{R: 160, G: 190, B: 220, A: 255}
 
-// writeBarChart draws the mean of each run as a bar with a dot for each seed, as an SVG in a directory that exists;
-// "": it draws nothing.
+// writeBarChart writes the chart dir/name.svg: for each run a bar for the mean of its values and a dot for each value,
+// one per seed. The directory must exist. If dir is empty, writeBarChart does nothing.
 func writeBarChart(dir, name, title string, runs map[string][]float64) error {
 	if dir == "" {
 		return nil
@@ -44,11 +44,11 @@
 	}
 	bars, err := plotter.NewBarChart(means, vg.Points(chartBarWidth))
 	if err != nil {
-		return fmt.Errorf("experiment: bars of chart %s: %w", name, err)
+		return fmt.Errorf("experiment: draw the bars of chart %s: %w", name, err)
 	}
 	points, err := plotter.NewScatter(dots)
 	if err != nil {
-		return fmt.Errorf("experiment: dots of chart %s: %w", name, err)
+		return fmt.Errorf("experiment: draw the dots of chart %s: %w", name, err)
 	}
 	bars.Color = chartBarColor
 	p.Add(bars, points)
--- a/internal/experiment/demo.go
+++ b/internal/experiment/demo.go
@@ -17,21 +17,22 @@
 	"linkpass/internal/shardmap"
 )
 
-// demoRestartDelay is the time from a kill to the restart, and that of the warm-up after it.
+// demoRestartDelay is the time from the kill of a server to its restart, and also the duration of the warm-up after it.
 const demoRestartDelay = 5 * time.Second
 
-// Demo is a fleet and one coordinator with both fronts.
+// Demo is a running fleet with one coordinator that serves both fronts.
 type Demo struct {
 	w             *world
 	Socket        string // path of the admin API's socket
 	Search        string // address of the search front (host:port)
 	AdminListener string // address of the platform's admin listener (host:port)
 
-	Operator, KeyFile string // address of the admin API over TCP (host:port), and path of the file with its keys
-	File, Config      string // paths of the operators' file and of the platform's configuration
+	Operator, KeyFile string // address of the admin API over TCP (host:port), and path of the file with the API's keys
+	File, Config      string // paths of the operators' file (TOML) and of the platform's configuration (JSON)
 }
 
-// StartDemo starts a demo in a directory of its own, which Close removes. It fails as a world does that cannot start.
+// StartDemo starts a demo with its files in a temporary directory, which Close removes. It fails if the fleet or the
+// coordinator cannot start or is not ready in time.
 func StartDemo(seed uint64) (*Demo, error) {
 	w, err := newWorld(demoWorld(seed))
 	if err != nil {
@@ -76,17 +77,18 @@
 	}
 }
 
-// Fleet returns the demo's fleet.
+// Fleet returns the demo's fleet, which the demo owns.
 func (d *Demo) Fleet() *emulator.Fleet { return d.w.fleet }
 
-// ReplicaSets returns the names of the servers that hold each shard at the start.
+// ReplicaSets returns, for each shard in order, the names of the servers that hold it at the start.
 func (d *Demo) ReplicaSets() [][]string { return d.w.fleet.ReplicaSets(d.w.replicas) }
 
-// Close ends the coordinator, waits for it and ends the fleet.
+// Close stops the coordinator, waits for it, then stops the fleet and removes the files.
 func (d *Demo) Close() { d.w.close() }
 
-// RunDemo runs a demo with a dashboard until SIGINT or SIGTERM, and prints what to try. SIGUSR1 kills a server, which
-// restarts after demoRestartDelay. It fails if the demo or the dashboard cannot start, or a server cannot restart.
+// RunDemo runs a demo with a dashboard until SIGINT or SIGTERM, and prints instructions for trying it. On SIGUSR1 it
+// kills a server, which restarts after demoRestartDelay. RunDemo fails if the demo or the dashboard cannot start, or a
+// server cannot restart.
 func RunDemo(seed uint64) error {
 	began := time.Now()
 	d, err := StartDemo(seed)
@@ -100,32 +102,34 @@
 	if err != nil {
 		return fmt.Errorf("demo: listen for the dashboard: %w", err)
 	}
-	go func() { _ = dashboard.Serve(ctx, listener, &adminapi.Client{Socket: d.Socket, Timeout: time.Second}) }() // ends with ctx
+	// Serve returns when ctx ends.
+	go func() { _ = dashboard.Serve(ctx, listener, &adminapi.Client{Socket: d.Socket, Timeout: time.Second}) }()
 	d.printInstructions(time.Since(began), listener.Addr())
 	return d.killOnSignal(ctx)
 }
 
 func (d *Demo) printInstructions(ready time.Duration, dashboardAddr net.Addr) {
-	fmt.Printf(`six stand-in servers, discovery and a coordinator, ready after %d ms. Try, in another terminal:
+	fmt.Printf(`six emulated servers, discovery and a coordinator are ready after %d ms. Try in another terminal:
 
   a browser at http://%[6]s/
-      the fleet, slices, service by class, open plans
+      shows the fleet, the slices, the service by class and the open plans
 
   curl -s '%[2]s/players/_search?size=2'
-      two of the 500 players, "failed":0
+      returns two of the 500 players, with "failed":0
 
   export LINKPASS_SOCKET=%[3]s
   bin/linkpass slices split players %[4]d --into 2 --wait
-      the slice goes through its steps to "retired"; searches stay whole meanwhile
+      the slice goes through the steps of its plan to "retired"; searches stay complete meanwhile
 
   kill -USR1 %[5]d; bin/linkpass top
-      a server dies (and comes back cold after 5 s): it is avoided, and searches stay whole
+      kills a server, which restarts after 5 s and warms up: it is avoided, and searches stay complete
 
-Ctrl-C ends it.
+Ctrl-C ends the demo.
 `, ready.Milliseconds(), d.Search, d.Socket, uint64(shardmap.FirstDynamicID), os.Getpid(), dashboardAddr)
 }
 
-// killOnSignal kills the servers in turn, one for each SIGUSR1, until the context ends.
+// killOnSignal kills and restarts one server on each SIGUSR1, in turn, until the context ends. It fails if a server
+// cannot restart.
 func (d *Demo) killOnSignal(ctx context.Context) error {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGUSR1)
@@ -142,9 +146,10 @@
 	}
 }
 
-// killAndRestart kills a server, which keeps its data, and restarts it unless the context ends before.
+// killAndRestart kills a server, which keeps its data, and restarts it after demoRestartDelay. It does not restart the
+// server if the context ends first.
 func (d *Demo) killAndRestart(ctx context.Context, server *emulator.Server) error {
-	fmt.Printf("%s dies\n", server.Name)
+	fmt.Printf("%s was killed\n", server.Name)
 	server.Kill(false)
 	select {
 	case <-ctx.Done():
@@ -155,6 +160,6 @@
 		return err
 	}
 	d.Fleet().SetState(server, discovery.StateInService)
-	fmt.Printf("%s is back\n", server.Name)
+	fmt.Printf("%s has restarted\n", server.Name)
 	return nil
 }
--- a/internal/experiment/disruption.go
+++ b/internal/experiment/disruption.go
@@ -10,7 +10,8 @@
 	"linkpass/internal/emulator"
 )
 
-// Keys of disruption.ordered. The kinds of shard commands are those of the API.
+// Keys of disruption.ordered. The first three are also the kinds of a shardCommand, under the names that the API has
+// for them.
 const (
 	orderSplit    = "split"
 	orderMerge    = "merge"
@@ -22,21 +23,21 @@
 
 const (
 	disruptionTick  = 20 * time.Millisecond
-	drainDuration   = 2500 * time.Millisecond // until a drained server is in service again
-	killListedAfter = 800 * time.Millisecond  // until discovery lists a killed server as terminated
-	killDuration    = 2 * time.Second         // until a killed server restarts
+	drainDuration   = 2500 * time.Millisecond // time until a drained server is in service again
+	killListedAfter = 800 * time.Millisecond  // time until discovery lists a killed server as terminated
+	killDuration    = 2 * time.Second         // time until a killed server restarts
 )
 
-// disruption is what disturbs a world under load.
+// disruption says which faults and changes a world undergoes while it runs queries.
 type disruption struct {
-	reshardEvery time.Duration  // between changes of each index's shards; 0: none
-	drainEvery   time.Duration  // between drains of a server; 0: none
-	killEvery    time.Duration  // between kills of a server; 0: none
-	pauses       bool           // servers pause for a moment now and then
-	ordered      map[string]int // what was ordered, by kind
+	reshardEvery time.Duration  // time between changes of each index's shards; 0: no changes
+	drainEvery   time.Duration  // time between drains of a server; 0: no drains
+	killEvery    time.Duration  // time between kills of a server; 0: no kills
+	pauses       bool           // servers pause at random times, as the constants of pauses.go say
+	ordered      map[string]int // number of disruptions carried out, and of rejected commands, by kind
 }
 
-// disruptor carries out a disruption. One goroutine owns it.
+// disruptor carries out a disruption. Only the goroutine of disruption.run uses it, so it needs no lock.
 type disruptor struct {
 	*disruption
 	world *world
@@ -44,18 +45,18 @@
 	begin time.Time
 
 	nextReshard, nextDrain, nextKill time.Duration   // since begin
-	nextPause                        []time.Duration // of each server
+	nextPause                        []time.Duration // of each server, in the order of the fleet; since begin
 	switchPauses                     []switchPause
 	recoveries                       []recovery
 }
 
-// recovery ends a disruption of one server.
+// recovery ends the drain or the kill of one server.
 type recovery interface {
-	// advance does what is due and is true when the server has recovered.
+	// advance performs the steps that are due. It returns true when the recovery is finished.
 	advance(d *disruptor) bool
 }
 
-// run disturbs a world until the context ends. Everything is drawn from the seed.
+// run disrupts a world until the context ends. All random choices are drawn from the seed.
 func (p *disruption) run(ctx context.Context, w *world, seed uint64) {
 	d := newDisruptor(p, w, seed)
 	ticker := time.NewTicker(disruptionTick)
@@ -86,7 +87,7 @@
 	return time.Duration(d.rng.Int64N(int64(below)))
 }
 
-// step does what is due, in a fixed order: the draws depend on it.
+// step carries out what is due. The order of the steps is fixed, because they draw from one random source.
 func (d *disruptor) step() {
 	d.recoveries = slices.DeleteFunc(d.recoveries, func(r recovery) bool { return r.advance(d) })
 	if d.reshardEvery > 0 && d.now() >= d.nextReshard {
@@ -107,7 +108,7 @@
 	}
 }
 
-// drain drains a server for drainDuration.
+// drain drains a redundant server for drainDuration. It does nothing if there is no such server.
 func (d *disruptor) drain() {
 	server := d.drawRedundantServer()
 	if server == nil {
@@ -131,7 +132,8 @@
 	return true
 }
 
-// kill kills a server, which loses its data, and restarts it after killDuration.
+// kill kills a redundant server, which loses its data and restarts after killDuration. It does nothing if there is no
+// such server.
 func (d *disruptor) kill() {
 	server := d.drawRedundantServer()
 	if server == nil {
@@ -144,7 +146,7 @@
 
 type killRecovery struct {
 	server    *emulator.Server
-	listed    bool // discovery lists the server as terminated
+	listed    bool // discovery already lists the server as terminated
 	listAt    time.Duration
 	restartAt time.Duration
 }
@@ -163,7 +165,8 @@
 	return true
 }
 
-// drawRedundantServer draws a server in service each of whose shards has another replica in service; nil: there is none.
+// drawRedundantServer draws a server in service such that each of its shards has another replica in service. It returns
+// nil if there is no such server, or if the shards cannot be listed.
 func (d *disruptor) drawRedundantServer() *emulator.Server {
 	rows, serving := d.world.shardRows(), d.world.fleet.InService()
 	if len(rows) == 0 || len(serving) == 0 {
--- a/internal/experiment/drain_orders.go
+++ b/internal/experiment/drain_orders.go
@@ -21,31 +21,32 @@
 )
 
 const (
-	orderTimeout     = 15 * time.Second // for a leader to take an order, and for a coordinator to apply it
+	orderTimeout     = 15 * time.Second // limit for a leader to accept an order, and for a coordinator to apply it
 	orderInterval    = 5 * time.Millisecond
 	stateInterval    = 500 * time.Microsecond
 	divergedTimeout  = 5 * time.Second
 	divergedInterval = 10 * time.Millisecond
 )
 
-// drainLatency is when a drain held, in microseconds since its order.
+// drainLatency is the time from the order of a drain until it took effect, in microseconds.
 type drainLatency struct {
-	localUS      int64 // where it was ordered
-	everywhereUS int64 // at all coordinators that run
-	lateHolders  int64 // coordinators where it held after drainObjective
+	localUS      int64 // at the coordinator where it was ordered
+	everywhereUS int64 // at the last of the running coordinators
+	lateHolders  int64 // number of coordinators where it took longer than drainObjective
 }
 
-// stateTimeoutError says that a coordinator did not apply an order in time.
+// stateTimeoutError says that a coordinator did not have a server in the wanted state within orderTimeout.
 type stateTimeoutError struct {
 	server, state string
 	node          int
 }
 
 func (e *stateTimeoutError) Error() string {
-	return fmt.Sprintf("experiment: %s is not %s at coordinator %d after %s", e.server, e.state, e.node, orderTimeout)
+	return fmt.Sprintf("experiment: server %s is not %s at coordinator %d after %s", e.server, e.state, e.node, orderTimeout)
 }
 
-// orderAtLeader gives an order at every coordinator in turn until the leader takes it.
+// orderAtLeader sends a request to the coordinators in turn until the leader accepts it. It fails with the last error
+// if none accepts it within orderTimeout.
 func (w *world) orderAtLeader(request adminapi.ServerRequest) (err error) {
 	for end := time.Now().Add(orderTimeout); time.Now().Before(end); time.Sleep(orderInterval) {
 		for _, n := range w.nodes {
@@ -54,15 +55,16 @@
 			}
 		}
 	}
-	return fmt.Errorf("experiment: no coordinator took %s of %s: %w", request.Action, request.Server, err)
+	return fmt.Errorf("experiment: no coordinator accepted %s of server %s: %w", request.Action, request.Server, err)
 }
 
-// drain orders a drain at a coordinator and waits until it holds at all that run.
+// drain orders a drain at coordinator at and waits until it has taken effect at all running coordinators, which are the
+// first ones of the world. It returns a stateTimeoutError if one of them does not apply it within orderTimeout.
 func (w *world) drain(at, running int, server string, force bool) (latency drainLatency, err error) {
 	began := time.Now()
 	request := adminapi.ServerRequest{Server: server, Action: actionDrain, Force: force}
 	if _, err := w.nodes[at].program.ChangeServer(context.Background(), request); err != nil {
-		return latency, fmt.Errorf("experiment: drain %s at coordinator %d: %w", server, at, err)
+		return latency, fmt.Errorf("experiment: drain server %s at coordinator %d: %w", server, at, err)
 	}
 	took, ok := make([]int64, running), make([]bool, running)
 	var waiting sync.WaitGroup
@@ -83,7 +85,7 @@
 	return latency, nil
 }
 
-// undrain brings a server back at all coordinators.
+// undrain returns a server to service and waits until all coordinators have applied it.
 func (w *world) undrain(server string) error {
 	if err := w.orderAtLeader(adminapi.ServerRequest{Server: server, Action: actionUndrain}); err != nil {
 		return err
@@ -96,8 +98,8 @@
 	return nil
 }
 
-// awaitState polls until the router of a coordinator has a server in a state, and returns the microseconds since
-// began; it is false after orderTimeout.
+// awaitState polls until a coordinator's router has a server in a state, and returns the microseconds since began. It
+// returns false if that takes longer than orderTimeout.
 func (n *node) awaitState(server, state string, began time.Time) (us int64, ok bool) {
 	for time.Since(began) < orderTimeout {
 		if servers, err := n.program.Servers(); err == nil {
@@ -112,8 +114,8 @@
 	return 0, false
 }
 
-// countDiverged waits until the coordinators that run have the same replicated state, divergedTimeout at most, and
-// counts those that differ from the first. Orders that are not settled are part of the state.
+// countDiverged waits until all running coordinators have the same replicated state, for divergedTimeout at most, and
+// returns the number of those that differ from the first. Orders that are not settled yet are part of the state.
 func (w *world) countDiverged(running int) (diverged int, err error) {
 	for end := time.Now().Add(divergedTimeout); ; time.Sleep(divergedInterval) {
 		diverged = 0
@@ -141,7 +143,7 @@
 	return stateA == stateB, err
 }
 
-// describeState words a coordinator's replicated state for comparison.
+// describeState formats a coordinator's replicated state for comparison: its version, its hash and the pending orders.
 func (n *node) describeState() (string, error) {
 	state, err := n.program.ReplicatedState()
 	var pending []string
--- a/internal/experiment/drains.go
+++ b/internal/experiment/drains.go
@@ -12,21 +12,21 @@
 	"linkpass/internal/emulator"
 )
 
-// drainObjective is the time from an order within which a drain must hold at every coordinator that runs.
+// drainObjective is the time within which a drain must take effect at every running coordinator, from its order on.
 const drainObjective = time.Second
 
-// DrainsConfig sets up the experiment on drains that the coordinators agree on.
+// DrainsConfig configures RunDrains, the experiment on drains that the coordinators agree on.
 type DrainsConfig struct {
 	Seeds  []uint64
-	Orders int     // drains of each run
-	Rate   float64 // queries a second
-	Out    string  // directory of the results; "": none are written
+	Orders int     // number of drains in each run
+	Rate   float64 // queries per second, in the run with all coordinators
+	Out    string  // directory of the table; if empty, none is written
 }
 
 // drainsRun is one of the runs that are compared.
 type drainsRun struct {
 	name    string
-	running int // coordinators of drainsCoordinators
+	running int // coordinators that run, out of drainsCoordinators
 }
 
 const drainsCoordinators = 5
@@ -35,20 +35,20 @@
 
 func (r drainsRun) hasAll() bool { return r.running == drainsCoordinators }
 
-// drainsResult is the result of one run of one seed.
+// drainsResult is the result of one run with one seed.
 type drainsResult struct {
 	*loadResult
 	run         drainsRun
 	seed        uint64
-	local       *hdrhistogram.Histogram // time until a drain held where it was ordered, in microseconds
-	everywhere  *hdrhistogram.Histogram // time until it held at all coordinators that run, in microseconds
-	lateHolders int64                   // drains at a coordinator that held after drainObjective
-	diverged    int                     // coordinators whose state differed at the end
+	local       *hdrhistogram.Histogram // time until a drain took effect where it was ordered, in microseconds
+	everywhere  *hdrhistogram.Histogram // time until it took effect at all running coordinators, in microseconds
+	lateHolders int64                   // sum of drainLatency.lateHolders over all drains
+	diverged    int                     // coordinators whose replicated state differed from the first at the end
 }
 
-// RunDrains measures how soon a drain ordered at any coordinator holds at every one that runs: with load and a
-// majority, and without a majority. It is false if a rule was broken, and fails if a run could not start, an order
-// failed or a result could not be written.
+// RunDrains measures how soon a drain that is ordered at any coordinator takes effect at every running coordinator: in
+// one run under load with a majority, and in one without load and without a majority. RunDrains returns false if a rule
+// was broken, and an error if a run could not start, an order failed or a result could not be written.
 func RunDrains(c DrainsConfig) (bool, error) {
 	var all []drainsResult
 	for _, seed := range c.Seeds {
@@ -78,7 +78,7 @@
 	}
 }
 
-// runDrains is one run in a world of its own. It loads the coordinators only if all of them run.
+// runDrains performs one run in a world of its own. It sends queries only if all coordinators run.
 func runDrains(c DrainsConfig, seed uint64, run drainsRun) (drainsResult, error) {
 	result := drainsResult{loadResult: newLoadResult(), run: run, seed: seed, local: newLatencyHistogram(), everywhere: newLatencyHistogram()}
 	w, err := newWorld(drainsWorld(seed, run))
@@ -103,7 +103,7 @@
 	return result, err
 }
 
-// startLoad runs queries second by second until stop, which waits for the last second.
+// startLoad sends queries in batches of one second until stop is called. Stop waits for the last batch.
 func (w *world) startLoad(c DrainsConfig, seed uint64, result *loadResult) (stop func()) {
 	var loading sync.WaitGroup
 	done := make(chan struct{})
@@ -123,16 +123,16 @@
 	}
 }
 
-// stopNodes stops the coordinators from a position on.
+// stopNodes stops the coordinators from position from on and waits for them.
 func (w *world) stopNodes(from int) {
 	for _, n := range w.nodes[from:] {
 		n.stop()
-		n.done <- <-n.done // world.close takes it again
+		n.done <- <-n.done // waits for the value and puts it back, because world.close receives it too
 	}
 }
 
-// orderDrains drains the servers in turn, each at a drawn coordinator. Without a majority none comes back, and the
-// orders end when all servers drain.
+// orderDrains drains the servers in turn, each at a random running coordinator. With a majority it undrains each server
+// before the next drain. Without a majority no server can be undrained, so it stops when all servers are draining.
 func (w *world) orderDrains(c DrainsConfig, result *drainsResult) error {
 	rng := rand.New(rand.NewPCG(result.seed, 9))
 	servers, run := w.fleet.Servers, result.run
@@ -158,8 +158,8 @@
 	return nil
 }
 
-// agreeOnDocument waits until the leader has taken a command: an order given before the coordinators agree on a first
-// document is settled later than those that are measured.
+// agreeOnDocument waits until the leader has accepted a command, so that the coordinators agree on a first document. An
+// order that is given before is settled later than the orders that are measured.
 func (w *world) agreeOnDocument() error {
 	return w.orderAtLeader(adminapi.ServerRequest{Server: w.fleet.Servers[0].Name, Action: actionWeight})
 }
--- a/internal/experiment/drains_report.go
+++ b/internal/experiment/drains_report.go
@@ -2,13 +2,14 @@
 
 import "fmt"
 
-// reportDrains writes the table and prints the line of figures. It is false if a rule was broken.
+// reportDrains writes the table and prints the line of figures. It returns false if a rule was broken: an answer was
+// lost or falsely complete, a drain took longer than drainObjective, or the coordinators diverged.
 func reportDrains(c DrainsConfig, all []drainsResult) (bool, error) {
 	if err := drainsTable(all).write(c.Out); err != nil {
 		return false, err
 	}
 	lost, broken, diverged := 0, int64(0), 0
-	p99MS := map[string]float64{} // the largest of the seeds, by run
+	p99MS := map[string]float64{} // largest value of all seeds, by run
 	for _, r := range all {
 		lost += r.Lost + r.FalselyComplete
 		broken += r.lateHolders
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -17,24 +17,24 @@
 
 const (
 	fleetIndex              = "players"
-	fleetReplicas           = 2 // servers of a replica set
-	fleetWarmup             = 10 * time.Second
+	fleetReplicas           = 2                // servers of a replica set
+	fleetWarmup             = 10 * time.Second // duration of the warm-up after a restart
 	fleetWarmupInitialShare = 0.2
 )
 
-// FleetConfig sets up a fleet to try a coordinator against by hand.
+// FleetConfig configures RunFleet: a fleet for trying a coordinator by hand.
 type FleetConfig struct {
 	Servers   int
-	Shards    int // of the index at the start
+	Shards    int // number of shards of the index at the start
 	Records   int
 	Discovery string // address of discovery (host:port)
 	Search    string // address of the coordinator's search front (host:port)
-	Dir       string // of the coordinator's files; created if it does not exist
+	Dir       string // directory of the coordinator's files; created if it does not exist
 	Seed      uint64
 }
 
-// RunFleet writes the files of a coordinator, prints how to start it and runs the fleet until SIGINT or SIGTERM. It
-// fails if the fleet cannot listen or a file cannot be written.
+// RunFleet writes the configuration files of a coordinator, prints how to start it and runs the fleet until SIGINT or
+// SIGTERM. It fails if the fleet cannot listen or a file cannot be written.
 func RunFleet(c FleetConfig) error {
 	capacity := emulator.Capacity{
 		Cores:              2,
@@ -77,10 +77,10 @@
 		shardmap.FirstDynamicID, c.Search)
 }
 
-// writeFiles writes the files of a coordinator with a store of its own.
+// writeFiles writes the configuration files of a coordinator that is the only member of its store.
 func (c FleetConfig) writeFiles(fleet *emulator.Fleet) error {
 	if err := os.MkdirAll(c.Dir, 0o755); err != nil {
-		return fmt.Errorf("experiment: directory of the coordinator's files: %w", err)
+		return fmt.Errorf("experiment: create the directory for the coordinator's files: %w", err)
 	}
 	platform, err := fleetPlatformConfig(fleet)
 	if err != nil {
@@ -93,7 +93,7 @@
 	return writeFiles(map[string]string{c.platformPath(): platform, c.searchPath(): c.searchConfig(fleet, raftAddr)})
 }
 
-// fleetPlatformConfig is the configuration of the coordinator by the platform, in JSON.
+// fleetPlatformConfig returns the platform's configuration of the coordinator, in JSON.
 func fleetPlatformConfig(fleet *emulator.Fleet) (string, error) {
 	known, err := json.Marshal(fleet.Discovery.EndpointList())
 	if err != nil {
@@ -104,7 +104,7 @@
 		fleet.Discovery.Addr(), known, platformSettings(cfg)), nil
 }
 
-// searchConfig is the operators' file, in TOML.
+// searchConfig returns the operators' file, in TOML.
 func (c FleetConfig) searchConfig(fleet *emulator.Fleet, raftAddr string) string {
 	var b strings.Builder
 	sets := replicaSetsTOML(fleet.ReplicaSets(fleetReplicas))
--- a/internal/experiment/helpers_test.go
+++ b/internal/experiment/helpers_test.go
@@ -12,7 +12,7 @@
 	"linkpass/internal/eventlog"
 )
 
-// isolate drops the log lines of the test's coordinators and keeps their files in its temporary directory.
+// isolate discards the log lines of the test's coordinators and keeps their files in the test's temporary directory.
 func isolate(t *testing.T) {
 	t.Helper()
 	eventlog.SetOutput(io.Discard, false)
@@ -20,10 +20,10 @@
 	t.Setenv("TMPDIR", t.TempDir())
 }
 
-// stateRemoved stands for a server that a coordinator does not have.
+// stateRemoved is the state in awaitServerState of a server that a coordinator does not have.
 const stateRemoved = "removed"
 
-// startCluster starts coordinators on a fleet of their own.
+// startCluster starts coordinators on a fleet of their own and stops both at the end of the test.
 func startCluster(t *testing.T, seed uint64, coordinators int) *world {
 	t.Helper()
 	w, err := newWorld(worldConfig{
@@ -45,7 +45,7 @@
 	return w
 }
 
-// awaitServerState waits until the coordinators have a server in a state, with settled also until no order is pending.
+// awaitServerState waits until all nodes have a server in a state and, if settled is set, have no pending order.
 func awaitServerState(t *testing.T, nodes []*node, server, state string, settled bool) {
 	t.Helper()
 	for _, n := range nodes {
@@ -57,7 +57,7 @@
 				break
 			}
 			if t.Context().Err() != nil {
-				t.Fatal(server, "is not", state)
+				t.Fatal("server", server, "did not reach state", state)
 			}
 			time.Sleep(2 * time.Millisecond)
 		}
--- a/internal/experiment/node.go
+++ b/internal/experiment/node.go
@@ -19,15 +19,15 @@
 type node struct {
 	program    *daemon.Program
 	stop       context.CancelFunc // ends Serve
-	done       chan error         // gets one value when Serve has returned; world.close takes it
+	done       chan error         // receives one value when Serve has returned; world.close waits for it
 	searchAddr string
-	adminAddr  string // of the admin listener; "": none
+	adminAddr  string // address of the admin listener; empty if there is none
 }
 
-// nodeAddrs are the addresses of a coordinator that the others know.
+// nodeAddrs are the addresses (host:port) of a coordinator that the other coordinators use.
 type nodeAddrs struct{ raft, search string }
 
-// startNode writes the files of one coordinator and starts it.
+// startNode writes the configuration files of coordinator i and starts it.
 func (w *world) startNode(i int, addrs []nodeAddrs) (*node, error) {
 	adminAddr := ""
 	if w.adminListener {
@@ -54,7 +54,7 @@
 	return n, nil
 }
 
-// awaitReady waits until every coordinator is ready, readyTimeout in all.
+// awaitReady waits until every coordinator is ready. It fails if that takes longer than readyTimeout in all.
 func (w *world) awaitReady() error {
 	deadline := time.Now().Add(readyTimeout)
 	for i, n := range w.nodes {
@@ -64,7 +64,7 @@
 				break
 			}
 			if time.Now().After(deadline) {
-				return fmt.Errorf("experiment: coordinator %d was not ready in time: %w", i, err)
+				return fmt.Errorf("experiment: coordinator %d is not ready in time: %w", i, err)
 			}
 			time.Sleep(readyInterval)
 		}
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// checkReady fails unless the coordinator finds all shards of both indices and a leader answers.
+// checkReady returns a notReadyError unless a search of each index finds all shards and the leader answers.
 func (w *world) checkReady(n *node) error {
 	complete := true
 	for _, c := range classes {
@@ -86,15 +86,15 @@
 	return &notReadyError{complete, status, err}
 }
 
-// notReadyError says what a coordinator lacks.
+// notReadyError says what a coordinator lacks to be ready.
 type notReadyError struct {
-	searchComplete bool
-	leaderStatus   int   // of a call that the leader answers
-	cause          error // of that call, or nil
+	searchComplete bool  // a search of each index found all shards
+	leaderStatus   int   // HTTP status of a call that the leader answers; 0 if there was no response
+	cause          error // error of that call, or nil
 }
 
 func (e *notReadyError) Error() string {
-	return fmt.Sprintf("search complete %v, leader's status %d, %v", e.searchComplete, e.leaderStatus, e.cause)
+	return fmt.Sprintf("search of all indices complete: %v, leader's status %d, error: %v", e.searchComplete, e.leaderStatus, e.cause)
 }
 
 func (e *notReadyError) Unwrap() error { return e.cause }
--- a/internal/experiment/node_files.go
+++ b/internal/experiment/node_files.go
@@ -12,7 +12,7 @@
 	"linkpass/internal/emulator"
 )
 
-// nodeFiles are the paths of a coordinator's files.
+// nodeFiles are the paths of a coordinator's configuration files.
 type nodeFiles struct {
 	platform string // the platform's configuration
 	search   string // the operators' file
@@ -31,7 +31,7 @@
 	return cfg, err
 }
 
-// writeNodeFiles writes the files of one coordinator into the world's directory.
+// writeNodeFiles writes the configuration files of coordinator i into the world's directory.
 func (w *world) writeNodeFiles(i int, addrs []nodeAddrs, adminAddr string) (nodeFiles, error) {
 	paths := nodeFiles{platform: w.path(fmt.Sprintf("n%d-config.json", i)), search: w.path(fmt.Sprintf("n%d-search.toml", i))}
 	platform, err := w.platformConfig(i, adminAddr)
@@ -45,17 +45,17 @@
 	return paths, writeFiles(files)
 }
 
-// writeFiles writes files, readable by their owner alone.
+// writeFiles writes each content to its path, with read and write permission for the owner only.
 func writeFiles(content map[string]string) error {
 	for path, text := range content {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			return fmt.Errorf("experiment: write a configuration: %w", err)
+			return fmt.Errorf("experiment: write a configuration file: %w", err)
 		}
 	}
 	return nil
 }
 
-// platformConfig is the platform's configuration of one coordinator, in JSON.
+// platformConfig returns the platform's configuration of coordinator i, in JSON.
 func (w *world) platformConfig(i int, adminAddr string) (string, error) {
 	known, err := json.Marshal(w.fleet.Discovery.EndpointList())
 	if err != nil {
@@ -66,7 +66,7 @@
 		name, adminAddr, w.fleet.Discovery.Addr(), w.seed*31+uint64(i), w.memoryMB, known, platformSettings(w.worldConfig)), nil
 }
 
-// platformSettings is the platform's settings for the experiments' classes, in JSON.
+// platformSettings returns the platform's settings for the experiments' classes, in JSON.
 func platformSettings(cfg worldConfig) string {
 	var requestClasses, leastShares []string
 	for _, c := range classes {
@@ -84,7 +84,7 @@
 		cfg.maxOpen, strings.Join(leastShares, ","), cfg.coordinators, strings.Join(requestClasses, ","), warmupMS, warmupInitialShare)
 }
 
-// searchConfig is the operators' file of one coordinator, in TOML.
+// searchConfig returns the operators' file of coordinator i, in TOML.
 func (w *world) searchConfig(i int, addrs []nodeAddrs) string {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "listen = %q\n[search]\nmax_result_window = 100000\n", addrs[i].search)
@@ -102,7 +102,7 @@
 	return b.String()
 }
 
-// replicaSetsTOML words the sets in JSON, which TOML reads alike.
+// replicaSetsTOML encodes the sets as a JSON array of arrays of strings, which is also valid TOML.
 func replicaSetsTOML(sets [][]string) string {
 	text, _ := json.Marshal(sets)
 	return string(text)
--- a/internal/experiment/pauses.go
+++ b/internal/experiment/pauses.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// Pauses of a server, each drawn evenly from its least value to least and spread.
+// Random pauses of each server. A duration is drawn uniformly from its Least constant up to Least plus Spread.
 const (
-	firstPauseWithin    = 7 * time.Second
+	firstPauseWithin    = 7 * time.Second // after the start of the disruption
 	pauseLeast          = 79 * time.Millisecond
 	pauseSpread         = 161 * time.Millisecond
 	pauseIntervalLeast  = 4900 * time.Millisecond
 	pauseIntervalSpread = 3800 * time.Millisecond
 )
 
-// Pauses of a server about the time when its shard moves away.
+// Pauses of a server about the time when a shard is moved away from it, drawn in the same way.
 const (
-	switchPauseDelayLeast  = 100 * time.Millisecond // from the order to the pause
+	switchPauseDelayLeast  = 100 * time.Millisecond // from the command to the pause
 	switchPauseDelaySpread = 900 * time.Millisecond
 	switchPauseLeast       = 200 * time.Millisecond
 	switchPauseSpread      = 300 * time.Millisecond
 )
 
-// switchPause is a pause of a server that is to come.
+// switchPause is a pause of a server that is scheduled.
 type switchPause struct {
 	server   string
-	at       time.Duration // since the disruption's begin
+	at       time.Duration // since disruptor.begin
 	duration time.Duration
 }
 
@@ -38,8 +38,8 @@
 	}
 }
 
-// scheduleSwitchPauses pauses the present replicas of a shard about when its plan switches: parts sent there before
-// find the shard moved.
+// scheduleSwitchPauses schedules pauses of a shard's present replicas for about the time when its plan switches, so
+// that parts sent to them before the switch find the shard moved.
 func (d *disruptor) scheduleSwitchPauses(rows []shardRow, index string, shard uint64, now time.Duration) {
 	for _, row := range rows {
 		if row.Index == index && row.Shard == shard {
--- a/internal/experiment/position_report_test.go
+++ b/internal/experiment/position_report_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Guards against reports of an earlier start and malformed ones.
+// Guards against accepting a position report that is malformed or that an earlier start of the instance sent.
 func TestPositionReportsAreChecked(t *testing.T) {
 	isolate(t)
 	w := startCluster(t, 17, 3)
@@ -17,22 +17,22 @@
 		}
 		return status
 	}
-	for ask(`{"id":"n1","boot":0}`) != 409 { // until n1's own report has come
+	for ask(`{"id":"n1","boot":0}`) != 409 { // until the report of the running n1 has arrived
 		if t.Context().Err() != nil {
-			t.Fatal("no report of n1 came")
+			t.Fatal("no position report of n1 arrived")
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	if status := ask(`{"id":"nobody","boot":7}`); status != 200 {
-		t.Errorf("a stranger: %d", status)
+		t.Errorf("report of an unknown instance: status = %d, want 200", status)
 	}
 	for _, bad := range []string{``, `{}`, `[1]`, `{"id":"n1","boot":-1}`} {
 		if status := ask(bad); status != 400 {
-			t.Errorf("%s: %d", bad, status)
+			t.Errorf("report %q: status = %d, want 400", bad, status)
 		}
 	}
 	c := w.nodes[0].program.Counters()
 	if bad, refused := c.Get("position_reports_malformed"), c.Get("position_reports_rejected"); bad != 4 || refused < 1 {
-		t.Errorf("%d bad, %d refused", bad, refused)
+		t.Errorf("position_reports_malformed = %d, want 4; position_reports_rejected = %d, want at least 1", bad, refused)
 	}
 }
--- a/internal/experiment/query.go
+++ b/internal/experiment/query.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	leagueTableShare  = 0.16 // of the queries
-	leagueTablePieces = 16   // pieces of the keys, half of which a league table asks for
-	lookupRecords     = 4    // records of a team lookup
+	leagueTableShare  = 0.16 // share of all queries
+	leagueTablePieces = 16   // ranges into which the key space is split; a league table requests half of them
+	lookupRecords     = 4    // records that a team lookup requests
 )
 
 // Positions in classes.
@@ -24,14 +24,15 @@
 
 // query is one query of a run.
 type query struct {
-	at        time.Duration // since the run's start
+	at        time.Duration // time to send it, since the start of the run
 	class     int           // position in classes
-	params    string
+	params    string        // URL parameters of the search
 	requested []shardmap.Range
-	body      string // "": every record
+	body      string // JSON; if empty, every record of the ranges is requested
 }
 
-// drawQueries draws the queries of a run in advance, with Poisson arrivals: runs side by side get the same.
+// drawQueries draws the queries of a run in advance, with Poisson arrivals at a rate per second. The runs that an
+// experiment compares get the same queries, because the same seed yields the same draws.
 func drawQueries(seed uint64, length time.Duration, rate float64, records []emulator.Record) (queries []query) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for at := time.Duration(0); ; {
@@ -47,7 +48,7 @@
 	}
 }
 
-// drawLeagueTable draws a query of adjacent ranges, from anywhere.
+// drawLeagueTable draws a query of adjacent ranges. They begin at a random range and wrap around the key space.
 func drawLeagueTable(rng *rand.Rand, at time.Duration) query {
 	q := query{at: at, class: leagueTable}
 	pieces := shardmap.FullRange.Split(leagueTablePieces)
@@ -62,7 +63,7 @@
 	return q
 }
 
-// drawTeamLookup draws a query of single records.
+// drawTeamLookup draws a query of lookupRecords single records.
 func drawTeamLookup(rng *rand.Rand, at time.Duration, records []emulator.Record) query {
 	q := query{at: at, class: teamLookup}
 	var ids []string
--- a/internal/experiment/query_load.go
+++ b/internal/experiment/query_load.go
@@ -16,29 +16,29 @@
 )
 
 const (
-	lostTolerance = 100 * time.Millisecond // an answer that comes later after its query's timeout is lost
-	maxLatencyUS  = 20_000_000             // of a histogram
-	latencyDigits = 3                      // of a histogram
+	lostTolerance = 100 * time.Millisecond // an answer that comes later than this after the timeout counts as lost
+	maxLatencyUS  = 20_000_000             // largest value of a histogram, in microseconds
+	latencyDigits = 3                      // significant digits of a histogram
 
-	unknownCause   = "untold"
-	outcomeInCause = "the latest attempt ended as "
+	unknownCause   = "untold"                       // key of loadResult.Causes if a response names no missing range
+	outcomeInCause = "the latest attempt ended as " // precedes the outcome in the reason of a missing range
 )
 
-// loadResult counts the results of a run's queries.
+// loadResult counts the outcomes of a run's queries.
 type loadResult struct {
-	mu sync.Mutex // guards all of it while queries run
+	mu sync.Mutex // guards all fields while queries run
 
 	Queries, Complete, Partial, Rejected, Failed int
 
-	Lost            int // no answer in time
-	FalselyComplete int // claimed complete, but were not
-	Duplicates      int // duplicate or unrequested records
-	Unexplained     int // partial answers that lack a record without saying so
+	Lost            int // no answer within the timeout and lostTolerance
+	FalselyComplete int // answers that claim to be complete but are not
+	Duplicates      int // records that are duplicate or were not requested
+	Unexplained     int // partial answers that lack a record outside the ranges that they report as missing
 
-	OfferedWeight float64        // priority weight of all queries
-	ServedWeight  float64        // of complete answers, with the late value after the latency objective
-	Causes        map[string]int // outcomes of the first missing range of each answer that is not complete
-	latency       []*hdrhistogram.Histogram
+	OfferedWeight float64                   // sum of the priority weights of all queries
+	ServedWeight  float64                   // sum of servedWeight over the complete answers
+	Causes        map[string]int            // number of incomplete answers, by the outcome of the first missing range
+	latency       []*hdrhistogram.Histogram // by position in classes; in microseconds
 }
 
 func newLoadResult() *loadResult {
@@ -49,20 +49,20 @@
 	return r
 }
 
-// newLatencyHistogram counts latencies in microseconds.
+// newLatencyHistogram returns an empty histogram of latencies in microseconds.
 func newLatencyHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, maxLatencyUS, latencyDigits)
 }
 
-// percentileMS is a percentile, from 0 to 100, of a histogram in milliseconds.
+// percentileMS returns a percentile, from 0 to 100, of a histogram of microseconds, in milliseconds.
 func percentileMS(h *hdrhistogram.Histogram, percentile float64) float64 {
 	return float64(h.ValueAtQuantile(percentile)) / 1000
 }
 
-// service is the weight served over the weight offered, from 0 to 1.
+// service returns the served weight divided by the offered weight, from 0 to 1.
 func (r *loadResult) service() float64 { return r.ServedWeight / max(1e-9, r.OfferedWeight) }
 
-// runQueries sends each query at its time, to the coordinators in turn, and waits for the answers.
+// runQueries sends each query at its time, to the coordinators in turn, and returns when all queries have ended.
 func (w *world) runQueries(queries []query, result *loadResult) {
 	begin := time.Now()
 	var open sync.WaitGroup
@@ -102,7 +102,7 @@
 	}
 }
 
-// countAnswer compares an answer with the records that exist. The caller holds the mutex.
+// countAnswer compares an answer with the existing records and counts the outcome. The caller holds r.mu.
 func (r *loadResult) countAnswer(records []emulator.Record, q query, response *searchResponse, latency time.Duration, body []byte) {
 	ids := response.ids()
 	check := emulator.CheckAnswer(records, q.requested, ids, response.claimsComplete())
@@ -122,7 +122,8 @@
 	}
 }
 
-// servedWeight is the priority weight of a complete answer.
+// servedWeight returns the priority weight of a complete answer, times class.lateValue if it came after the latency
+// objective.
 func servedWeight(c class, latency time.Duration) float64 {
 	if latency <= c.latencyObjective {
 		return c.priorityWeight
@@ -130,7 +131,8 @@
 	return c.priorityWeight * c.lateValue
 }
 
-// countCause counts the outcome of the first missing range. The caller holds the mutex.
+// countCause counts the outcome of the first missing range, or unknownCause if the body names none. The caller holds
+// r.mu.
 func (r *loadResult) countCause(body []byte) {
 	var response searchResponse
 	if json.Unmarshal(body, &response) != nil || len(response.Shards.Failures) == 0 {
@@ -140,7 +142,7 @@
 	r.Causes[strings.TrimPrefix(response.Shards.Failures[0].Reason.Reason, outcomeInCause)]++
 }
 
-// lacksUnexplained says whether a requested record is neither among the ids nor in a range that is said to be missing.
+// lacksUnexplained reports whether a requested record is neither among the ids nor in a range that is reported missing.
 func lacksUnexplained(records []emulator.Record, requested []shardmap.Range, ids []string, missing []shardmap.Range) bool {
 	returned := map[string]bool{}
 	for _, id := range ids {
--- a/internal/experiment/query_test.go
+++ b/internal/experiment/query_test.go
@@ -10,7 +10,8 @@
 	"linkpass/internal/emulator"
 )
 
-// Guards against a draw that is moved, added or skipped: runs of one seed would no longer compare.
+// Guards against a random draw that is moved, added or skipped: the queries of a seed would change, and runs of the
+// same seed could no longer be compared.
 func TestDrawQueriesGolden(t *testing.T) {
 	const want = "893e4090180f9846b4d9cd3a0145f8925394d16098fd8757a11c1789ad5cc786"
 	hash := sha256.New()
@@ -22,6 +23,6 @@
 		fmt.Fprintln(hash, drawSearchBody(rand.New(rand.NewPCG(seed, 5)), 3))
 	}
 	if got := fmt.Sprintf("%x", hash.Sum(nil)); got != want {
-		t.Errorf("queries hash to %s, want %s", got, want)
+		t.Errorf("hash of the queries = %s, want %s", got, want)
 	}
 }
--- a/internal/experiment/report_golden_test.go
+++ b/internal/experiment/report_golden_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// sampleLoad is a load result whose counts depend on n.
+// sampleLoad returns a load result whose counts depend on n.
 func sampleLoad(n int) *loadResult {
 	r := newLoadResult()
 	r.Queries, r.Complete, r.Partial, r.Rejected, r.Failed = 100+n, 90+n, 1, 2, 3
@@ -60,7 +60,7 @@
 	return all
 }
 
-// captureOutput returns what f prints.
+// captureOutput returns what f prints on standard output.
 func captureOutput(t *testing.T, f func()) []byte {
 	t.Helper()
 	file, err := os.Create(filepath.Join(t.TempDir(), "stdout"))
@@ -79,7 +79,7 @@
 	return text
 }
 
-// checkGolden compares with a file of testdata.
+// checkGolden compares got with a file of testdata.
 func checkGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	want, err := os.ReadFile(filepath.Join("testdata", name))
@@ -87,7 +87,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s:\n%s\nwant\n%s", name, got, want)
+		t.Errorf("%s: got\n%s\nwant\n%s", name, got, want)
 	}
 }
 
--- a/internal/experiment/resharding.go
+++ b/internal/experiment/resharding.go
@@ -15,22 +15,22 @@
 	reshardingKillEvery  = 3 * time.Second
 )
 
-// ReshardingConfig sets up the experiment on changes of shards under load.
+// ReshardingConfig configures RunResharding, the experiment on changes of shards under load.
 type ReshardingConfig struct {
 	Seeds   []uint64
-	Seconds int // length of a run
+	Seconds int // duration of a run
 	Servers int
-	Rate    float64       // queries a second
-	Every   time.Duration // between changes of each index
-	Out     string        // directory of the results; "": none are written
+	Rate    float64       // queries per second in each run
+	Every   time.Duration // time between two changes of each index
+	Out     string        // directory of table and chart; if empty, none are written
 }
 
 // reshardingRun is one of the runs that are compared.
 type reshardingRun struct {
 	name     string
-	reshards bool
-	kills    bool
-	replans  bool // parts that find their shard moved are sent to its new replicas; without, they fail
+	reshards bool // the shards are split, merged and moved
+	kills    bool // servers are killed and restart
+	replans  bool // parts that find their shard moved are sent to its new replicas; otherwise they fail
 }
 
 var reshardingRuns = []reshardingRun{
@@ -42,23 +42,23 @@
 	{"refuse+deaths", true, true, false},
 }
 
-// reshardingResult is the result of one run of one seed.
+// reshardingResult is the result of one run with one seed.
 type reshardingResult struct {
 	*loadResult
 	run     reshardingRun
 	seed    uint64
-	ordered map[string]int // as disruption.ordered
+	ordered map[string]int // see disruption.ordered
 
-	switched, abandoned int64 // plans
-	lateParts           int64 // received more than a second after a drain
-	warmupOverloads     int64 // parts at a server in warm-up that was overloaded
+	switched, abandoned int64 // numbers of plans
+	lateParts           int64 // parts that a server received more than a second after its drain
+	warmupOverloads     int64 // parts begun at a server that was overloaded during its warm-up
 	replans             int64
 	attempts            int64
-	attemptsMoved       int64 // that found their shard moved
+	attemptsMoved       int64 // attempts that found their shard moved
 }
 
-// RunResharding changes shards under load, for each seed in all runs side by side. It is false if a rule was broken,
-// and fails if a run could not start or a result could not be written.
+// RunResharding changes shards under load. The runs of a seed are concurrent and get the same queries. RunResharding
+// returns false if a rule was broken, and an error if a run could not start or a result could not be written.
 func RunResharding(c ReshardingConfig) (bool, error) {
 	var all []reshardingResult
 	for _, seed := range c.Seeds {
@@ -76,8 +76,8 @@
 	return reportResharding(c, all)
 }
 
-// reshardingWorld is the world of one run. Replicas drop a shard with the first assignment after the switch of its
-// plan, so that parts in flight find it moved.
+// reshardingWorld configures the world of run i. Its retire_after is so short that replicas drop a shard with the first
+// assignment after the switch of its plan, so that parts in flight find the shard moved.
 func reshardingWorld(c ReshardingConfig, seed uint64, i int) worldConfig {
 	run := reshardingRuns[i]
 	return worldConfig{
@@ -102,7 +102,7 @@
 	}
 }
 
-// runResharding is one run in a world of its own.
+// runResharding performs run i of a seed in a world of its own.
 func runResharding(c ReshardingConfig, seed uint64, i int) (reshardingResult, error) {
 	run := reshardingRuns[i]
 	w, err := newWorld(reshardingWorld(c, seed, i))
@@ -137,7 +137,7 @@
 	return out, nil
 }
 
-// runDisrupted runs queries while a disruption goes on, and waits for its end.
+// runDisrupted runs queries during a disruption. It stops the disruption after the last query and waits for its end.
 func (w *world) runDisrupted(d *disruption, seed uint64, queries []query, result *loadResult) {
 	ctx, stop := context.WithCancel(context.Background())
 	var disrupting sync.WaitGroup
--- a/internal/experiment/resharding_report.go
+++ b/internal/experiment/resharding_report.go
@@ -8,7 +8,8 @@
 	"strings"
 )
 
-// reportResharding writes table and chart and prints the line of figures. It is false if a rule was broken.
+// reportResharding writes table and chart and prints the line of figures. It returns false if a rule was broken; see
+// reshardingTotals.rulesKept.
 func reportResharding(c ReshardingConfig, all []reshardingResult) (bool, error) {
 	ratios := serviceRatios(all)
 	if err := reshardingTable(all).write(c.Out); err != nil {
@@ -36,8 +37,8 @@
 	return table
 }
 
-// serviceRatios is the service of each run over that of the run of the same seed without changes of shards, by name
-// of the run.
+// serviceRatios returns, by name of the run, the service of each seed divided by the service of its baseline. That is
+// the run of the same seed without changes of shards, and with kills if the run has kills.
 func serviceRatios(all []reshardingResult) map[string][]float64 {
 	type baseline struct {
 		kills bool
@@ -60,7 +61,7 @@
 	return ratios
 }
 
-// reshardingTotals sums all runs and seeds.
+// reshardingTotals sums the results of all runs and seeds.
 type reshardingTotals struct {
 	queries, lost, falselyComplete, duplicates int
 	lateParts, warmupOverloads                 int64
@@ -84,6 +85,8 @@
 	return t
 }
 
+// rulesKept reports whether no query was lost, no answer was falsely complete or had duplicate, unrequested or
+// unexplained missing records, no part came late after a drain and no server was overloaded during its warm-up.
 func (t reshardingTotals) rulesKept() bool {
 	return t.lost == 0 && t.falselyComplete == 0 && t.duplicates == 0 && t.lateParts == 0 && t.warmupOverloads == 0
 }
@@ -96,7 +99,7 @@
 		mean(ratios["reshape+deaths"]), least(ratios["reshape+deaths"]), mean(ratios["refuse+deaths"]))
 }
 
-// mean is 0 without values.
+// mean returns the mean of values, or 0 if there are none.
 func mean(values []float64) (m float64) {
 	for _, v := range values {
 		m += v / float64(len(values))
@@ -104,7 +107,7 @@
 	return m
 }
 
-// least is +Inf without values.
+// least returns the smallest of values, or +Inf if there are none.
 func least(values []float64) float64 {
 	lowest := math.Inf(1)
 	for _, v := range values {
@@ -113,7 +116,7 @@
 	return lowest
 }
 
-// formatCounts words counts in order of their keys.
+// formatCounts formats counts as a list of "key count", in the order of the keys.
 func formatCounts(counts map[string]int) string {
 	var words []string
 	for _, key := range slices.Sorted(maps.Keys(counts)) {
--- a/internal/experiment/search_faults_test.go
+++ b/internal/experiment/search_faults_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Faults: a shard map version that does not exist, a partition, a slow server, one that is called in frames.
+// Guards against incomplete searches while servers are faulty: one claims a shard map version that does not exist, one
+// is partitioned, one is slow. Another one is called in frames (protocol plain).
 func TestSearchIsCompleteBesideFaultyServers(t *testing.T) {
 	isolate(t)
 	d, err := StartDemo(3)
@@ -19,16 +20,16 @@
 	s[4].SetSlowdown(5)
 	n := d.w.nodes[0]
 	if status, body, err := d.w.call(n, "PUT", "/_cluster/settings", `{"persistent":{"servers.s-06.protocol":"plain"}}`); err != nil || status != 200 {
-		t.Fatalf("%d %s %v", status, body, err)
+		t.Fatalf("change the protocol of s-06: status = %d, want 200, body %s, error %v", status, body, err)
 	}
 	for range 12 {
 		status, body, err := d.w.call(n, "POST", "/tables/_search", `{"size":1000}`)
 		if err != nil || status != 200 || !strings.Contains(string(body), `"failed":0`) {
-			t.Fatalf("%d %.300s %v", status, body, err)
+			t.Fatalf("search: status = %d, want 200 and \"failed\":0, body %.300s, error %v", status, body, err)
 		}
 	}
 	if s[0].MovedParts.Load() == 0 || d.w.counterSum("attempts_unknown_shard_map") == 0 {
-		t.Errorf("the liar was never asked: %d, %d", s[0].MovedParts.Load(), d.w.counterSum("attempts_unknown_shard_map"))
+		t.Errorf("parts that s-01 answered with «shard moved» = %d, attempts_unknown_shard_map = %d, want both above 0", s[0].MovedParts.Load(), d.w.counterSum("attempts_unknown_shard_map"))
 	}
 	s[2].Partition(false)
 }
--- a/internal/experiment/shard_changes.go
+++ b/internal/experiment/shard_changes.go
@@ -12,10 +12,11 @@
 type servingShard struct {
 	id      uint64
 	keys    shardmap.Range
-	planned bool // a plan changes it
+	planned bool // a plan already changes the shard
 }
 
-// reshard orders a split, a merge or a move of one shard of each index.
+// reshard requests a split, a merge or a move of one shard of each index, from a random coordinator. It does nothing if
+// too few servers are in service for a replica set.
 func (d *disruptor) reshard(now time.Duration) {
 	w := d.world
 	rows, serving := w.shardRows(), w.fleet.InService()
@@ -40,7 +41,7 @@
 	}
 }
 
-// servingShards lists the serving shards of an index in order of their keys.
+// servingShards returns the serving shards of an index, sorted by their keys.
 func servingShards(rows []shardRow, index string) (shards []servingShard) {
 	for _, row := range rows {
 		keys, err := shardmap.ParseRange(row.Range)
@@ -55,8 +56,8 @@
 	return shards
 }
 
-// drawCommand draws a change that keeps the number of shards between half and twice that of the start. It shuffles
-// the servers, and is false if a plan changes the drawn shard.
+// drawCommand draws a command that keeps the number of shards between half and twice the initial number. It shuffles
+// servers in place. It returns false if a plan already changes the drawn shard.
 func (d *disruptor) drawCommand(index string, shards []servingShard, servers []string) (shardCommand, bool) {
 	i := d.rng.IntN(len(shards))
 	d.shuffle(servers)
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -10,14 +10,14 @@
 	"strings"
 )
 
-// resultTable is a result, written as CSV and as Markdown.
+// resultTable is a table of results, which write stores as CSV and as Markdown.
 type resultTable struct {
-	name    string // of the files, without extension
+	name    string // name of the files, without extension
 	columns []string
 	rows    [][]string
 }
 
-// add adds a row; a float64 is written with three decimal digits.
+// add appends a row. It formats a float64 with three decimal digits and other values as fmt.Sprint does.
 func (t *resultTable) add(cells ...any) {
 	row := make([]string, len(cells))
 	for i, c := range cells {
@@ -30,13 +30,14 @@
 	t.rows = append(t.rows, row)
 }
 
-// write writes the table into a directory, which it creates; "": it writes nothing.
+// write writes the table as name.csv and name.md into a directory, which it creates if necessary. If dir is empty,
+// write does nothing.
 func (t *resultTable) write(dir string) error {
 	if dir == "" {
 		return nil
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return fmt.Errorf("experiment: directory of table %s: %w", t.name, err)
+		return fmt.Errorf("experiment: create the directory for table %s: %w", t.name, err)
 	}
 	if err := t.writeCSV(filepath.Join(dir, t.name+".csv")); err != nil {
 		return fmt.Errorf("experiment: write table %s: %w", t.name, err)
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -14,55 +14,55 @@
 	"linkpass/internal/shardmap"
 )
 
-// class is a class of queries, to an index of its own.
+// class is a request class. The queries of each class go to an index of their own.
 type class struct {
 	name             string
 	index            string
 	latencyObjective time.Duration
 	timeout          time.Duration
 	priorityWeight   float64
-	lateValue        float64 // share of the weight after the objective, from 0 to 1
+	lateValue        float64 // share of the weight that an answer has after the latency objective, from 0 to 1
 	minWeight        float64 // share of the weight that the router may not go below, from 0 to 1
 }
 
-// classes are those of every experiment.
+// classes are the request classes of every experiment.
 var classes = []class{
 	{"team-lookup", "players", time.Second, 2500 * time.Millisecond, 1, 0, 1},
 	{"league-table", "tables", 2 * time.Second, 5 * time.Second, 3, 0.3, 0.5},
 }
 
-// worldConfig says how a world is built.
+// worldConfig configures a world.
 type worldConfig struct {
 	seed         uint64
 	servers      int
 	coordinators int
-	shards       int // of each index
+	shards       int // initial number in each index
 	replicas     int // servers of a replica set
 	records      int
 	capacity     emulator.Capacity
-	maxOpen      int // queries open at a coordinator
+	maxOpen      int // maximum of open queries at a coordinator
 	memoryMB     int // memory limit of a coordinator
 
-	resharding    string // lines of the section reshape in the coordinators' search file
-	bodies        string // lines of the section bodies; DIR is a directory of the coordinator's own
-	admin         string // lines of the section operator; DIR is the world's directory
-	adminKeys     string // content of keys.toml in the world's directory; "": no such file
+	resharding    string // lines of the section reshape in the operators' file
+	bodies        string // lines of the section bodies; DIR stands for a directory of the coordinator's own
+	admin         string // lines of the section operator; DIR stands for the world's directory
+	adminKeys     string // content of keys.toml in the world's directory; if empty, there is no such file
 	adminListener bool   // whether a coordinator serves its admin listener
 }
 
-// world is a fleet and the coordinators in front of it.
+// world is an emulated fleet and the coordinators in front of it.
 type world struct {
 	worldConfig
 	fleet  *emulator.Fleet
-	dir    string // removed by close
+	dir    string // directory of the coordinators' files; close removes it
 	nodes  []*node
 	client *http.Client
 }
 
-// worldCount numbers the worlds of this process.
+// worldCount is the number of worlds that this process has started. nodeHost uses it to give each its own addresses.
 var worldCount atomic.Uint32
 
-// newWorld starts a fleet and its coordinators, and waits until they are ready.
+// newWorld starts a fleet and its coordinators, and waits until they are ready. If that fails it stops what it started.
 func newWorld(cfg worldConfig) (w *world, err error) {
 	w = &world{worldConfig: cfg, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 128}}}
 	defer func() {
@@ -71,7 +71,7 @@
 		}
 	}()
 	if w.dir, err = os.MkdirTemp("", "linkpass-lab-"); err != nil {
-		return w, fmt.Errorf("experiment: directory of a world: %w", err)
+		return w, fmt.Errorf("experiment: create a directory for a world: %w", err)
 	}
 	if err = w.startFleet(); err != nil {
 		return w, err
@@ -117,12 +117,13 @@
 	return nil
 }
 
-// nodeHost is a loopback address of a coordinator's own: no other world takes a port there between freeAddr and its use.
+// nodeHost returns a loopback address for one coordinator alone, so that no other world takes a port of it between
+// freeAddr and the coordinator's use.
 func nodeHost(worldNumber uint32, node int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()%128, worldNumber%250, node+1)
 }
 
-// freeAddr finds a free port of a host and returns host:port.
+// freeAddr finds a free TCP port of a host and returns host:port. It does not reserve the port.
 func freeAddr(host string) (string, error) {
 	listener, err := net.Listen("tcp", host+":0")
 	if err != nil {
@@ -132,7 +133,7 @@
 	return listener.Addr().String(), nil
 }
 
-// counterSum sums a counter over the coordinators.
+// counterSum returns the sum of a counter over all coordinators.
 func (w *world) counterSum(name string) (n int64) {
 	for _, node := range w.nodes {
 		n += node.program.Counters().Get(name)
@@ -140,7 +141,7 @@
 	return n
 }
 
-// close ends the coordinators, waits for them, then ends the fleet and removes the directory.
+// close stops the coordinators, waits for them, then stops the fleet and removes the directory.
 func (w *world) close() {
 	var stopping sync.WaitGroup
 	for _, n := range w.nodes {
