--- a/internal/experiment/api.go
+++ b/internal/experiment/api.go
@@ -67,19 +67,19 @@
 
 // shardCommand is a command that changes the shards of an index.
 type shardCommand struct {
-	kind  string // orderSplit, orderMerge or orderMove
-	index string
-	shard uint64
-	next  uint64   // the adjacent shard of a merge
-	to    []string // servers of the replica set
+	kind     string // disruptionSplit, disruptionMerge or disruptionMove
+	index    string
+	shard    uint64
+	adjacent uint64   // the adjacent shard of a merge
+	to       []string // servers of the replica set
 }
 
 // reroute sends a command to a coordinator. It returns false if the call failed or the command was rejected.
 func (w *world) reroute(n *node, command shardCommand) bool {
 	to, _ := json.Marshal([][]string{command.to})
 	shards := fmt.Sprintf(`"shard":%d`, command.shard)
-	if command.kind == orderMerge {
-		shards = fmt.Sprintf(`"shards":[%d,%d]`, command.shard, command.next)
+	if command.kind == disruptionMerge {
+		shards = fmt.Sprintf(`"shards":[%d,%d]`, command.shard, command.adjacent)
 	}
 	body := fmt.Sprintf(`{"commands":[{"%s":{"index":%q,%s,"to_nodes":%s}}]}`, command.kind, command.index, shards, to)
 	status, _, err := w.call(n, "POST", pathReroute, body)
--- a/internal/experiment/backup_test.go
+++ b/internal/experiment/backup_test.go
@@ -13,30 +13,30 @@
 
 // Guards against a backup that mixes two revisions because settings are written while it is taken, and against a
 // restore that changes more than settings: members and shard maps must stay.
-func TestBackupDuringWritesIntoAnotherCluster(t *testing.T) {
+func TestBackupDuringWritesRestoresSettingsIntoAnotherCluster(t *testing.T) {
 	isolate(t)
-	here, there := startCluster(t, 11, 3), startCluster(t, 12, 1)
+	source, target := startCluster(t, 11, 3), startCluster(t, 12, 1)
 	stop, written := make(chan struct{}), make(chan int)
-	go writeSettings(t, here, stop, written)
-	last, revision := takeBackups(t, here)
+	go writeSettings(t, source, stop, written)
+	last, revision := takeBackups(t, source)
 	close(stop)
 	<-written
-	before, members := there.nodes[0].program.ShardMaps(), fmt.Sprint(there.nodes[0].program.Store().Members())
-	if res := callAdmin(there.nodes[0], "PUT", "/store/document", last); res.Status != 200 {
+	before, members := target.nodes[0].program.ShardMaps(), fmt.Sprint(target.nodes[0].program.Store().Members())
+	if res := callAdmin(target.nodes[0], "PUT", "/store/document", last); res.Status != 200 {
 		t.Fatalf("PUT /store/document: status = %d, want 200, body %s", res.Status, res.Body)
 	}
 	doc, err := adminapi.ReadBackup(last)
 	if err != nil {
 		t.Fatal(err)
 	}
-	now := there.nodes[0].program.Store().Settings()
-	if now.Search.MaxResultWindow != doc.Search.MaxResultWindow || revision < 2 {
-		t.Errorf("restored search settings = %+v, want %+v of the backup, whose revision is %d (want at least 2)", now.Search, doc.Search, revision)
+	restored := target.nodes[0].program.Store().Settings()
+	if restored.Search.MaxResultWindow != doc.Search.MaxResultWindow || revision < 2 {
+		t.Errorf("restored search settings = %+v, want %+v of the backup, whose revision is %d (want at least 2)", restored.Search, doc.Search, revision)
 	}
-	if after := there.nodes[0].program.ShardMaps(); !reflect.DeepEqual(before, after) || fmt.Sprint(there.nodes[0].program.Store().Members()) != members {
+	if after := target.nodes[0].program.ShardMaps(); !reflect.DeepEqual(before, after) || fmt.Sprint(target.nodes[0].program.Store().Members()) != members {
 		t.Error("the restore changed shard maps or members, want both unchanged")
 	}
-	if status, body, err := there.call(there.nodes[0], "POST", "/players/_search", `{"size":1}`); err != nil || !strings.Contains(string(body), `"failed":0`) {
+	if status, body, err := target.call(target.nodes[0], "POST", "/players/_search", `{"size":1}`); err != nil || !strings.Contains(string(body), `"failed":0`) {
 		t.Errorf("search after the restore: status %d, body %s, error %v, want \"failed\":0", status, body, err)
 	}
 }
--- a/internal/experiment/bodies.go
+++ b/internal/experiment/bodies.go
@@ -82,7 +82,7 @@
 	return reportBodies(c, all)
 }
 
-func bodiesWorld(c BodiesConfig, seed uint64, i int) worldConfig {
+func bodiesWorldConfig(c BodiesConfig, seed uint64, i int) worldConfig {
 	run := bodiesRuns[i]
 	return worldConfig{
 		seed:         seed*100 + uint64(i),
@@ -107,7 +107,7 @@
 
 // runBodies performs run i of a seed in a world of its own.
 func runBodies(c BodiesConfig, seed uint64, i int) (bodiesResult, error) {
-	w, err := newWorld(bodiesWorld(c, seed, i))
+	w, err := newWorld(bodiesWorldConfig(c, seed, i))
 	if err != nil {
 		return bodiesResult{}, err
 	}
@@ -124,7 +124,7 @@
 		queries[k].body = drawSearchBody(rng, c.BodyKiB)
 	}
 	result := newLoadResult()
-	w.runDisrupted(&disruption{pauses: true, ordered: map[string]int{}}, seed, queries, result)
+	w.runDisrupted(&disruption{pauses: true, counts: map[string]int{}}, seed, queries, result)
 	out := bodiesResult{loadResult: result, run: bodiesRuns[i].name, seed: seed, counters: w.bodiesCounters()}
 	for name, value := range before {
 		out.counters[name] -= value
--- a/internal/experiment/bodies_report.go
+++ b/internal/experiment/bodies_report.go
@@ -12,7 +12,7 @@
 	if err := writeBarChart(c.Out, "bodies", "worth answered in time", totals.service); err != nil {
 		return false, err
 	}
-	memory := memoryFigures{overBudgetMB: -1}
+	memory := memoryUsage{overBudgetMB: -1}
 	if c.Memory {
 		var err error
 		if memory, err = measureMemory(); err != nil {
@@ -81,7 +81,7 @@
 	return float64(t.won[run]) / float64(max(1, t.needed[run]))
 }
 
-func printBodies(t bodiesTotals, m memoryFigures) {
+func printBodies(t bodiesTotals, m memoryUsage) {
 	fmt.Printf("lost=%d wrong=%d lookup_final_p99_ms=%s ", t.lost, t.broken, bucketQuantile(t.final, 0.99))
 	fmt.Printf("retry_success_before=%.3f retry_success_memory=%.3f retry_success_file=%.3f retry_success_none=%.3f ",
 		t.retrySuccess("before"), t.retrySuccess("memory"), t.retrySuccess("file"), t.retrySuccess("none"))
--- a/internal/experiment/body_memory.go
+++ b/internal/experiment/body_memory.go
@@ -37,32 +37,33 @@
 	holdTightMemoryLimit = 19 << 20 // bytes; what the program sets for a limit of 32 MB
 )
 
-// memoryFigures is the memory use of processes that hold holdBodies bodies.
-type memoryFigures struct {
+// memoryUsage is the memory use of processes that hold holdBodies bodies.
+type memoryUsage struct {
 	overBudgetMB float64 // peak resident memory minus the budget; -1 if not measured
 	baseMB       float64 // peak resident memory before the first body, contained in overBudgetMB
 	sharedShare  float64 // bytes held over bytes written if bodies share contents, from 0 to 1
 }
 
 // measureMemory runs HoldBodies in separate processes, once with distinct and once with shared contents.
-func measureMemory() (m memoryFigures, err error) {
-	distinct, err := runHold(holdDistinct)
+func measureMemory() (m memoryUsage, err error) {
+	distinct, err := runHoldCommand(holdDistinct)
 	if err != nil {
 		return m, err
 	}
-	shared, err := runHold(holdShared)
+	shared, err := runHoldCommand(holdShared)
 	if err != nil {
 		return m, err
 	}
-	return memoryFigures{
+	return memoryUsage{
 		overBudgetMB: (distinct["resident"] - holdBudgetBytes) / (1 << 20),
 		baseMB:       distinct["base"] / (1 << 20),
 		sharedShare:  shared["held"] / float64(holdBodies*holdBodyBytes),
 	}, nil
 }
 
-// runHold runs this program's command hold in a separate process and parses the figures that it prints, by their names.
-func runHold(contents string) (figures map[string]float64, err error) {
+// runHoldCommand runs this program's command hold in a separate process and returns the figures that it prints, by
+// name.
+func runHoldCommand(contents string) (figures map[string]float64, err error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, fmt.Errorf("experiment: find the path of this program: %w", err)
@@ -97,7 +98,7 @@
 	defer os.RemoveAll(dir)
 	store := openHoldStore(dir, budget)
 	defer store.Close()
-	bodies, err := keepBodies(store, contents, count)
+	bodies, err := storeBodies(store, contents, count)
 	if err != nil {
 		return err
 	}
@@ -126,8 +127,8 @@
 	})
 }
 
-// keepBodies stores count bodies of the same random bytes, except that the first eight bytes differ between contents.
-func keepBodies(store *bodystore.Store, contents string, count int) (bodies []*bodystore.Body, err error) {
+// storeBodies stores count bodies of the same random bytes, except that the first eight bytes differ between contents.
+func storeBodies(store *bodystore.Store, contents string, count int) (bodies []*bodystore.Body, err error) {
 	data := make([]byte, holdBodyBytes)
 	rng := rand.New(rand.NewPCG(1, 1))
 	for i := range data {
@@ -139,7 +140,7 @@
 			n %= holdSharedContents
 		}
 		binary.LittleEndian.PutUint64(data, uint64(n))
-		body, err := keepBody(store, data)
+		body, err := storeBody(store, data)
 		if err != nil {
 			return nil, fmt.Errorf("experiment: store body %d: %w", i, err)
 		}
@@ -148,8 +149,8 @@
 	return bodies, nil
 }
 
-// keepBody stores a body. It retries while the store has no capacity, as a client would.
-func keepBody(store *bodystore.Store, data []byte) (*bodystore.Body, error) {
+// storeBody stores a body. It retries while the store has no capacity, as a client would.
+func storeBody(store *bodystore.Store, data []byte) (*bodystore.Body, error) {
 	for {
 		w := store.NewWriter(0, 1)
 		_, err := w.Write(data)
--- a/internal/experiment/chart.go
+++ b/internal/experiment/chart.go
@@ -14,11 +14,11 @@
 
 // Dimensions of a chart.
 const (
-	chartBarWidth     = 40  // points
-	chartWidthPerRun  = 120 // points
-	chartLeastRuns    = 3   // a chart with fewer runs is as wide as with this many
-	chartHeight       = 320 // points
-	chartLargestRatio = 1.1 // upper end of the y axis
+	chartBarWidth    = 40  // points
+	chartWidthPerRun = 120 // points
+	chartMinRuns     = 3   // a chart with fewer runs is as wide as with this many
+	chartHeight      = 320 // points
+	chartMaxRatio    = 1.1 // upper end of the y axis
 )
 
 var chartBarColor = color.RGBA{R: 160, G: 190, B: 220, A: 255}
@@ -30,7 +30,7 @@
 		return nil
 	}
 	p := plot.New()
-	p.Title.Text, p.Y.Label.Text, p.Y.Min, p.Y.Max = title, "ratio", 0, chartLargestRatio
+	p.Title.Text, p.Y.Label.Text, p.Y.Min, p.Y.Max = title, "ratio", 0, chartMaxRatio
 	names := slices.Sorted(maps.Keys(runs))
 	var means plotter.Values
 	var dots plotter.XYs
@@ -53,7 +53,7 @@
 	bars.Color = chartBarColor
 	p.Add(bars, points)
 	p.NominalX(names...)
-	width := vg.Points(chartWidthPerRun * float64(max(chartLeastRuns, len(names))))
+	width := vg.Points(chartWidthPerRun * float64(max(chartMinRuns, len(names))))
 	if err := p.Save(width, chartHeight, filepath.Join(dir, name+".svg")); err != nil {
 		return fmt.Errorf("experiment: write chart %s: %w", name, err)
 	}
--- a/internal/experiment/demo.go
+++ b/internal/experiment/demo.go
@@ -34,7 +34,7 @@
 // StartDemo starts a demo with its files in a temporary directory, which Close removes. It fails if the fleet or the
 // coordinator cannot start or is not ready in time.
 func StartDemo(seed uint64) (*Demo, error) {
-	w, err := newWorld(demoWorld(seed))
+	w, err := newWorld(demoWorldConfig(seed))
 	if err != nil {
 		return nil, err
 	}
@@ -51,7 +51,7 @@
 	}, nil
 }
 
-func demoWorld(seed uint64) worldConfig {
+func demoWorldConfig(seed uint64) worldConfig {
 	return worldConfig{
 		seed:          seed,
 		servers:       6,
--- a/internal/experiment/disruption.go
+++ b/internal/experiment/disruption.go
@@ -10,15 +10,15 @@
 	"linkpass/internal/emulator"
 )
 
-// Keys of disruption.ordered. The first three are also the kinds of a shardCommand, under the names that the API has
+// Keys of disruption.counts. The first three are also the kinds of a shardCommand, under the names that the API has
 // for them.
 const (
-	orderSplit    = "split"
-	orderMerge    = "merge"
-	orderMove     = "move"
-	orderRejected = "refused"
-	orderDrain    = "drains"
-	orderKill     = "deaths"
+	disruptionSplit    = "split"
+	disruptionMerge    = "merge"
+	disruptionMove     = "move"
+	disruptionRejected = "refused"
+	disruptionDrain    = "drains"
+	disruptionKill     = "deaths"
 )
 
 const (
@@ -34,7 +34,7 @@
 	drainEvery   time.Duration  // time between drains of a server; 0: no drains
 	killEvery    time.Duration  // time between kills of a server; 0: no kills
 	pauses       bool           // servers pause at random times, as the constants of pauses.go say
-	ordered      map[string]int // number of disruptions carried out, and of rejected commands, by kind
+	counts       map[string]int // number of disruptions carried out, and of rejected commands, by kind
 }
 
 // disruptor carries out a disruption. Only the goroutine of disruption.run uses it, so it needs no lock.
@@ -81,7 +81,7 @@
 	return d
 }
 
-func (d *disruptor) now() time.Duration { return time.Since(d.begin) }
+func (d *disruptor) elapsed() time.Duration { return time.Since(d.begin) }
 
 func (d *disruptor) drawDuration(below time.Duration) time.Duration {
 	return time.Duration(d.rng.Int64N(int64(below)))
@@ -90,19 +90,19 @@
 // step carries out what is due. The order of the steps is fixed, because they draw from one random source.
 func (d *disruptor) step() {
 	d.recoveries = slices.DeleteFunc(d.recoveries, func(r recovery) bool { return r.advance(d) })
-	if d.reshardEvery > 0 && d.now() >= d.nextReshard {
+	if d.reshardEvery > 0 && d.elapsed() >= d.nextReshard {
 		d.nextReshard += d.reshardEvery
-		d.reshard(d.now())
+		d.reshard(d.elapsed())
 	}
 	if d.pauses {
 		d.pauseServers()
 	}
 	d.pauseAtSwitches()
-	if d.drainEvery > 0 && d.now() >= d.nextDrain {
+	if d.drainEvery > 0 && d.elapsed() >= d.nextDrain {
 		d.nextDrain += d.drainEvery
 		d.drain()
 	}
-	if d.killEvery > 0 && d.now() >= d.nextKill {
+	if d.killEvery > 0 && d.elapsed() >= d.nextKill {
 		d.nextKill += d.killEvery
 		d.kill()
 	}
@@ -115,8 +115,8 @@
 		return
 	}
 	d.world.fleet.SetState(server, discovery.StateTerminating)
-	d.recoveries = append(d.recoveries, &drainRecovery{server, d.now() + drainDuration})
-	d.ordered[orderDrain]++
+	d.recoveries = append(d.recoveries, &drainRecovery{server, d.elapsed() + drainDuration})
+	d.counts[disruptionDrain]++
 }
 
 type drainRecovery struct {
@@ -125,7 +125,7 @@
 }
 
 func (r *drainRecovery) advance(d *disruptor) bool {
-	if d.now() < r.at {
+	if d.elapsed() < r.at {
 		return false
 	}
 	d.world.fleet.SetState(r.server, discovery.StateInService)
@@ -140,8 +140,8 @@
 		return
 	}
 	server.Kill(true)
-	d.recoveries = append(d.recoveries, &killRecovery{server: server, listAt: d.now() + killListedAfter, restartAt: d.now() + killDuration})
-	d.ordered[orderKill]++
+	d.recoveries = append(d.recoveries, &killRecovery{server: server, listAt: d.elapsed() + killListedAfter, restartAt: d.elapsed() + killDuration})
+	d.counts[disruptionKill]++
 }
 
 type killRecovery struct {
@@ -152,11 +152,11 @@
 }
 
 func (r *killRecovery) advance(d *disruptor) bool {
-	if !r.listed && d.now() >= r.listAt {
+	if !r.listed && d.elapsed() >= r.listAt {
 		r.listed = true
 		d.world.fleet.SetState(r.server, discovery.StateTerminated)
 	}
-	if d.now() < r.restartAt {
+	if d.elapsed() < r.restartAt {
 		return false
 	}
 	if r.server.Restart() == nil {
--- a/internal/experiment/drain_orders.go
+++ b/internal/experiment/drain_orders.go
@@ -21,34 +21,34 @@
 )
 
 const (
-	orderTimeout     = 15 * time.Second // limit for a leader to accept an order, and for a coordinator to apply it
-	orderInterval    = 5 * time.Millisecond
-	stateInterval    = 500 * time.Microsecond
-	divergedTimeout  = 5 * time.Second
-	divergedInterval = 10 * time.Millisecond
+	changeTimeout           = 15 * time.Second // for a leader to accept a change, and for a coordinator to apply it
+	changeRetryInterval     = 5 * time.Millisecond
+	statePollInterval       = 500 * time.Microsecond
+	convergenceTimeout      = 5 * time.Second
+	convergencePollInterval = 10 * time.Millisecond
 )
 
-// drainLatency is the time from the order of a drain until it took effect, in microseconds.
+// drainLatency is the time from the request of a drain until it took effect, in microseconds.
 type drainLatency struct {
-	localUS      int64 // at the coordinator where it was ordered
-	everywhereUS int64 // at the last of the running coordinators
-	lateHolders  int64 // number of coordinators where it took longer than drainObjective
+	localUS          int64 // at the coordinator that got the request
+	everywhereUS     int64 // at the last of the running coordinators
+	lateCoordinators int64 // number of coordinators where it took longer than drainObjective
 }
 
-// stateTimeoutError says that a coordinator did not have a server in the wanted state within orderTimeout.
+// stateTimeoutError says that a coordinator did not have a server in the wanted state within changeTimeout.
 type stateTimeoutError struct {
 	server, state string
 	node          int
 }
 
 func (e *stateTimeoutError) Error() string {
-	return fmt.Sprintf("experiment: server %s is not %s at coordinator %d after %s", e.server, e.state, e.node, orderTimeout)
+	return fmt.Sprintf("experiment: server %s is not %s at coordinator %d after %s", e.server, e.state, e.node, changeTimeout)
 }
 
-// orderAtLeader sends a request to the coordinators in turn until the leader accepts it. It fails with the last error
-// if none accepts it within orderTimeout.
-func (w *world) orderAtLeader(request adminapi.ServerRequest) (err error) {
-	for end := time.Now().Add(orderTimeout); time.Now().Before(end); time.Sleep(orderInterval) {
+// changeServerAtLeader sends a request to the coordinators in turn until the leader accepts it. It fails with the last
+// error if none accepts it within changeTimeout.
+func (w *world) changeServerAtLeader(request adminapi.ServerRequest) (err error) {
+	for end := time.Now().Add(changeTimeout); time.Now().Before(end); time.Sleep(changeRetryInterval) {
 		for _, n := range w.nodes {
 			if _, err = n.program.ChangeServer(context.Background(), request); err == nil {
 				return nil
@@ -58,8 +58,9 @@
 	return fmt.Errorf("experiment: no coordinator accepted %s of server %s: %w", request.Action, request.Server, err)
 }
 
-// drain orders a drain at coordinator at and waits until it has taken effect at all running coordinators, which are the
-// first ones of the world. It returns a stateTimeoutError if one of them does not apply it within orderTimeout.
+// drain requests a drain at the coordinator at position at. It waits until the drain has taken effect at all running
+// coordinators, which are the first of the world. It returns a stateTimeoutError if one of them does not apply the drain
+// within changeTimeout.
 func (w *world) drain(at, running int, server string, force bool) (latency drainLatency, err error) {
 	began := time.Now()
 	request := adminapi.ServerRequest{Server: server, Action: actionDrain, Force: force}
@@ -79,7 +80,7 @@
 		}
 		latency.everywhereUS = max(latency.everywhereUS, us)
 		if us > drainObjective.Microseconds() {
-			latency.lateHolders++
+			latency.lateCoordinators++
 		}
 	}
 	return latency, nil
@@ -87,7 +88,7 @@
 
 // undrain returns a server to service and waits until all coordinators have applied it.
 func (w *world) undrain(server string) error {
-	if err := w.orderAtLeader(adminapi.ServerRequest{Server: server, Action: actionUndrain}); err != nil {
+	if err := w.changeServerAtLeader(adminapi.ServerRequest{Server: server, Action: actionUndrain}); err != nil {
 		return err
 	}
 	for i, n := range w.nodes {
@@ -99,9 +100,9 @@
 }
 
 // awaitState polls until a coordinator's router has a server in a state, and returns the microseconds since began. It
-// returns false if that takes longer than orderTimeout.
+// returns false if that takes longer than changeTimeout.
 func (n *node) awaitState(server, state string, began time.Time) (us int64, ok bool) {
-	for time.Since(began) < orderTimeout {
+	for time.Since(began) < changeTimeout {
 		if servers, err := n.program.Servers(); err == nil {
 			for _, s := range servers {
 				if s.Name == server && s.State == state {
@@ -109,15 +110,15 @@
 				}
 			}
 		}
-		time.Sleep(stateInterval)
+		time.Sleep(statePollInterval)
 	}
 	return 0, false
 }
 
-// countDiverged waits until all running coordinators have the same replicated state, for divergedTimeout at most, and
-// returns the number of those that differ from the first. Orders that are not settled yet are part of the state.
+// countDiverged waits until all running coordinators have the same replicated state, for convergenceTimeout at
+// most, and returns the number of those that differ from the first. Pending restrictions are part of the state.
 func (w *world) countDiverged(running int) (diverged int, err error) {
-	for end := time.Now().Add(divergedTimeout); ; time.Sleep(divergedInterval) {
+	for end := time.Now().Add(convergenceTimeout); ; time.Sleep(convergencePollInterval) {
 		diverged = 0
 		for _, n := range w.nodes[1:running] {
 			same, err := sameState(n, w.nodes[0])
@@ -143,12 +144,13 @@
 	return stateA == stateB, err
 }
 
-// describeState formats a coordinator's replicated state for comparison: its version, its hash and the pending orders.
+// describeState formats a coordinator's replicated state for comparison: its version, its hash and the pending
+// restrictions.
 func (n *node) describeState() (string, error) {
 	state, err := n.program.ReplicatedState()
 	var pending []string
-	for _, order := range state.Pending {
-		pending = append(pending, order.ID.String())
+	for _, restriction := range state.Pending {
+		pending = append(pending, restriction.ID.String())
 	}
 	return fmt.Sprint(state.Version, state.Hash, strings.Join(pending, " ")), err
 }
--- a/internal/experiment/drains.go
+++ b/internal/experiment/drains.go
@@ -12,7 +12,7 @@
 	"linkpass/internal/emulator"
 )
 
-// drainObjective is the time within which a drain must take effect at every running coordinator, from its order on.
+// drainObjective is the time within which a drain must take effect at every running coordinator, from its request on.
 const drainObjective = time.Second
 
 // DrainsConfig configures RunDrains, the experiment on drains that the coordinators agree on.
@@ -38,17 +38,17 @@
 // drainsResult is the result of one run with one seed.
 type drainsResult struct {
 	*loadResult
-	run         drainsRun
-	seed        uint64
-	local       *hdrhistogram.Histogram // time until a drain took effect where it was ordered, in microseconds
-	everywhere  *hdrhistogram.Histogram // time until it took effect at all running coordinators, in microseconds
-	lateHolders int64                   // sum of drainLatency.lateHolders over all drains
-	diverged    int                     // coordinators whose replicated state differed from the first at the end
+	run              drainsRun
+	seed             uint64
+	local            *hdrhistogram.Histogram // time until a drain took effect where it was requested, in microseconds
+	everywhere       *hdrhistogram.Histogram // time until it took effect at all running coordinators, in microseconds
+	lateCoordinators int64                   // sum of drainLatency.lateCoordinators over all drains
+	diverged         int                     // coordinators whose replicated state differed from the first at the end
 }
 
-// RunDrains measures how soon a drain that is ordered at any coordinator takes effect at every running coordinator: in
-// one run under load with a majority, and in one without load and without a majority. RunDrains returns false if a rule
-// was broken, and an error if a run could not start, an order failed or a result could not be written.
+// RunDrains measures how soon a drain that is requested at any coordinator takes effect at every running coordinator:
+// in one run under load with a majority, and in one without load and without a majority. RunDrains returns false if a
+// rule was broken, and an error if a run could not start, a change failed or a result could not be written.
 func RunDrains(c DrainsConfig) (bool, error) {
 	var all []drainsResult
 	for _, seed := range c.Seeds {
@@ -63,7 +63,7 @@
 	return reportDrains(c, all)
 }
 
-func drainsWorld(seed uint64, run drainsRun) worldConfig {
+func drainsWorldConfig(seed uint64, run drainsRun) worldConfig {
 	return worldConfig{
 		seed:         seed*10 + uint64(run.running),
 		servers:      12,
@@ -81,12 +81,12 @@
 // runDrains performs one run in a world of its own. It sends queries only if all coordinators run.
 func runDrains(c DrainsConfig, seed uint64, run drainsRun) (drainsResult, error) {
 	result := drainsResult{loadResult: newLoadResult(), run: run, seed: seed, local: newLatencyHistogram(), everywhere: newLatencyHistogram()}
-	w, err := newWorld(drainsWorld(seed, run))
+	w, err := newWorld(drainsWorldConfig(seed, run))
 	if err != nil {
 		return result, err
 	}
 	defer w.close()
-	if err := w.agreeOnDocument(); err != nil {
+	if err := w.agreeOnFirstDocument(); err != nil {
 		return result, err
 	}
 	stopLoad := func() {}
@@ -94,7 +94,7 @@
 		stopLoad = w.startLoad(c, seed, result.loadResult)
 	}
 	w.stopNodes(run.running)
-	err = w.orderDrains(c, &result)
+	err = w.drainServers(c, &result)
 	stopLoad()
 	if err != nil {
 		return result, err
@@ -131,9 +131,10 @@
 	}
 }
 
-// orderDrains drains the servers in turn, each at a random running coordinator. With a majority it undrains each server
-// before the next drain. Without a majority no server can be undrained, so it stops when all servers are draining.
-func (w *world) orderDrains(c DrainsConfig, result *drainsResult) error {
+// drainServers drains the servers in turn, each at a random running coordinator. With a majority it undrains each
+// server before the next drain. Without a majority no server can be undrained, so it stops when all servers are
+// draining.
+func (w *world) drainServers(c DrainsConfig, result *drainsResult) error {
 	rng := rand.New(rand.NewPCG(result.seed, 9))
 	servers, run := w.fleet.Servers, result.run
 	for i := range c.Orders {
@@ -144,7 +145,7 @@
 		}
 		_ = result.local.RecordValue(max(1, latency.localUS))
 		_ = result.everywhere.RecordValue(max(1, latency.everywhereUS))
-		result.lateHolders += latency.lateHolders
+		result.lateCoordinators += latency.lateCoordinators
 		if !run.hasAll() {
 			if i+1 == len(servers) {
 				return nil
@@ -158,8 +159,8 @@
 	return nil
 }
 
-// agreeOnDocument waits until the leader has accepted a command, so that the coordinators agree on a first document. An
-// order that is given before is settled later than the orders that are measured.
-func (w *world) agreeOnDocument() error {
-	return w.orderAtLeader(adminapi.ServerRequest{Server: w.fleet.Servers[0].Name, Action: actionWeight})
+// agreeOnFirstDocument waits until the leader has accepted a command, so that the coordinators agree on a first
+// document. A drain that is requested before then is settled later than the drains that are measured.
+func (w *world) agreeOnFirstDocument() error {
+	return w.changeServerAtLeader(adminapi.ServerRequest{Server: w.fleet.Servers[0].Name, Action: actionWeight})
 }
--- a/internal/experiment/drains_report.go
+++ b/internal/experiment/drains_report.go
@@ -8,17 +8,17 @@
 	if err := drainsTable(all).write(c.Out); err != nil {
 		return false, err
 	}
-	lost, broken, diverged := 0, int64(0), 0
+	lost, late, diverged := 0, int64(0), 0
 	p99MS := map[string]float64{} // largest value of all seeds, by run
 	for _, r := range all {
 		lost += r.Lost + r.FalselyComplete
-		broken += r.lateHolders
+		late += r.lateCoordinators
 		diverged += r.diverged
 		p99MS[r.run.name] = max(p99MS[r.run.name], percentileMS(r.everywhere, 99))
 	}
-	fmt.Printf("seeds=%d lost=%d drain_broken=%d diverged=%d drain_p99_ms=%.1f drain_p99_minority_ms=%.1f\n", len(c.Seeds), lost, broken, diverged,
+	fmt.Printf("seeds=%d lost=%d drain_broken=%d diverged=%d drain_p99_ms=%.1f drain_p99_minority_ms=%.1f\n", len(c.Seeds), lost, late, diverged,
 		p99MS[drainsRuns[0].name], p99MS[drainsRuns[1].name])
-	return lost+diverged == 0 && broken == 0, nil
+	return lost+diverged == 0 && late == 0, nil
 }
 
 func drainsTable(all []drainsResult) *resultTable {
@@ -30,7 +30,7 @@
 			service = r.service()
 		}
 		table.add(r.run.name, r.seed, r.local.TotalCount(), percentileMS(r.local, 50), percentileMS(r.everywhere, 50), percentileMS(r.everywhere, 99),
-			r.lateHolders, r.Queries, r.Lost, service, r.diverged)
+			r.lateCoordinators, r.Queries, r.Lost, service, r.diverged)
 	}
 	return table
 }
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -95,13 +95,13 @@
 
 // fleetPlatformConfig returns the platform's configuration of the coordinator, in JSON.
 func fleetPlatformConfig(fleet *emulator.Fleet) (string, error) {
-	known, err := json.Marshal(fleet.Discovery.EndpointList())
+	endpointList, err := json.Marshal(fleet.Discovery.EndpointList())
 	if err != nil {
 		return "", fmt.Errorf("experiment: encode the endpoint list: %w", err)
 	}
 	cfg := worldConfig{coordinators: 1, maxOpen: 1000, capacity: emulator.Capacity{WarmupDuration: fleetWarmup, WarmupInitialShare: fleetWarmupInitialShare}}
 	return fmt.Sprintf(`{"name":"by-hand","listen":"127.0.0.1:0","discovery":%q,"seed":"5","limits":{"memory_mb":128,"sockets":1024},"known":%s,"settings":%s}`,
-		fleet.Discovery.Addr(), known, platformSettings(cfg)), nil
+		fleet.Discovery.Addr(), endpointList, platformSettings(cfg)), nil
 }
 
 // searchConfig returns the operators' file, in TOML.
--- a/internal/experiment/helpers_test.go
+++ b/internal/experiment/helpers_test.go
@@ -45,15 +45,15 @@
 	return w
 }
 
-// awaitServerState waits until all nodes have a server in a state and, if settled is set, have no pending order.
+// awaitServerState waits until all nodes have a server in a state and, if settled is set, have no pending restriction.
 func awaitServerState(t *testing.T, nodes []*node, server, state string, settled bool) {
 	t.Helper()
 	for _, n := range nodes {
 		for {
 			list, err := n.program.Servers()
-			a, err2 := n.program.ReplicatedState()
+			replicated, stateErr := n.program.ReplicatedState()
 			at := slices.IndexFunc(list, func(s adminapi.Server) bool { return s.Name == server })
-			if err == nil && err2 == nil && (at < 0 && state == stateRemoved || at >= 0 && list[at].State == state) && (!settled || len(a.Pending) == 0) {
+			if err == nil && stateErr == nil && (at < 0 && state == stateRemoved || at >= 0 && list[at].State == state) && (!settled || len(replicated.Pending) == 0) {
 				break
 			}
 			if t.Context().Err() != nil {
--- a/internal/experiment/node.go
+++ b/internal/experiment/node.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	readyTimeout  = 15 * time.Second
-	readyInterval = 50 * time.Millisecond
+	readyTimeout      = 15 * time.Second
+	readyPollInterval = 50 * time.Millisecond
 )
 
 // node is one coordinator of a world, in this process.
@@ -66,7 +66,7 @@
 			if time.Now().After(deadline) {
 				return fmt.Errorf("experiment: coordinator %d is not ready in time: %w", i, err)
 			}
-			time.Sleep(readyInterval)
+			time.Sleep(readyPollInterval)
 		}
 	}
 	return nil
--- a/internal/experiment/node_files.go
+++ b/internal/experiment/node_files.go
@@ -57,22 +57,22 @@
 
 // platformConfig returns the platform's configuration of coordinator i, in JSON.
 func (w *world) platformConfig(i int, adminAddr string) (string, error) {
-	known, err := json.Marshal(w.fleet.Discovery.EndpointList())
+	endpointList, err := json.Marshal(w.fleet.Discovery.EndpointList())
 	if err != nil {
 		return "", fmt.Errorf("experiment: encode the endpoint list: %w", err)
 	}
 	name := fmt.Sprintf("%s-%d-n%d", filepath.Base(w.dir), w.seed, i)
 	return fmt.Sprintf(`{"name":%q,"listen":"127.0.0.1:0","operator":%q,"discovery":%q,"seed":"%x","limits":{"memory_mb":%d,"sockets":4096},"known":%s,"settings":%s}`,
-		name, adminAddr, w.fleet.Discovery.Addr(), w.seed*31+uint64(i), w.memoryMB, known, platformSettings(w.worldConfig)), nil
+		name, adminAddr, w.fleet.Discovery.Addr(), w.seed*31+uint64(i), w.memoryMB, endpointList, platformSettings(w.worldConfig)), nil
 }
 
 // platformSettings returns the platform's settings for the experiments' classes, in JSON.
 func platformSettings(cfg worldConfig) string {
-	var requestClasses, leastShares []string
+	var requestClasses, minWeights []string
 	for _, c := range classes {
 		requestClasses = append(requestClasses, fmt.Sprintf(`{"name":%q,"aim":%d,"hard_limit":%d,"idempotency":"free","importance":%g,"late_share":%g}`,
 			c.name, c.latencyObjective.Milliseconds(), c.timeout.Milliseconds(), c.priorityWeight, c.lateValue))
-		leastShares = append(leastShares, fmt.Sprint(c.minWeight))
+		minWeights = append(minWeights, fmt.Sprint(c.minWeight))
 	}
 	warmupMS := max(1, cfg.capacity.WarmupDuration.Milliseconds())
 	warmupInitialShare := max(0.01, cfg.capacity.WarmupInitialShare)
@@ -81,7 +81,7 @@
 "extra":{"class_need":[1,1],"least_share":[%s],"in_a_row":1,"parts_a_call":1,"places":1,"slabs":1},"peers_total":%d,
 "report":{"fields":["active","avg_ms","waiting"],"how":"inline"},"tenants":[],"tick":5,"request_classes":[%s],
 "rules":{"answer_slack":20,"cold":%d,"cold_from":%g,"drain_grace":1000,"fall_multiple":2,"tip_after":3000}}`,
-		cfg.maxOpen, strings.Join(leastShares, ","), cfg.coordinators, strings.Join(requestClasses, ","), warmupMS, warmupInitialShare)
+		cfg.maxOpen, strings.Join(minWeights, ","), cfg.coordinators, strings.Join(requestClasses, ","), warmupMS, warmupInitialShare)
 }
 
 // searchConfig returns the operators' file of coordinator i, in TOML.
--- a/internal/experiment/query.go
+++ b/internal/experiment/query.go
@@ -12,7 +12,7 @@
 
 const (
 	leagueTableShare  = 0.16 // share of all queries
-	leagueTablePieces = 16   // ranges into which the key space is split; a league table requests half of them
+	leagueTableRanges = 16   // ranges into which the key space is split; a league table requests half of them
 	lookupRecords     = 4    // records that a team lookup requests
 )
 
@@ -33,11 +33,11 @@
 
 // drawQueries draws the queries of a run in advance, with Poisson arrivals at a rate per second. The runs that an
 // experiment compares get the same queries, because the same seed yields the same draws.
-func drawQueries(seed uint64, length time.Duration, rate float64, records []emulator.Record) (queries []query) {
+func drawQueries(seed uint64, duration time.Duration, rate float64, records []emulator.Record) (queries []query) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for at := time.Duration(0); ; {
 		at += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
-		if at >= length {
+		if at >= duration {
 			return queries
 		}
 		if rng.Float64() < leagueTableShare {
@@ -51,13 +51,13 @@
 // drawLeagueTable draws a query of adjacent ranges. They begin at a random range and wrap around the key space.
 func drawLeagueTable(rng *rand.Rand, at time.Duration) query {
 	q := query{at: at, class: leagueTable}
-	pieces := shardmap.FullRange.Split(leagueTablePieces)
+	ranges := shardmap.FullRange.Split(leagueTableRanges)
 	var names []string
-	from := rng.IntN(leagueTablePieces)
-	for i := range leagueTablePieces / 2 {
-		piece := pieces[(from+i)%leagueTablePieces]
-		q.requested = append(q.requested, piece)
-		names = append(names, piece.String())
+	from := rng.IntN(leagueTableRanges)
+	for i := range leagueTableRanges / 2 {
+		keys := ranges[(from+i)%leagueTableRanges]
+		q.requested = append(q.requested, keys)
+		names = append(names, keys.String())
 	}
 	q.params = "preference=" + url.QueryEscape("_ranges:"+strings.Join(names, ","))
 	return q
--- a/internal/experiment/query_load.go
+++ b/internal/experiment/query_load.go
@@ -20,8 +20,8 @@
 	maxLatencyUS  = 20_000_000             // largest value of a histogram, in microseconds
 	latencyDigits = 3                      // significant digits of a histogram
 
-	unknownCause   = "untold"                       // key of loadResult.Causes if a response names no missing range
-	outcomeInCause = "the latest attempt ended as " // precedes the outcome in the reason of a missing range
+	unknownCause = "untold"                       // key of loadResult.Causes if a response names no missing range
+	causePrefix  = "the latest attempt ended as " // precedes the outcome in the reason of a missing range
 )
 
 // loadResult counts the outcomes of a run's queries.
@@ -65,13 +65,13 @@
 // runQueries sends each query at its time, to the coordinators in turn, and returns when all queries have ended.
 func (w *world) runQueries(queries []query, result *loadResult) {
 	begin := time.Now()
-	var open sync.WaitGroup
+	var inFlight sync.WaitGroup
 	for i, q := range queries {
 		time.Sleep(time.Until(begin.Add(q.at)))
 		n := w.nodes[i%len(w.nodes)]
-		open.Go(func() { w.runQuery(n, q, result) })
+		inFlight.Go(func() { w.runQuery(n, q, result) })
 	}
-	open.Wait()
+	inFlight.Wait()
 }
 
 func (w *world) runQuery(n *node, q query, result *loadResult) {
@@ -112,7 +112,7 @@
 		r.FalselyComplete++
 	case !check.ClaimedComplete:
 		r.Partial++
-		if lacksUnexplained(records, q.requested, ids, response.missingRanges()) {
+		if hasUnexplainedGap(records, q.requested, ids, response.missingRanges()) {
 			r.Unexplained++
 		}
 		r.countCause(body)
@@ -139,11 +139,12 @@
 		r.Causes[unknownCause]++
 		return
 	}
-	r.Causes[strings.TrimPrefix(response.Shards.Failures[0].Reason.Reason, outcomeInCause)]++
+	r.Causes[strings.TrimPrefix(response.Shards.Failures[0].Reason.Reason, causePrefix)]++
 }
 
-// lacksUnexplained reports whether a requested record is neither among the ids nor in a range that is reported missing.
-func lacksUnexplained(records []emulator.Record, requested []shardmap.Range, ids []string, missing []shardmap.Range) bool {
+// hasUnexplainedGap reports whether a requested record is neither among the ids nor in a range that is reported as
+// missing.
+func hasUnexplainedGap(records []emulator.Record, requested []shardmap.Range, ids []string, missing []shardmap.Range) bool {
 	returned := map[string]bool{}
 	for _, id := range ids {
 		returned[id] = true
--- a/internal/experiment/report_golden_test.go
+++ b/internal/experiment/report_golden_test.go
@@ -29,7 +29,7 @@
 				loadResult:    sampleLoad(n),
 				run:           run,
 				seed:          seed,
-				ordered:       map[string]int{"split": n, "merge": n + 1, "move": n + 2},
+				disruptions:   map[string]int{"split": n, "merge": n + 1, "move": n + 2},
 				switched:      int64(n + 3),
 				abandoned:     int64(n + 4),
 				replans:       int64(n + 5),
--- a/internal/experiment/resharding.go
+++ b/internal/experiment/resharding.go
@@ -45,9 +45,9 @@
 // reshardingResult is the result of one run with one seed.
 type reshardingResult struct {
 	*loadResult
-	run     reshardingRun
-	seed    uint64
-	ordered map[string]int // see disruption.ordered
+	run         reshardingRun
+	seed        uint64
+	disruptions map[string]int // see disruption.counts
 
 	switched, abandoned int64 // numbers of plans
 	lateParts           int64 // parts that a server received more than a second after its drain
@@ -76,9 +76,9 @@
 	return reportResharding(c, all)
 }
 
-// reshardingWorld configures the world of run i. Its retire_after is so short that replicas drop a shard with the first
-// assignment after the switch of its plan, so that parts in flight find the shard moved.
-func reshardingWorld(c ReshardingConfig, seed uint64, i int) worldConfig {
+// reshardingWorldConfig configures the world of run i. Its retire_after is so short that replicas drop a shard with the
+// first assignment after the switch of its plan, so that parts in flight find the shard moved.
+func reshardingWorldConfig(c ReshardingConfig, seed uint64, i int) worldConfig {
 	run := reshardingRuns[i]
 	return worldConfig{
 		seed:         seed*100 + uint64(i),
@@ -105,13 +105,13 @@
 // runResharding performs run i of a seed in a world of its own.
 func runResharding(c ReshardingConfig, seed uint64, i int) (reshardingResult, error) {
 	run := reshardingRuns[i]
-	w, err := newWorld(reshardingWorld(c, seed, i))
+	w, err := newWorld(reshardingWorldConfig(c, seed, i))
 	if err != nil {
 		return reshardingResult{}, err
 	}
 	defer w.close()
 	result := newLoadResult()
-	d := &disruption{pauses: true, drainEvery: reshardingDrainEvery, ordered: map[string]int{}}
+	d := &disruption{pauses: true, drainEvery: reshardingDrainEvery, counts: map[string]int{}}
 	if run.reshards {
 		d.reshardEvery = c.Every
 	}
@@ -123,7 +123,7 @@
 		loadResult:    result,
 		run:           run,
 		seed:          seed,
-		ordered:       d.ordered,
+		disruptions:   d.counts,
 		switched:      w.counterSum("resharding_switched"),
 		abandoned:     w.counterSum("resharding_abandoned"),
 		lateParts:     w.fleet.LateParts(),
--- a/internal/experiment/resharding_report.go
+++ b/internal/experiment/resharding_report.go
@@ -31,7 +31,7 @@
 		lookups := r.latency[teamLookup]
 		table.add(r.run.name, r.seed, r.Queries, r.Complete, r.Partial, r.Rejected, r.Failed, r.Lost, r.FalselyComplete,
 			r.Duplicates, r.Unexplained, r.lateParts, r.warmupOverloads, r.service(), percentileMS(lookups, 50), percentileMS(lookups, 99),
-			r.ordered[orderSplit], r.ordered[orderMerge], r.ordered[orderMove], r.switched, r.abandoned,
+			r.disruptions[disruptionSplit], r.disruptions[disruptionMerge], r.disruptions[disruptionMove], r.switched, r.abandoned,
 			r.attemptsMoved, r.replans, r.attempts, formatCounts(r.Causes))
 	}
 	return table
@@ -77,9 +77,9 @@
 		t.duplicates += r.Duplicates + r.Unexplained
 		t.lateParts += r.lateParts
 		t.warmupOverloads += r.warmupOverloads
-		t.splits += r.ordered[orderSplit]
-		t.merges += r.ordered[orderMerge]
-		t.moves += r.ordered[orderMove]
+		t.splits += r.disruptions[disruptionSplit]
+		t.merges += r.disruptions[disruptionMerge]
+		t.moves += r.disruptions[disruptionMove]
 		t.switched += r.switched
 	}
 	return t
@@ -95,8 +95,8 @@
 	fmt.Printf("wrongly_whole=%d lost=%d duplicates=%d drain_broken=%d pushed_over=%d queries=%d splits=%d merges=%d moves=%d switched=%d ",
 		t.falselyComplete, t.lost, t.duplicates, t.lateParts, t.warmupOverloads, t.queries, t.splits, t.merges, t.moves, t.switched)
 	fmt.Printf("service_ratio=%.3f service_ratio_least=%.3f refuse_ratio=%.3f refuse_ratio_least=%.3f deaths_ratio=%.3f deaths_ratio_least=%.3f refuse_deaths_ratio=%.3f\n",
-		mean(ratios["reshape"]), least(ratios["reshape"]), mean(ratios["refuse"]), least(ratios["refuse"]),
-		mean(ratios["reshape+deaths"]), least(ratios["reshape+deaths"]), mean(ratios["refuse+deaths"]))
+		mean(ratios["reshape"]), minimum(ratios["reshape"]), mean(ratios["refuse"]), minimum(ratios["refuse"]),
+		mean(ratios["reshape+deaths"]), minimum(ratios["reshape+deaths"]), mean(ratios["refuse+deaths"]))
 }
 
 // mean returns the mean of values, or 0 if there are none.
@@ -107,8 +107,8 @@
 	return m
 }
 
-// least returns the smallest of values, or +Inf if there are none.
-func least(values []float64) float64 {
+// minimum returns the smallest of values, or +Inf if there are none.
+func minimum(values []float64) float64 {
 	lowest := math.Inf(1)
 	for _, v := range values {
 		lowest = min(lowest, v)
--- a/internal/experiment/search_faults_test.go
+++ b/internal/experiment/search_faults_test.go
@@ -7,7 +7,7 @@
 
 // Guards against incomplete searches while servers are faulty: one claims a shard map version that does not exist, one
 // is partitioned, one is slow. Another one is called in frames (protocol plain).
-func TestSearchIsCompleteBesideFaultyServers(t *testing.T) {
+func TestSearchIsCompleteDespiteFaultyServers(t *testing.T) {
 	isolate(t)
 	d, err := StartDemo(3)
 	if err != nil {
--- a/internal/experiment/shard_changes.go
+++ b/internal/experiment/shard_changes.go
@@ -17,7 +17,7 @@
 
 // reshard requests a split, a merge or a move of one shard of each index, from a random coordinator. It does nothing if
 // too few servers are in service for a replica set.
-func (d *disruptor) reshard(now time.Duration) {
+func (d *disruptor) reshard(elapsed time.Duration) {
 	w := d.world
 	rows, serving := w.shardRows(), w.fleet.InService()
 	if len(serving) < w.replicas {
@@ -33,10 +33,10 @@
 			continue
 		}
 		if w.reroute(w.nodes[d.rng.IntN(len(w.nodes))], command) {
-			d.ordered[command.kind]++
-			d.scheduleSwitchPauses(rows, c.index, command.shard, now)
+			d.counts[command.kind]++
+			d.scheduleSwitchPauses(rows, c.index, command.shard, elapsed)
 		} else {
-			d.ordered[orderRejected]++
+			d.counts[disruptionRejected]++
 		}
 	}
 }
@@ -62,14 +62,14 @@
 	i := d.rng.IntN(len(shards))
 	d.shuffle(servers)
 	initial := d.world.shards
-	command := shardCommand{kind: orderMove, index: index, shard: shards[i].id, to: servers[:d.world.replicas]}
+	command := shardCommand{kind: disruptionMove, index: index, shard: shards[i].id, to: servers[:d.world.replicas]}
 	switch roll := d.rng.IntN(3); {
 	case shards[i].planned:
 		return command, false
 	case roll == 0 && len(shards) < 2*initial:
-		command.kind = orderSplit
+		command.kind = disruptionSplit
 	case roll == 1 && len(shards) > initial/2 && i+1 < len(shards) && !shards[i+1].planned:
-		command.kind, command.next = orderMerge, shards[i+1].id
+		command.kind, command.adjacent = disruptionMerge, shards[i+1].id
 	}
 	return command, true
 }
