--- a/internal/experiment/backup_test.go
+++ b/internal/experiment/backup_test.go
@@ -77,7 +77,7 @@
 			t.Fatal(err)
 		}
 		if want := fmt.Sprintf("%dms", doc.Search.MaxResultWindow); doc.Search.Timeout != "" && doc.Search.Timeout != want || doc.Revision < revision {
-			t.Fatalf("backup of revision %[2]d after revision %[3]d is torn or older: search settings %+[1]v, want timeout %[4]s", doc.Search, doc.Revision, revision, want)
+			t.Fatalf("torn or older backup: search settings %+v, want timeout %s; revision %d, want at least %d", doc.Search, want, doc.Revision, revision)
 		}
 		last, revision = res.Body, doc.Revision
 		taken += 3
--- a/internal/experiment/drain_orders.go
+++ b/internal/experiment/drain_orders.go
@@ -59,8 +59,8 @@
 }
 
 // drain requests a drain at the coordinator at position at. It waits until the drain has taken effect at all running
-// coordinators, which are the first of the world. It returns a stateTimeoutError if one of them does not apply the drain
-// within changeTimeout.
+// coordinators, which are the first of the world. It returns a stateTimeoutError if one of them does not apply the
+// drain within changeTimeout.
 func (w *world) drain(at, running int, server string, force bool) (latency drainLatency, err error) {
 	began := time.Now()
 	request := adminapi.ServerRequest{Server: server, Action: actionDrain, Force: force}
