--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -38,7 +38,7 @@
 		}
 		e.Defer(d.Close)
 		e.Setenv("LINKPASS_SOCKET", d.Socket)
-		e.Setenv("TCP", d.Operator)
+		e.Setenv("TCP", d.AdminAPIAddr)
 		e.Setenv("KEYS", d.KeyFile)
 		e.Setenv("FILE", d.File)
 		e.Setenv("CONFIG", d.Config)
--- a/internal/cli/tcp_test.go
+++ b/internal/cli/tcp_test.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &adminapi.Client{Address: d.Operator, KeyID: "demo", Key: ring["demo"], Timeout: 5 * time.Second}
+	return &adminapi.Client{Address: d.AdminAPIAddr, KeyID: "demo", Key: ring["demo"], Timeout: 5 * time.Second}
 }
 
 func TestSignedCallRejectedWithWrongClock(t *testing.T) {
@@ -45,7 +45,7 @@
 	key := newTCPClient(t, d).Key
 	signed := signature.Sign("demo", key, signature.Call{Method: "PUT", Target: "/v1/drain"}, time.Now(), "once")
 	for i, want := range []int{200, 401} {
-		nc, err := net.Dial("tcp", d.Operator)
+		nc, err := net.Dial("tcp", d.AdminAPIAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
