--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -40,7 +40,7 @@
 		e.Setenv("LINKPASS_SOCKET", d.Socket)
 		e.Setenv("TCP", d.AdminAPIAddr)
 		e.Setenv("KEYS", d.KeyFile)
-		e.Setenv("FILE", d.File)
+		e.Setenv("FILE", d.SearchFile)
 		e.Setenv("CONFIG", d.Config)
 		e.Setenv("SEARCH", d.Search)
 		e.Setenv("DOOR", d.AdminListener)
--- a/internal/experiment/demo.go
+++ b/internal/experiment/demo.go
@@ -28,7 +28,7 @@
 	AdminListener string // address of the platform's admin listener (host:port)
 
 	AdminAPIAddr, KeyFile string // address of the admin API over TCP (host:port), and path of the file with the API's keys
-	File, Config          string // paths of the operators' file (TOML) and of the platform's configuration (JSON)
+	SearchFile, Config    string // paths of the operators' file (TOML) and of the platform's configuration (JSON)
 }
 
 // StartDemo starts a demo with its files in a temporary directory, which Close removes. It fails if the fleet or the
@@ -46,7 +46,7 @@
 		AdminListener: n.adminAddr,
 		AdminAPIAddr:  n.program.Status().AdminListen,
 		KeyFile:       w.path("keys.toml"),
-		File:          w.path("n0-search.toml"),
+		SearchFile:    w.path("n0-search.toml"),
 		Config:        w.path("n0-config.json"),
 	}, nil
 }
