--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -41,7 +41,7 @@
 		e.Setenv("TCP", d.AdminAPIAddr)
 		e.Setenv("KEYS", d.KeyFile)
 		e.Setenv("FILE", d.SearchFile)
-		e.Setenv("CONFIG", d.Config)
+		e.Setenv("CONFIG", d.PlatformFile)
 		e.Setenv("SEARCH", d.Search)
 		e.Setenv("DOOR", d.AdminListener)
 		e.Setenv("SET", strings.Join(d.ReplicaSets()[0], "+"))
--- a/internal/experiment/demo.go
+++ b/internal/experiment/demo.go
@@ -27,8 +27,8 @@
 	Search        string // address of the search front (host:port)
 	AdminListener string // address of the platform's admin listener (host:port)
 
-	AdminAPIAddr, KeyFile string // address of the admin API over TCP (host:port), and path of the file with the API's keys
-	SearchFile, Config    string // paths of the operators' file (TOML) and of the platform's configuration (JSON)
+	AdminAPIAddr, KeyFile    string // address of the admin API over TCP (host:port), and path of the file with the API's keys
+	SearchFile, PlatformFile string // paths of the operators' file (TOML) and of the platform's configuration (JSON)
 }
 
 // StartDemo starts a demo with its files in a temporary directory, which Close removes. It fails if the fleet or the
@@ -47,7 +47,7 @@
 		AdminAPIAddr:  n.program.Status().AdminListen,
 		KeyFile:       w.path("keys.toml"),
 		SearchFile:    w.path("n0-search.toml"),
-		Config:        w.path("n0-config.json"),
+		PlatformFile:  w.path("n0-config.json"),
 	}, nil
 }
 
