--- a/cmd/linkpass-lab/main.go
+++ b/cmd/linkpass-lab/main.go
@@ -130,7 +130,7 @@
 	}
 	return checkRules(experiment.RunDrains(experiment.DrainsConfig{
 		Seeds:  c.seeds(),
-		Orders: c.Orders,
+		Drains: c.Orders,
 		Rate:   c.Rate,
 		Out:    c.Out,
 	}))
--- a/internal/experiment/drains.go
+++ b/internal/experiment/drains.go
@@ -18,7 +18,7 @@
 // DrainsConfig configures RunDrains, the experiment on drains that the coordinators agree on.
 type DrainsConfig struct {
 	Seeds  []uint64
-	Orders int     // number of drains in each run
+	Drains int     // number of drains in each run
 	Rate   float64 // queries per second, in the run with all coordinators
 	Out    string  // directory of the table; if empty, none is written
 }
@@ -137,7 +137,7 @@
 func (w *world) drainServers(c DrainsConfig, result *drainsResult) error {
 	rng := rand.New(rand.NewPCG(result.seed, 9))
 	servers, run := w.fleet.Servers, result.run
-	for i := range c.Orders {
+	for i := range c.Drains {
 		server := servers[i%len(servers)].Name
 		latency, err := w.drain(rng.IntN(run.running), run.running, server, !run.hasAll())
 		if err != nil {
--- a/internal/experiment/rules_test.go
+++ b/internal/experiment/rules_test.go
@@ -31,7 +31,7 @@
 // effect within drainObjective, one second.
 func TestDrainsKeepTheRules(t *testing.T) {
 	isolate(t)
-	if ok, err := RunDrains(DrainsConfig{Seeds: []uint64{3}, Orders: 4, Rate: 20, Out: t.TempDir()}); err != nil || !ok {
+	if ok, err := RunDrains(DrainsConfig{Seeds: []uint64{3}, Drains: 4, Rate: 20, Out: t.TempDir()}); err != nil || !ok {
 		t.Fatalf("rules kept = %v, want true, error %v", ok, err)
 	}
 }
