--- a/internal/experiment/demo.go
+++ b/internal/experiment/demo.go
@@ -27,7 +27,7 @@
 	Search        string // address of the search front (host:port)
 	AdminListener string // address of the platform's admin listener (host:port)
 
-	AdminAPIAddr, KeyFile    string // address of the admin API over TCP (host:port), and path of the file with the API's keys
+	AdminAPIAddr, KeyFile    string // address of the admin API over TCP (host:port), and path of the API's key file
 	SearchFile, PlatformFile string // paths of the operators' file (TOML) and of the platform's configuration (JSON)
 }
 
--- a/internal/experiment/drains.go
+++ b/internal/experiment/drains.go
@@ -31,6 +31,7 @@
 
 const drainsCoordinators = 5
 
+// drainsRuns are the runs that are compared: with and without a majority of the coordinators.
 var drainsRuns = []drainsRun{{"all five", drainsCoordinators}, {"a minority of two", 2}}
 
 func (r drainsRun) hasAll() bool { return r.running == drainsCoordinators }
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -24,9 +24,9 @@
 
 // FleetConfig configures RunFleet: a fleet for trying a coordinator by hand.
 type FleetConfig struct {
-	Servers   int
-	Shards    int // number of shards of the index at the start
-	Records   int
+	Servers   int    // number of league servers
+	Shards    int    // number of shards of the index at the start
+	Records   int    // number of records of the index
 	Discovery string // address of discovery (host:port)
 	Search    string // address of the coordinator's search front (host:port)
 	Dir       string // directory of the coordinator's files; created if it does not exist
--- a/internal/experiment/resharding.go
+++ b/internal/experiment/resharding.go
@@ -18,8 +18,8 @@
 // ReshardingConfig configures RunResharding, the experiment on changes of shards under load.
 type ReshardingConfig struct {
 	Seeds   []uint64
-	Seconds int // duration of a run
-	Servers int
+	Seconds int           // duration of a run
+	Servers int           // number of league servers
 	Rate    float64       // queries per second in each run
 	Every   time.Duration // time between two changes of each index
 	Out     string        // directory of table and chart; if empty, none are written
@@ -33,6 +33,8 @@
 	replans  bool // parts that find their shard moved are sent to its new replicas; otherwise they fail
 }
 
+// reshardingRuns are the runs that are compared: without changes of shards (still), with changes (reshape), and with
+// changes while moved parts fail (refuse), each without and with kills of servers.
 var reshardingRuns = []reshardingRun{
 	{"still", false, false, true},
 	{"reshape", true, false, true},
--- a/internal/experiment/search_faults_test.go
+++ b/internal/experiment/search_faults_test.go
@@ -29,7 +29,7 @@
 		}
 	}
 	if s[0].MovedParts.Load() == 0 || d.w.counterSum("attempts_unknown_shard_map") == 0 {
-		t.Errorf("parts that s-01 answered with «shard moved» = %d, attempts_unknown_shard_map = %d, want both above 0", s[0].MovedParts.Load(), d.w.counterSum("attempts_unknown_shard_map"))
+		t.Errorf("parts that s-01 answered with \"shard moved\" = %d, attempts_unknown_shard_map = %d, want both above 0", s[0].MovedParts.Load(), d.w.counterSum("attempts_unknown_shard_map"))
 	}
 	s[2].Partition(false)
 }
