--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -16,10 +16,10 @@
 	if err != nil {
 		return err
 	}
-	return e.show(s, func(w io.Writer) { statusRows(w, s) })
+	return e.show(s, func(w io.Writer) { writeStatusRows(w, s) })
 }
 
-func statusRows(w io.Writer, s adminapi.Status) {
+func writeStatusRows(w io.Writer, s adminapi.Status) {
 	fmt.Fprintf(w, "name\t%s\nprogram\t%s, pid %d\nstate\t%s, up %s\n", s.Name, s.Program, s.PID, s.State,
 		(time.Duration(s.UptimeS) * time.Second).String())
 	if s.Core != "ok" {
@@ -48,7 +48,7 @@
 	return s
 }
 
-// formatBytes formats a number of bytes with a unit.
+// formatBytes formats a number of bytes in MiB, KiB or B, whichever is the largest unit that n reaches.
 func formatBytes(n int64) string {
 	switch {
 	case n >= 1<<20:
--- a/internal/daemon/endpoint_fanout.go
+++ b/internal/daemon/endpoint_fanout.go
@@ -11,10 +11,11 @@
 	UpdateEndpoints(coordinator.EndpointUpdate)
 }
 
-// endpointFanout is the core as discovery's watcher sees it; its updates reach the other listeners too.
+// endpointFanout passes updates of the endpoint list to the core and to the other listeners. Discovery's watcher uses
+// it in place of the core.
 type endpointFanout struct {
 	*coordinator.Core
-	others []endpointListener
+	listeners []endpointListener
 }
 
 var _ discovery.Core = endpointFanout{}
@@ -22,27 +23,27 @@
 func newEndpointFanout(core *queryCore, names *endpointNames, shards *shardMaps) endpointFanout {
 	fanout := endpointFanout{core.core, []endpointListener{names}}
 	if shards.executor != nil {
-		fanout.others = append(fanout.others, shards.executor)
+		fanout.listeners = append(fanout.listeners, shards.executor)
 	}
 	return fanout
 }
 
-// UpdateEndpoints notifies all listeners, the core last.
+// UpdateEndpoints passes an update to all listeners, to the core last.
 func (f endpointFanout) UpdateEndpoints(update coordinator.EndpointUpdate) {
-	for _, listener := range f.others {
+	for _, listener := range f.listeners {
 		listener.UpdateEndpoints(update)
 	}
 	f.Core.UpdateEndpoints(update)
 }
 
-// registryCore is the core as discovery's watcher sees it where instances replicate overrides of the list: the
-// registry receives discovery's updates, and sends the merged ones on.
+// registryCore is used by discovery's watcher in place of the core if instances replicate overrides of the endpoint
+// list: the registry receives discovery's updates, and passes the merged ones on.
 type registryCore struct {
 	*coordinator.Core
 	registry *endpoints.Registry
 }
 
-// UpdateEndpoints hands discovery's update to the registry.
+// UpdateEndpoints passes discovery's update to the registry.
 func (c registryCore) UpdateEndpoints(update coordinator.EndpointUpdate) {
 	c.registry.UpdateEndpoints(update)
 }
--- a/internal/daemon/endpoint_registry.go
+++ b/internal/daemon/endpoint_registry.go
@@ -12,7 +12,7 @@
 	"linkpass/internal/lifecycle"
 )
 
-// endpointRegistry merges discovery's endpoint list with what the instances of the store have replicated of it.
+// endpointRegistry merges discovery's endpoint list with the overrides of it that the instances of the store replicate.
 type endpointRegistry struct {
 	*process
 	core   *queryCore
@@ -20,7 +20,7 @@
 	shards *shardMaps
 	store  *replicatedStore
 
-	registry *endpoints.Registry // nil: no store
+	registry *endpoints.Registry // nil if there is no store
 }
 
 func newEndpointRegistry(p *process, core *queryCore, names *endpointNames, shards *shardMaps,
@@ -44,7 +44,7 @@
 			broadcast[m.ID] = broadcastTo(c.ID, m.HTTP)
 		}
 	}
-	reader := newListReader(r.process, r.core)
+	converter := newEndpointConverter(r.process, r.core)
 	r.registry = endpoints.New(endpoints.Config{
 		InstanceID:  c.ID,
 		Incarnation: uint64(time.Now().UnixNano()),
@@ -52,7 +52,7 @@
 		Broadcast:   broadcast,
 		Counters:    r.counters,
 		ResolveEndpoint: func(id string, spec config.ServerSpec) (coordinator.Endpoint, error) {
-			return resolveEndpoint(reader, id, spec)
+			return resolveEndpoint(converter, id, spec)
 		},
 	})
 	return nil
@@ -64,11 +64,11 @@
 	}
 }
 
-// resolveEndpoint makes the endpoint of a server that the store has added, as if discovery had listed it.
-func resolveEndpoint(reader *discovery.Converter, id string, spec config.ServerSpec) (coordinator.Endpoint, error) {
+// resolveEndpoint returns the endpoint of a server that the store has added, as if discovery had listed it.
+func resolveEndpoint(converter *discovery.Converter, id string, spec config.ServerSpec) (coordinator.Endpoint, error) {
 	server := discovery.Endpoint{ID: id, Addr: spec.Addr, Zone: spec.Zone, Kind: spec.Kind, Cell: spec.Cell,
 		State: discovery.StateInService, Weight: 1}
-	list, err := reader.Convert(discovery.EndpointList{Endpoints: []discovery.Endpoint{server}})
+	list, err := converter.Convert(discovery.EndpointList{Endpoints: []discovery.Endpoint{server}})
 	if err != nil {
 		return coordinator.Endpoint{}, err
 	}
--- a/internal/daemon/platform_front.go
+++ b/internal/daemon/platform_front.go
@@ -31,13 +31,13 @@
 		Core:       f.core.core,
 		Classes:    f.cfg.host.Classes,
 		Tenants:    f.cfg.host.Tenants,
-		ShardCount: f.cfg.module.Shards,
+		ShardCount: f.cfg.routingSettings.Shards,
 		Counters:   f.counters,
 		Ready:      f.readiness.Ready,
 		BodyStore:  f.bodies.store,
 		RetryAfter: f.bodies.retryAfter(),
 	}
-	for _, class := range f.cfg.module.Classes {
+	for _, class := range f.cfg.routingSettings.Classes {
 		handler.PriorityWeights = append(handler.PriorityWeights, class.PriorityWeight)
 	}
 	ln, err := clientListener(f.cfg.listen, f.cfg.listenFD)
@@ -47,9 +47,9 @@
 	return f.fronts.add("platform", ln, handler), nil
 }
 
-// clientListener is where clients connect: the platform's socket, if it holds one that
-// outlives this process, or a socket of our own. The platform's is only ever closed
-// here, never shut down: others accept on it too.
+// clientListener returns the listener that clients connect to: the platform's socket, which outlives this process, if
+// the platform passes one as fd, or else a socket of this process at addr. The platform's socket is only ever closed
+// here and never shut down, because other processes accept on it too.
 func clientListener(addr string, fd int) (net.Listener, error) {
 	if fd == 0 {
 		return net.Listen("tcp", addr)
--- a/internal/experiment/resharding_report.go
+++ b/internal/experiment/resharding_report.go
@@ -8,7 +8,8 @@
 	"strings"
 )
 
-// reportResharding writes table and chart and prints the line of figures. It is false if a rule was broken.
+// reportResharding writes table and chart and prints the line of figures. It returns false if a rule was broken; see
+// reshardingTotals.rulesKept.
 func reportResharding(c ReshardingConfig, all []reshardingResult) (bool, error) {
 	ratios := serviceRatios(all)
 	if err := reshardingTable(all).write(c.Out); err != nil {
@@ -30,14 +31,14 @@
 		lookups := r.latency[teamLookup]
 		table.add(r.run.name, r.seed, r.Queries, r.Complete, r.Partial, r.Rejected, r.Failed, r.Lost, r.FalselyComplete,
 			r.Duplicates, r.Unexplained, r.lateParts, r.warmupOverloads, r.service(), percentileMS(lookups, 50), percentileMS(lookups, 99),
-			r.ordered[orderSplit], r.ordered[orderMerge], r.ordered[orderMove], r.switched, r.abandoned,
+			r.disruptions[disruptionSplit], r.disruptions[disruptionMerge], r.disruptions[disruptionMove], r.switched, r.abandoned,
 			r.attemptsMoved, r.replans, r.attempts, formatCounts(r.Causes))
 	}
 	return table
 }
 
-// serviceRatios is the service of each run over that of the run of the same seed without changes of shards, by name
-// of the run.
+// serviceRatios returns, by name of the run, the service of each seed divided by the service of its baseline. That is
+// the run of the same seed without changes of shards, and with kills if the run has kills.
 func serviceRatios(all []reshardingResult) map[string][]float64 {
 	type baseline struct {
 		kills bool
@@ -60,7 +61,7 @@
 	return ratios
 }
 
-// reshardingTotals sums all runs and seeds.
+// reshardingTotals sums the results of all runs and seeds.
 type reshardingTotals struct {
 	queries, lost, falselyComplete, duplicates int
 	lateParts, warmupOverloads                 int64
@@ -76,14 +77,16 @@
 		t.duplicates += r.Duplicates + r.Unexplained
 		t.lateParts += r.lateParts
 		t.warmupOverloads += r.warmupOverloads
-		t.splits += r.ordered[orderSplit]
-		t.merges += r.ordered[orderMerge]
-		t.moves += r.ordered[orderMove]
+		t.splits += r.disruptions[disruptionSplit]
+		t.merges += r.disruptions[disruptionMerge]
+		t.moves += r.disruptions[disruptionMove]
 		t.switched += r.switched
 	}
 	return t
 }
 
+// rulesKept reports whether no query was lost, no answer was falsely complete or had duplicate, unrequested or
+// unexplained missing records, no part came late after a drain and no server was overloaded during its warm-up.
 func (t reshardingTotals) rulesKept() bool {
 	return t.lost == 0 && t.falselyComplete == 0 && t.duplicates == 0 && t.lateParts == 0 && t.warmupOverloads == 0
 }
@@ -92,11 +95,11 @@
 	fmt.Printf("wrongly_whole=%d lost=%d duplicates=%d drain_broken=%d pushed_over=%d queries=%d splits=%d merges=%d moves=%d switched=%d ",
 		t.falselyComplete, t.lost, t.duplicates, t.lateParts, t.warmupOverloads, t.queries, t.splits, t.merges, t.moves, t.switched)
 	fmt.Printf("service_ratio=%.3f service_ratio_least=%.3f refuse_ratio=%.3f refuse_ratio_least=%.3f deaths_ratio=%.3f deaths_ratio_least=%.3f refuse_deaths_ratio=%.3f\n",
-		mean(ratios["reshape"]), least(ratios["reshape"]), mean(ratios["refuse"]), least(ratios["refuse"]),
-		mean(ratios["reshape+deaths"]), least(ratios["reshape+deaths"]), mean(ratios["refuse+deaths"]))
+		mean(ratios["reshape"]), minimum(ratios["reshape"]), mean(ratios["refuse"]), minimum(ratios["refuse"]),
+		mean(ratios["reshape+deaths"]), minimum(ratios["reshape+deaths"]), mean(ratios["refuse+deaths"]))
 }
 
-// mean is 0 without values.
+// mean returns the mean of values, or 0 if there are none.
 func mean(values []float64) (m float64) {
 	for _, v := range values {
 		m += v / float64(len(values))
@@ -104,8 +107,8 @@
 	return m
 }
 
-// least is +Inf without values.
-func least(values []float64) float64 {
+// minimum returns the smallest of values, or +Inf if there are none.
+func minimum(values []float64) float64 {
 	lowest := math.Inf(1)
 	for _, v := range values {
 		lowest = min(lowest, v)
@@ -113,7 +116,7 @@
 	return lowest
 }
 
-// formatCounts words counts in order of their keys.
+// formatCounts formats counts as a list of "key count", in the order of the keys.
 func formatCounts(counts map[string]int) string {
 	var words []string
 	for _, key := range slices.Sorted(maps.Keys(counts)) {
--- a/internal/experiment/shard_changes.go
+++ b/internal/experiment/shard_changes.go
@@ -12,11 +12,12 @@
 type servingShard struct {
 	id      uint64
 	keys    shardmap.Range
-	planned bool // a plan changes it
+	planned bool // a plan already changes the shard
 }
 
-// reshard orders a split, a merge or a move of one shard of each index.
-func (d *disruptor) reshard(now time.Duration) {
+// reshard requests a split, a merge or a move of one shard of each index, from a random coordinator. It does nothing if
+// too few servers are in service for a replica set.
+func (d *disruptor) reshard(elapsed time.Duration) {
 	w := d.world
 	rows, serving := w.shardRows(), w.fleet.InService()
 	if len(serving) < w.replicas {
@@ -32,15 +33,15 @@
 			continue
 		}
 		if w.reroute(w.nodes[d.rng.IntN(len(w.nodes))], command) {
-			d.ordered[command.kind]++
-			d.scheduleSwitchPauses(rows, c.index, command.shard, now)
+			d.counts[command.kind]++
+			d.scheduleSwitchPauses(rows, c.index, command.shard, elapsed)
 		} else {
-			d.ordered[orderRejected]++
+			d.counts[disruptionRejected]++
 		}
 	}
 }
 
-// servingShards lists the serving shards of an index in order of their keys.
+// servingShards returns the serving shards of an index, sorted by their keys.
 func servingShards(rows []shardRow, index string) (shards []servingShard) {
 	for _, row := range rows {
 		keys, err := shardmap.ParseRange(row.Range)
@@ -55,20 +56,20 @@
 	return shards
 }
 
-// drawCommand draws a change that keeps the number of shards between half and twice that of the start. It shuffles
-// the servers, and is false if a plan changes the drawn shard.
+// drawCommand draws a command that keeps the number of shards between half and twice the initial number. It shuffles
+// servers in place. It returns false if a plan already changes the drawn shard.
 func (d *disruptor) drawCommand(index string, shards []servingShard, servers []string) (shardCommand, bool) {
 	i := d.rng.IntN(len(shards))
 	d.shuffle(servers)
 	initial := d.world.shards
-	command := shardCommand{kind: orderMove, index: index, shard: shards[i].id, to: servers[:d.world.replicas]}
+	command := shardCommand{kind: disruptionMove, index: index, shard: shards[i].id, to: servers[:d.world.replicas]}
 	switch roll := d.rng.IntN(3); {
 	case shards[i].planned:
 		return command, false
 	case roll == 0 && len(shards) < 2*initial:
-		command.kind = orderSplit
+		command.kind = disruptionSplit
 	case roll == 1 && len(shards) > initial/2 && i+1 < len(shards) && !shards[i+1].planned:
-		command.kind, command.next = orderMerge, shards[i+1].id
+		command.kind, command.adjacent = disruptionMerge, shards[i+1].id
 	}
 	return command, true
 }
--- a/internal/settings/host.go
+++ b/internal/settings/host.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// Host is what the program around the policy module needs.
-type Host struct {
-	Zones, Kinds, Classes []string
-	Tenants               []string      // none on some sites
+// ProgramSettings holds the settings that the program needs outside the router.
+type ProgramSettings struct {
+	Zones, Kinds, Classes []string      // names, in the order of the settings' lists
+	Tenants               []string      // names, in the order of the settings' list; none on some sites
 	ReportNames           []string      // names of a load report's values, in the order of the router's ReportFields
-	MaxStreams            int           // requests that one connection carries at a time
-	ConnectTimeout        time.Duration // a connection that is not up by then has failed
-	Keepalive             time.Duration // the other side closes an idle connection after this
+	MaxStreams            int           // limit of the requests that one connection carries at a time
+	ConnectTimeout        time.Duration // a dial that takes longer has failed
+	ServerIdleTimeout     time.Duration // a server closes a connection that is idle for this long
 }
 
-// host reads what the program around the policy module needs.
-func (r *reader) host() Host {
-	h := Host{
-		Zones:          r.names("dcs"),
-		Kinds:          r.names("kinds"),
-		ReportNames:    r.names("report.fields"),
-		MaxStreams:     int(r.number("bounds.max_streams")),
-		ConnectTimeout: r.milliseconds("bounds.connect_timeout"),
-		Keepalive:      r.milliseconds("bounds.keepalive"),
+// programSettings reads the settings that the program needs outside the router.
+func (r *reader) programSettings() ProgramSettings {
+	h := ProgramSettings{
+		Zones:             r.names("dcs"),
+		Kinds:             r.names("kinds"),
+		ReportNames:       r.names("report.fields"),
+		MaxStreams:        int(r.number("bounds.max_streams")),
+		ConnectTimeout:    r.milliseconds("bounds.connect_timeout"),
+		ServerIdleTimeout: r.milliseconds("bounds.keepalive"),
 	}
-	for i := range r.count("request_classes") {
-		h.Classes = append(h.Classes, r.values[item("request_classes", i, "name")])
+	for i := range r.listLength("request_classes") {
+		h.Classes = append(h.Classes, r.values[itemKey("request_classes", i, "name")])
 	}
 	for i := range r.tenantCount() {
-		h.Tenants = append(h.Tenants, r.values[item("tenants", i, "name")])
+		h.Tenants = append(h.Tenants, r.values[itemKey("tenants", i, "name")])
 	}
 	return h
 }
