--- a/internal/emulator/discovery_test.go
+++ b/internal/emulator/discovery_test.go
@@ -67,9 +67,9 @@
 
 func TestWatchReturnsWithNextChange(t *testing.T) {
 	d := startDiscovery(t)
+	began := time.Now()
 	change := time.AfterFunc(50*time.Millisecond, func() { addEndpoints(d, 1) })
 	defer change.Stop()
-	began := time.Now()
 	list := readList(t, d, "?after=1&wait_ms=60000")
 	if list.Version != 2 || list.Full || len(list.Endpoints) != 1 || time.Since(began) < 50*time.Millisecond {
 		t.Errorf("list = %+v after %s, want one change in version 2 after at least 50ms", list, time.Since(began))
