--- a/internal/cli/process.go
+++ b/internal/cli/process.go
@@ -13,7 +13,7 @@
 	OpenSearch string `name:"opensearch" help:"The operators' file: the search front and all other settings of the operators." default:"${search_file}"`
 }
 
-// Run replaces this process with the daemon. The forms of serve that daemon.Arguments accepts start the daemon
+// Run replaces this process with the daemon. The forms of serve that daemon.ParseArguments accepts start the daemon
 // directly, without this step.
 func (s *serveCommand) Run(*env) error {
 	return launch.Exec("linkpass", []string{"--opensearch", s.OpenSearch})
--- a/internal/cli/store_members.go
+++ b/internal/cli/store_members.go
@@ -38,7 +38,7 @@
 		return err
 	}
 	if s.Store == nil {
-		return fmt.Errorf("this coordinator has no replicated store")
+		return fmt.Errorf("this coordinator runs without a replicated store")
 	}
 	return e.show(s.Store, func(w io.Writer) { writeMemberRows(w, s.Store) })
 }
--- a/internal/cli/top.go
+++ b/internal/cli/top.go
@@ -26,7 +26,7 @@
 }
 
 // Run shows a view of the coordinator every c.Every. When a call fails, its error is shown in place of the view, and
-// Run goes on with the next one.
+// Run continues with the next one.
 func (c topCommand) Run(e *env) error {
 	terminal := isTerminal(e.out.Writer)
 	var last sample
--- a/internal/coordinator/attempt.go
+++ b/internal/coordinator/attempt.go
@@ -23,7 +23,7 @@
 	Shard       int
 	Payload     []byte
 	Body        Body          // takes the place of Payload; nil if there is none
-	Deadline    time.Duration // the query's deadline on the clock of Core.Now; nothing may be written from then on
+	Deadline    time.Duration // the query's deadline on the clock of Core.Now; from this time nothing may be written
 	WriteBefore time.Duration // end of the idempotency window on the same clock, with the same effect; 0 means no limit
 	Request     *ShardRequest // nil if the shard map is fixed
 	ended       *atomic.Bool  // set by the core; nil is read as false
--- a/internal/daemon/resharding_config.go
+++ b/internal/daemon/resharding_config.go
@@ -6,8 +6,8 @@
 	"linkpass/internal/shardmap/resharding"
 )
 
-// ReshardingConfig limits the pace of resharding: the section `reshape` of the operators' file. A zero value stands for
-// the key's default.
+// ReshardingConfig limits the pace of resharding: the section `reshape` of the operators' file. A zero value means the
+// key's default.
 type ReshardingConfig struct {
 	Moves       int    `toml:"moves"`        // plans that copy at a time, in all
 	PerServer   int    `toml:"per_server"`   // plans that copy at a time for one server
--- a/internal/daemon/search_front.go
+++ b/internal/daemon/search_front.go
@@ -63,7 +63,7 @@
 	return front, nil
 }
 
-// openStore opens the store, whose settings are in force from then on.
+// openStore opens the store. Its settings are in force once it is open.
 func (f *searchFront) openStore() (*store.Store, error) {
 	c := f.cfg.Search.Store
 	c.InitialSettings, c.OnSettingsChanged = f.settings.fromFile.Load(), f.shards.publisher.publish
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -28,8 +28,8 @@
 }
 
 // run admits clients for the grace period, and then finishes the requests in flight. If the platform holds the
-// listening socket, another process accepts on it, and this one stops accepting at once. Otherwise nobody else would
-// accept the connections that wait in the backlog, so the socket is closed only once they are accepted.
+// listening socket, another process accepts on it, and this one stops accepting at once. Otherwise no other process
+// would accept the connections that wait in the backlog, so the socket is closed only once they are accepted.
 func (s *shutdown) run() {
 	s.readiness.Shutdown()
 	wait := acceptGrace
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -28,7 +28,7 @@
 const startSlackCalls = 2
 
 // Watcher follows the endpoint list. The goroutine of Run owns the watcher's state and connection. It starts a
-// goroutine for each call, one at a time, and receives the call's result before it goes on or returns.
+// goroutine for each call, one at a time, and receives the call's result before it continues or returns.
 type Watcher struct {
 	Addr      string // host:port; Run changes it after SetAddress
 	Converter *Converter
--- a/internal/eventlog/loggers.go
+++ b/internal/eventlog/loggers.go
@@ -96,7 +96,7 @@
 func SetOutput(w io.Writer, json bool) { loggers.setOutput(w, json) }
 
 // SetLevel sets the lowest level (trace, debug, info, warn, error or off) at which a component's events are logged. The
-// component "all" stands for all of them. An unknown component or level is an error.
+// component "all" selects all of them. An unknown component or level is an error.
 func SetLevel(component, level string) error {
 	l := hclog.LevelFromString(level)
 	if l == hclog.NoLevel {
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -43,7 +43,7 @@
 	Clock       Clock
 	Counters    *metrics.Counters
 	MaxConns    int                     // largest number of connections; SetMaxConns changes it while the server runs
-	MaxBody     int64                   // largest request body in bytes; 0 stands for DefaultMaxBody
+	MaxBody     int64                   // largest request body in bytes; 0 means DefaultMaxBody
 	NewBodySink func(*Request) BodySink // creates the sinks of large request bodies; if nil, bodies are held in memory
 
 	malformedLog eventlog.RateLimited
--- a/internal/launch/launch.go
+++ b/internal/launch/launch.go
@@ -17,8 +17,9 @@
 // exitExecFailed is the process exit code when the program that handles the command line could not be executed.
 const exitExecFailed = 2
 
-// Main runs the daemon if daemon.Arguments accepts args, the command line without the program's name. For any other
-// command line it replaces this process with linkpass-ctl, and returns only if that failed. It returns the exit code.
+// Main runs the daemon if daemon.ParseArguments accepts args, the command line without the program's name. For any
+// other command line it replaces this process with linkpass-ctl, and returns only if that failed. It returns the exit
+// code.
 func Main(args []string) int {
 	if file, ok := daemon.ParseArguments(args); ok {
 		return daemon.Main(file)
--- a/internal/lifecycle/component.go
+++ b/internal/lifecycle/component.go
@@ -18,7 +18,7 @@
 	Run func(context.Context)
 	// Stop releases what Start acquired. It is called once Run has returned, and not if Run exceeds StopTimeout.
 	Stop func() error
-	// StopTimeout limits how long the return of Run and the call of Stop take together; 0 or less is
+	// StopTimeout limits how long the return of Run and the call of Stop take together; 0 or less means
 	// DefaultStopTimeout.
 	StopTimeout time.Duration
 }
--- a/internal/metrics/totals.go
+++ b/internal/metrics/totals.go
@@ -4,7 +4,7 @@
 
 // Totals are the figures that operators read most. Each is changed in one place only: where the counted event happens.
 type Totals struct {
-	Classes         []string       // names; the lists below have a counter for each class
+	Classes         []string       // class names; each list below has one counter for each class
 	Served          []atomic.Int64 // final answers, by class
 	Rejected        []atomic.Int64 // by class
 	Failed          []atomic.Int64 // by class
--- a/internal/opensearch/body_scanner.go
+++ b/internal/opensearch/body_scanner.go
@@ -35,7 +35,7 @@
 	return n, err
 }
 
-// scannedBody is the content of a search's body. A nil pointer stands for a field that is missing or null.
+// scannedBody is the content of a search's body. A pointer is nil if its field is missing or null.
 type scannedBody struct {
 	from, size *int
 	timeout    *string
--- a/internal/opensearch/shard_lists.go
+++ b/internal/opensearch/shard_lists.go
@@ -14,7 +14,7 @@
 	"linkpass/internal/shardmap"
 )
 
-// catShards serves GET /_cat/shards[/{index}]. An empty index stands for all indices.
+// catShards serves GET /_cat/shards[/{index}]. An empty index selects all indices.
 func (f *Front) catShards(index string, req *http1.Request) *http1.Response {
 	params, err := url.ParseQuery(req.Query)
 	if err != nil {
--- a/internal/outcome/from_error.go
+++ b/internal/outcome/from_error.go
@@ -21,7 +21,7 @@
 }
 
 // FromReadError returns the outcome of the work in flight on a connection whose next message could not be read
-// because of err. betweenMessages says that the stream ended between two messages.
+// because of err. betweenMessages is true if the stream ended between two messages.
 func FromReadError(err error, betweenMessages bool) Outcome {
 	var op *net.OpError
 	switch {
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -5,7 +5,7 @@
 // Outcome is a way in which an attempt or a health check can end.
 type Outcome uint8
 
-// The outcomes. DialRefused, DialTimeout and DialFailed are outcomes of the dial, so that nothing was written.
+// The outcomes. DialRefused, DialTimeout and DialFailed mean that the dial failed, so nothing was written.
 const (
 	Success           Outcome = iota // the server sent a complete reply
 	ServerError                      // the server replied with an error
--- a/internal/routing/events.go
+++ b/internal/routing/events.go
@@ -48,7 +48,7 @@
 	UpdateFailed                   // a call to discovery failed, or the subscription broke
 )
 
-// EndpointUpdate is a watch event of the endpoint list.
+// EndpointUpdate is an update of the endpoint list from discovery.
 type EndpointUpdate struct {
 	Mode      UpdateMode
 	Endpoints []Endpoint
--- a/internal/routing/outlier_detection.go
+++ b/internal/routing/outlier_detection.go
@@ -28,7 +28,7 @@
 
 // healthScores holds a server's moving averages of results, by class; 1 is healthy, 0 failing.
 type healthScores struct {
-	byClass []float64 // at the time at; the scores recover from then on
+	byClass []float64 // at the time at; bad health decays after it
 	at      time.Duration
 }
 
--- a/internal/routing/query.go
+++ b/internal/routing/query.go
@@ -61,7 +61,7 @@
 	inFlight                []*attempt
 	mayHaveRun              bool          // a server may have executed an attempt
 	retryableUntil          time.Duration // latest time of a further attempt once one may have been executed
-	bodyEvicted             bool          // the body is gone, so no further attempt can be sent
+	bodyEvicted             bool          // the body was evicted, so no further attempt can be sent
 	evictedWithNoneInFlight bool          // the body was evicted while no attempt was in flight
 	race                    *healthCheckRace
 	raceDeadline            time.Duration // when the race is over for this part; 0: no reply yet
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// updateEndpoints applies a watch event. A server that returns soon after it left the list keeps its
-// statistics, unless its process was restarted.
+// updateEndpoints applies an update of the endpoint list. A server that returns soon after it left the list
+// keeps its statistics, unless its process was restarted.
 func (r *Router) updateEndpoints(u EndpointUpdate) {
 	if u.Mode == UpdateFailed {
 		r.subscription.failed(r.now)
--- a/internal/routing/settings.go
+++ b/internal/routing/settings.go
@@ -100,7 +100,7 @@
 
 	WarmupInitialShare   float64       // capacity of a server at its start, as a share of its full capacity
 	WarmupDuration       time.Duration // time from its start after which a server has its full capacity
-	WarmupOverloadFactor float64       // load at which a server in slow start fails, relative to its capacity
+	WarmupOverloadFactor float64       // load at which a server that warms up fails, relative to its capacity
 
 	RetryBudgetWindow time.Duration // window in which further attempts are counted; 0: no budget
 	RetryBudgetMin    float64       // further attempts allowed per window regardless of the load
--- a/internal/routing/trace_world_test.go
+++ b/internal/routing/trace_world_test.go
@@ -146,7 +146,7 @@
 	w.text = append(w.text, '\n')
 }
 
-// oneIn returns true once in so many times on average.
+// oneIn returns true with a probability of 1/times.
 func (w *world) oneIn(times int) bool { return w.random.IntN(times) == 0 }
 
 // drawDuration draws a duration between the bounds, which are included.
--- a/internal/searchconfig/config.go
+++ b/internal/searchconfig/config.go
@@ -37,9 +37,9 @@
 type Defaults struct {
 	// Timeout is a time value as ParseDuration accepts it; see Config.Timeout.
 	Timeout string `json:"default_search_timeout,omitempty" toml:"default_search_timeout"`
-	// AllowPartial is the default of allow_partial_search_results; nil stands for true.
+	// AllowPartial is the default of allow_partial_search_results; nil means true.
 	AllowPartial *bool `json:"default_allow_partial_results,omitempty" toml:"default_allow_partial_results"`
-	// MaxResultWindow is the limit on from + size; 0 stands for defaultMaxResultWindow.
+	// MaxResultWindow is the limit on from + size; 0 means defaultMaxResultWindow.
 	MaxResultWindow int `json:"max_result_window,omitempty" toml:"max_result_window"`
 }
 
@@ -71,7 +71,7 @@
 	return c.Search.AllowPartial == nil || *c.Search.AllowPartial
 }
 
-// Timeout returns the default timeout of a search; 0 stands for the timeout of the
+// Timeout returns the default timeout of a search; 0 means the timeout of the
 // search's request class.
 func (c *Config) Timeout() time.Duration {
 	d, err := ParseDuration(c.Search.Timeout)
--- a/internal/searchconfig/duration.go
+++ b/internal/searchconfig/duration.go
@@ -26,7 +26,7 @@
 }
 
 // ParseDuration parses an OpenSearch time value such as 500ms: a positive integer and a
-// unit. An empty value and -1 return 0, which stands for no timeout.
+// unit. An empty value and -1 return 0, which means no timeout.
 func ParseDuration(s string) (time.Duration, error) {
 	if s == "" || s == "-1" {
 		return 0, nil
--- a/internal/searchconfig/patch.go
+++ b/internal/searchconfig/patch.go
@@ -9,7 +9,7 @@
 )
 
 // Patch returns the document after a JSON merge patch (RFC 7396). A dotted key at the top
-// level of the patch stands for nested objects. The receiver is not changed.
+// level of the patch is expanded to nested objects. The receiver is not changed.
 func (c *Config) Patch(patch []byte) (*Config, error) {
 	changes := map[string]any{}
 	if err := decode(patch, &changes, false); err != nil {
--- a/internal/shardmap/coverage/tracker_test.go
+++ b/internal/shardmap/coverage/tracker_test.go
@@ -12,13 +12,13 @@
 // modelKeys is the number of keys of the model.
 const modelKeys = 24
 
-// keyRange returns the range of real keys that stands for a key of the model. The model spans the whole key
+// keyRange returns the range of real keys that represents a key of the model. The model spans the whole key
 // space, so that the first and the last key are tested.
 func keyRange(i int) shardmap.Range {
 	return shardmap.FullRange.Split(modelKeys)[i]
 }
 
-// rangeOver returns the range of real keys that stands for the model's keys from one to another, both included.
+// rangeOver returns the range of real keys that represents the model's keys from one to another, both included.
 func rangeOver(from, to int) shardmap.Range {
 	return shardmap.Range{First: keyRange(from).First, Last: keyRange(to).Last}
 }
--- a/internal/shardmap/resharding/controller_test.go
+++ b/internal/shardmap/resharding/controller_test.go
@@ -59,7 +59,7 @@
 		f.controller = New(testLimits)
 	case 4:
 		f.overloaded = !f.overloaded
-	case 5: // a healthy server dies unless it has the last replica of a shard; a dead one comes back empty
+	case 5: // a healthy server dies unless it has the last replica of a shard; a dead one recovers without records
 		server := rapid.SampledFrom([]string{"e", "f"}).Draw(t, "server")
 		if f.healthy[server] && !f.isLastReplica(server) {
 			f.kill(server)
--- a/internal/transport/set.go
+++ b/internal/transport/set.go
@@ -19,7 +19,7 @@
 // member is one listed server.
 type member struct {
 	coordinator.Endpoint
-	protocol  string    // that transport speaks
+	protocol  string    // the protocol that transport speaks
 	transport Transport // nil only while a method of Set runs
 }
 
