--- a/internal/routing/admission_test.go
+++ b/internal/routing/admission_test.go
@@ -12,7 +12,7 @@
 func TestAdmissionRejectsOnOverloadUntilReportsAge(t *testing.T) {
 	h := newHarness(t, testSettings())
 	for i := range 3 {
-		h.playQuery(RequestID(100+10*i), 200*ms, 1, 2, 3)
+		h.runQuery(RequestID(100+10*i), 200*ms, 1, 2, 3)
 	}
 	h.startQuery(200, 0, 0)
 	h.advance(5*ms, checkReply(1, 40), checkReply(2, 40), checkReply(3, 40))
@@ -62,7 +62,7 @@
 			settings.Hedging = false
 			settings.Shards = 60
 			h := newHarness(t, settings)
-			h.playQuery(10, 200*ms, 1, 2, 3)
+			h.runQuery(10, 200*ms, 1, 2, 3)
 			h.startQuery(20, 0, 0)
 			// With these reports the forecast is about 0.4 s per part. The latency objective is 2 s.
 			h.advance(5*ms, checkReply(1, 1), checkReply(2, 1), checkReply(3, 1))
@@ -82,7 +82,7 @@
 func TestRejectionChecksServersWithOldReports(t *testing.T) {
 	h := newHarness(t, testSettings())
 	for i := range 3 {
-		h.playQuery(RequestID(100+10*i), 200*ms, 1, 2, 3)
+		h.runQuery(RequestID(100+10*i), 200*ms, 1, 2, 3)
 	}
 	h.startQuery(200, 0, 0)
 	h.advance(5*ms, checkReply(1, 90), checkReply(2, 90), checkReply(3, 90))
@@ -100,7 +100,7 @@
 	settings := testSettings()
 	settings.ReplicasPerShard = 1 // server i+1 is the only replica of shard i
 	h := newHarness(t, settings)
-	h.playQuery(100, 200*ms, 1, 2, 3)
+	h.runQuery(100, 200*ms, 1, 2, 3)
 	h.startQuery(200, 0, 0, 1, 2)
 	h.advance(5*ms, checkReply(1, 90), checkReply(2, 0), checkReply(3, 0))
 	h.advance(200*ms, attemptResult(201, 0, 1, OK, 200*ms), attemptResult(202, 0, 2, OK, 200*ms),
@@ -117,7 +117,7 @@
 	settings := serviceTimeSettings()
 	settings.ReplicasPerShard = 1
 	h := newHarness(t, settings)
-	h.playQuery(100, 20*ms, 1, 2, 3)
+	h.runQuery(100, 20*ms, 1, 2, 3)
 	h.turn(reportReply(1, 49, 1600), reportReply(2, 0, 20), reportReply(3, 0, 20))
 	h.startQuery(200, 0, 0, 1, 2)
 	wantActions[Reject](t, h.actions, 1)
--- a/internal/routing/forecast_test.go
+++ b/internal/routing/forecast_test.go
@@ -25,7 +25,7 @@
 
 func TestForecastAdmitsWhereOneReplicaIsIdle(t *testing.T) {
 	h := newHarness(t, testSettings())
-	h.playQuery(1, 20*ms, 1)
+	h.runQuery(1, 20*ms, 1)
 	h.startQuery(10, 0, 0)
 	h.advance(5*ms, checkReply(1, 0), checkReply(2, 99), checkReply(3, 99))
 	h.startQuery(20, 0, 0)
--- a/internal/routing/harness_test.go
+++ b/internal/routing/harness_test.go
@@ -144,9 +144,9 @@
 	}
 }
 
-// playQuery runs a query of one part from its arrival to its answer by one of the servers. The attempt takes
+// runQuery runs a query of one part from its arrival to its answer by one of the servers. The attempt takes
 // the given latency.
-func (h *harness) playQuery(id RequestID, latency time.Duration, servers ...ServerID) {
+func (h *harness) runQuery(id RequestID, latency time.Duration, servers ...ServerID) {
 	h.t.Helper()
 	h.startQuery(id, 0, 0)
 	server := h.sendAfterChecks(servers...)
--- a/internal/routing/hedging_test.go
+++ b/internal/routing/hedging_test.go
@@ -87,7 +87,7 @@
 	for queries, maxHedges := range map[int]int{1: 3, 120: 40} {
 		t.Run(fmt.Sprintf("queries=%d", queries), func(t *testing.T) {
 			h := newHarness(t, testSettings())
-			h.playQuery(1, 20*ms, 1, 2, 3)
+			h.runQuery(1, 20*ms, 1, 2, 3)
 			for i := range queries {
 				h.startQuery(RequestID(10+10*i), 0, 0)
 			}
--- a/internal/routing/load_estimate_test.go
+++ b/internal/routing/load_estimate_test.go
@@ -51,7 +51,7 @@
 func TestServiceTimeReportIsDiscountedByOwnSamples(t *testing.T) {
 	h := newHarness(t, serviceTimeSettings())
 	for i := range 300 { // 30 a second at three servers
-		h.playQuery(RequestID(1000+10*i), 30*ms, 1, 2, 3)
+		h.runQuery(RequestID(1000+10*i), 30*ms, 1, 2, 3)
 	}
 	for id, serviceTime := range map[ServerID]float64{1: 200, 2: 20, 3: 20} {
 		h.turn(reportReply(id, 8, serviceTime))
--- a/internal/routing/overload_backoff_test.go
+++ b/internal/routing/overload_backoff_test.go
@@ -24,7 +24,7 @@
 	settings := testSettings()
 	settings.ReplicasPerShard = 1
 	h := newHarness(t, settings)
-	h.playQuery(1, 20*ms, 1)
+	h.runQuery(1, 20*ms, 1)
 	h.startQuery(10, 0, 0)
 	last := time.Duration(0)
 	for i := range 3 {
--- a/internal/routing/replica_selection_test.go
+++ b/internal/routing/replica_selection_test.go
@@ -13,7 +13,7 @@
 	settings := testSettings()
 	settings.Hedging = false
 	h := newHarness(t, settings)
-	h.playQuery(1, 20*ms, 1) // a low latency: nothing is rejected
+	h.runQuery(1, 20*ms, 1) // a low latency: nothing is rejected
 	for i, want := range []ServerID{1, 1, 1, 2} {
 		h.advance(5 * ms)
 		h.startQuery(RequestID(10+10*i), 0, 0)
@@ -27,7 +27,7 @@
 func TestChooseByLatencyTakesLowestMedian(t *testing.T) {
 	h := newHarness(t, testSettings())
 	for i, latency := range []time.Duration{90 * ms, 30 * ms, 60 * ms} {
-		h.playQuery(RequestID(100+10*i), latency, ServerID(i+1))
+		h.runQuery(RequestID(100+10*i), latency, ServerID(i+1))
 	}
 	h.startQuery(200, 0, 0)
 	if sends := wantActions[Send](t, h.advance(time.Second), 1); sends[0].Server != 2 {
@@ -38,7 +38,7 @@
 func TestChooseByLatencyTakesUnknownLatencyAsAverage(t *testing.T) {
 	h := newHarness(t, testSettings())
 	for i, latency := range []time.Duration{90 * ms, 30 * ms} {
-		h.playQuery(RequestID(100+10*i), latency, ServerID(2*i+1))
+		h.runQuery(RequestID(100+10*i), latency, ServerID(2*i+1))
 	}
 	class := &h.router.settings.Classes[0]
 	p := &part{id: 201, query: &query{id: 200, class: class, endsAt: h.now + time.Second}}
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -242,7 +242,7 @@
 			if p.race == nil {
 				r.joinRace(race, p, candidates)
 			} else {
-				r.judgeRace(p, candidates)
+				r.dispatchAfterRace(p, candidates)
 			}
 		}
 	}
@@ -257,8 +257,8 @@
 	}
 }
 
-// judgeRace sends a part whose race is over. A part that has no candidates left waits for a new race.
-func (r *Router) judgeRace(p *part, candidates []*server) {
+// dispatchAfterRace sends a part whose race is over. A part that has no candidates left waits for a new race.
+func (r *Router) dispatchAfterRace(p *part, candidates []*server) {
 	state, replied := r.checks.evaluateRace(r.now, p, candidates)
 	switch {
 	case state == raceSucceeded:
--- a/internal/routing/slow_start_test.go
+++ b/internal/routing/slow_start_test.go
@@ -52,7 +52,7 @@
 	}
 	endpoints[0].StartedAt = h.now - age
 	h.updateEndpoints(UpdateDelta, endpoints...)
-	h.playQuery(100, 20*ms, 2, 3, 2, 3, 2, 3, 2, 3, 2, 3, 2, 3)
+	h.runQuery(100, 20*ms, 2, 3, 2, 3, 2, 3, 2, 3, 2, 3, 2, 3)
 	h.turn(reportReply(1, 0, serviceTime, 0),
 		reportReply(2, inFlight, 20, 0), reportReply(3, inFlight, 20, 0))
 	for range 2 { // a high median latency, so that the lower bound of one part at a time does not apply
