--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -12,7 +12,7 @@
 )
 
 // Entries that were stored in the first format are still decoded, and encoding them again gives the same bytes.
-func TestStoredEntryReadsFirstFormat(t *testing.T) {
+func TestStoredEntryReadsAsRecorded(t *testing.T) {
 	for name, want := range storedCommands() {
 		t.Run(name, func(t *testing.T) {
 			entry := readFixture(t, "entry_"+name+".cbor", func() []byte {
@@ -56,7 +56,7 @@
 
 // A snapshot that was stored in the first format is still restored, and encoding it again gives the same bytes and the
 // same hash.
-func TestStoredSnapshotReadsFirstFormat(t *testing.T) {
+func TestStoredSnapshotReadsAsRecorded(t *testing.T) {
 	data := readFixture(t, "snapshot.cbor", func() []byte { return mustSnapshot(t, storedState(t)) })
 	got, err := Restore(data)
 	if err != nil {
@@ -77,7 +77,7 @@
 }
 
 // The snapshot fixture has records whose fields are all zero. It covers the encoding of empty fields.
-func TestStoredSnapshotOfZeroRecordsReadsFirstFormat(t *testing.T) {
+func TestStoredSnapshotOfZeroRecordsReadsAsRecorded(t *testing.T) {
 	want := NewState(&searchconfig.Config{})
 	if err := want.settings.Validate(); err != nil {
 		t.Fatal(err)
@@ -98,7 +98,7 @@
 }
 
 // The snapshot fixture has no records. It covers the encoding of empty maps and lists.
-func TestStoredEmptySnapshotReadsFirstFormat(t *testing.T) {
+func TestStoredEmptySnapshotReadsAsRecorded(t *testing.T) {
 	data := readFixture(t, "snapshot_empty.cbor", func() []byte {
 		return mustSnapshot(t, NewState(&searchconfig.Config{}))
 	})
