--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -43,7 +43,7 @@
 		e.Setenv("FILE", d.SearchFile)
 		e.Setenv("CONFIG", d.PlatformFile)
 		e.Setenv("SEARCH", d.Search)
-		e.Setenv("DOOR", d.AdminListener)
+		e.Setenv("ADMIN", d.AdminListener)
 		e.Setenv("SET", strings.Join(d.ReplicaSets()[0], "+"))
 		e.Setenv("DEAD_SOCKET", e.WorkDir+"/nobody.sock")
 		return listenUnresponsive(e)
--- a/internal/cli/docs_test.go
+++ b/internal/cli/docs_test.go
@@ -22,7 +22,7 @@
 		"--count N", "--count 2", " ID", " x", "recover --opensearch FILE", "recover --opensearch $FILE", "--opensearch FILE", "--opensearch $FILE", "backup FILE", "backup backup.json")
 
 	// addresses replaces the addresses in the pages, which a test cannot bind or reach, by those of the demo.
-	addresses = strings.NewReplacer("127.0.0.1:9200", "$SEARCH", "127.0.0.1:19000", "$DOOR")
+	addresses = strings.NewReplacer("127.0.0.1:9200", "$SEARCH", "127.0.0.1:19000", "$ADMIN")
 )
 
 // omittedCommands lists the commands that the page scripts leave out, because they take long, run until they are
