--- a/internal/routing/overload_backoff.go
+++ b/internal/routing/overload_backoff.go
@@ -22,8 +22,8 @@
 // it. classMedian is in nanoseconds.
 func (b *overloadBackoff) start(now time.Duration, classMedian float64, connectFailed bool) {
 	if now >= b.until {
-		length := initialBackoffLatencies * classMedian * math.Exp2(float64(min(b.count, maxBackoffDoublings)))
-		b.until = now + time.Duration(length)
+		delay := initialBackoffLatencies * classMedian * math.Exp2(float64(min(b.count, maxBackoffDoublings)))
+		b.until = now + time.Duration(delay)
 		b.count++
 	}
 	b.unreachable = connectFailed
