--- a/internal/bodystore/compaction.go
+++ b/internal/bodystore/compaction.go
@@ -5,11 +5,12 @@
 const (
 	maxCompactionBytes  = 1 << 20                // after these, one compaction stops, so that moves don't wait long
 	compactionInterval  = 100 * time.Millisecond // minimum time between two compactions
-	compactionDiskRatio = 1.5                    // segments are compacted from this multiple of Limits.Files on disk
+	compactionDiskRatio = 1.5                    // threshold of the segments' disk use, as a multiple of Limits.Files
 )
 
 // compact copies the live records of the sparsest segment to the current one, so that the sparsest can be
-// removed. It does nothing while the segments together use less disk than compactionDiskRatio times Limits.Files.
+// removed. It does nothing while the segments together use less disk than compactionDiskRatio times the Limits.Files
+// that the store was opened with.
 func (s *Store) compact() {
 	if s.log == nil || float64(s.log.diskBytes()) < compactionDiskRatio*float64(s.cfg.Limits.Files) {
 		return
--- a/internal/config/restriction/pending_set.go
+++ b/internal/config/restriction/pending_set.go
@@ -64,8 +64,9 @@
 	return request, nil
 }
 
-// Receive adds requests of other instances, in any order and any number of times, and returns the new ones. Requests
-// above MaxPending are dropped: they still take effect here when the log accepts them.
+// Receive adds requests of other instances, in any order and any number of times, and returns the new ones. It skips
+// requests with an invalid level. Once MaxPending requests are pending, it drops further ones: they take effect here
+// only when the log has accepted them.
 func (p *PendingSet) Receive(log ReplicatedState, requests ...Request) []Request {
 	settled := log.Settled()
 	var added []Request
--- a/internal/coordinator/finish.go
+++ b/internal/coordinator/finish.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// finish answers an open query and removes it. Its attempts in flight stay until they end; those that are not yet
-// written are marked as ended, so that transports do not write them.
+// finish answers an open query and removes it. Its attempts in flight stay until they end. All of them are marked as
+// ended, so that transports do not write those that are not yet written.
 func (c *Core) finish(q *query, answer Answer) {
 	if c.queries[q.id] == nil {
 		return
--- a/internal/discovery/timeouts.go
+++ b/internal/discovery/timeouts.go
@@ -24,8 +24,8 @@
 type Timeouts struct {
 	dial time.Duration // limit of connecting
 
-	// The time that a call may take beyond the wait that it requests: startSlack for the first two calls of a watch,
-	// renewSlack for later ones.
+	// The time that a call may take beyond the wait that it requests: startSlack until startSlackCalls calls have been
+	// answered, renewSlack for later calls. A failure or a change of address starts the count again.
 	startSlack, renewSlack time.Duration
 
 	minBackoff, maxBackoff time.Duration // before jitter; the backoff doubles after each consecutive failure
@@ -56,7 +56,8 @@
 	}
 }
 
-// minBackoffJitter is the shortest wait after a failure, as a fraction of its base; the longest is 1 greater.
+// minBackoffJitter is the smallest factor of a wait after a failure: the wait is its base times a random factor from
+// minBackoffJitter to minBackoffJitter + 1.
 const minBackoffJitter = 0.5
 
 // backoff returns how long to wait after a failure, and the base of the wait after the next consecutive one. The wait
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -23,8 +23,9 @@
 	Arm(at time.Duration, fire func()) (disarm func())
 }
 
-// startSlackCalls is how many calls after a start, a failure or a change of address have Timeouts.startSlack: they
-// may have to wait in the queue of a service that answers the calls of all coordinators one after the other.
+// startSlackCalls is the number of answered calls after a start, a failure or a change of address until which a call
+// gets Timeouts.startSlack on top of its wait; later calls get Timeouts.renewSlack. The first calls may have to wait in
+// the queue of a service that answers the calls of all coordinators one after the other.
 const startSlackCalls = 2
 
 // Watcher follows the endpoint list. The goroutine of Run owns the watcher's state and connection. It starts a
--- a/internal/eventlog/events_bodies.go
+++ b/internal/eventlog/events_bodies.go
@@ -8,8 +8,11 @@
 		Component: "bodies", Name: "bodies", Level: hclog.Info,
 		Fields:       []string{"stored", "shared", "arriving", "waiting", "memory", "files", "disk"},
 		FormerFields: []FieldRename{{"held", "stored"}},
-		Meaning:      "where the bodies of queries are stored, and which failures occurred",
-		Action:       "see [bodies.md](bodies.md)",
+		Meaning: "the bodies of queries that are stored: their number (`stored`), the references beyond the first of each " +
+			"body (`shared`), the bodies that have not arrived completely (`arriving`) or have a part yet to be sent " +
+			"(`waiting`), the bytes of bodies in memory and in files (`memory`, `files`), and the bytes that the files " +
+			"take on disk, freed records included (`disk`)",
+		Action: "see [bodies.md](bodies.md)",
 	})
 	BodyFilesUnavailable = register(Event{
 		Component: "bodies", Name: "body_files_unavailable", FormerName: "bodies_memory_only", Level: hclog.Warn,
--- a/internal/http1/eviction.go
+++ b/internal/http1/eviction.go
@@ -10,7 +10,7 @@
 type evictionRank uint8
 
 const (
-	rankNotEvictable evictionRank = iota // a request has arrived, completely or in part
+	rankNotEvictable evictionRank = iota // a request has arrived completely, or in part less than stuckRequestAge ago
 	rankStuckRequest                     // a request has been incomplete for at least stuckRequestAge
 	rankNew                              // connected less than silentConnAge ago, and has sent nothing
 	rankIdle                             // waits for its next request
--- a/internal/store/context.go
+++ b/internal/store/context.go
@@ -9,7 +9,8 @@
 )
 
 // ErrOutcomeUnknown is the error of a change whose context ended while a quorum was awaited: the change may already be
-// committed, or may be committed later. The returned error also wraps the error of the context.
+// committed, or may be committed later. The returned error also wraps the error of the context. After ErrNoQuorum the
+// outcome of a change is unknown too, although that error does not wrap ErrOutcomeUnknown.
 var ErrOutcomeUnknown = errors.New("the outcome is unknown")
 
 // checkContext returns an error if the context has ended. It is called before an operation, or its next step, starts.
--- a/internal/store/membership.go
+++ b/internal/store/membership.go
@@ -16,7 +16,8 @@
 
 // Errors of a change of membership.
 var (
-	// ErrUnknownMember is returned if no member has the id that a call names, and if a member cannot be added.
+	// ErrUnknownMember is returned if no member has the id that a call names. It is also returned if a member cannot
+	// be added: both uses share one text.
 	ErrUnknownMember = errors.New("store: no such member")
 	// ErrQuorumAtRisk is returned if a removal would leave fewer reachable voters than a quorum needs.
 	ErrQuorumAtRisk = errors.New("store: the removal would leave too few members reachable for a majority")
