--- a/internal/config/restriction/settled_set.go
+++ b/internal/config/restriction/settled_set.go
@@ -8,8 +8,8 @@
 // MaxIncarnations is the maximum number of incarnations of one instance that a SettledSet keeps, the latest ones.
 const MaxIncarnations = 8
 
-// SettledSet is the set of requests that the log has accepted, rejected or withdrawn. It is immutable. The zero value
-// is an empty set.
+// SettledSet is the set of requests that the log has accepted or rejected. A request that an undrain of its server
+// withdrew counts as rejected. The set is immutable. The zero value is an empty set.
 type SettledSet struct {
 	origins map[Origin]sequenceSet
 }
--- a/internal/config/result.go
+++ b/internal/config/result.go
@@ -16,9 +16,10 @@
 	NoReplicaLeft   Reason = "it would leave a slice without a holder in service"
 	AlreadySettled  Reason = "the order was decided before"
 	StaleSequence   Reason = "a later command of the same client came first"
-	NotInitialized  Reason = "the settings were never agreed; a document comes first"
-	LimitExceeded   Reason = "there is no room for more of these"
-	Invalid         Reason = "it cannot be used"
+	// NotInitialized: the first settings document has not been replicated yet.
+	NotInitialized Reason = "the settings were never agreed; a document comes first"
+	LimitExceeded  Reason = "there is no room for more of these"
+	Invalid        Reason = "it cannot be used"
 )
 
 // reasonUndrained is recorded for a pending restriction that an UndrainServer command withdrew.
--- a/internal/daemon/limits_share.go
+++ b/internal/daemon/limits_share.go
@@ -12,7 +12,9 @@
 )
 
 const (
-	gcMemoryShare  = 0.6  // of the memory limit is for the garbage collector; the rest is for what it does not see
+	// gcMemoryShare is the share of the platform's memory limit that is set as the Go runtime's soft memory limit
+	// (debug.SetMemoryLimit), divided among the processes. The rest is for memory that the runtime does not manage.
+	gcMemoryShare  = 0.6
 	defaultSockets = 1024 // descriptors, if the platform sets no limit
 	// ownSockets are the descriptors that the program needs itself: streams, listeners, discovery, the store, the admin
 	// listener.
@@ -76,7 +78,7 @@
 	}
 }
 
-// limitMemory sets the garbage collector's memory limit by this process's share. The caller holds mu.
+// limitMemory sets the Go runtime's soft memory limit to this process's share. The caller holds mu.
 func (l *limitsShare) limitMemory() {
 	if l.cfg.memoryMB > 0 {
 		debug.SetMemoryLimit(int64(gcMemoryShare * float64(l.cfg.memoryMB) * (1 << 20) / float64(l.share.Processes)))
@@ -84,8 +86,9 @@
 }
 
 // shareSockets divides the descriptors that the program does not need itself. Half of them are for clients, in equal
-// parts for the fronts, and half for the league servers, so that neither can starve the other. Clients with a request
-// open need a third at most. It returns the connections of each front, and those to all league servers together.
+// parts for the fronts, and half for the league servers, so that neither can starve the other. The clients' half is
+// more than those with a request open need, which is a third at most. shareSockets returns the connections of each
+// front, and those to all league servers together.
 func shareSockets(sockets, fronts int) (clients, servers int) {
 	rest := max(2, sockets-ownSockets)
 	return max(1, rest/2/fronts), rest - rest/2
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -33,7 +33,8 @@
 	}
 }
 
-// isSuccessor reports whether another process of this coordinator was already running when this one started.
+// isSuccessor reports whether more than one process of this coordinator runs now. It is called while this process
+// starts: another process that runs then was there before.
 func (p *process) isSuccessor() bool { return p.share.Processes > 1 }
 
 // maxDeadline returns the longest deadline of a query.
--- a/internal/experiment/bodies.go
+++ b/internal/experiment/bodies.go
@@ -13,7 +13,7 @@
 
 const (
 	bodiesErrorShare    = 0.1 // share of the parts that fail at a faulty server
-	bodiesFaultyServers = 3   // one in three servers is faulty
+	bodiesFaultyServers = 3   // every third server is faulty
 )
 
 // BodiesConfig configures RunBodies, the experiment on the tiers in which bodies are kept for retries.
@@ -147,7 +147,8 @@
 	return counters
 }
 
-// drawSearchBody draws the body of a search, at least kib KiB long and little more.
+// drawSearchBody draws the body of a search. It is at least kib KiB long, and ends after the list element that reaches
+// this length and a closing one.
 func drawSearchBody(rng *rand.Rand, kib int) string {
 	var b strings.Builder
 	b.WriteString(`{"size":100000,"query":{"terms":{"id":[`)
--- a/internal/experiment/chart.go
+++ b/internal/experiment/chart.go
@@ -16,7 +16,7 @@
 const (
 	chartBarWidth    = 40  // points
 	chartWidthPerRun = 120 // points
-	chartMinRuns     = 3   // a chart with fewer runs is as wide as with this many
+	chartMinRuns     = 3   // a chart with fewer runs has the width of a chart with this number of runs
 	chartHeight      = 320 // points
 	chartMaxRatio    = 1.1 // upper end of the y axis
 )
--- a/internal/experiment/drains.go
+++ b/internal/experiment/drains.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// stopNodes stops the coordinators from position from on and waits for them.
+// stopNodes stops the coordinators with the index from or higher in w.nodes, and waits until they have stopped.
 func (w *world) stopNodes(from int) {
 	for _, n := range w.nodes[from:] {
 		n.stop()
@@ -132,9 +132,9 @@
 	}
 }
 
-// drainServers drains the servers in turn, each at a random running coordinator. With a majority it undrains each
-// server before the next drain. Without a majority no server can be undrained, so it stops when all servers are
-// draining.
+// drainServers drains one server after another, and requests each drain at a random running coordinator. If all
+// coordinators run, it undrains each server before the next drain. Otherwise there is no majority and no server can be
+// undrained, so it returns once all servers are draining.
 func (w *world) drainServers(c DrainsConfig, result *drainsResult) error {
 	rng := rand.New(rand.NewPCG(result.seed, 9))
 	servers, run := w.fleet.Servers, result.run
--- a/internal/experiment/helpers_test.go
+++ b/internal/experiment/helpers_test.go
@@ -20,7 +20,8 @@
 	t.Setenv("TMPDIR", t.TempDir())
 }
 
-// stateRemoved is the state in awaitServerState of a server that a coordinator does not have.
+// stateRemoved is passed to awaitServerState instead of a state. It means that the server is not in the coordinator's
+// server list.
 const stateRemoved = "removed"
 
 // startCluster starts coordinators on a fleet of their own and stops both at the end of the test.
--- a/internal/handover/group.go
+++ b/internal/handover/group.go
@@ -49,7 +49,9 @@
 
 // followOrLead makes this process a follower of the group's leader, or the leader if there is none.
 func (g *Group) followOrLead() error {
-	unlock, err := lockFile(g.path + ".lock") // of two processes that start at once, the second finds the first listening
+	// The lock prevents two processes that start at the same time from both becoming the leader: the second one gets
+	// the lock once the first listens, and follows it.
+	unlock, err := lockFile(g.path + ".lock")
 	if err != nil {
 		return fmt.Errorf("handover: join %s: %w", g.path, err)
 	}
--- a/internal/routing/health_check_race.go
+++ b/internal/routing/health_check_race.go
@@ -14,8 +14,8 @@
 	firstReplyTimeoutReplies      = 2
 	firstReplyTimeoutLatencyShare = 0.5
 
-	// How long a reply is valid in later races, per coordinator: all coordinators together then send a server
-	// about one health check every 25 ms.
+	// A reply is valid in later races for this time multiplied by the number of coordinators, counted from
+	// the send of the check: all coordinators together then send a server about one health check every 25 ms.
 	replyValidityPerCoordinator = 25 * time.Millisecond
 
 	minFirstReplyTicks = 2 // lower bound of the wait for a first reply
@@ -112,7 +112,7 @@
 	}
 }
 
-// replyValidity is how long later races accept a reply.
+// replyValidity is how long after the send of a check later races accept its reply.
 func (h *healthChecks) replyValidity() time.Duration {
 	return replyValidityPerCoordinator * time.Duration(h.settings.Coordinators)
 }
--- a/internal/routing/outlier_detection.go
+++ b/internal/routing/outlier_detection.go
@@ -7,9 +7,11 @@
 )
 
 const (
-	healthSmoothingFactor      = 0.4 // weight of one result in a server's health for its class
-	otherClassesFactor         = 0.5 // share of that weight that a bad result has for other classes
-	healthCheckSmoothingFactor = 0.1 // weight of a failed health check: one short pause fails several
+	healthSmoothingFactor = 0.4 // weight of one result in a server's health for its class
+	otherClassesFactor    = 0.5 // share of that weight that a bad result has for other classes
+	// Weight of a failed health check. It is low because one short pause of a server fails several of its
+	// health checks.
+	healthCheckSmoothingFactor = 0.1
 
 	// Latency, in medians of its class, up to which a result has quality 1; at twice that latency it has 0.5.
 	goodLatencyFactor = 1
--- a/internal/routing/replica_selection.go
+++ b/internal/routing/replica_selection.go
@@ -16,7 +16,8 @@
 	// Subtracted from a replica's cost, in requests of load, if requests cost and the part can share one.
 	sharedRequestDiscount = 1.1
 
-	// The load of a server is divided by this power of its health: a failing server looks idle.
+	// The load of a server is divided by this power of its health, which is from 0 to 1. The division raises
+	// the load of a failing server, which looks idle.
 	healthExponent = 2
 
 	// Added to the cost of a replica in another zone, in requests of load per unit of Settings.CrossZoneCost.
--- a/internal/routing/slow_start.go
+++ b/internal/routing/slow_start.go
@@ -35,7 +35,8 @@
 }
 
 // updateWarmRate estimates the warm rate: the recent rate of answers, divided by the sum of the ready
-// servers' utilizations (at least 1). It is at least one part at a time, shared among the coordinators.
+// servers' utilizations (at least 1). Its lower bound is one part per median latency, divided by the
+// number of coordinators: the rate of a server that processes one part at a time, shared among them.
 func (r *slowStart) updateWarmRate(now time.Duration, servers []*server) {
 	utilization := 0.0
 	for _, s := range servers {
--- a/internal/shardmap/errors.go
+++ b/internal/shardmap/errors.go
@@ -13,7 +13,7 @@
 	ErrPlanOverlap        = errors.New("another plan touches the range") // another open plan changes some of its keys
 	ErrNotFound           = errors.New("no such slice or plan")
 	ErrInvalidTransition  = errors.New("a plan cannot go there from its step") // to the step that a command asks for
-	ErrInvalidRequest     = errors.New("the order makes no sense")
-	ErrLimitExceeded      = errors.New("the layout has no room for it") // too many shards or plans
-	ErrDuplicateID        = errors.New("an id must not be used twice")  // also: the map has not issued the id
+	ErrInvalidRequest     = errors.New("the order makes no sense")             // the request is invalid
+	ErrLimitExceeded      = errors.New("the layout has no room for it")        // limit on shards or plans reached
+	ErrDuplicateID        = errors.New("an id must not be used twice")         // also: the map has not issued the id
 )
--- a/internal/shardmap/resharding/controller.go
+++ b/internal/shardmap/resharding/controller.go
@@ -19,9 +19,12 @@
 	MaxPerServer  int // such plans that involve one server
 	// RetireDelay is the time from the switch until the old replicas may drop their data. It covers the longest
 	// query and the propagation of the map.
-	RetireDelay  time.Duration
-	StallTimeout time.Duration // how long a plan may copy or wait for the switch without progress; then it is abandoned
-	ReportTTL    time.Duration // a server's older report does not show that a copy is complete
+	RetireDelay time.Duration
+	// StallTimeout is how long a plan at the step Copying or Replicated may go without progress: if for this long
+	// neither its step has changed nor the number of copied records has grown, it is abandoned. The time during an
+	// overload counts too.
+	StallTimeout time.Duration
+	ReportTTL    time.Duration // maximum age of a server's report that may show that a copy is complete
 }
 
 // Action is a command that the controller wants executed on the version of the map that the command names.
--- a/internal/upstream/body_write.go
+++ b/internal/upstream/body_write.go
@@ -16,7 +16,10 @@
 
 // Reasons other than a connection error for which a body was not written completely.
 var (
-	errQueryEnded     = errors.New("the query has ended")
+	// errQueryEnded is returned if the attempt or its query has ended, or if the deadline or the idempotency window of
+	// the attempt has passed.
+	errQueryEnded = errors.New("the query has ended")
+	// errWorkDeclined is returned if the server has begun to drain, or no longer has the shard of the part.
 	errWorkDeclined   = errors.New("the server accepts no more work")
 	errBodyUnreadable = errors.New("the body cannot be read")
 )
@@ -92,8 +95,8 @@
 	}
 }
 
-// checkBodyWrite is called before each chunk. It returns an error if the query has ended, or if the server has begun
-// to drain or no longer has the shard.
+// checkBodyWrite is called before each chunk. It returns errQueryEnded or errWorkDeclined if no more of the body may be
+// written.
 func (c *Client) checkBodyWrite(b *bodyWrite, now time.Duration) error {
 	if b.attempt.Expired(now) || b.attempt.Canceled() {
 		return errQueryEnded
