--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -117,7 +117,7 @@
 }
 
 // The log stores the document of a client unchanged. Applying it must produce the settings in the snapshot fixture.
-func TestStoredDocumentEntryAppliesAsFirstFormat(t *testing.T) {
+func TestStoredDocumentEntryAppliesAsRecorded(t *testing.T) {
 	entry := readFixture(t, "entry_document.cbor", nil)
 	c, err := Decode(entry)
 	if err != nil {
--- a/internal/upstream/body_write.go
+++ b/internal/upstream/body_write.go
@@ -38,11 +38,11 @@
 // during this write. Before the last chunk is written, the server cannot have run the part that the body belongs to.
 // The other parts in flight may have run, whatever ended the write.
 func (b *bodyWrite) outcomeOf(id coordinator.AttemptID, o outcome.Outcome) outcome.Outcome {
-	describesBody := o == outcome.Canceled || o == outcome.BodyEvicted || o == outcome.NotSent
+	isOutcomeOfBody := o == outcome.Canceled || o == outcome.BodyEvicted || o == outcome.NotSent
 	switch {
-	case b.attempt.ID != id && describesBody:
+	case b.attempt.ID != id && isOutcomeOfBody:
 		return outcome.ConnClosed
-	case b.attempt.ID != id, b.lastChunk.Load(), describesBody:
+	case b.attempt.ID != id, b.lastChunk.Load(), isOutcomeOfBody:
 		return o
 	}
 	return outcome.WriteInterrupted
