--- a/internal/experiment/body_memory.go
+++ b/internal/experiment/body_memory.go
@@ -81,9 +81,9 @@
 }
 
 // HoldBodies stores count bodies, reads each of them once and prints one line of figures: the peak resident memory
-// before the first body and at the end, and the store's use of memory, files and disk, all in bytes. The
-// parameter contents is "distinct", "shared" or "tight". HoldBodies fails if the bodies' directory cannot be created, or
-// a body cannot be stored or read.
+// before the first body and at the end, and the store's use of memory, files and disk, all in bytes. The parameter
+// contents is "distinct", "shared" or "tight". HoldBodies fails if the bodies' directory cannot be created, or a body
+// cannot be stored or read.
 func HoldBodies(contents string, count int) error {
 	base := peakResidentBytes()
 	budget, limit := int64(holdBudgetBytes), int64(holdMemoryLimit)
--- a/internal/experiment/resharding.go
+++ b/internal/experiment/resharding.go
@@ -139,8 +139,8 @@
 	return out, nil
 }
 
-// runDisrupted runs queries during a disruption. After the last query it stops the disruption and
-// waits until that has ended.
+// runDisrupted runs queries during a disruption. After the last query it stops the disruption and waits
+// until that has ended.
 func (w *world) runDisrupted(d *disruption, seed uint64, queries []query, result *loadResult) {
 	ctx, stop := context.WithCancel(context.Background())
 	var disrupting sync.WaitGroup
