--- a/internal/daemon/admin_changes.go
+++ b/internal/daemon/admin_changes.go
@@ -105,7 +105,7 @@
 	if err != nil {
 		return adminapi.ServerResponse{}, err
 	}
-	return adminapi.ServerResponse{Scope: "here now, and elsewhere once received; the log then accepts or rejects it",
+	return adminapi.ServerResponse{Scope: "here, and wherever it is heard; the log settles it",
 		RestrictionID: pending.ID.String()}, nil
 }
 
