--- a/internal/routing/forecast.go
+++ b/internal/routing/forecast.go
@@ -79,5 +79,5 @@
 	eligible := filter(f.endpoints.replicasOf(shard), func(s *server) bool {
 		return f.eligibility.mayGetAttemptAfterBackoff(now, s)
 	})
-	return prefer(eligible, func(s *server) bool { return s.checks.isReachable() })
+	return filterOrAll(eligible, func(s *server) bool { return s.checks.isReachable() })
 }
--- a/internal/routing/health_check_race.go
+++ b/internal/routing/health_check_race.go
@@ -14,9 +14,9 @@
 	firstReplyTimeoutReplies      = 2
 	firstReplyTimeoutLatencyShare = 0.5
 
-	// A reply is valid in later races for this time multiplied by the number of coordinators, counted from
-	// the send of the check: all coordinators together then send a server about one health check every 25 ms.
-	replyValidityPerCoordinator = 25 * time.Millisecond
+	// All coordinators together send a server about one health check every 25 ms: a reply is valid in later
+	// races for this interval multiplied by the number of coordinators, counted from the send of the check.
+	fleetCheckInterval = 25 * time.Millisecond
 
 	minFirstReplyTicks = 2 // lower bound of the wait for a first reply
 
@@ -114,7 +114,7 @@
 
 // replyValidity is how long after the send of a check later races accept its reply.
 func (h *healthChecks) replyValidity() time.Duration {
-	return replyValidityPerCoordinator * time.Duration(h.settings.Coordinators)
+	return fleetCheckInterval * time.Duration(h.settings.Coordinators)
 }
 
 // withValidReply returns the servers whose latest reply is still valid. It returns all servers if health
--- a/internal/routing/health_check_race_test.go
+++ b/internal/routing/health_check_race_test.go
@@ -47,7 +47,7 @@
 			h.advance(5*ms, checkReply(1, 3), checkReply(2, 0)) // server 3 does not reply
 			h.advance(5 * ms)
 			h.turn(ClientDisconnected{ID: 10})
-			h.now += replyValidityPerCoordinator*time.Duration(coordinators) - 11*ms
+			h.now += fleetCheckInterval*time.Duration(coordinators) - 11*ms
 			h.startQuery(20, 0, 0)
 			if sends := wantActions[Send](t, h.actions, 1); sends[0].Server != 2 {
 				t.Errorf("sent to %d, want 2", sends[0].Server)
--- a/internal/routing/outlier_detection.go
+++ b/internal/routing/outlier_detection.go
@@ -14,7 +14,7 @@
 	healthCheckSmoothingFactor = 0.1
 
 	// Latency, in medians of its class, up to which a result has quality 1; at twice that latency it has 0.5.
-	goodLatencyFactor = 1
+	fullQualityLatencyFactor = 1
 
 	ejectionHealthRatio  = 0.55 // a replica below this share of its shard's best health is ejected
 	probationHealthRatio = 0.8  // below this share it gets one part at a time
@@ -74,7 +74,7 @@
 
 // recordSuccess records a successful attempt with its latency in nanoseconds.
 func (d *outlierDetector) recordSuccess(now time.Duration, s *server, class int, latency float64) {
-	quality := min(1, goodLatencyFactor*d.latencies.classMedian(now, class)/latency)
+	quality := min(1, fullQualityLatencyFactor*d.latencies.classMedian(now, class)/latency)
 	d.record(now, s, class, quality, healthSmoothingFactor)
 }
 
--- a/internal/routing/replica_selection.go
+++ b/internal/routing/replica_selection.go
@@ -58,7 +58,7 @@
 		return r.eligibility.mayGetAttempt(now, s) && !p.isInFlightAt(s)
 	})
 	healthy := r.outliers.eject(now, eligible, p.query.classIndex)
-	return prefer(healthy, func(s *server) bool { return !slices.Contains(p.servers, s) })
+	return filterOrAll(healthy, func(s *server) bool { return !slices.Contains(p.servers, s) })
 }
 
 // choose picks one of the replicas that replied. It compares, in this order, by how much the in-flight
--- a/internal/routing/retry.go
+++ b/internal/routing/retry.go
@@ -58,14 +58,14 @@
 // withinBudget reports whether a further attempt is within the retry budget and, for a hedge, within the
 // limit of hedges. A RetryBudgetWindow of 0 means that there is no retry budget.
 func (r *retryPolicy) withinBudget(now time.Duration, isHedge bool) bool {
-	arrived := float64(r.arrivals.count(now))
-	further := float64(r.furtherAttempts.count(now) + 1)
-	budget := r.settings.RetryBudgetMin + r.settings.RetryBudgetRatio*arrived
+	arrivals := float64(r.arrivals.count(now))
+	furtherAttempts := float64(r.furtherAttempts.count(now) + 1)
+	budget := r.settings.RetryBudgetMin + r.settings.RetryBudgetRatio*arrivals
 	if isHedge {
-		if !r.mayHedge(further, arrived) {
+		if !r.mayHedge(furtherAttempts, arrivals) {
 			return false
 		}
 		budget *= hedgeBudgetShare
 	}
-	return r.settings.RetryBudgetWindow == 0 || further <= budget
+	return r.settings.RetryBudgetWindow == 0 || furtherAttempts <= budget
 }
--- a/internal/routing/server.go
+++ b/internal/routing/server.go
@@ -62,9 +62,9 @@
 	return slices.DeleteFunc(slices.Clone(list), func(s *server) bool { return !keep(s) })
 }
 
-// prefer returns the servers for which better is true, or the whole list if there are none.
-func prefer(list []*server, better func(*server) bool) []*server {
-	if preferred := filter(list, better); len(preferred) > 0 {
+// filterOrAll returns the servers for which keep is true, or the whole list if there is none.
+func filterOrAll(list []*server, keep func(*server) bool) []*server {
+	if preferred := filter(list, keep); len(preferred) > 0 {
 		return preferred
 	}
 	return list
