--- a/internal/adminapi/signature/verifier.go
+++ b/internal/adminapi/signature/verifier.go
@@ -20,7 +20,7 @@
 	ErrUnsigned = errors.New("the call has no valid Authorization header")
 	// ErrInvalidSignature is returned if no known key made the signature, or if the call was changed after it was
 	// signed.
-	ErrInvalidSignature = errors.New("the signature is none of a key known here")
+	ErrInvalidSignature = errors.New("the signature was not made with a known key, or the call was changed")
 	// ErrClockSkew is returned for a call whose time is outside the window or before the verifier's start. The event
 	// registry names this text in the action for rejected calls.
 	ErrClockSkew = errors.New("the call's time is off")
--- a/internal/schema/error.go
+++ b/internal/schema/error.go
@@ -10,7 +10,7 @@
 var (
 	ErrUnknownKey      = errors.New("unknown key")
 	ErrWrongType       = errors.New("not a value of type")
-	ErrMissingUnit     = errors.New("a time has a unit") // the value lacks a unit
+	ErrMissingUnit     = errors.New("a time needs a unit") // the value lacks a unit
 	ErrInvalidDuration = errors.New(`is no time such as "1.5s"`)
 	ErrInvalidAddress  = errors.New(`is no address such as "127.0.0.1:9200"`)
 	ErrNotAllowed      = errors.New("is none of")
--- a/internal/store/propose.go
+++ b/internal/store/propose.go
@@ -11,7 +11,7 @@
 )
 
 // ErrConflict is the error of a change that is based on a version that is no longer current.
-var ErrConflict = errors.New("store: another change came first")
+var ErrConflict = errors.New("store: another change was applied first")
 
 // Propose replicates a command and returns its result after a quorum has committed it. Only the leader accepts
 // proposals. It returns ErrTooLarge or ErrRateLimited if the command exceeds a limit; restrictions are exempt from the
